--- /dev/null
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -0,0 +1,192 @@
+/**
+ * Generated histories of a simulated deployment, for comparing versions of the code: which jobs, cancellations and faults
+ * come when depends on the seed alone, and the stopwatch stands still, so that equal code sends equal bytes.
+ */
+import type { CoreEffect, JobSpec, Micros } from '@shaleyoke/core/model';
+import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Feature } from '@shaleyoke/core/ports';
+import { FIRST_LIST, play, SECOND_LIST } from '../meetings.js';
+import { Random } from '../random.js';
+import { specOf } from '../specs.js';
+import { World } from '../world.js';
+import { MessageDigest } from './message-digest.js';
+import type { FeatureAnswerEncoder } from './message-encoding.js';
+
+/** A client of a feature, which sends requests of its own between the steps of a history. */
+export interface FeatureClient {
+  /** Called once, before the deployment has played. */
+  prepare(world: World): void;
+  /** Called at each step. */
+  step(world: World, random: Random): void;
+}
+
+/** What a history switches on beside the scheduler itself. */
+export interface HistoryFeatures {
+  /** Features of a new process. */
+  readonly features: (random: Random) => readonly Feature[];
+  readonly clients: readonly FeatureClient[];
+  readonly encodeAnswer: FeatureAnswerEncoder;
+}
+
+export const NO_FEATURES: HistoryFeatures = {
+  features: () => [],
+  clients: [],
+  encodeAnswer: () => '',
+};
+
+/** What one seed plays. */
+export interface HistoryPlan {
+  readonly seed: number;
+  readonly faults: boolean;
+  readonly membership: boolean;
+  readonly budgets: boolean;
+  readonly kubernetes: boolean;
+}
+
+/** Every fourth seed is quiet; the features change from seed to seed, each in a rhythm of its own. */
+export const planOf = (seed: number): HistoryPlan => ({
+  seed,
+  faults: seed % 4 !== 0,
+  membership: seed % 2 === 0,
+  budgets: seed % 3 === 0,
+  kubernetes: seed % 5 < 2,
+});
+
+export interface HistoryDigest {
+  readonly digest: string;
+  readonly messages: number;
+  /** Messages of each kind. */
+  readonly counts: ReadonlyMap<CoreEffect['kind'], number>;
+}
+
+const STEPS = 40;
+const MAX_JOBS = 30;
+const NODES = 3;
+const LARGEST_TEAM_CORES = 14;
+const TEAMS =
+  `[[cluster.teams]]\nname = "t"\ncpus_max = ${LARGEST_TEAM_CORES}.0\n` +
+  '[[cluster.teams]]\nname = "u"\ncpus = 6.0\n';
+const WALL_START: Micros = Date.UTC(2026, 11, 1, 12) * 1000;
+
+/** One job of any shape, with the options that the shape allows. */
+const generateJob = (random: Random, id: string, earlier: readonly string[]): JobSpec => {
+  const common: Partial<JobSpec> = {
+    team: random.chance(0.5) ? 't' : 'u',
+    priority: random.below(4) as JobSpec['priority'],
+    estimateUs: (3 + random.below(40)) * SECOND,
+    spot: random.chance(0.4),
+    deadlineUs: random.chance(0.3) ? (30 + random.below(90)) * SECOND : null,
+    needs: earlier.length > 0 && random.chance(0.25) ? [earlier[random.below(earlier.length)]!] : [],
+  };
+  const shape = random.below(6);
+  if (shape === 0)
+    return specOf(id, { ...common, shape: 'gang', tasks: 2 + random.below(3), sameZone: true });
+  if (shape === 1) return specOf(id, { ...common, tasks: 4, spread: true });
+  if (shape === 2) {
+    const checkpoints = { checkpointUs: 3 * SECOND, saveUs: 2 * SECOND };
+    return specOf(id, { ...common, ...checkpoints, tasks: 1 + random.below(3) });
+  }
+  if (shape === 3)
+    return specOf(id, { ...common, shape: 'service', tasks: 1 + random.below(3), deadlineUs: null });
+  if (shape === 4) return specOf(id, { ...common, tasks: 1 + random.below(3), types: ['box'], zone: 'a' });
+  return specOf(id, { ...common, tasks: 1 + random.below(30) });
+};
+
+/** Restarts, cuts, outages, lost and late answers, machines that end or are taken back. */
+const injectFaults = (world: World, random: Random): void => {
+  world.loss = random.chance(0.3) ? 0.15 : 0.02;
+  world.repeats = random.chance(0.2) ? 0.2 : 0;
+  world.lateWrites = random.chance(0.1) ? 0.3 : 0;
+  world.answersLost = random.chance(0.1) ? 0.3 : 0;
+  world.keepReports = random.chance(0.2) ? 0.5 : 0;
+  if (random.chance(0.08)) world.crash(random.below(NODES), random.below(6_000) * MILLI);
+  if (random.chance(0.05) && world.leader() >= 0) world.crash(world.leader(), 700 * MILLI);
+  if (random.chance(0.04)) world.stateOutage((2 + random.below(10)) * SECOND);
+  if (random.chance(0.05)) world.freeze(random.below(NODES), (1 + random.below(8)) * SECOND);
+  if (random.chance(0.06))
+    world.network.cut(world.nodes[random.below(NODES)]!.name, 'state', (2 + random.below(20)) * SECOND);
+  const worker = world.anyWorker();
+  if (worker === undefined) return;
+  if (random.chance(0.05)) world.killWorker(worker);
+  if (random.chance(0.08)) worker.cutUntil = world.now + (3 + random.below(30)) * SECOND;
+  if (random.chance(0.05)) worker.deafUntil = world.now + (3 + random.below(30)) * SECOND;
+  if (random.chance(0.08)) {
+    worker.takenAt = world.now + (5 + random.below(10)) * SECOND;
+    worker.nextReport = world.now;
+  }
+};
+
+const stopFaults = (world: World): void => {
+  world.loss = 0;
+  world.repeats = 0;
+  world.lateWrites = 0;
+  world.answersLost = 0;
+  world.keepReports = 0;
+};
+
+type EffectListener = (node: string, effect: CoreEffect, now: Micros) => void;
+
+const playJobs = (
+  plan: HistoryPlan,
+  { features, clients }: HistoryFeatures,
+  onEffect: EffectListener,
+): void => {
+  const random = new Random(plan.seed * 7_919 + 3);
+  const world = new World(
+    random,
+    NODES,
+    TEAMS,
+    LARGEST_TEAM_CORES,
+    4,
+    '',
+    () => features(new Random(plan.seed)),
+    WALL_START,
+    plan.membership ? { beatUs: SECOND, suspectBeats: 3 } : null,
+    { onEffect },
+  );
+  if (plan.seed % 2 === 1) world.stand(3);
+  for (const client of clients) client.prepare(world);
+  world.runFor(2 * SECOND);
+  const ids: string[] = [];
+  for (let step = 0; step < STEPS; step++) {
+    if (plan.faults) injectFaults(world, random);
+    if (random.chance(0.7) && ids.length < MAX_JOBS) {
+      const id = `run-${plan.seed}${String(ids.length).padStart(3, '0')}`;
+      world.submit(generateJob(random, id, ids));
+      ids.push(id);
+    }
+    const chosen = ids[random.below(Math.max(1, ids.length))];
+    if (chosen !== undefined && random.chance(0.15)) world.cancel(chosen);
+    if (chosen !== undefined && random.chance(0.4)) world.poll(chosen);
+    for (const client of clients) client.step(world, random);
+    world.runFor((500 + random.below(4_000)) * MILLI);
+  }
+  stopFaults(world);
+  for (const id of ids) world.poll(id);
+  world.runFor(90 * SECOND);
+  for (const id of ids) world.cancel(id);
+  world.runFor(30 * SECOND);
+};
+
+/** Two of the scenarios in which faults meet, one after the other. */
+const playMeetings = (plan: HistoryPlan, onEffect: EffectListener): void => {
+  const meetings = Object.values({ ...FIRST_LIST, ...SECOND_LIST });
+  const first = meetings[plan.seed % meetings.length]!;
+  const second = meetings[(plan.seed * 7 + 3) % meetings.length]!;
+  play(plan.seed, [first, second], 1, { calm: 20 * SECOND, last: 60 * SECOND }, { onEffect });
+};
+
+/** Plays all of one seed. */
+export const digestOfSeed = (
+  plan: HistoryPlan,
+  options: HistoryFeatures,
+  trace: ((line: string) => void) | null = null,
+): HistoryDigest => {
+  const digest = new MessageDigest(options.encodeAnswer, trace);
+  const onEffect: EffectListener = (node, effect, now) => {
+    digest.add(now, node, effect);
+  };
+  playJobs(plan, options, onEffect);
+  if (plan.faults) playMeetings(plan, onEffect);
+  return { messages: digest.messages, counts: digest.counts, digest: digest.finish() };
+};
--- /dev/null
+++ b/packages/emulator/src/digest/message-encoding.ts
@@ -0,0 +1,63 @@
+/** The bytes of everything that a controller sends, by the same codecs that the controller's process uses. */
+import type { CoreEffect } from '@shaleyoke/core/model';
+import { encodeCloudOp, type HttpCall } from '@shaleyoke/protocol/cloud';
+import { encodePeer } from '@shaleyoke/protocol/peers';
+import { encodeStateOp } from '@shaleyoke/protocol/state';
+import { encodeUserAnswer } from '@shaleyoke/protocol/users';
+import { encodeOrders, encodeWorkerAnswer, ORDERS_PATH } from '@shaleyoke/protocol/workers';
+
+/** One message as it leaves a controller. */
+export interface SentMessage {
+  /** Recipient, method and path of a request; status of an answer. */
+  readonly head: string;
+  readonly body: Buffer;
+}
+
+/** Encodes an answer to a client of a feature, whose form only the feature knows. */
+export type FeatureAnswerEncoder = (feature: string, answer: unknown, last: boolean) => string;
+
+const EMPTY = Buffer.alloc(0);
+
+const request = (recipient: string, call: HttpCall): SentMessage => ({
+  head: `${recipient} ${call.method} ${call.path}`,
+  body: call.body ?? EMPTY,
+});
+
+/** The message that an effect sends; null for effects that send nothing (timers, roles, logs). */
+export const encodeEffect = (
+  effect: CoreEffect,
+  encodeFeatureAnswer: FeatureAnswerEncoder,
+): SentMessage | null => {
+  switch (effect.kind) {
+    case 'state':
+      return request('state', encodeStateOp(effect.op));
+    case 'cloud':
+      return request('cloud', encodeCloudOp(effect.op));
+    case 'orders':
+      return {
+        head: `worker ${effect.address} POST ${ORDERS_PATH}`,
+        body: encodeOrders(effect.token, effect.session, effect.orders),
+      };
+    case 'answerUser': {
+      const { status, body, retryAfterS } = encodeUserAnswer(effect.answer);
+      return { head: `user ${effect.request} ${status} ${retryAfterS ?? ''}`, body };
+    }
+    case 'answerWorker': {
+      const { status, body } = encodeWorkerAnswer(effect.answer);
+      return { head: `report ${effect.request} ${status}`, body };
+    }
+    case 'answerAsked':
+      return {
+        head: `client ${effect.feature} ${effect.request}`,
+        body: Buffer.from(encodeFeatureAnswer(effect.feature, effect.answer, effect.last)),
+      };
+    case 'peer': {
+      const { path, body } = encodePeer(effect.message);
+      return { head: `peer ${effect.member} POST ${path}`, body };
+    }
+    case 'wake':
+    case 'role':
+    case 'log':
+      return null;
+  }
+};
--- a/packages/emulator/src/world.ts
+++ b/packages/emulator/src/world.ts
@@ -59,6 +59,8 @@
   readonly operators?: string;
   /** What bounds the time of a plan; else that of the meter, or one that stands still. */
   readonly stopwatch?: () => Micros;
+  /** Told of each effect of each controller, with the present time, before it is carried out. */
+  readonly onEffect?: (node: string, effect: CoreEffect, now: Micros) => void;
 }
 
 export class World {
@@ -316,6 +318,7 @@
   }
 
   private perform(n: SimNode, life: number, e: CoreEffect): void {
+    this.coreOptions.onEffect?.(n.name, e, this.now);
     const back = (input: Input): void => {
       if (n.life === life) this.feed(n, input);
     };
--- /dev/null
+++ b/packages/emulator/tools/digest-features.ts
@@ -0,0 +1,95 @@
+/** Budgets and Kubernetes-shaped clients for the histories that `digest.ts` plays. */
+import { Budgets } from '@shaleyoke/budgets/feature';
+import { parseBudgets } from '@shaleyoke/budgets/settings';
+import type { Team } from '@shaleyoke/core/model';
+import type { KubeAnswer } from '@shaleyoke/kube/api';
+import { Kube } from '@shaleyoke/kube/feature';
+import { FEATURE } from '@shaleyoke/kube/front';
+import { parseKube } from '@shaleyoke/kube/settings';
+import { newToken, tokenKey } from '@shaleyoke/kube/tokens';
+import { lineOf, requestOf, responseOf } from '@shaleyoke/kube/wire';
+import {
+  NO_FEATURES,
+  type FeatureClient,
+  type HistoryFeatures,
+  type HistoryPlan,
+} from '../src/digest/generated-history.js';
+import type { Random } from '../src/random.js';
+import type { World } from '../src/world.js';
+
+const TEAMS: Team[] = ['t', 'u'].map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
+const BUDGETS = parseBudgets(
+  'version: 1\ncurrency: EUR\nzone: Europe/Warsaw\nowners:\n  u: { soft: 0.02, hard: 0.06 }\n',
+  TEAMS,
+  'budgets.yaml',
+);
+const KUBERNETES = parseKube(
+  'version: 1\nlisten: 127.0.0.1:6443\nstatus_changes_per_s: 5\ntenants:\n  maps: { namespaces: { maps: t } }\n',
+  TEAMS,
+  'kube.yaml',
+);
+const bytes = (length: number): Uint8Array => new Uint8Array(length).fill(1);
+const TOKEN = newToken(bytes(4), bytes(32), bytes(16), { tenant: 'maps', at: 0, by: 'test', why: 'test' });
+const COLLECTION = '/apis/batch/v1/namespaces/maps/jobs';
+const NAMES = 6;
+
+const manifest = (name: string, tasks: number): string =>
+  JSON.stringify({
+    apiVersion: 'batch/v1',
+    kind: 'Job',
+    metadata: { name, labels: { app: 'x' }, annotations: { 'shaleyoke/estimate': '5' } },
+    spec: {
+      completions: tasks,
+      parallelism: tasks,
+      template: {
+        spec: {
+          restartPolicy: 'Never',
+          containers: [{ name: 'm', image: 'img', resources: { requests: { cpu: 1, memory: '1G' } } }],
+        },
+      },
+    },
+  });
+
+/** Method, path and body of a request that is chosen at random. */
+const generateRequest = (random: Random): readonly [method: string, url: string, body: string] => {
+  const name = `job-${random.below(NAMES)}`;
+  const choice = random.below(6);
+  if (choice <= 1) return ['POST', COLLECTION, manifest(name, 1 + random.below(4))];
+  if (choice === 2) return ['GET', `${COLLECTION}/${name}`, ''];
+  if (choice === 3) return ['GET', `${COLLECTION}?limit=3`, ''];
+  if (choice === 4) return ['GET', `${COLLECTION}?watch=true&allowWatchBookmarks=true`, ''];
+  return ['DELETE', `${COLLECTION}/${name}`, ''];
+};
+
+/** Creates, reads, watches and deletes Jobs on any node. */
+const kubernetesClient: FeatureClient = {
+  prepare: (world) => {
+    world.put(tokenKey(TOKEN.id), TOKEN.record);
+  },
+  step: (world: World, random: Random) => {
+    if (!random.chance(0.5)) return;
+    const [method, url, body] = generateRequest(random);
+    const request = requestOf({ method, url, contentType: 'application/json', body });
+    if ('kind' in request) throw new Error(`${method} ${url}: ${request.message}`);
+    const client = { token: TOKEN.token, address: '10.1.2.3' };
+    world.askFeature(random.below(3), FEATURE, { who: client, ask: request }, () => undefined);
+  },
+};
+
+const encodeKubernetesAnswer = (answer: KubeAnswer, last: boolean): string =>
+  answer.kind === 'event' ? `${lineOf(answer)} ${last}` : `${JSON.stringify(responseOf(answer))} ${last}`;
+
+/** The features and clients that a plan asks for. */
+export const featuresOf = (plan: HistoryPlan): HistoryFeatures => {
+  if (!plan.budgets && !plan.kubernetes) return NO_FEATURES;
+  return {
+    features: (random) => [
+      ...(plan.budgets ? [new Budgets(BUDGETS)] : []),
+      ...(plan.kubernetes
+        ? [new Kube(() => Uint8Array.from({ length: 16 }, () => random.below(256)), KUBERNETES)]
+        : []),
+    ],
+    clients: plan.kubernetes ? [kubernetesClient] : [],
+    encodeAnswer: (_feature, answer, last) => encodeKubernetesAnswer(answer as KubeAnswer, last),
+  };
+};
