--- a/.dependency-cruiser.cjs
+++ b/.dependency-cruiser.cjs
@@ -1,4 +1,4 @@
-// One direction: program -> features -> runtime, protocol, settings -> core (docs/architecture.md). No circles,
+// One direction: program -> features -> controller, protocol, config -> core (docs/architecture.md). No circles,
 // types included.
 const only = (name, ...allowed) => ({
   name: `${name}-knows-only`,
@@ -10,16 +10,18 @@
 
 // Within the core: each folder may import those before it (docs/architecture.md); the files beside them are the door.
 const LAYERS = [
-  'base',
+  'domain',
+  'codecs',
+  'node',
   'membership',
-  'picture',
-  'records',
-  'office',
+  'cluster',
+  'storage',
+  'leadership',
   'jobs',
-  'decision',
+  'scheduling',
   'machines',
-  'attempts',
-  'users',
+  'tasks',
+  'api',
   'leader',
 ];
 const layered = LAYERS.map((layer, i) => ({
@@ -37,17 +39,17 @@
     ...layered,
     only('core'),
     only('protocol', 'core'),
-    only('settings', 'core'),
-    only('runtime', 'core', 'protocol'),
-    only('budgets', 'core', 'settings'),
-    only('kube', 'core', 'settings'),
-    only('emulator', 'core', 'protocol', 'settings'),
+    only('config', 'core'),
+    only('controller', 'core', 'protocol'),
+    only('budgets', 'core', 'config'),
+    only('kubernetes', 'core', 'config'),
+    only('emulator', 'core', 'protocol', 'config'),
     only('demo', 'core', 'budgets', 'emulator'),
     {
       name: 'nobody-knows-the-program',
       severity: 'error',
-      from: { path: '^packages/(?!shaleyoke/)' },
-      to: { path: '^packages/shaleyoke/' },
+      from: { path: '^packages/(?!cli/)' },
+      to: { path: '^packages/cli/' },
     },
     {
       name: 'the-core-stands-alone',
--- a/deploy/build.js
+++ b/deploy/build.js
@@ -10,7 +10,7 @@
 const PLUGINS = {
   budgets: '@shaleyoke/budgets/plugin',
   demo: '@shaleyoke/demo/demo',
-  kube: '@shaleyoke/kube/plugin',
+  kube: '@shaleyoke/kubernetes/plugin',
 };
 const apart = {
   name: 'plugins-apart',
@@ -38,7 +38,7 @@
 };
 await build({
   ...options,
-  entryPoints: ['packages/shaleyoke/src/main.ts'],
+  entryPoints: ['packages/cli/src/main.ts'],
   outfile: 'target/app.js',
   plugins: [apart],
 });
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import type { Settings } from '@shaleyoke/core/model';
-import { endedKey, JOBS, TIMINGS, TYPES } from '@shaleyoke/core/base/keys';
-import { bytesOf } from '@shaleyoke/core/base/records';
+import { endedKey, JOBS, TIMINGS, TYPES } from '@shaleyoke/core/codecs/keys';
+import { bytesOf } from '@shaleyoke/core/codecs/records';
 import { isMonth } from './calendar.js';
 import { explainJob, standingOf } from './explain.js';
 import { spentOf } from './limits.js';
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -1,8 +1,8 @@
 /** What a job will probably cost, before it begins. */
 import type { JobSpec, MachineType } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
-import { typeAllowed } from '@shaleyoke/core/base/room';
-import type { Timings } from '@shaleyoke/core/picture/timings';
+import { typeAllowed } from '@shaleyoke/core/domain/resources';
+import type { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
 import { WHOLE } from './books.js';
 import { portion, rateOf, type Money } from './money.js';
 
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -1,8 +1,8 @@
 /** Where owners stand, and why a job waits for money: worked out from the records alone, as the leader does it. */
 import type { Item, JobSpec, MachineType } from '@shaleyoke/core/model';
-import { readActive, readEnded, readTypes } from '@shaleyoke/core/base/records';
-import { JOBS } from '@shaleyoke/core/base/keys';
-import { Timings } from '@shaleyoke/core/picture/timings';
+import { readActive, readEnded, readTypes } from '@shaleyoke/core/codecs/records';
+import { JOBS } from '@shaleyoke/core/codecs/keys';
+import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
 import { probableCost } from './estimate.js';
 import { spentOf, tooDear, type Standing } from './limits.js';
 import { formatMoney, type Money } from './money.js';
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,9 +1,9 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
-import type { ActiveJob, Attempt, Hold, Machine } from '@shaleyoke/core/picture/cluster';
+import type { ActiveJob, Attempt, Hold, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import type { Item, Micros, ReportedTask } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
 import type { Feature, FeatureTerm, Links } from '@shaleyoke/core/ports';
-import type { Term } from '@shaleyoke/core/office/term';
+import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { ALL, Books, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
 import { probableCost, weightOf } from './estimate.js';
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -1,5 +1,5 @@
 /** Limits and commitments: which jobs may begin. Decides only; what was spent is in the books. */
-import type { ActiveJob } from '@shaleyoke/core/picture/cluster';
+import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import type { Links } from '@shaleyoke/core/ports';
 import type { Books } from './books.js';
 import { formatMoney, type Money } from './money.js';
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -1,5 +1,5 @@
 /** Who pays for what an attempt ran, by how it ended (docs/budgets.md). */
-import type { ActiveJob, Attempt } from '@shaleyoke/core/picture/cluster';
+import type { ActiveJob, Attempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { Micros, ReportedTask } from '@shaleyoke/core/model';
 import { ALL, type Outcome } from './books.js';
 
--- a/packages/budgets/src/records.ts
+++ b/packages/budgets/src/records.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 import canonicalize from 'canonicalize';
 import { Schema } from 'effect';
-import { reader } from '@shaleyoke/settings/checked';
+import { reader } from '@shaleyoke/config/checked';
 import type { Charge } from './books.js';
 
 export const HEAD = 'b/head';
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -2,7 +2,7 @@
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
 import type { Team } from '@shaleyoke/core/model';
-import { check, read } from '@shaleyoke/settings/checked';
+import { check, read } from '@shaleyoke/config/checked';
 import { Calendar, knownZone } from './calendar.js';
 import { parseMoney, type Money } from './money.js';
 
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -3,12 +3,12 @@
  * transaction is in flight at a time; each is fenced by the leader's key and puts its values on condition of the
  * versions that they replace.
  */
-import { bytesOf } from '@shaleyoke/core/base/records';
-import { LEAD } from '@shaleyoke/core/base/keys';
+import { bytesOf } from '@shaleyoke/core/codecs/records';
+import { LEAD } from '@shaleyoke/core/codecs/keys';
 import type { Condition, Item, Micros, Write } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
-import { pageRoom } from '@shaleyoke/core/records/pages';
-import type { Term } from '@shaleyoke/core/office/term';
+import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
+import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { Accounts, type Marks } from './accounts.js';
 import { addCharge, noCharge, OpenJob, type Books } from './books.js';
 import { attemptsOf, Packing, type Packed } from './packing.js';
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -6,7 +6,7 @@
 import { SECOND, type JobSpec } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { type World } from '@shaleyoke/emulator/world';
+import { type World } from '@shaleyoke/emulator/cluster-simulation';
 import { play, view } from './played.js';
 
 const stages = (w: World, ids: readonly string[]): (string | undefined)[] => {
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -4,7 +4,7 @@
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import { SECOND, type Team } from '@shaleyoke/core/model';
 import type { Random } from '@shaleyoke/emulator/random';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 export const teams = (names: readonly string[]): Team[] =>
   names.map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
--- a/packages/shaleyoke/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -4,12 +4,12 @@
 import { Effect, Layer } from 'effect';
 import type { Item, Settings, StateOp, StateReply } from '@shaleyoke/core/model';
 import type { Feature } from '@shaleyoke/core/ports';
-import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/base/keys';
-import { Clients, ClientsLive } from '@shaleyoke/runtime/clients';
-import { Log, logLevel, LogLive } from '@shaleyoke/runtime/log';
-import { runNode, type FeatureListener } from '@shaleyoke/runtime/node';
-import { contradictions, describe } from '@shaleyoke/settings/contradictions';
-import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/settings/settings';
+import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
+import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
+import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
+import { runNode, type FeatureListener } from '@shaleyoke/controller/node';
+import { contradictions, describe } from '@shaleyoke/config/contradictions';
+import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 
 interface FileOptions {
   readonly config: string;
@@ -42,7 +42,8 @@
 const budgetsPlugin = (): Promise<typeof import('@shaleyoke/budgets/plugin')> =>
   import('@shaleyoke/budgets/plugin');
 
-const kubePlugin = (): Promise<typeof import('@shaleyoke/kube/plugin')> => import('@shaleyoke/kube/plugin');
+const kubePlugin = (): Promise<typeof import('@shaleyoke/kubernetes/plugin')> =>
+  import('@shaleyoke/kubernetes/plugin');
 
 const kubeOf = async (
   file: string,
--- a/packages/settings/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,5 +1,5 @@
 /** What the platform's settings say against each other: each with its field and what to do. */
-import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/office/freshness';
+import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { SECOND, type Settings } from '@shaleyoke/core/model';
 
 export interface Contradiction {
--- a/packages/settings/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '@shaleyoke/core/model';
-import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/office/freshness';
-import { contradictions, describe } from '@shaleyoke/settings/contradictions';
-import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/settings/settings';
+import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
+import { contradictions, describe } from '@shaleyoke/config/contradictions';
+import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
 test('the leader lease never outgrows half of what cancel_s leaves beside lease_s', () => {
--- a/packages/runtime/test/http-client.test.ts
+++ b/packages/controller/test/http-client.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { Effect } from 'effect';
 import { SECOND } from '@shaleyoke/core/model';
-import { callHttp, makeAgent } from '@shaleyoke/runtime/http-client';
+import { callHttp, makeAgent } from '@shaleyoke/controller/http-client';
 
 const agent = makeAgent(1);
 const call = { method: 'GET', path: '/inspect', body: null } as const;
--- a/packages/runtime/test/limiter.test.ts
+++ b/packages/controller/test/limiter.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
-import { Limiter } from '@shaleyoke/runtime/limiter';
+import { Limiter } from '@shaleyoke/controller/limiter';
 
 /** Writes that a service with a limit of its own takes in a while, and how many it turns away. */
 const play = (announced: number, real: number, seconds: number) => {
--- a/packages/runtime/test/servers.test.ts
+++ b/packages/controller/test/servers.test.ts
@@ -4,7 +4,7 @@
 import { connect, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { Effect } from 'effect';
-import { listen } from '@shaleyoke/runtime/servers';
+import { listen } from '@shaleyoke/controller/servers';
 
 const ask = (port: number): Promise<number> =>
   new Promise((resolve, reject) => {
--- a/packages/core/src/users/desk.ts
+++ b/packages/core/src/api/job-service.ts
@@ -2,8 +2,8 @@
  * The users' desk, the same on every node: accepts and cancels by compare-and-set on the job's record
  * and answers only after the write; answers polls from records validated in the state service.
  */
-import type { Context } from '../base/context.js';
-import { activeKey, endedKey, idOfActive } from '../base/keys.js';
+import type { Context } from '../node/node-context.js';
+import { activeKey, endedKey, idOfActive } from '../codecs/keys.js';
 import type {
   Beside,
   Condition,
@@ -16,8 +16,8 @@
   UserRequest,
 } from '../model.js';
 import { MILLI, SECOND, type Micros } from '../model.js';
-import { fitsSomewhere } from '../base/room.js';
-import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '../base/records.js';
+import { fitsSomewhere } from '../domain/resources.js';
+import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '../codecs/records.js';
 
 type Known =
   | { readonly kind: 'active'; readonly version: number; readonly spec: JobSpec }
--- a/packages/core/src/picture/cluster.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,8 +1,8 @@
 /** Jobs that have not ended, machines and their sessions, and the attempts that join them. */
-import type { Slot } from './slot.js';
+import type { Slot } from './machine-slot.js';
 import type { JobSpec, Micros, Order, Priority, Report } from '../model.js';
-import { Bits } from '../base/records.js';
-import { spreadLimit, type Amounts } from '../base/room.js';
+import { Bits } from '../codecs/records.js';
+import { spreadLimit, type Amounts } from '../domain/resources.js';
 
 export type AttemptState =
   /** Decided, not sent yet: waits for the record of its place. */
--- a/packages/core/src/picture/estate.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -1,14 +1,14 @@
 /** What the leader knows in one term, and what it predicts from that. Changes nothing. */
-import { latestStart } from './aims.js';
-import type { Attempt, Machine, ActiveJob } from './cluster.js';
-import { ClusterTotals } from './cluster-totals.js';
+import { latestStart } from './objectives.js';
+import type { Attempt, Machine, ActiveJob } from './cluster-model.js';
+import { ClusterTotals } from './usage-totals.js';
 import { MachineRegistry } from './machine-registry.js';
-import type { Context } from '../base/context.js';
+import type { Context } from '../node/node-context.js';
 import { SECOND, type Micros } from '../model.js';
-import type { Rights } from './rights.js';
-import { typeAllowed } from '../base/room.js';
-import { guaranteedJobs, type Usage } from './teams.js';
-import { Timings } from './timings.js';
+import type { Rights } from './preemption-policy.js';
+import { typeAllowed } from '../domain/resources.js';
+import { guaranteedJobs, type Usage } from './fair-share.js';
+import { Timings } from './runtime-estimates.js';
 
 /** From a decision to start until the task runs, where its image is there. */
 const SETUP = 2 * SECOND;
--- a/packages/core/src/picture/teams.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -1,5 +1,5 @@
 /** Turns of the teams, and their limits. */
-import type { ActiveJob, Machine } from './cluster.js';
+import type { ActiveJob, Machine } from './cluster-model.js';
 import type { JobSpec, MachineType, Team } from '../model.js';
 
 export class Usage {
--- a/packages/core/src/picture/machine-registry.ts
+++ b/packages/core/src/cluster/machine-registry.ts
@@ -1,5 +1,5 @@
 /** The machines of a term by name. An observer is told of each that comes, changes or goes. */
-import type { Machine, MachineObserver } from './cluster.js';
+import type { Machine, MachineObserver } from './cluster-model.js';
 
 export class MachineRegistry extends Map<string, Machine> {
   observer: MachineObserver | null = null;
--- a/packages/core/src/picture/aims.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -2,7 +2,7 @@
  * Which waiting job can still meet which aim. Between turns the order of jobs is discretionary (paper,
  * 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they can meet.
  */
-import { dueOf, type ActiveJob } from './cluster.js';
+import { dueOf, type ActiveJob } from './cluster-model.js';
 import { SECOND, type JobSpec, type Micros, type Objective } from '../model.js';
 
 /**
--- a/packages/core/src/picture/rights.ts
+++ b/packages/core/src/cluster/preemption-policy.ts
@@ -1,5 +1,5 @@
 /** Which work may be stopped for which, by the protocol. */
-import type { ActiveJob, Attempt } from './cluster.js';
+import type { ActiveJob, Attempt } from './cluster-model.js';
 import type { Team } from '../model.js';
 
 export interface TeamUse {
--- a/packages/core/src/picture/timings.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -5,7 +5,7 @@
  */
 import type { Micros } from '../model.js';
 import { SECOND } from '../model.js';
-import { bytesOf } from '../base/records.js';
+import { bytesOf } from '../codecs/records.js';
 
 interface Sample {
   readonly ratio: number;
--- a/packages/core/src/picture/cluster-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -2,10 +2,10 @@
  * Sums over machines and attempts that plans ask for: cores and GPUs in use by team, what runs by priority, and room by
  * kind of work. Kept up as machines change, so that asking costs what changed and not what there is.
  */
-import type { Machine, MachineObserver } from './cluster.js';
+import type { Machine, MachineObserver } from './cluster-model.js';
 import type { MachineType, Priority } from '../model.js';
-import type { TeamUse } from './rights.js';
-import { Usage } from './teams.js';
+import type { TeamUse } from './preemption-policy.js';
+import { Usage } from './fair-share.js';
 
 /** Amounts are decimals; sums are kept in whole millionths, so that what is added and taken off again leaves nothing. */
 const UNIT = 1_000_000;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,9 +1,9 @@
 /** One node as a state machine: `step` takes an input at a time and returns what to do. */
-import { Context } from './base/context.js';
-import { Desk } from './users/desk.js';
-import { TYPES } from './base/keys.js';
-import { Beats } from './membership/beats.js';
-import { Leadership } from './office/leadership.js';
+import { Context } from './node/node-context.js';
+import { Desk } from './api/job-service.js';
+import { TYPES } from './codecs/keys.js';
+import { Beats } from './membership/peer-heartbeats.js';
+import { Leadership } from './leadership/leader-election.js';
 import type {
   CoreEffect,
   Input,
@@ -15,7 +15,7 @@
   WorkerAnswer,
 } from './model.js';
 import { MILLI, SECOND } from './model.js';
-import { readTypes } from './base/records.js';
+import { readTypes } from './codecs/records.js';
 import type { Feature, NodePart } from './ports.js';
 import { Scheduler } from './leader/scheduler.js';
 
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -6,7 +6,7 @@
  * There are no cycles: a job names only jobs that were accepted before it, never itself, and what it names
  * never changes. So the versions of the jobs' records, which are those of their acceptance, order the graph.
  */
-import { dueOf, type ActiveJob } from '../picture/cluster.js';
+import { dueOf, type ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../model.js';
 
 export interface End {
--- a/packages/core/src/jobs/cascade.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -3,11 +3,11 @@
  * all of them queued at once, so that a chain takes no round trip a level. What a crash leaves undone the
  * next leader finds anew, since it is told by the records alone.
  */
-import type { Context } from '../base/context.js';
-import type { ActiveJob } from '../picture/cluster.js';
-import { activeKey, endedKey, LEAD } from '../base/keys.js';
+import type { Context } from '../node/node-context.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
+import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import { MILLI, SECOND, type Condition, type Write } from '../model.js';
-import { endedRecord } from '../base/records.js';
+import { endedRecord } from '../codecs/records.js';
 
 export interface CascadeHost {
   readonly leadVersion: number;
--- a/packages/core/src/jobs/endings.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,9 +1,9 @@
 /** Reads how jobs ended, a few at a time: after taking over, every job that something still waits for. */
-import type { Context } from '../base/context.js';
+import type { Context } from '../node/node-context.js';
 import type { End } from './dependencies.js';
-import { endedKey } from '../base/keys.js';
+import { endedKey } from '../codecs/keys.js';
 import { MILLI, SECOND, type Micros } from '../model.js';
-import { readEnded } from '../base/records.js';
+import { readEnded } from '../codecs/records.js';
 
 const AT_ONCE = 6;
 
--- a/packages/core/src/jobs/completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,10 +1,10 @@
 /** How jobs end: results counted, the record moved from `j/` to `t/`, and what others had to hear of it. */
-import type { ActiveJob, Attempt } from '../picture/cluster.js';
+import type { ActiveJob, Attempt } from '../cluster/cluster-model.js';
 import type { End } from './dependencies.js';
-import { activeKey, endedKey, LEAD } from '../base/keys.js';
+import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import { MILLI, SECOND } from '../model.js';
-import { endedRecord, readEnded } from '../base/records.js';
-import type { Term } from '../office/term.js';
+import { endedRecord, readEnded } from '../codecs/records.js';
+import type { Term } from '../leadership/leader-term.js';
 
 export interface CompletionHost {
   /** Polls on this node are answered from now on by how the job ended. */
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -1,5 +1,5 @@
 /** For operators, in the log: where room is, and who waits for it. */
-import type { Term } from '../office/term.js';
+import type { Term } from '../leadership/leader-term.js';
 
 interface PoolSummary {
   up: number;
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,10 +1,10 @@
 /** Carries out what a plan decided: checked once more against what is known now, then begun. */
-import type { Attempts } from '../attempts/attempts.js';
-import { fits, placeAllowed, spreadLimit, takeFrom, type Amounts } from '../base/room.js';
-import type { Step } from '../decision/plan-input.js';
-import type { Term } from '../office/term.js';
-import type { ActiveJob, Machine } from '../picture/cluster.js';
-import type { Usage } from '../picture/teams.js';
+import type { Attempts } from '../tasks/attempt-lifecycle.js';
+import { fits, placeAllowed, spreadLimit, takeFrom, type Amounts } from '../domain/resources.js';
+import type { Step } from '../scheduling/plan-input.js';
+import type { Term } from '../leadership/leader-term.js';
+import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
+import type { Usage } from '../cluster/fair-share.js';
 
 /** Steps by job, in their order. */
 export type StepsByJob = ReadonlyMap<ActiveJob, readonly Step[]>;
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,7 +1,7 @@
 /** One plan from its picture to its last step, in slices: between two of them the node gets to its other work. */
-import type { ActiveJob } from '../picture/cluster.js';
-import type { Step } from '../decision/plan-input.js';
-import type { Decision, PlacementSearch } from '../decision/search.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
+import type { Step } from '../scheduling/plan-input.js';
+import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
 import { MILLI, type Micros } from '../model.js';
 import type { StepsByJob } from './placement-commit.js';
 import type { Waiting } from './waiting-groups.js';
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -1,13 +1,13 @@
 /** Plans: which waiting work begins where now, by a search over the newest picture; only that is done. */
-import type { Attempts } from '../attempts/attempts.js';
-import type { Clearing } from '../decision/clearing.js';
-import type { Imaging } from '../decision/imaging.js';
-import type { Ordering } from '../decision/ordering.js';
-import { PlacementSearch } from '../decision/search.js';
+import type { Attempts } from '../tasks/attempt-lifecycle.js';
+import type { Clearing } from '../scheduling/preemption-planner.js';
+import type { Imaging } from '../scheduling/snapshot-builder.js';
+import type { Ordering } from '../scheduling/queue-order.js';
+import { PlacementSearch } from '../scheduling/placement-search.js';
 import type { Dependencies } from '../jobs/dependencies.js';
-import type { Fleet } from '../machines/fleet.js';
+import type { Fleet } from '../machines/autoscaler.js';
 import { MILLI, SECOND, type Micros } from '../model.js';
-import type { Term } from '../office/term.js';
+import type { Term } from '../leadership/leader-term.js';
 import { PlacementCommit } from './placement-commit.js';
 import { PlanClock, PlanRun } from './plan-run.js';
 import { WaitingGroups } from './waiting-groups.js';
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,7 +1,7 @@
 /** Counts of done and running tasks for display, to the other controllers and to this one's users. */
 import type { ProgressNote } from '../model.js';
-import type { Term } from '../office/term.js';
-import type { Desk } from '../users/desk.js';
+import type { Term } from '../leadership/leader-term.js';
+import type { Desk } from '../api/job-service.js';
 
 /** Jobs that one message tells of; the others follow with the next. */
 const MAX_NOTES = 1_000;
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -2,39 +2,39 @@
  * What the leader does in one term: joins the parts that know, decide and write, and looks after them twice a
  * second. A new leader makes a new scheduler.
  */
-import { Attempts } from '../attempts/attempts.js';
-import { Cascade } from '../jobs/cascade.js';
-import { Clearing } from '../decision/clearing.js';
-import { ActiveJob, type Attempt, type Machine } from '../picture/cluster.js';
-import { Completion } from '../jobs/completion.js';
-import { Consolidation } from '../decision/consolidation.js';
-import type { Context } from '../base/context.js';
+import { Attempts } from '../tasks/attempt-lifecycle.js';
+import { Cascade } from '../jobs/dependency-failure-propagation.js';
+import { Clearing } from '../scheduling/preemption-planner.js';
+import { ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
+import { Completion } from '../jobs/job-completion.js';
+import { Consolidation } from '../scheduling/defragmentation.js';
+import type { Context } from '../node/node-context.js';
 import { Dependencies, type DependencyHost } from '../jobs/dependencies.js';
-import type { Desk } from '../users/desk.js';
-import { Endings } from '../jobs/endings.js';
-import { Fleet } from '../machines/fleet.js';
-import { Imaging } from '../decision/imaging.js';
-import { idOfActive, JOBS, MACHINES, PLACES, PROGRESS, ROSTER, TIMINGS, TYPES } from '../base/keys.js';
-import type { Leadership, Office } from '../office/leadership.js';
+import type { Desk } from '../api/job-service.js';
+import { Endings } from '../jobs/dependency-outcome-resolver.js';
+import { Fleet } from '../machines/autoscaler.js';
+import { Imaging } from '../scheduling/snapshot-builder.js';
+import { idOfActive, JOBS, MACHINES, PLACES, PROGRESS, ROSTER, TIMINGS, TYPES } from '../codecs/keys.js';
+import type { Leadership, Office } from '../leadership/leader-election.js';
 import type { Item, MachineType, Micros, Report, WorkerAnswer } from '../model.js';
 import { MILLI, SECOND } from '../model.js';
-import { Ordering } from '../decision/ordering.js';
-import { pageRoom } from '../records/pages.js';
-import { Park } from '../machines/park.js';
+import { Ordering } from '../scheduling/queue-order.js';
+import { pageRoom } from '../storage/packed-pages.js';
+import { Park } from '../machines/machine-lifecycle.js';
 import { logClusterSummary } from './cluster-summary.js';
 import { Planner } from './planner.js';
 import { ProgressPublisher } from './progress-publisher.js';
 import { Features, type Feature } from '../ports.js';
-import { Fitness } from './fitness.js';
-import { ProgressBook } from '../records/progress.js';
-import { bytesOf, readActive } from '../base/records.js';
-import { Reports } from '../attempts/reports.js';
-import { Roster } from '../records/roster.js';
-import { Silence } from '../machines/silence.js';
-import { Standing } from '../machines/standing.js';
-import { Takeover } from '../office/takeover.js';
-import { Term } from '../office/term.js';
-import { Writer } from '../records/writer.js';
+import { Fitness } from './leader-health.js';
+import { ProgressBook } from '../storage/progress-store.js';
+import { bytesOf, readActive } from '../codecs/records.js';
+import { Reports } from '../tasks/heartbeat-handler.js';
+import { Roster } from '../storage/machine-store.js';
+import { Silence } from '../machines/machine-failure-detector.js';
+import { Standing } from '../machines/preprovisioned-machines.js';
+import { Takeover } from '../leadership/failover.js';
+import { Term } from '../leadership/leader-term.js';
+import { Writer } from '../storage/fenced-writer.js';
 
 const SWEEP = 500 * MILLI;
 /** Who gave the office up for slowness does not stand for it again so soon. */
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,15 +1,15 @@
 /** What waits, as groups of equal tasks in the order in which a plan looks at them. */
-import { stagesAhead } from '../decision/ahead.js';
-import type { Ordering } from '../decision/ordering.js';
-import { gpuKind, taskKind, type Group } from '../decision/plan-input.js';
-import type { Overflow } from '../decision/search.js';
+import { stagesAhead } from '../scheduling/look-ahead.js';
+import type { Ordering } from '../scheduling/queue-order.js';
+import { gpuKind, taskKind, type Group } from '../scheduling/plan-input.js';
+import type { Overflow } from '../scheduling/placement-search.js';
 import type { Dependencies } from '../jobs/dependencies.js';
-import type { Fleet } from '../machines/fleet.js';
+import type { Fleet } from '../machines/autoscaler.js';
 import type { Micros, Team } from '../model.js';
-import type { ActiveJob } from '../picture/cluster.js';
-import { HANDOVER } from '../picture/estate.js';
-import type { Usage } from '../picture/teams.js';
-import type { Term } from '../office/term.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
+import { HANDOVER } from '../cluster/cluster-state.js';
+import type { Usage } from '../cluster/fair-share.js';
+import type { Term } from '../leadership/leader-term.js';
 
 /** Tasks of one job that a play-out represents. */
 const MAX_REPRESENTED = 160;
--- a/packages/core/src/office/takeover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,9 +1,9 @@
 /** What a new leader reads of its predecessors, and how it hears of jobs from then on. */
-import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../base/keys.js';
+import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../codecs/keys.js';
 import type { Item, Micros, StateEvent } from '../model.js';
 import { MILLI, SECOND } from '../model.js';
-import type { Freshness } from './freshness.js';
-import type { Term } from './term.js';
+import type { Freshness } from './cancellation-freshness.js';
+import type { Term } from './leader-term.js';
 
 const PAGE = 500;
 const WATCH_MS = 8_000;
--- a/packages/core/src/office/leadership.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -2,11 +2,11 @@
  * One leader with a lease and a term in the state service. The leader's right ends by its own steady
  * clock, counted from when the last successful renewal was sent, less what clocks may drift.
  */
-import type { Context } from '../base/context.js';
-import { LEAD, TERM } from '../base/keys.js';
+import type { Context } from '../node/node-context.js';
+import { LEAD, TERM } from '../codecs/keys.js';
 import type { Micros, StateReply } from '../model.js';
 import { MILLI, SECOND } from '../model.js';
-import { DRIFT, Freshness } from './freshness.js';
+import { DRIFT, Freshness } from './cancellation-freshness.js';
 
 /** Of the lease's length: how long one look at the leader's key lasts, so that a lost link shows soon. */
 const WATCH_PART = 0.5;
--- a/packages/core/src/office/term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -1,8 +1,8 @@
 /** What the parts of one leader's term share: the office, what is known, and whether it is still on. */
-import type { Machine } from '../picture/cluster.js';
-import type { Context } from '../base/context.js';
-import { Estate } from '../picture/estate.js';
-import type { Leadership, Office } from './leadership.js';
+import type { Machine } from '../cluster/cluster-model.js';
+import type { Context } from '../node/node-context.js';
+import { Estate } from '../cluster/cluster-state.js';
+import type { Leadership, Office } from './leader-election.js';
 import type { Micros } from '../model.js';
 
 /** Room for raising the token and numbering attempts within a term; products stay below 2^53. */
--- a/packages/core/src/machines/fleet.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -1,13 +1,13 @@
 /** Renting and returning machines. What to rent comes from the same play-out that places tasks. */
-import type { Context } from '../base/context.js';
-import type { Machine } from '../picture/cluster.js';
+import type { Context } from '../node/node-context.js';
+import type { Machine } from '../cluster/cluster-model.js';
 import type { CloudReply, JobSpec, ListedMachine, Micros } from '../model.js';
 import { SECOND } from '../model.js';
-import type { Group, Rentable } from '../decision/plan-input.js';
-import type { Decision } from '../decision/search.js';
-import { allowedWait, mustStartAtOnce } from '../picture/aims.js';
-import { typeAllowed } from '../base/room.js';
-import type { Standing } from './standing.js';
+import type { Group, Rentable } from '../scheduling/plan-input.js';
+import type { Decision } from '../scheduling/placement-search.js';
+import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
+import { typeAllowed } from '../domain/resources.js';
+import type { Standing } from './preprovisioned-machines.js';
 
 interface Offer {
   refusedUntil: Micros;
--- a/packages/core/src/machines/silence.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,9 +1,9 @@
 /** Who does not report: leases that ran out, machines to be deleted, and when the network is at fault. */
-import type { Attempt, Machine } from '../picture/cluster.js';
-import { DRIFT } from '../office/freshness.js';
+import type { Attempt, Machine } from '../cluster/cluster-model.js';
+import { DRIFT } from '../leadership/cancellation-freshness.js';
 import { MILLI, SECOND, type Micros } from '../model.js';
-import type { Park } from './park.js';
-import type { Term } from '../office/term.js';
+import type { Park } from './machine-lifecycle.js';
+import type { Term } from '../leadership/leader-term.js';
 
 interface Count {
   all: number;
--- a/packages/core/src/machines/park.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,9 +1,9 @@
 /** The machines of a term: known from the records, the cloud or their own reports, until they are gone. */
-import { Machine, type Attempt } from '../picture/cluster.js';
+import { Machine, type Attempt } from '../cluster/cluster-model.js';
 import type { ListedMachine, Micros, Report } from '../model.js';
 import { MILLI } from '../model.js';
-import type { Roster } from '../records/roster.js';
-import type { Term } from '../office/term.js';
+import type { Roster } from '../storage/machine-store.js';
+import type { Term } from '../leadership/leader-term.js';
 
 /** Names of machines that are gone are kept for so many of them: lists and reports may be older. */
 const BURIED = 2_000;
--- a/packages/core/src/machines/standing.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -4,13 +4,13 @@
  * through its start: one that was back within a second, or the next one, once took all that stood ready for rented machines,
  * and returned what was idle.
  */
-import { TERM } from '../base/keys.js';
+import { TERM } from '../codecs/keys.js';
 import { SECOND, type Micros } from '../model.js';
-import { termRecord } from '../office/leadership.js';
-import type { Term } from '../office/term.js';
-import type { Machine } from '../picture/cluster.js';
-import type { Roster } from '../records/roster.js';
-import type { Writer } from '../records/writer.js';
+import { termRecord } from '../leadership/leader-election.js';
+import type { Term } from '../leadership/leader-term.js';
+import type { Machine } from '../cluster/cluster-model.js';
+import type { Roster } from '../storage/machine-store.js';
+import type { Writer } from '../storage/fenced-writer.js';
 
 /** A record that is not confirmed by then is left to the machine's next one: renting can't wait for it for ever. */
 const CONFIRMED: Micros = 10 * SECOND;
--- a/packages/core/src/base/context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,6 +1,6 @@
 /** What every part of the core shares within one node: the present time, pending calls, timers. */
-import { TERM } from './keys.js';
-import { Link } from './link.js';
+import { TERM } from '../codecs/keys.js';
+import { Link } from './store-connection.js';
 import type {
   CloudOp,
   CloudReply,
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -3,10 +3,10 @@
  * on, and each is told what happens in a leader's term. Nothing here may keep a rule from being kept: a feature
  * can hold back a job that has not begun, and that is all.
  */
-import type { ActiveJob, Attempt, Hold, Machine } from './picture/cluster.js';
-import type { Context } from './base/context.js';
+import type { ActiveJob, Attempt, Hold, Machine } from './cluster/cluster-model.js';
+import type { Context } from './node/node-context.js';
 import type { InnerAnswer, ReportedTask, UserRequest } from './model.js';
-import type { Term } from './office/term.js';
+import type { Term } from './leadership/leader-term.js';
 
 /** A feature within one term. All calls are synchronous; none may throw for what the outside did. */
 export interface FeatureTerm {
--- a/packages/core/src/decision/overflow.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -3,10 +3,10 @@
  * it. A kind of task that finds no room is not looked for again in the same plan, so that hundreds of equal jobs cost
  * about what one costs.
  */
-import { beginsNow } from './first-options.js';
-import { bestOptions, placeGroup, zoneChoices, zoneRoom } from './place-group.js';
+import { beginsNow } from './initial-placement.js';
+import { bestOptions, placeGroup, zoneChoices, zoneRoom } from './group-placement.js';
 import { taskKind, type Group, type Option, type Step } from './plan-input.js';
-import type { PlacementSimulation } from './simulation.js';
+import type { PlacementSimulation } from './placement-simulation.js';
 
 const isUnbound = ({ spec, zones, only }: Group): boolean =>
   only === null && (zones.size === 0 || !(spec.sameZone || spec.spread));
--- a/packages/core/src/decision/room-in-time.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,8 +1,8 @@
 /** When a machine has room, given what ends and what is planned on it. */
 import type { Micros } from '../model.js';
-import type { Amounts } from '../base/room.js';
-import { fits } from '../base/room.js';
-import type { Change, Slot } from '../picture/slot.js';
+import type { Amounts } from '../domain/resources.js';
+import { fits } from '../domain/resources.js';
+import type { Change, Slot } from '../cluster/machine-slot.js';
 
 /** Services never finish: for the play-out they hold their room this long. */
 export const FOREVER: Micros = 1e13;
--- a/packages/core/src/decision/consolidation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -1,9 +1,9 @@
 /** Emptying rented machines that hold little, so that they can be returned. */
-import type { Attempt, Machine } from '../picture/cluster.js';
-import type { Context } from '../base/context.js';
-import type { Estate } from '../picture/estate.js';
+import type { Attempt, Machine } from '../cluster/cluster-model.js';
+import type { Context } from '../node/node-context.js';
+import type { Estate } from '../cluster/cluster-state.js';
 import { SECOND, type Micros } from '../model.js';
-import { fits, placeAllowed } from '../base/room.js';
+import { fits, placeAllowed } from '../domain/resources.js';
 
 export class Consolidation {
   private readonly ctx: Context;
--- a/packages/core/src/decision/place-group.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -1,8 +1,8 @@
 /** Places one group of waiting tasks in a simulation, where they finish first. */
-import { spreadLimit } from '../base/room.js';
+import { spreadLimit } from '../domain/resources.js';
 import type { Micros } from '../model.js';
 import type { Group, Option, Step } from './plan-input.js';
-import type { PlacementSimulation } from './simulation.js';
+import type { PlacementSimulation } from './placement-simulation.js';
 
 /** Zones a job may still use: one already taken binds a job that must stay in one zone. */
 export const zoneChoices = (simulation: PlacementSimulation, group: Group): readonly (string | null)[] => {
--- a/packages/core/src/decision/first-options.ts
+++ b/packages/core/src/scheduling/initial-placement.ts
@@ -1,7 +1,7 @@
 /** Where a group's first tasks could begin at this moment. */
-import { zoneChoices } from './place-group.js';
+import { zoneChoices } from './group-placement.js';
 import type { Group, Option } from './plan-input.js';
-import type { PlacementSimulation } from './simulation.js';
+import type { PlacementSimulation } from './placement-simulation.js';
 
 /** Whether the group can begin at this moment: a gang needs room for all its members. */
 export const beginsNow = (simulation: PlacementSimulation, group: Group): boolean => {
--- a/packages/core/src/decision/ahead.ts
+++ b/packages/core/src/scheduling/look-ahead.ts
@@ -4,7 +4,7 @@
  * run for seconds where a machine takes half a minute to boot.
  */
 import type { Dependencies } from '../jobs/dependencies.js';
-import type { ActiveJob } from '../picture/cluster.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../model.js';
 
 /** Stages that one plan looks ahead to. */
--- a/packages/core/src/decision/search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -4,15 +4,15 @@
  * 10.2-10.4). Past its budget it is earliest predicted finish, which is the same play-out without
  * alternatives for the first step. A search can be left between two of its steps and gone on with later.
  */
-import { beginsNow, firstOptions } from './first-options.js';
-import { placeOverflow } from './overflow.js';
-import { placeGroup } from './place-group.js';
+import { beginsNow, firstOptions } from './initial-placement.js';
+import { placeOverflow } from './backfill.js';
+import { placeGroup } from './group-placement.js';
 import { gpuKind, type Group, type Option, type Picture, type Step } from './plan-input.js';
-import { better, playOut, type Score } from './play-out.js';
-import { allBeginNow } from './plenty.js';
-import { PlacementSimulation } from './simulation.js';
+import { better, playOut, type Score } from './rollout.js';
+import { allBeginNow } from './uncontended-placement.js';
+import { PlacementSimulation } from './placement-simulation.js';
 import type { JobSpec, Micros } from '../model.js';
-import { spreadLimit } from '../base/room.js';
+import { spreadLimit } from '../domain/resources.js';
 
 /** After the budget, so much longer may go into placing what can't begin now: a plan has to end. */
 const PLACING: Micros = 80_000;
--- a/packages/core/src/decision/simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -4,9 +4,9 @@
  * machines a copy for each candidate costs far more than the play-out itself.
  */
 import type { JobSpec, MachineType, Micros } from '../model.js';
-import type { Amounts } from '../base/room.js';
-import { addTo, fits, placeAllowed, timesFits } from '../base/room.js';
-import type { Change, Slot } from '../picture/slot.js';
+import type { Amounts } from '../domain/resources.js';
+import { addTo, fits, placeAllowed, timesFits } from '../domain/resources.js';
+import type { Change, Slot } from '../cluster/machine-slot.js';
 import { gpuKind, type Group, type Option, type Picture, type Rentable, type Seat } from './plan-input.js';
 import {
   DEAR_MACHINE,
@@ -18,7 +18,7 @@
   priceOf,
   waste,
 } from './ranking.js';
-import { earliest, firstFit, FOREVER, insert, negative } from './room-in-time.js';
+import { earliest, firstFit, FOREVER, insert, negative } from './capacity-timeline.js';
 
 interface Pool {
   readonly type: MachineType;
--- a/packages/core/src/decision/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -1,6 +1,6 @@
 /** What a plan works with: groups of waiting tasks, machines that exist or may be rented, and steps that it decides. */
 import type { JobSpec, MachineType, Micros } from '../model.js';
-import type { Slot } from '../picture/slot.js';
+import type { Slot } from '../cluster/machine-slot.js';
 
 /** A kind of machine that may be rented. */
 export interface Rentable {
--- a/packages/core/src/decision/clearing.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -1,8 +1,8 @@
 /** Stopping some work for other work: which waiting jobs have a right to that, when, and what it costs. */
 import type { Step } from './plan-input.js';
-import type { Attempt, ActiveJob } from '../picture/cluster.js';
-import type { Context } from '../base/context.js';
-import type { Estate } from '../picture/estate.js';
+import type { Attempt, ActiveJob } from '../cluster/cluster-model.js';
+import type { Context } from '../node/node-context.js';
+import type { Estate } from '../cluster/cluster-state.js';
 import { SECOND, type Micros } from '../model.js';
 import { Clearings, SETTLED } from './preemption.js';
 
--- a/packages/core/src/decision/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -1,9 +1,9 @@
 /** Room for work of higher priority, or for a team's guarantee, from what may be stopped for it. */
-import type { Attempt, Machine, ActiveJob } from '../picture/cluster.js';
+import type { Attempt, Machine, ActiveJob } from '../cluster/cluster-model.js';
 import type { MachineType, Micros } from '../model.js';
 import { SECOND } from '../model.js';
-import { mayPreempt, type Rights } from '../picture/rights.js';
-import { addTo, fits, placeAllowed, takeFrom } from '../base/room.js';
+import { mayPreempt, type Rights } from '../cluster/preemption-policy.js';
+import { addTo, fits, placeAllowed, takeFrom } from '../domain/resources.js';
 
 /** A start followed by a stop within half a minute was worth nothing: younger attempts are left alone. */
 export const SETTLED: Micros = 35 * SECOND;
--- a/packages/core/src/decision/ordering.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -1,10 +1,16 @@
 /** The order in which waiting jobs are looked at: turns first, then priority and the aims that can be met. */
-import { mergeOrders, mustStartAtOnce, orderByAims, type AimOrder, type Contender } from '../picture/aims.js';
-import type { Context } from '../base/context.js';
-import type { Estate } from '../picture/estate.js';
-import type { ActiveJob } from '../picture/cluster.js';
+import {
+  mergeOrders,
+  mustStartAtOnce,
+  orderByAims,
+  type AimOrder,
+  type Contender,
+} from '../cluster/objectives.js';
+import type { Context } from '../node/node-context.js';
+import type { Estate } from '../cluster/cluster-state.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
 import { SECOND, type Micros, type Priority } from '../model.js';
-import { turnOrder } from '../picture/teams.js';
+import { turnOrder } from '../cluster/fair-share.js';
 
 export class Ordering {
   /** Team's turns: since when its oldest job has been at the head, and when the next turn is due. */
--- a/packages/core/src/decision/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -1,7 +1,7 @@
 /** What separates places for a task beside the time at which it would finish there: price, waste and images. */
 import type { JobSpec, MachineType, Micros } from '../model.js';
-import { fits, timesFits } from '../base/room.js';
-import type { Slot } from '../picture/slot.js';
+import { fits, timesFits } from '../domain/resources.js';
+import type { Slot } from '../cluster/machine-slot.js';
 import type { Group, Picture } from './plan-input.js';
 
 export const fetchTime = (spec: JobSpec, s: { type: MachineType; images: ReadonlySet<string> }): Micros =>
--- a/packages/core/src/decision/play-out.ts
+++ b/packages/core/src/scheduling/rollout.ts
@@ -1,8 +1,8 @@
 /** Plays waiting work out to completion in a simulation, and scores what comes of it. */
 import type { Micros } from '../model.js';
-import { placeGroup } from './place-group.js';
+import { placeGroup } from './group-placement.js';
 import type { Group, Step } from './plan-input.js';
-import type { PlacementSimulation } from './simulation.js';
+import type { PlacementSimulation } from './placement-simulation.js';
 
 export interface Score {
   readonly makespan: Micros;
--- a/packages/core/src/decision/imaging.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -1,9 +1,9 @@
 /** The picture that a plan works on, made of the machines as they are and what is predicted of them. */
 import type { Picture, Rentable } from './plan-input.js';
-import type { Change, Slot } from '../picture/slot.js';
-import type { Machine } from '../picture/cluster.js';
-import type { Context } from '../base/context.js';
-import type { Estate } from '../picture/estate.js';
+import type { Change, Slot } from '../cluster/machine-slot.js';
+import type { Machine } from '../cluster/cluster-model.js';
+import type { Context } from '../node/node-context.js';
+import type { Estate } from '../cluster/cluster-state.js';
 import { MILLI, SECOND, type JobSpec, type MachineType } from '../model.js';
 
 /** How long a machine's slot is kept in the picture while nothing changes there. */
--- a/packages/core/src/decision/plenty.ts
+++ b/packages/core/src/scheduling/uncontended-placement.ts
@@ -1,8 +1,8 @@
 /** Whether there is so much room that it does not matter in which order waiting work is placed. */
-import { beginsNow } from './first-options.js';
+import { beginsNow } from './initial-placement.js';
 import type { Group } from './plan-input.js';
-import type { PlacementSimulation } from './simulation.js';
-import type { Amounts } from '../base/room.js';
+import type { PlacementSimulation } from './placement-simulation.js';
+import type { Amounts } from '../domain/resources.js';
 
 /** Room must be so many times what is asked for: what is left between tasks of different sizes is of no use. */
 const MARGIN = 2;
--- a/packages/core/src/records/writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -4,11 +4,11 @@
  * in flight at a time, and each value is put on condition of the version that it replaces: a write that
  * the network held back can't put an older value over a newer one.
  */
-import type { Context } from '../base/context.js';
-import { LEAD } from '../base/keys.js';
+import type { Context } from '../node/node-context.js';
+import { LEAD } from '../codecs/keys.js';
 import type { Condition, Write } from '../model.js';
 import { MILLI, SECOND, type Micros } from '../model.js';
-import { bytesOf } from '../base/records.js';
+import { bytesOf } from '../codecs/records.js';
 
 /** Whether something waits for the write, or it may come when there is nothing more important. */
 export type Urgent = 'now' | 'later';
--- a/packages/core/src/records/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -6,9 +6,9 @@
  * other parts it finds at places where no task is, so tasks may be started again, but none counts as done
  * that is not.
  */
-import { progressKey } from '../base/keys.js';
-import { readProgress, type Bits, type ProgressRecord } from '../base/records.js';
-import type { Urgent, Writer } from './writer.js';
+import { progressKey } from '../codecs/keys.js';
+import { readProgress, type Bits, type ProgressRecord } from '../codecs/records.js';
+import type { Urgent, Writer } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
 const FRAME = 160;
--- a/packages/core/src/records/roster.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,10 +1,10 @@
 /** Machines on record: nothing is started on one that is not, and what is to be deleted is marked first. */
-import type { Machine } from '../picture/cluster.js';
-import { machineKey, MACHINES, ROSTER } from '../base/keys.js';
+import type { Machine } from '../cluster/cluster-model.js';
+import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
 import type { Item } from '../model.js';
-import { Pages, readPage } from './pages.js';
-import { bytesOf, readMachine, type MachineRecord } from '../base/records.js';
-import type { Urgent, Writer } from './writer.js';
+import { Pages, readPage } from './packed-pages.js';
+import { bytesOf, readMachine, type MachineRecord } from '../codecs/records.js';
+import type { Urgent, Writer } from './fenced-writer.js';
 
 /** Marks that are not set are left out: both versions read that as false, and pages are small. */
 const recordOf = (m: Machine): Partial<MachineRecord> => ({
--- a/packages/core/src/records/pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -11,8 +11,8 @@
  * copies are written and confirmed first, the old page is emptied last.
  */
 import type { Item } from '../model.js';
-import { bytesOf } from '../base/records.js';
-import type { Urgent, Writer } from './writer.js';
+import { bytesOf } from '../codecs/records.js';
+import type { Urgent, Writer } from './fenced-writer.js';
 
 interface Page {
   readonly key: string;
--- a/packages/core/src/records/progress.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -2,14 +2,14 @@
  * Which tasks are done and where a job's tasks may be, in the state service. Jobs of ordinary size share
  * pages; one with very many tasks has keys of its own.
  */
-import type { Machine, ActiveJob } from '../picture/cluster.js';
-import type { Context } from '../base/context.js';
-import { PLACES, PROGRESS, partOf } from '../base/keys.js';
+import type { Machine, ActiveJob } from '../cluster/cluster-model.js';
+import type { Context } from '../node/node-context.js';
+import { PLACES, PROGRESS, partOf } from '../codecs/keys.js';
 import { LargeProgress } from './large-progress.js';
 import type { Item } from '../model.js';
-import { pageRoom, Pages, readPage } from './pages.js';
-import { bytesOf, readProgress, type ProgressRecord } from '../base/records.js';
-import type { Urgent, Writer } from './writer.js';
+import { pageRoom, Pages, readPage } from './packed-pages.js';
+import { bytesOf, readProgress, type ProgressRecord } from '../codecs/records.js';
+import type { Urgent, Writer } from './fenced-writer.js';
 
 const nothing = (): void => undefined;
 
--- a/packages/core/src/attempts/attempts.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -2,11 +2,11 @@
  * The life of an attempt: decided, put on record, sent, seen, stopped, ended. An attempt counts as there from
  * the decision until proven otherwise (docs/safety.md).
  */
-import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../picture/cluster.js';
-import { leftovers, wholeGang } from './gangs.js';
+import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
+import { leftovers, wholeGang } from './gang-attempts.js';
 import type { Micros, OrdersReply, Report, ReportedTask } from '../model.js';
 import { SECOND } from '../model.js';
-import type { Term } from '../office/term.js';
+import type { Term } from '../leadership/leader-term.js';
 
 /** Orders that one message to a worker holds: it may have 64 KiB. */
 export const MAX_ORDERS = 400;
--- a/packages/core/src/attempts/gangs.ts
+++ b/packages/core/src/tasks/gang-attempts.ts
@@ -1,5 +1,5 @@
 /** Gangs: one attempt number for all members, all or none. */
-import type { Attempt, ActiveJob } from '../picture/cluster.js';
+import type { Attempt, ActiveJob } from '../cluster/cluster-model.js';
 
 /** Whether the gang's members that live make up one whole attempt. */
 export const wholeGang = (job: ActiveJob): boolean => {
--- a/packages/core/src/attempts/reports.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -1,11 +1,11 @@
 /** What workers report: which tasks are where, what ended and how, and what each worker is to do. */
-import { MAX_ORDERS, type Attempts } from './attempts.js';
-import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../picture/cluster.js';
-import { gangAttempt, leftovers } from './gangs.js';
+import { MAX_ORDERS, type Attempts } from './attempt-lifecycle.js';
+import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
+import { gangAttempt, leftovers } from './gang-attempts.js';
 import type { JobSpec, Order, Report, ReportedTask, WorkerAnswer } from '../model.js';
 import { SECOND } from '../model.js';
-import type { Park } from '../machines/park.js';
-import type { Term } from '../office/term.js';
+import type { Park } from '../machines/machine-lifecycle.js';
+import type { Term } from '../leadership/leader-term.js';
 
 export interface ReportsHost {
   /** The results of a task are there. */
--- a/packages/core/test/overflow.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -1,13 +1,18 @@
 /** Work beyond what a plan compares, and plans that compare nothing because there is room for everything. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Group, Rentable } from '@shaleyoke/core/decision/plan-input';
-import { NO_OVERFLOW, PlacementSearch, search, type Overflow } from '@shaleyoke/core/decision/search';
+import type { Group, Rentable } from '@shaleyoke/core/scheduling/plan-input';
+import {
+  NO_OVERFLOW,
+  PlacementSearch,
+  search,
+  type Overflow,
+} from '@shaleyoke/core/scheduling/placement-search';
 import { SECOND } from '@shaleyoke/core/model';
-import type { Slot } from '@shaleyoke/core/picture/slot';
+import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { groupOf, pictureOf, slotOf, typeOf } from './pictures.js';
+import { groupOf, pictureOf, slotOf, typeOf } from './cluster-fixtures.js';
 
 const LIMITS = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
 const still = (): number => 0;
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -6,11 +6,17 @@
 import { test } from 'node:test';
 import type { JobSpec } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
-import { FIRST_BOUNDS, FIRST_LIST, play, SECOND_BOUNDS, SECOND_LIST } from '@shaleyoke/emulator/meetings';
+import {
+  FIRST_BOUNDS,
+  FIRST_LIST,
+  play,
+  SECOND_BOUNDS,
+  SECOND_LIST,
+} from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World, type CoreOptions } from '@shaleyoke/emulator/world';
-import { checkOutcome } from './outcome.js';
+import { World, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
+import { checkOutcome } from './scenario-assertions.js';
 
 /** Longer than a slice, so that each decision ends one; the whole plan still has time for some. */
 const sliced = (): CoreOptions => {
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -8,7 +8,7 @@
 import { MILLI, SECOND, type JobSpec, type Report, type WorkerAnswer } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 const CANCEL = 40 * SECOND;
 const LONG = 3_600 * SECOND;
--- a/packages/core/test/pictures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,8 +1,13 @@
 /** Small pictures for tests of plans: machines, groups of waiting tasks, and what tasks are predicted to take. */
-import type { Group, Picture, Rentable } from '@shaleyoke/core/decision/plan-input';
-import { attemptKey, type ActiveJob, type Attempt, type Machine } from '@shaleyoke/core/picture/cluster';
+import type { Group, Picture, Rentable } from '@shaleyoke/core/scheduling/plan-input';
+import {
+  attemptKey,
+  type ActiveJob,
+  type Attempt,
+  type Machine,
+} from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND, type JobSpec, type MachineType } from '@shaleyoke/core/model';
-import type { Slot } from '@shaleyoke/core/picture/slot';
+import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
 import { TYPE } from '@shaleyoke/emulator/site';
 
 export const typeOf = (name: string, more: Partial<MachineType> = {}): MachineType => ({
--- a/packages/core/test/kept-reports.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -7,7 +7,7 @@
 import { MILLI, SECOND, type Report, type WorkerAnswer } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 import type { Worker } from '@shaleyoke/emulator/workers-model';
 
 const TEAM = (cores: number): string => `[[cluster.teams]]\nname = "t"\ncpus_max = ${cores}.0\n`;
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Dependencies } from '@shaleyoke/core/jobs/dependencies';
-import { ActiveJob, dueOf } from '@shaleyoke/core/picture/cluster';
+import { ActiveJob, dueOf } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND, type JobSpec } from '@shaleyoke/core/model';
-import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '@shaleyoke/core/base/records';
+import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '@shaleyoke/core/codecs/records';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 /** A graph grown at random: each job needs some of those before it. */
 const grown = (r: Random, count: number, id: (i: number) => string): JobSpec[] => {
--- a/packages/core/test/takeover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'node:test';
 import type { StateEvent, StateOp, StateReply } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
-import { JOBS } from '@shaleyoke/core/base/keys';
-import { Freshness } from '@shaleyoke/core/office/freshness';
-import { Takeover } from '@shaleyoke/core/office/takeover';
-import type { Term } from '@shaleyoke/core/office/term';
+import { JOBS } from '@shaleyoke/core/codecs/keys';
+import { Freshness } from '@shaleyoke/core/leadership/cancellation-freshness';
+import { Takeover } from '@shaleyoke/core/leadership/failover';
+import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { Random } from '@shaleyoke/emulator/random';
 
 interface Call {
--- a/packages/core/test/second-meetings.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -4,12 +4,18 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FIRST_LIST, play, SECOND_BOUNDS, SECOND_LIST, type Outcome } from '@shaleyoke/emulator/meetings';
+import {
+  FIRST_LIST,
+  play,
+  SECOND_BOUNDS,
+  SECOND_LIST,
+  type Outcome,
+} from '@shaleyoke/emulator/fault-scenarios';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
-import { checkOutcome } from './outcome.js';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { checkOutcome } from './scenario-assertions.js';
 
 const NAMES = Object.keys(SECOND_LIST);
 const ALL = { ...FIRST_LIST, ...SECOND_LIST };
--- a/packages/core/test/meetings.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -5,11 +5,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { MILLI, SECOND, type Report, type WorkerAnswer } from '@shaleyoke/core/model';
-import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/meetings';
+import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
-import { checkOutcome } from './outcome.js';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { checkOutcome } from './scenario-assertions.js';
 
 const NAMES = Object.keys(FIRST_LIST);
 const TEAM = (cores: number): string => `[[cluster.teams]]\nname = "t"\ncpus_max = ${cores}.0\n`;
--- a/packages/core/test/close-looks.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -8,7 +8,7 @@
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 test('a repeated submission of a job that the node knows costs no writes', () => {
   const w = new World(new Random(5), 3, undefined, undefined, 4);
--- a/packages/core/test/fitness.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -1,11 +1,11 @@
 /** A leader that has become too slow gives the office up; one that stood still once does not, nor do all in turn. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Fitness } from '@shaleyoke/core/leader/fitness';
+import { Fitness } from '@shaleyoke/core/leader/leader-health';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 test('late three times within twenty seconds is unfit, late once for long is not', () => {
   const f = new Fitness();
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -1,12 +1,12 @@
 /** Controllers notice one another: suspicion, what refutes it, and what is done upon it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Members, type Change } from '@shaleyoke/core/membership/members';
+import { Members, type Change } from '@shaleyoke/core/membership/peer-failure-detector';
 import { MILLI, SECOND, type Beat, type Membership, type Micros } from '@shaleyoke/core/model';
 import { beatOf } from '@shaleyoke/emulator/beats';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 const ON: Membership = { beatUs: SECOND, suspectBeats: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
--- a/packages/core/test/pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -1,15 +1,15 @@
 /** Packed records: lost, late and doubled transactions, size limits, and the form of the version before. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Machine, ActiveJob } from '@shaleyoke/core/picture/cluster';
-import { Context } from '@shaleyoke/core/base/context';
-import { LEAD } from '@shaleyoke/core/base/keys';
+import { Machine, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { Context } from '@shaleyoke/core/node/node-context';
+import { LEAD } from '@shaleyoke/core/codecs/keys';
 import { SECOND, type Item, type StateOp, type StateReply, type Write } from '@shaleyoke/core/model';
-import { Pages, pageRoom, readPage } from '@shaleyoke/core/records/pages';
-import { ProgressBook } from '@shaleyoke/core/records/progress';
-import { Bits, bytesOf } from '@shaleyoke/core/base/records';
-import { Roster } from '@shaleyoke/core/records/roster';
-import { Writer } from '@shaleyoke/core/records/writer';
+import { Pages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
+import { ProgressBook } from '@shaleyoke/core/storage/progress-store';
+import { Bits, bytesOf } from '@shaleyoke/core/codecs/records';
+import { Roster } from '@shaleyoke/core/storage/machine-store';
+import { Writer } from '@shaleyoke/core/storage/fenced-writer';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
--- a/packages/core/test/cut-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -4,7 +4,7 @@
 import { SECOND, type JobSpec } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(4);
--- a/packages/core/test/cuts.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -1,14 +1,14 @@
 /** Cuts that leave some links up: who leads, whom workers are sent to, and what a deposed leader does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Link } from '@shaleyoke/core/base/link';
+import { Link } from '@shaleyoke/core/node/store-connection';
 import { Core } from '@shaleyoke/core/core';
 import type { CoreEffect, Input, Report } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 const NAMES = ['n0', 'n1', 'n2'];
 
--- a/packages/core/test/search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -1,20 +1,20 @@
 /** Fixtures for the play-out and the search, some from the paper (10.2, 12.1). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { latestStart, mergeOrders, orderByAims } from '@shaleyoke/core/picture/aims';
-import { attemptKey, Machine, type Attempt, ActiveJob } from '@shaleyoke/core/picture/cluster';
+import { latestStart, mergeOrders, orderByAims } from '@shaleyoke/core/cluster/objectives';
+import { attemptKey, Machine, type Attempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND } from '@shaleyoke/core/model';
-import type { Group, Picture, Rentable } from '@shaleyoke/core/decision/plan-input';
-import type { Slot } from '@shaleyoke/core/picture/slot';
-import { PlacementSimulation } from '@shaleyoke/core/decision/simulation';
-import { Clearings } from '@shaleyoke/core/decision/preemption';
-import { placeGroup } from '@shaleyoke/core/decision/place-group';
-import { playOut } from '@shaleyoke/core/decision/play-out';
-import { search } from '@shaleyoke/core/decision/search';
-import { Timings } from '@shaleyoke/core/picture/timings';
+import type { Group, Picture, Rentable } from '@shaleyoke/core/scheduling/plan-input';
+import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
+import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
+import { Clearings } from '@shaleyoke/core/scheduling/preemption';
+import { placeGroup } from '@shaleyoke/core/scheduling/group-placement';
+import { playOut } from '@shaleyoke/core/scheduling/rollout';
+import { search } from '@shaleyoke/core/scheduling/placement-search';
+import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { groupOf, pictureOf, slotOf, typeOf } from './pictures.js';
+import { groupOf, pictureOf, slotOf, typeOf } from './cluster-fixtures.js';
 
 const limits = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
 const still = (): number => 0;
--- a/packages/core/test/ordering.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -1,15 +1,15 @@
 /** The order of waiting jobs: what can still be in time, given the room that this work can really have. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Context } from '@shaleyoke/core/base/context';
-import { Ordering } from '@shaleyoke/core/decision/ordering';
-import { ActiveJob, Machine } from '@shaleyoke/core/picture/cluster';
-import { Fleet, type FleetHost } from '@shaleyoke/core/machines/fleet';
-import { Estate } from '@shaleyoke/core/picture/estate';
+import { Context } from '@shaleyoke/core/node/node-context';
+import { Ordering } from '@shaleyoke/core/scheduling/queue-order';
+import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import { Fleet, type FleetHost } from '@shaleyoke/core/machines/autoscaler';
+import { Estate } from '@shaleyoke/core/cluster/cluster-state';
 import { SECOND, type JobSpec, type MachineType } from '@shaleyoke/core/model';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor, TYPE } from '@shaleyoke/emulator/site';
-import { runTask } from './pictures.js';
+import { runTask } from './cluster-fixtures.js';
 
 const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
 
--- a/packages/core/test/returns.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -7,7 +7,7 @@
 import { MILLI, SECOND, type JobSpec, type Micros } from '@shaleyoke/core/model';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 /** After the last end somebody leads within a leader's lease and so much more, whoever was back how soon. */
 const ELECTION = 2 * SECOND;
--- a/packages/core/test/outcome.ts
+++ b/packages/core/test/scenario-assertions.ts
@@ -1,6 +1,6 @@
 /** What every play of meetings has to come to. */
 import assert from 'node:assert/strict';
-import type { Outcome } from '@shaleyoke/emulator/meetings';
+import type { Outcome } from '@shaleyoke/emulator/fault-scenarios';
 
 export const checkOutcome = (o: Outcome, what: string): void => {
   assert.deepEqual(o.broken.slice(0, 5), [], what);
--- a/packages/core/test/cluster-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -3,17 +3,17 @@
 import { test } from 'node:test';
 import type { JobSpec, MachineType, Priority } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
-import { ActiveJob, Machine } from '@shaleyoke/core/picture/cluster';
-import { ClusterTotals } from '@shaleyoke/core/picture/cluster-totals';
-import type { Estate } from '@shaleyoke/core/picture/estate';
-import { MachineRegistry } from '@shaleyoke/core/picture/machine-registry';
-import { Usage } from '@shaleyoke/core/picture/teams';
-import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/meetings';
+import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import { ClusterTotals } from '@shaleyoke/core/cluster/usage-totals';
+import type { Estate } from '@shaleyoke/core/cluster/cluster-state';
+import { MachineRegistry } from '@shaleyoke/core/cluster/machine-registry';
+import { Usage } from '@shaleyoke/core/cluster/fair-share';
+import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { TYPE } from '@shaleyoke/emulator/site';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
-import { runTask } from './pictures.js';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { runTask } from './cluster-fixtures.js';
 
 const TYPES = new Map<string, MachineType>([
   ['box', { ...TYPE, cores: 8 }],
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -15,7 +15,7 @@
 import { toolOf } from '@shaleyoke/emulator/tool';
 import { Random } from '@shaleyoke/emulator/random';
 
-const MAIN = new URL('../../shaleyoke/src/main.ts', import.meta.url).pathname;
+const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
 const TENANTS = ['a', 'b', 'c', 'd', 'e'];
 /** In full, by hand: several hundred jobs and a kill every few seconds (docs/results.md has the figures). */
--- a/packages/emulator/src/world.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -19,9 +19,9 @@
   WorkerAnswer,
 } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
-import { activeKey } from '@shaleyoke/core/base/keys';
+import { activeKey } from '@shaleyoke/core/codecs/keys';
 import type { Feature } from '@shaleyoke/core/ports';
-import { readActive } from '@shaleyoke/core/base/records';
+import { readActive } from '@shaleyoke/core/codecs/records';
 import { CloudModel } from './cloud-model.js';
 import { Network } from './network.js';
 import type { Random } from './random.js';
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -5,10 +5,10 @@
 import type { CoreEffect, JobSpec, Micros } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import type { Feature } from '@shaleyoke/core/ports';
-import { FIRST_LIST, play, SECOND_LIST } from '../meetings.js';
+import { FIRST_LIST, play, SECOND_LIST } from '../fault-scenarios.js';
 import { Random } from '../random.js';
 import { specOf } from '../specs.js';
-import { World } from '../world.js';
+import { World } from '../cluster-simulation.js';
 import { MessageDigest } from './message-digest.js';
 import type { FeatureAnswerEncoder } from './message-encoding.js';
 
--- a/packages/emulator/src/meetings.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -7,7 +7,7 @@
 import { Random } from './random.js';
 import { specOf } from './specs.js';
 import { LeftWaiting } from './waiting.js';
-import { World, type CoreOptions } from './world.js';
+import { World, type CoreOptions } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
 
 export interface Scene {
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -2,7 +2,7 @@
 import type { JobSpec, Micros } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import { Random } from '../random.js';
-import { World } from '../world.js';
+import { World } from '../cluster-simulation.js';
 import { LeaderProbe, type PhaseReport } from './leader-probe.js';
 import { clusterSettings, isUrgent, LARGEST_GANG, mixedJobs, TEAMS } from './load.js';
 import { summarize, type Summary } from './statistics.js';
--- a/packages/emulator/src/site.ts
+++ b/packages/emulator/src/site.ts
@@ -1,7 +1,7 @@
 /** A deployment for simulated worlds: the settings that its nodes are handed, and its one type of machine. */
 import type { MachineType, Membership, Settings } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
-import { parseSettings } from '@shaleyoke/settings/settings';
+import { parseSettings } from '@shaleyoke/config/settings';
 
 export const settingsFor = (
   member: string,
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -4,7 +4,7 @@
  */
 import type { JobSpec, Micros } from '@shaleyoke/core/model';
 import { TYPE } from './site.js';
-import type { World } from './world.js';
+import type { World } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
 
 export class LeftWaiting {
--- a/packages/emulator/test/scale.test.ts
+++ b/packages/emulator/test/scale.test.ts
@@ -11,7 +11,7 @@
 
 const path = (relative: string): string => new URL(relative, import.meta.url).pathname;
 const scale = toolOf([process.execPath, '--import', 'tsx', path('../tools/scale.ts')]);
-const PROGRAM = [process.execPath, '--import', 'tsx', path('../../shaleyoke/src/main.ts')];
+const PROGRAM = [process.execPath, '--import', 'tsx', path('../../cli/src/main.ts')];
 
 test('wrong arguments are named before anything starts', async () => {
   const wrong: [args: string[], says: RegExp][] = [
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -5,7 +5,7 @@
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
 import { LeftWaiting } from '../src/waiting.js';
-import { World } from '../src/world.js';
+import { World } from '../src/cluster-simulation.js';
 
 const longest = (coresMax: number, before: (w: World) => void): number => {
   const w = new World(
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -4,7 +4,7 @@
  *
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
-import { Members } from '@shaleyoke/core/membership/members';
+import { Members } from '@shaleyoke/core/membership/peer-failure-detector';
 import { MILLI, SECOND, type Beat, type Membership, type Micros } from '@shaleyoke/core/model';
 import { beatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -2,12 +2,12 @@
 import { Budgets } from '@shaleyoke/budgets/feature';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import type { Team } from '@shaleyoke/core/model';
-import type { KubeAnswer } from '@shaleyoke/kube/api';
-import { Kube } from '@shaleyoke/kube/feature';
-import { FEATURE } from '@shaleyoke/kube/front';
-import { parseKube } from '@shaleyoke/kube/settings';
-import { newToken, tokenKey } from '@shaleyoke/kube/tokens';
-import { lineOf, requestOf, responseOf } from '@shaleyoke/kube/wire';
+import type { KubeAnswer } from '@shaleyoke/kubernetes/api';
+import { Kube } from '@shaleyoke/kubernetes/feature';
+import { FEATURE } from '@shaleyoke/kubernetes/front';
+import { parseKube } from '@shaleyoke/kubernetes/settings';
+import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
+import { lineOf, requestOf, responseOf } from '@shaleyoke/kubernetes/wire';
 import {
   NO_FEATURES,
   type FeatureClient,
@@ -15,7 +15,7 @@
   type HistoryPlan,
 } from '../src/digest/generated-history.js';
 import type { Random } from '../src/random.js';
-import type { World } from '../src/world.js';
+import type { World } from '../src/cluster-simulation.js';
 
 const TEAMS: Team[] = ['t', 'u'].map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
 const BUDGETS = parseBudgets(
--- a/packages/emulator/tools/mutants.ts
+++ b/packages/emulator/tools/mutants.ts
@@ -28,55 +28,55 @@
 const MUTANTS: readonly Mutant[] = [
   {
     name: 'a page is put without its version',
-    file: 'records/writer.ts',
+    file: 'storage/fenced-writer.ts',
     from: 'if (entry.checked) conditions.push',
     to: 'if (false as boolean) conditions.push',
   },
   {
     name: 'a leader writes without its office',
-    file: 'records/writer.ts',
+    file: 'storage/fenced-writer.ts',
     from: 'const conditions: Condition[] = [{ key: LEAD, version: this.leadVersion }];',
     to: 'const conditions: Condition[] = [];',
   },
   {
     name: 'an older report decides what is there',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: 'return r.token >= this.term.firstToken;',
     to: 'return r.token >= 0;',
   },
   {
     name: 'an older report stops what it tells of',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: 'if (this.isProof(r) || !this.isWanted(t)) orders.push',
     to: 'orders.push',
   },
   {
     name: 'unproven attempts are not let go',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: 'if (proof) for (const a of rivals)',
     to: 'if (false as boolean) for (const a of rivals)',
   },
   {
     name: 'what an older report tells of counts as known for limits',
-    file: 'picture/teams.ts',
+    file: 'cluster/fair-share.ts',
     from: 'm.openTo(type)',
     to: 'm.freeOf(type)',
   },
   {
     name: 'a machine counts as accounted for by any report',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: 'if (m.unresolved && r.token >= this.term.firstToken) {',
     to: 'if (m.unresolved) {',
   },
   {
     name: 'a machine that is gone may come back by a late report',
-    file: 'machines/park.ts',
+    file: 'machines/machine-lifecycle.ts',
     from: 'if (r.tasks.length === 0 || !this.roster.whole) return false;',
     to: 'if (r.tasks.length >= 0 || !this.roster.whole) return false;',
   },
   {
     name: 'a lost order does not raise the token',
-    file: 'attempts/attempts.ts',
+    file: 'tasks/attempt-lifecycle.ts',
     from: `      if (starts.length > 0) {
         m.fence++;`,
     to: `      if (starts.length > 0) {
@@ -84,62 +84,62 @@
   },
   {
     name: 'what is forgotten does not raise the token',
-    file: 'attempts/attempts.ts',
+    file: 'tasks/attempt-lifecycle.ts',
     from: `    if (m.calling) return false;
     this.raise(m);`,
     to: '    if (m.calling) return false;',
   },
   {
     name: 'places are not put on record before a start',
-    file: 'attempts/attempts.ts',
+    file: 'tasks/attempt-lifecycle.ts',
     from: 'if (!missing) send();',
     to: 'if (!missing || missing) send();',
   },
   {
     name: 'starts while the state service does not answer',
-    file: 'office/term.ts',
+    file: 'leadership/leader-term.ts',
     from: 'return this.entitled() && this.ctx.link.downSince === null;',
     to: 'return this.entitled();',
   },
   {
     name: 'the right does not ask for fresh knowledge',
-    file: 'office/leadership.ts',
+    file: 'leadership/leader-election.ts',
     from: 'now < this.rightEnds && this.office.freshness.holds(now);',
     to: 'now < this.rightEnds;',
   },
   {
     name: 'the right counts from the answer to a renewal',
-    file: 'office/leadership.ts',
+    file: 'leadership/leader-election.ts',
     from: 'if (this.holdOffUntil <= this.ctx.now) this.extend(sent);',
     to: 'if (this.holdOffUntil <= this.ctx.now) this.extend(this.ctx.now);',
   },
   {
     name: 'a job ends without its version',
-    file: 'jobs/completion.ts',
+    file: 'jobs/job-completion.ts',
     from: '          { key: activeKey(job.id), version: job.version },\n',
     to: '',
   },
   {
     name: 'a job ends without the office',
-    file: 'jobs/completion.ts',
+    file: 'jobs/job-completion.ts',
     from: '          { key: LEAD, version: office.version },\n',
     to: '',
   },
   {
     name: 'a cancellation without the version',
-    file: 'users/desk.ts',
+    file: 'api/job-service.ts',
     from: 'conditions: [{ key: activeKey(id), version: k.version }],',
     to: 'conditions: [],',
   },
   {
     name: 'an acceptance that does not look for the end',
-    file: 'users/desk.ts',
+    file: 'api/job-service.ts',
     from: '          { key: endedKey(spec.id), version: 0 },\n',
     to: '',
   },
   {
     name: 'a poll is answered from memory',
-    file: 'users/desk.ts',
+    file: 'api/job-service.ts',
     from: `    if (known?.kind === 'ended') {
       this.show(request, id, known);
       return;
@@ -153,7 +153,7 @@
   },
   {
     name: 'a repeated submission is answered from memory',
-    file: 'users/desk.ts',
+    file: 'api/job-service.ts',
     from: `      this.poll(request, id);
       return;
     }
@@ -165,7 +165,7 @@
   },
   {
     name: 'results are forgotten before they are written',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: `        t.cause === 'done' &&
         job !== undefined &&
         (job.phase`,
@@ -175,13 +175,13 @@
   },
   {
     name: 'a 200 without the stops of what is over',
-    file: 'attempts/reports.ts',
+    file: 'tasks/heartbeat-handler.ts',
     from: 'const stops = this.term.ready ? this.stopsFor(m, r) : this.earlyStops(r);',
     to: 'const stops = newer && this.term.ready ? this.stopsFor(m, r) : [];',
   },
   {
     name: 'a job that is over is waited for while it saves',
-    file: 'attempts/attempts.ts',
+    file: 'tasks/attempt-lifecycle.ts',
     from: "const sooner = a.job.phase !== 'active' && graceUs === 0",
     to: "const sooner = a.job.phase !== 'active' && graceUs < 0",
   },
@@ -199,7 +199,7 @@
   },
   {
     name: 'use by team misses what changed',
-    file: 'picture/cluster-totals.ts',
+    file: 'cluster/usage-totals.ts',
     from: 'this.changedMachines.add(machine);',
     to: 'if (!this.counted.has(machine)) this.changedMachines.add(machine);',
   },
@@ -213,17 +213,17 @@
 
 /** The quickest to notice first; a mutant is through once one fails. */
 const TESTS = [
-  'cluster-totals',
+  'usage-totals',
   'bulk-starts',
-  'kept-reports',
-  'close-looks',
-  'second-meetings',
-  'takeover',
+  'delayed-heartbeats',
+  'immediate-queries',
+  'fault-scenario-combinations',
+  'failover',
   'cancellations',
-  'pages',
-  'meetings',
-  'returns',
-  'cut-histories',
+  'packed-pages',
+  'fault-scenarios',
+  'rapid-restarts',
+  'partition-histories',
 ];
 
 const root = resolve('.');
--- a/packages/emulator/tools/scale.ts
+++ b/packages/emulator/tools/scale.ts
@@ -20,7 +20,7 @@
   process.execPath,
   '--import',
   'tsx',
-  new URL('../../shaleyoke/src/main.ts', import.meta.url).pathname,
+  new URL('../../cli/src/main.ts', import.meta.url).pathname,
 ];
 const MOST_MACHINES = 20_000;
 const MOST_BURST_TASKS = 40_000;
--- a/packages/kube/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -1,6 +1,6 @@
 /** The front as a feature of the core: its part on each node, and its part in the leader's term. */
 import type { Feature, FeatureTerm, NodeLinks, NodePart } from '@shaleyoke/core/ports';
-import type { Term } from '@shaleyoke/core/office/term';
+import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { Front, FEATURE } from './front.js';
 import { Keeper } from './keeper.js';
 import type { KubeSettings } from './settings.js';
--- a/packages/kube/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -2,7 +2,7 @@
  * Keeps a node's view as new as it has to be. Nothing is asked for while nobody asks; a question is answered from a
  * state that is no older than the question, whatever node was asked before; watches share one long poll.
  */
-import type { Context } from '@shaleyoke/core/base/context';
+import type { Context } from '@shaleyoke/core/node/node-context';
 import type { Item, Micros } from '@shaleyoke/core/model';
 import { MILLI, SECOND } from '@shaleyoke/core/model';
 import { ROOT } from './records.js';
--- a/packages/kube/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -3,13 +3,13 @@
  * manifests that nobody names. Everything is found anew from the records, so that any leader goes on where the one
  * before stopped.
  */
-import type { ActiveJob, Hold } from '@shaleyoke/core/picture/cluster';
-import { endedKey, LEAD } from '@shaleyoke/core/base/keys';
+import type { ActiveJob, Hold } from '@shaleyoke/core/cluster/cluster-model';
+import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
 import type { Micros, Write } from '@shaleyoke/core/model';
 import { SECOND } from '@shaleyoke/core/model';
 import type { FeatureTerm, NodeLinks } from '@shaleyoke/core/ports';
-import { readEnded } from '@shaleyoke/core/base/records';
-import type { Term } from '@shaleyoke/core/office/term';
+import { readEnded } from '@shaleyoke/core/codecs/records';
+import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { RedBlackTree } from 'effect';
 import { Deletion } from './deletion.js';
 import type { Follow } from './follow.js';
--- a/packages/kube/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -3,7 +3,7 @@
 import ipaddr from 'ipaddr.js';
 import { parse as parseYaml } from 'yaml';
 import type { Team } from '@shaleyoke/core/model';
-import { check, read } from '@shaleyoke/settings/checked';
+import { check, read } from '@shaleyoke/config/checked';
 import { isLabel } from './subset.js';
 
 export class KubeSettingsError extends Error {}
--- a/packages/kube/src/watches.ts
+++ b/packages/kubernetes/src/watches.ts
@@ -1,5 +1,5 @@
 /** Watches: each client is told of every change after its version, once and in order, until it is gone or must list again. */
-import type { Context } from '@shaleyoke/core/base/context';
+import type { Context } from '@shaleyoke/core/node/node-context';
 import { refuse, type KubeAnswer, type KubeRequest } from './api.js';
 import { BOOKMARK_EVERY, type Follow } from './follow.js';
 import { selects } from './lists.js';
--- a/packages/kube/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -2,17 +2,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND, type JobSpec, type Team } from '@shaleyoke/core/model';
-import { readActive } from '@shaleyoke/core/base/records';
+import { readActive } from '@shaleyoke/core/codecs/records';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/world';
-import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kube/api';
-import { Kube } from '@shaleyoke/kube/feature';
-import { FEATURE } from '@shaleyoke/kube/front';
-import { nativeIdOf, uidOf } from '@shaleyoke/kube/identity';
-import { piecesOf, readObject } from '@shaleyoke/kube/records';
-import { parseKube } from '@shaleyoke/kube/settings';
-import { newToken, tokenKey } from '@shaleyoke/kube/tokens';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
+import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kubernetes/api';
+import { Kube } from '@shaleyoke/kubernetes/feature';
+import { FEATURE } from '@shaleyoke/kubernetes/front';
+import { nativeIdOf, uidOf } from '@shaleyoke/kubernetes/identity';
+import { piecesOf, readObject } from '@shaleyoke/kubernetes/records';
+import { parseKube } from '@shaleyoke/kubernetes/settings';
+import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
 
 const WALL = Date.UTC(2026, 11, 1, 12) * 1000;
 const ANY: Selector = { labels: {}, name: null };
--- a/packages/kube/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -10,7 +10,7 @@
 import { Loopback } from '@shaleyoke/emulator/loopback';
 import { toolOf } from '@shaleyoke/emulator/tool';
 
-const MAIN = new URL('../../shaleyoke/src/main.ts', import.meta.url).pathname;
+const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
 const BOX: MachineType = {
   name: 'box',
--- a/packages/kube/test/mapping.test.ts
+++ b/packages/kubernetes/test/mapping.test.ts
@@ -4,11 +4,11 @@
 import { test } from 'node:test';
 import { Either } from 'effect';
 import fc from 'fast-check';
-import { checkText } from '@shaleyoke/kube/check';
-import { mapManifest, type Mapped, type Work } from '@shaleyoke/kube/mapping';
-import { fieldOf, type Problem } from '@shaleyoke/kube/problems';
-import { REFUSALS } from '@shaleyoke/kube/refusals';
-import { markdownOf } from '@shaleyoke/kube/table';
+import { checkText } from '@shaleyoke/kubernetes/check';
+import { mapManifest, type Mapped, type Work } from '@shaleyoke/kubernetes/mapping';
+import { fieldOf, type Problem } from '@shaleyoke/kubernetes/problems';
+import { REFUSALS } from '@shaleyoke/kubernetes/refusals';
+import { markdownOf } from '@shaleyoke/kubernetes/table';
 
 type Tree = Record<string, unknown>;
 
--- a/packages/kube/test/rollout.test.ts
+++ b/packages/kubernetes/test/rollout.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { stepOf, type Pod, type Progress, type Target } from '@shaleyoke/kube/rollout';
+import { stepOf, type Pod, type Progress, type Target } from '@shaleyoke/kubernetes/rollout';
 
 type State = Pod['state'];
 interface Sim {
--- a/packages/kube/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { Item, StateEvent } from '@shaleyoke/core/model';
-import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kube/records';
-import { View } from '@shaleyoke/kube/view';
+import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kubernetes/records';
+import { View } from '@shaleyoke/kubernetes/view';
 
 const NAMES = ['a', 'b', 'c'];
 const record = (uid: string, done: number): ObjectRecord => ({
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -9,7 +9,7 @@
 import { decodeStateReply } from '@shaleyoke/protocol/state';
 import { decodeSubmission, route } from '@shaleyoke/protocol/users';
 import { decodeOrdersReply, decodeReport } from '@shaleyoke/protocol/workers';
-import { activeRecord, Bits, readActive } from '@shaleyoke/core/base/records';
+import { activeRecord, Bits, readActive } from '@shaleyoke/core/codecs/records';
 
 const seed = { seed: 20261, numRuns: 300 };
 
