--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -5,7 +5,7 @@
  *
  *   cost = charged to owners + pending + the platform's account
  */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import type { Calendar } from './calendar.js';
 import { Meter, portion, split, type Money } from './money.js';
 
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -1,7 +1,7 @@
 /** Commands of operators. All but `budget set` read only; that one says what it changed. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
-import type { Settings } from '@shaleyoke/core/model';
+import type { Settings } from '@shaleyoke/core/domain/settings';
 import { endedKey, JOBS, TIMINGS, TYPES } from '@shaleyoke/core/codecs/keys';
 import { bytesOf } from '@shaleyoke/core/codecs/records';
 import { isMonth } from './calendar.js';
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -1,6 +1,7 @@
 /** What a job will probably cost, before it begins. */
-import type { JobSpec, MachineType } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { typeAllowed } from '@shaleyoke/core/domain/resources';
 import type { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
 import { WHOLE } from './books.js';
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -1,5 +1,7 @@
 /** Where owners stand, and why a job waits for money: worked out from the records alone, as the leader does it. */
-import type { Item, JobSpec, MachineType } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { readActive, readEnded, readTypes } from '@shaleyoke/core/codecs/records';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
 import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,7 +1,9 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
 import type { ActiveJob, Attempt, Hold, Machine } from '@shaleyoke/core/cluster/cluster-model';
-import type { Item, Micros, ReportedTask } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature, FeatureTerm, Links } from '@shaleyoke/core/ports';
 import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { ALL, Books, type OpenJob } from './books.js';
--- a/packages/budgets/src/fetch.ts
+++ b/packages/budgets/src/fetch.ts
@@ -1,5 +1,5 @@
 /** Reads the books for tools: as much as is asked for, in an order in which nothing that moves is missed. */
-import type { Item } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
 import { viewBooks, type BooksView } from './reader.js';
 import { CLOSED, HEAD, JOURNAL, journalKey, LIMITS, OPEN, OWNERS, readClosed } from './records.js';
 
--- a/packages/budgets/src/money.ts
+++ b/packages/budgets/src/money.ts
@@ -1,5 +1,5 @@
 /** Amounts of money, exactly: whole millionths of the currency, products in `bigint`, no fraction anywhere. */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 /** Whole millionths of the currency. Sums stay below 2^53: nine thousand million units. */
 export type Money = number;
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -1,6 +1,7 @@
 /** Who pays for what an attempt ran, by how it ended (docs/budgets.md). */
 import type { ActiveJob, Attempt } from '@shaleyoke/core/cluster/cluster-model';
-import type { Micros, ReportedTask } from '@shaleyoke/core/model';
+import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import { ALL, type Outcome } from './books.js';
 
 /** As the core counts it: on three machines, and nothing of it was ever done. */
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -1,5 +1,5 @@
 /** The books as the records tell them: for tools, which read and change nothing. */
-import type { Item } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
 import { addCharge, noCharge, noReasons, REASONS, type Charge, type Reason } from './books.js';
 import type { Money } from './money.js';
 import { attemptsOf } from './packing.js';
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -1,7 +1,7 @@
 /** The file that switches budgets on (`deploy/budgets.yaml`), checked against the platform's teams. */
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
-import type { Team } from '@shaleyoke/core/model';
+import type { Team } from '@shaleyoke/core/domain/settings';
 import { check, read } from '@shaleyoke/config/checked';
 import { Calendar, knownZone } from './calendar.js';
 import { parseMoney, type Money } from './money.js';
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -5,8 +5,9 @@
  */
 import { bytesOf } from '@shaleyoke/core/codecs/records';
 import { LEAD } from '@shaleyoke/core/codecs/keys';
-import type { Condition, Item, Micros, Write } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Condition, Item, Write } from '@shaleyoke/core/domain/key-value-store';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
 import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { Accounts, type Marks } from './accounts.js';
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -14,7 +14,7 @@
   type JournalPage,
 } from '@shaleyoke/budgets/records';
 import { statementOf } from '@shaleyoke/budgets/statement';
-import type { Item } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
 
 const MONTHS = ['2026-09', '2026-10', '2026-11', '2026-12', '2027-01', '2027-02'];
 const calendar = new Calendar('Europe/Warsaw');
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -2,7 +2,8 @@
 import { Budgets } from '@shaleyoke/budgets/feature';
 import { viewBooks, type BooksView } from '@shaleyoke/budgets/reader';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
-import { SECOND, type Team } from '@shaleyoke/core/model';
+import type { Team } from '@shaleyoke/core/domain/settings';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Random } from '@shaleyoke/emulator/random';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
 
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -9,7 +9,7 @@
 import { csvOf, statementOf, textOf, type Statement } from '@shaleyoke/budgets/statement';
 import { verifyStatement } from '@shaleyoke/budgets/verify';
 import { explainJob } from '@shaleyoke/budgets/explain';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { play, settings, TEAMS, view } from './played.js';
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -3,7 +3,7 @@
  * with ten thousand open charges. Not a test: run by hand, `node --import tsx packages/budgets/tools/scale.ts`.
  */
 import { performance } from 'node:perf_hooks';
-import type { Item } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
 import { Books, noReasons } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
 import { attemptsOf, Packing } from '../src/packing.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -2,7 +2,8 @@
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { Effect, Layer } from 'effect';
-import type { Item, Settings, StateOp, StateReply } from '@shaleyoke/core/model';
+import type { Item, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Feature } from '@shaleyoke/core/ports';
 import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,6 +1,7 @@
 /** What the platform's settings say against each other: each with its field and what to do. */
 import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
-import { SECOND, type Settings } from '@shaleyoke/core/model';
+import type { Settings } from '@shaleyoke/core/domain/settings';
+import { SECOND } from '@shaleyoke/core/domain/time';
 
 export interface Contradiction {
   /** `error`: a rule can't be kept so; `warning`: something else can't. */
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -2,7 +2,7 @@
 import { Schema } from 'effect';
 import { parse as parseToml } from 'smol-toml';
 import { parse as parseYaml } from 'yaml';
-import type { Membership, Settings, Tuning } from '@shaleyoke/core/model';
+import type { Membership, Settings, Tuning } from '@shaleyoke/core/domain/settings';
 import { check, read } from './checked.js';
 
 const us = (s: number): number => Math.round(s * 1e6);
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -1,7 +1,7 @@
 /** Settings: checked with readable errors, unknown fields ignored, lease inside what cancellation leaves. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -1,18 +1,13 @@
 /** The outside systems that the core calls: state service, cloud, workers, other controllers. */
 import { Context, Effect, Layer } from 'effect';
-import type {
-  CloudOp,
-  CloudReply,
-  Micros,
-  Order,
-  OrdersReply,
-  PeerMessage,
-  Settings,
-  StateOp,
-  StateReply,
-  Urgency,
-} from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { Urgency } from '@shaleyoke/core/domain/effects';
+import type { Order, OrdersReply } from '@shaleyoke/core/domain/heartbeat';
+import type { StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { PeerMessage } from '@shaleyoke/core/domain/peer';
+import type { Settings } from '@shaleyoke/core/domain/settings';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { decodeCloudReply, encodeCloudOp } from '@shaleyoke/protocol/cloud';
 import { encodePeer } from '@shaleyoke/protocol/peers';
 import { decodeStateReply, encodeStateOp } from '@shaleyoke/protocol/state';
--- a/packages/controller/src/clock.ts
+++ b/packages/controller/src/clock.ts
@@ -1,5 +1,5 @@
 /** The process's clocks, in whole microseconds. */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 const begun = process.hrtime.bigint();
 
--- a/packages/controller/src/http-client.ts
+++ b/packages/controller/src/http-client.ts
@@ -2,7 +2,7 @@
 import * as http from 'node:http';
 import { Effect } from 'effect';
 import type { HttpCall } from '@shaleyoke/protocol/cloud';
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 /** Null: no answer, nobody can tell whether the request was executed. */
 export type HttpReply = { readonly status: number; readonly body: Buffer } | null;
--- a/packages/controller/src/limiter.ts
+++ b/packages/controller/src/limiter.ts
@@ -2,8 +2,9 @@
  * Keeps a node inside its share of a service's request budget. Urgent calls go first, and the last
  * tokens are kept for them: renewals of the lease must not starve behind anything.
  */
-import type { Micros, Urgency } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Urgency } from '@shaleyoke/core/domain/effects';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 interface Waiting {
   readonly urgency: Urgency;
--- a/packages/controller/src/log.ts
+++ b/packages/controller/src/log.ts
@@ -1,6 +1,6 @@
 /** Structured logs on standard error, one JSON object a line, in the amount that LOG_LEVEL sets. */
 import { Context, Layer } from 'effect';
-import type { LogFields, LogLevel } from '@shaleyoke/core/model';
+import type { LogFields, LogLevel } from '@shaleyoke/core/domain/effects';
 
 const ORDER: Record<LogLevel, number> = { error: 0, info: 1, debug: 2 };
 
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -2,7 +2,9 @@
 import { Effect, Runtime, type Scope } from 'effect';
 import { Core } from '@shaleyoke/core/core';
 import type { AskFeature, Feature } from '@shaleyoke/core/ports';
-import type { CoreEffect, Input, Settings, UserRequest } from '@shaleyoke/core/model';
+import type { UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
+import type { Settings } from '@shaleyoke/core/domain/settings';
 import { decodeBody, encodeBody, Malformed } from '@shaleyoke/protocol/body';
 import { decodePeer, peerKind } from '@shaleyoke/protocol/peers';
 import { decodeSubmission, encodeUserAnswer, route } from '@shaleyoke/protocol/users';
--- a/packages/controller/test/http-client.test.ts
+++ b/packages/controller/test/http-client.test.ts
@@ -3,7 +3,7 @@
 import * as http from 'node:http';
 import { test } from 'node:test';
 import { Effect } from 'effect';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { callHttp, makeAgent } from '@shaleyoke/controller/http-client';
 
 const agent = makeAgent(1);
--- a/packages/controller/test/limiter.test.ts
+++ b/packages/controller/test/limiter.test.ts
@@ -1,7 +1,7 @@
 /** The rate goes down while the service turns calls away again and again, and comes back. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Limiter } from '@shaleyoke/controller/limiter';
 
 /** Writes that a service with a limit of its own takes in a while, and how many it turns away. */
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -4,18 +4,11 @@
  */
 import type { Context } from '../node/node-context.js';
 import { activeKey, endedKey, idOfActive } from '../codecs/keys.js';
-import type {
-  Beside,
-  Condition,
-  InnerAnswer,
-  JobSpec,
-  JobView,
-  Progress,
-  Stage,
-  UserAnswer,
-  UserRequest,
-} from '../model.js';
-import { MILLI, SECOND, type Micros } from '../model.js';
+import type { Beside, InnerAnswer, UserAnswer, UserRequest } from '../domain/client-api.js';
+import type { JobSpec, JobView, Stage } from '../domain/job.js';
+import type { Condition } from '../domain/key-value-store.js';
+import type { Progress } from '../domain/peer.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { fitsSomewhere } from '../domain/resources.js';
 import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '../codecs/records.js';
 
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,6 +1,8 @@
 /** Jobs that have not ended, machines and their sessions, and the attempts that join them. */
 import type { Slot } from './machine-slot.js';
-import type { JobSpec, Micros, Order, Priority, Report } from '../model.js';
+import type { Order, Report } from '../domain/heartbeat.js';
+import type { JobSpec, Priority } from '../domain/job.js';
+import type { Micros } from '../domain/time.js';
 import { Bits } from '../codecs/records.js';
 import { spreadLimit, type Amounts } from '../domain/resources.js';
 
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -4,7 +4,7 @@
 import { ClusterTotals } from './usage-totals.js';
 import { MachineRegistry } from './machine-registry.js';
 import type { Context } from '../node/node-context.js';
-import { SECOND, type Micros } from '../model.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import type { Rights } from './preemption-policy.js';
 import { typeAllowed } from '../domain/resources.js';
 import { guaranteedJobs, type Usage } from './fair-share.js';
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -1,6 +1,8 @@
 /** Turns of the teams, and their limits. */
 import type { ActiveJob, Machine } from './cluster-model.js';
-import type { JobSpec, MachineType, Team } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Team } from '../domain/settings.js';
 
 export class Usage {
   private readonly cores = new Map<string, number>();
--- a/packages/core/src/cluster/machine-slot.ts
+++ b/packages/core/src/cluster/machine-slot.ts
@@ -1,5 +1,6 @@
 /** A machine as a plan sees it. */
-import type { MachineType, Micros } from '../model.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 
 /** Room that changes at a later time: what ends gives room, what is planned takes it. */
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -3,7 +3,9 @@
  * 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they can meet.
  */
 import { dueOf, type ActiveJob } from './cluster-model.js';
-import { SECOND, type JobSpec, type Micros, type Objective } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { Objective } from '../domain/settings.js';
+import { SECOND, type Micros } from '../domain/time.js';
 
 /**
  * Latest start that still meets the earliest aim within reach, from now; null when no aim is. `due_s` counts
--- a/packages/core/src/cluster/preemption-policy.ts
+++ b/packages/core/src/cluster/preemption-policy.ts
@@ -1,6 +1,6 @@
 /** Which work may be stopped for which, by the protocol. */
 import type { ActiveJob, Attempt } from './cluster-model.js';
-import type { Team } from '../model.js';
+import type { Team } from '../domain/settings.js';
 
 export interface TeamUse {
   readonly cores: number;
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -3,8 +3,8 @@
  * groups borrow from broader ones; stopped runs are censored observations, not short runs.
  * (Paper, 9.3: stratified empirical distributions with shrinkage, residuals from survival.)
  */
-import type { Micros } from '../model.js';
-import { SECOND } from '../model.js';
+import type { Micros } from '../domain/time.js';
+import { SECOND } from '../domain/time.js';
 import { bytesOf } from '../codecs/records.js';
 
 interface Sample {
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -3,7 +3,8 @@
  * kind of work. Kept up as machines change, so that asking costs what changed and not what there is.
  */
 import type { Machine, MachineObserver } from './cluster-model.js';
-import type { MachineType, Priority } from '../model.js';
+import type { Priority } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
 import type { TeamUse } from './preemption-policy.js';
 import { Usage } from './fair-share.js';
 
--- a/packages/core/src/codecs/records.ts
+++ b/packages/core/src/codecs/records.ts
@@ -1,5 +1,7 @@
 /** What the state service holds about jobs, progress and machines. Unreadable records read as null. */
-import type { JobSpec, MachineType, Micros, Shape } from '../model.js';
+import type { JobSpec, Shape } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
 
 /** What a value counts against the limits of the state service: its JSON, in bytes. */
 export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? '');
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -4,17 +4,13 @@
 import { TYPES } from './codecs/keys.js';
 import { Beats } from './membership/peer-heartbeats.js';
 import { Leadership } from './leadership/leader-election.js';
-import type {
-  CoreEffect,
-  Input,
-  MachineType,
-  Micros,
-  PeerMessage,
-  Report,
-  Settings,
-  WorkerAnswer,
-} from './model.js';
-import { MILLI, SECOND } from './model.js';
+import type { CoreEffect, Input } from './domain/effects.js';
+import type { Report, WorkerAnswer } from './domain/heartbeat.js';
+import type { MachineType } from './domain/machine.js';
+import type { PeerMessage } from './domain/peer.js';
+import type { Settings } from './domain/settings.js';
+import type { Micros } from './domain/time.js';
+import { MILLI, SECOND } from './domain/time.js';
 import { readTypes } from './codecs/records.js';
 import type { Feature, NodePart } from './ports.js';
 import { Scheduler } from './leader/scheduler.js';
--- /dev/null
+++ b/packages/core/src/domain/cloud.ts
@@ -0,0 +1,23 @@
+/** Operations on the cloud's interface, and its answers. */
+import type { ListedMachine, MachineType } from './machine.js';
+
+export type CloudOp =
+  | { readonly kind: 'types' }
+  | {
+      readonly kind: 'rent';
+      readonly request: string;
+      readonly type: string;
+      readonly zone: string;
+      readonly spot: boolean;
+      readonly count: number;
+    }
+  | { readonly kind: 'delete'; readonly machines: readonly string[] }
+  | { readonly kind: 'list'; readonly after: string; readonly limit: number };
+
+export type CloudReply =
+  | { readonly kind: 'types'; readonly types: readonly MachineType[] }
+  | { readonly kind: 'rented'; readonly machines: readonly string[] }
+  | { readonly kind: 'noCapacity' }
+  | { readonly kind: 'deleted' }
+  | { readonly kind: 'listed'; readonly machines: readonly ListedMachine[]; readonly more: boolean }
+  | { readonly kind: 'failed'; readonly reason: string };
--- a/packages/core/src/domain/resources.ts
+++ b/packages/core/src/domain/resources.ts
@@ -1,5 +1,6 @@
 /** Amounts of cores, GPUs and memory, and what a job's description allows. */
-import type { JobSpec, MachineType } from '../model.js';
+import type { JobSpec } from './job.js';
+import type { MachineType } from './machine.js';
 
 export interface Amounts {
   cores: number;
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -7,7 +7,7 @@
  * never changes. So the versions of the jobs' records, which are those of their acceptance, order the graph.
  */
 import { dueOf, type ActiveJob } from '../cluster/cluster-model.js';
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 
 export interface End {
   readonly stage: 'done' | 'cancelled';
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -6,7 +6,8 @@
 import type { Context } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
-import { MILLI, SECOND, type Condition, type Write } from '../model.js';
+import type { Condition, Write } from '../domain/key-value-store.js';
+import { MILLI, SECOND } from '../domain/time.js';
 import { endedRecord } from '../codecs/records.js';
 
 export interface CascadeHost {
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -2,7 +2,7 @@
 import type { Context } from '../node/node-context.js';
 import type { End } from './dependencies.js';
 import { endedKey } from '../codecs/keys.js';
-import { MILLI, SECOND, type Micros } from '../model.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { readEnded } from '../codecs/records.js';
 
 const AT_ONCE = 6;
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -2,7 +2,7 @@
 import type { ActiveJob, Attempt } from '../cluster/cluster-model.js';
 import type { End } from './dependencies.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
-import { MILLI, SECOND } from '../model.js';
+import { MILLI, SECOND } from '../domain/time.js';
 import { endedRecord, readEnded } from '../codecs/records.js';
 import type { Term } from '../leadership/leader-term.js';
 
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -3,7 +3,7 @@
  * office for 40 s: its renewals arrived, so nobody else could lead, but the reports of its workers timed out until all
  * their leases had run out (adresy-pomorze rough: 2,706 tasks killed). A state machine of moments.
  */
-import { MILLI, SECOND, type Micros } from '../model.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 
 /** So late is no chance of a moment any more: of four seconds that a worker waits for its answer. */
 const LATE: Micros = SECOND;
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -2,7 +2,7 @@
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Step } from '../scheduling/plan-input.js';
 import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
-import { MILLI, type Micros } from '../model.js';
+import { MILLI, type Micros } from '../domain/time.js';
 import type { StepsByJob } from './placement-commit.js';
 import type { Waiting } from './waiting-groups.js';
 
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -6,7 +6,7 @@
 import { PlacementSearch } from '../scheduling/placement-search.js';
 import type { Dependencies } from '../jobs/dependencies.js';
 import type { Fleet } from '../machines/autoscaler.js';
-import { MILLI, SECOND, type Micros } from '../model.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import type { Term } from '../leadership/leader-term.js';
 import { PlacementCommit } from './placement-commit.js';
 import { PlanClock, PlanRun } from './plan-run.js';
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,5 +1,5 @@
 /** Counts of done and running tasks for display, to the other controllers and to this one's users. */
-import type { ProgressNote } from '../model.js';
+import type { ProgressNote } from '../domain/peer.js';
 import type { Term } from '../leadership/leader-term.js';
 import type { Desk } from '../api/job-service.js';
 
--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -6,8 +6,9 @@
  * until `bound` before. So of a job that was cancelled at t nothing is renewed or started after t + bound without the
  * order to stop it, and what was renewed until then has run out a lease later: within `cancel_s` (docs/safety.md).
  */
-import type { Micros, Settings } from '../model.js';
-import { SECOND } from '../model.js';
+import type { Settings } from '../domain/settings.js';
+import type { Micros } from '../domain/time.js';
+import { SECOND } from '../domain/time.js';
 
 /** Steady clocks drift apart by up to 0.05%; twice that is taken off every lease. */
 export const DRIFT = 0.001;
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,7 +1,8 @@
 /** What a new leader reads of its predecessors, and how it hears of jobs from then on. */
 import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../codecs/keys.js';
-import type { Item, Micros, StateEvent } from '../model.js';
-import { MILLI, SECOND } from '../model.js';
+import type { Item, StateEvent } from '../domain/key-value-store.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI, SECOND } from '../domain/time.js';
 import type { Freshness } from './cancellation-freshness.js';
 import type { Term } from './leader-term.js';
 
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -4,8 +4,9 @@
  */
 import type { Context } from '../node/node-context.js';
 import { LEAD, TERM } from '../codecs/keys.js';
-import type { Micros, StateReply } from '../model.js';
-import { MILLI, SECOND } from '../model.js';
+import type { StateReply } from '../domain/key-value-store.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI, SECOND } from '../domain/time.js';
 import { DRIFT, Freshness } from './cancellation-freshness.js';
 
 /** Of the lease's length: how long one look at the leader's key lasts, so that a lost link shows soon. */
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -3,7 +3,7 @@
 import type { Context } from '../node/node-context.js';
 import { Estate } from '../cluster/cluster-state.js';
 import type { Leadership, Office } from './leader-election.js';
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 
 /** Room for raising the token and numbering attempts within a term; products stay below 2^53. */
 const TOKENS_PER_TERM = 2 ** 20;
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -1,8 +1,11 @@
 /** Renting and returning machines. What to rent comes from the same play-out that places tasks. */
 import type { Context } from '../node/node-context.js';
 import type { Machine } from '../cluster/cluster-model.js';
-import type { CloudReply, JobSpec, ListedMachine, Micros } from '../model.js';
-import { SECOND } from '../model.js';
+import type { CloudReply } from '../domain/cloud.js';
+import type { JobSpec } from '../domain/job.js';
+import type { ListedMachine } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
+import { SECOND } from '../domain/time.js';
 import type { Group, Rentable } from '../scheduling/plan-input.js';
 import type { Decision } from '../scheduling/placement-search.js';
 import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,7 +1,7 @@
 /** Who does not report: leases that ran out, machines to be deleted, and when the network is at fault. */
 import type { Attempt, Machine } from '../cluster/cluster-model.js';
 import { DRIFT } from '../leadership/cancellation-freshness.js';
-import { MILLI, SECOND, type Micros } from '../model.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import type { Park } from './machine-lifecycle.js';
 import type { Term } from '../leadership/leader-term.js';
 
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,7 +1,9 @@
 /** The machines of a term: known from the records, the cloud or their own reports, until they are gone. */
 import { Machine, type Attempt } from '../cluster/cluster-model.js';
-import type { ListedMachine, Micros, Report } from '../model.js';
-import { MILLI } from '../model.js';
+import type { Report } from '../domain/heartbeat.js';
+import type { ListedMachine } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI } from '../domain/time.js';
 import type { Roster } from '../storage/machine-store.js';
 import type { Term } from '../leadership/leader-term.js';
 
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -5,7 +5,7 @@
  * and returned what was idle.
  */
 import { TERM } from '../codecs/keys.js';
-import { SECOND, type Micros } from '../model.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import { termRecord } from '../leadership/leader-election.js';
 import type { Term } from '../leadership/leader-term.js';
 import type { Machine } from '../cluster/cluster-model.js';
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -2,7 +2,9 @@
  * What a node knows of the other controllers: who is heard, who is suspected, and what each of them reaches. A state
  * machine of beats and time. Suspicion is no proof: nothing rests on it that can't be undone (docs/membership.md).
  */
-import type { Beat, BeatOf, Membership, Micros } from '../model.js';
+import type { Beat, BeatOf } from '../domain/peer.js';
+import type { Membership } from '../domain/settings.js';
+import type { Micros } from '../domain/time.js';
 
 /** Gaps between beats that are remembered of each peer. */
 const GAPS = 20;
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,7 +1,9 @@
 /** Sends this node's beats, takes those of the others, and logs what that changes. */
 import type { Context } from '../node/node-context.js';
-import type { Beat, Membership, Micros } from '../model.js';
-import { MILLI, SECOND } from '../model.js';
+import type { Beat } from '../domain/peer.js';
+import type { Membership } from '../domain/settings.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI, SECOND } from '../domain/time.js';
 import { Members, type Change } from './peer-failure-detector.js';
 
 /** A peer's word counts for an interruption of this node's own link only if it got an answer so long after that began. */
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,22 +1,14 @@
 /** What every part of the core shares within one node: the present time, pending calls, timers. */
 import { TERM } from '../codecs/keys.js';
 import { Link } from './store-connection.js';
-import type {
-  CloudOp,
-  CloudReply,
-  CoreEffect,
-  FailureCause,
-  LogFields,
-  MachineType,
-  Micros,
-  Order,
-  OrdersReply,
-  Settings,
-  StateOp,
-  StateReply,
-  Urgency,
-} from '../model.js';
-import { MILLI, SECOND } from '../model.js';
+import type { CloudOp, CloudReply } from '../domain/cloud.js';
+import type { CoreEffect, LogFields, Urgency } from '../domain/effects.js';
+import type { Order, OrdersReply } from '../domain/heartbeat.js';
+import type { FailureCause, StateOp, StateReply } from '../domain/key-value-store.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Settings } from '../domain/settings.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI, SECOND } from '../domain/time.js';
 
 /** How often a lost link to the state service is tried. */
 const PROBE_EVERY: Micros = 300 * MILLI;
--- a/packages/core/src/node/store-connection.ts
+++ b/packages/core/src/node/store-connection.ts
@@ -2,7 +2,8 @@
  * Whether the state service answers this node, from the node's own calls alone. It can't tell an outage from a cut or a
  * refusal that only this node meets: peers tell them apart, or nobody does.
  */
-import type { FailureCause, Micros } from '../model.js';
+import type { FailureCause } from '../domain/key-value-store.js';
+import type { Micros } from '../domain/time.js';
 
 export class Link {
   /** When the last good answer came; 0: none yet. */
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -5,7 +5,8 @@
  */
 import type { ActiveJob, Attempt, Hold, Machine } from './cluster/cluster-model.js';
 import type { Context } from './node/node-context.js';
-import type { InnerAnswer, ReportedTask, UserRequest } from './model.js';
+import type { InnerAnswer, UserRequest } from './domain/client-api.js';
+import type { ReportedTask } from './domain/heartbeat.js';
 import type { Term } from './leadership/leader-term.js';
 
 /** A feature within one term. All calls are synchronous; none may throw for what the outside did. */
--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,5 +1,5 @@
 /** When a machine has room, given what ends and what is planned on it. */
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { fits } from '../domain/resources.js';
 import type { Change, Slot } from '../cluster/machine-slot.js';
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -2,7 +2,7 @@
 import type { Attempt, Machine } from '../cluster/cluster-model.js';
 import type { Context } from '../node/node-context.js';
 import type { Estate } from '../cluster/cluster-state.js';
-import { SECOND, type Micros } from '../model.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import { fits, placeAllowed } from '../domain/resources.js';
 
 export class Consolidation {
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -1,6 +1,6 @@
 /** Places one group of waiting tasks in a simulation, where they finish first. */
 import { spreadLimit } from '../domain/resources.js';
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 import type { Group, Option, Step } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 
--- a/packages/core/src/scheduling/look-ahead.ts
+++ b/packages/core/src/scheduling/look-ahead.ts
@@ -5,7 +5,7 @@
  */
 import type { Dependencies } from '../jobs/dependencies.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 
 /** Stages that one plan looks ahead to. */
 const MOST = 16;
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -11,7 +11,8 @@
 import { better, playOut, type Score } from './rollout.js';
 import { allBeginNow } from './uncontended-placement.js';
 import { PlacementSimulation } from './placement-simulation.js';
-import type { JobSpec, Micros } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { Micros } from '../domain/time.js';
 import { spreadLimit } from '../domain/resources.js';
 
 /** After the budget, so much longer may go into placing what can't begin now: a plan has to end. */
--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -3,7 +3,9 @@
  * everything that a play-out changes noted so that it can be taken back. Nothing is copied: at a thousand
  * machines a copy for each candidate costs far more than the play-out itself.
  */
-import type { JobSpec, MachineType, Micros } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { addTo, fits, placeAllowed, timesFits } from '../domain/resources.js';
 import type { Change, Slot } from '../cluster/machine-slot.js';
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -1,5 +1,7 @@
 /** What a plan works with: groups of waiting tasks, machines that exist or may be rented, and steps that it decides. */
-import type { JobSpec, MachineType, Micros } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
 import type { Slot } from '../cluster/machine-slot.js';
 
 /** A kind of machine that may be rented. */
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -3,7 +3,7 @@
 import type { Attempt, ActiveJob } from '../cluster/cluster-model.js';
 import type { Context } from '../node/node-context.js';
 import type { Estate } from '../cluster/cluster-state.js';
-import { SECOND, type Micros } from '../model.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import { Clearings, SETTLED } from './preemption.js';
 
 /** A stopped task waits for about this share of how long others of its class wait: it was in order before. */
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -1,7 +1,8 @@
 /** Room for work of higher priority, or for a team's guarantee, from what may be stopped for it. */
 import type { Attempt, Machine, ActiveJob } from '../cluster/cluster-model.js';
-import type { MachineType, Micros } from '../model.js';
-import { SECOND } from '../model.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
+import { SECOND } from '../domain/time.js';
 import { mayPreempt, type Rights } from '../cluster/preemption-policy.js';
 import { addTo, fits, placeAllowed, takeFrom } from '../domain/resources.js';
 
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -9,7 +9,8 @@
 import type { Context } from '../node/node-context.js';
 import type { Estate } from '../cluster/cluster-state.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { SECOND, type Micros, type Priority } from '../model.js';
+import type { Priority } from '../domain/job.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import { turnOrder } from '../cluster/fair-share.js';
 
 export class Ordering {
--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -1,5 +1,7 @@
 /** What separates places for a task beside the time at which it would finish there: price, waste and images. */
-import type { JobSpec, MachineType, Micros } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import type { Micros } from '../domain/time.js';
 import { fits, timesFits } from '../domain/resources.js';
 import type { Slot } from '../cluster/machine-slot.js';
 import type { Group, Picture } from './plan-input.js';
--- a/packages/core/src/scheduling/rollout.ts
+++ b/packages/core/src/scheduling/rollout.ts
@@ -1,5 +1,5 @@
 /** Plays waiting work out to completion in a simulation, and scores what comes of it. */
-import type { Micros } from '../model.js';
+import type { Micros } from '../domain/time.js';
 import { placeGroup } from './group-placement.js';
 import type { Group, Step } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -4,7 +4,9 @@
 import type { Machine } from '../cluster/cluster-model.js';
 import type { Context } from '../node/node-context.js';
 import type { Estate } from '../cluster/cluster-state.js';
-import { MILLI, SECOND, type JobSpec, type MachineType } from '../model.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import { MILLI, SECOND } from '../domain/time.js';
 
 /** How long a machine's slot is kept in the picture while nothing changes there. */
 const PICTURE_FRESH = 2_500 * MILLI;
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -6,8 +6,8 @@
  */
 import type { Context } from '../node/node-context.js';
 import { LEAD } from '../codecs/keys.js';
-import type { Condition, Write } from '../model.js';
-import { MILLI, SECOND, type Micros } from '../model.js';
+import type { Condition, Write } from '../domain/key-value-store.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { bytesOf } from '../codecs/records.js';
 
 /** Whether something waits for the write, or it may come when there is nothing more important. */
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,7 +1,7 @@
 /** Machines on record: nothing is started on one that is not, and what is to be deleted is marked first. */
 import type { Machine } from '../cluster/cluster-model.js';
 import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
-import type { Item } from '../model.js';
+import type { Item } from '../domain/key-value-store.js';
 import { Pages, readPage } from './packed-pages.js';
 import { bytesOf, readMachine, type MachineRecord } from '../codecs/records.js';
 import type { Urgent, Writer } from './fenced-writer.js';
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -10,7 +10,7 @@
  * a record is what all its copies say together. Pages that have become too large are taken apart likewise:
  * copies are written and confirmed first, the old page is emptied last.
  */
-import type { Item } from '../model.js';
+import type { Item } from '../domain/key-value-store.js';
 import { bytesOf } from '../codecs/records.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -6,7 +6,7 @@
 import type { Context } from '../node/node-context.js';
 import { PLACES, PROGRESS, partOf } from '../codecs/keys.js';
 import { LargeProgress } from './large-progress.js';
-import type { Item } from '../model.js';
+import type { Item } from '../domain/key-value-store.js';
 import { pageRoom, Pages, readPage } from './packed-pages.js';
 import { bytesOf, readProgress, type ProgressRecord } from '../codecs/records.js';
 import type { Urgent, Writer } from './fenced-writer.js';
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -4,8 +4,9 @@
  */
 import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
 import { leftovers, wholeGang } from './gang-attempts.js';
-import type { Micros, OrdersReply, Report, ReportedTask } from '../model.js';
-import { SECOND } from '../model.js';
+import type { OrdersReply, Report, ReportedTask } from '../domain/heartbeat.js';
+import type { Micros } from '../domain/time.js';
+import { SECOND } from '../domain/time.js';
 import type { Term } from '../leadership/leader-term.js';
 
 /** Orders that one message to a worker holds: it may have 64 KiB. */
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -2,8 +2,9 @@
 import { MAX_ORDERS, type Attempts } from './attempt-lifecycle.js';
 import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
 import { gangAttempt, leftovers } from './gang-attempts.js';
-import type { JobSpec, Order, Report, ReportedTask, WorkerAnswer } from '../model.js';
-import { SECOND } from '../model.js';
+import type { Order, Report, ReportedTask, WorkerAnswer } from '../domain/heartbeat.js';
+import type { JobSpec } from '../domain/job.js';
+import { SECOND } from '../domain/time.js';
 import type { Park } from '../machines/machine-lifecycle.js';
 import type { Term } from '../leadership/leader-term.js';
 
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -8,7 +8,7 @@
   search,
   type Overflow,
 } from '@shaleyoke/core/scheduling/placement-search';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobSpec } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import {
   FIRST_BOUNDS,
   FIRST_LIST,
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -6,7 +6,9 @@
   type Attempt,
   type Machine,
 } from '@shaleyoke/core/cluster/cluster-model';
-import { SECOND, type JobSpec, type MachineType } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
 import { TYPE } from '@shaleyoke/emulator/site';
 
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -4,7 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MILLI, SECOND, type Report, type WorkerAnswer } from '@shaleyoke/core/model';
+import type { Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -1,8 +1,8 @@
 /** What a leader knows of jobs, whatever the order in which lists and watches are answered, and how old that counts as. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StateEvent, StateOp, StateReply } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { StateEvent, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
 import { Freshness } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { Takeover } from '@shaleyoke/core/leadership/failover';
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -11,7 +11,7 @@
   SECOND_LIST,
   type Outcome,
 } from '@shaleyoke/emulator/fault-scenarios';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -2,7 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Members, type Change } from '@shaleyoke/core/membership/peer-failure-detector';
-import { MILLI, SECOND, type Beat, type Membership, type Micros } from '@shaleyoke/core/model';
+import type { Beat } from '@shaleyoke/core/domain/peer';
+import type { Membership } from '@shaleyoke/core/domain/settings';
+import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { beatOf } from '@shaleyoke/emulator/beats';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -1,7 +1,8 @@
 /** Generated histories of cuts that leave some links up, with crashes and outages in them: the rules hold, and all work ends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND, type JobSpec } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { latestStart, mergeOrders, orderByAims } from '@shaleyoke/core/cluster/objectives';
 import { attemptKey, Machine, type Attempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Group, Picture, Rentable } from '@shaleyoke/core/scheduling/plan-input';
 import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
 import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -1,7 +1,8 @@
 /** Whole services in simulated time: seeded troubles, with the protocol's rules as invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND, type JobSpec } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -4,7 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MILLI, SECOND, type JobSpec, type Micros } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -1,8 +1,9 @@
 /** What is kept up as machines change equals a full count, in generated histories. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobSpec, MachineType, Priority } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { JobSpec, Priority } from '@shaleyoke/core/domain/job';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { ClusterTotals } from '@shaleyoke/core/cluster/usage-totals';
 import type { Estate } from '@shaleyoke/core/cluster/cluster-state';
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -5,8 +5,9 @@
 import { viewBooks, balanceOf, verifyBooks, type BooksView } from '@shaleyoke/budgets/reader';
 import { formatMoney } from '@shaleyoke/budgets/money';
 import { statementOf, textOf } from '@shaleyoke/budgets/statement';
-import type { JobSpec, MachineType } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { Loopback } from '@shaleyoke/emulator/loopback';
 import { specOf } from '@shaleyoke/emulator/specs';
 
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -1,5 +1,7 @@
 /** The cloud as a model: what is rented, listed and charged for. The machines themselves are the workers'. */
-import type { CloudOp, CloudReply, ListedMachine, Micros } from '@shaleyoke/core/model';
+import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { ListedMachine } from '@shaleyoke/core/domain/machine';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import { TYPE } from './site.js';
 
 /** What the cloud needs of the machines. */
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -3,22 +3,15 @@
  * joined by a network. They keep the rules as invariants: whatever breaks one is collected in `broken`.
  */
 import { Core } from '@shaleyoke/core/core';
-import type {
-  CloudReply,
-  CoreEffect,
-  Input,
-  JobSpec,
-  LogFields,
-  Membership,
-  Micros,
-  OrdersReply,
-  Report,
-  StateOp,
-  UserAnswer,
-  UserRequest,
-  WorkerAnswer,
-} from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { UserAnswer, UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
+import type { OrdersReply, Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { StateOp } from '@shaleyoke/core/domain/key-value-store';
+import type { Membership } from '@shaleyoke/core/domain/settings';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { activeKey } from '@shaleyoke/core/codecs/keys';
 import type { Feature } from '@shaleyoke/core/ports';
 import { readActive } from '@shaleyoke/core/codecs/records';
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -2,8 +2,10 @@
  * Generated histories of a simulated deployment, for comparing versions of the code: which jobs, cancellations and faults
  * come when depends on the seed alone, and the stopwatch stands still, so that equal code sends equal bytes.
  */
-import type { CoreEffect, JobSpec, Micros } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { CoreEffect } from '@shaleyoke/core/domain/effects';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/ports';
 import { FIRST_LIST, play, SECOND_LIST } from '../fault-scenarios.js';
 import { Random } from '../random.js';
--- a/packages/emulator/src/digest/message-encoding.ts
+++ b/packages/emulator/src/digest/message-encoding.ts
@@ -1,5 +1,5 @@
 /** The bytes of everything that a controller sends, by the same codecs that the controller's process uses. */
-import type { CoreEffect } from '@shaleyoke/core/model';
+import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import { encodeCloudOp, type HttpCall } from '@shaleyoke/protocol/cloud';
 import { encodePeer } from '@shaleyoke/protocol/peers';
 import { encodeStateOp } from '@shaleyoke/protocol/state';
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -2,8 +2,9 @@
  * Meetings of troubles for generated histories: each is one bout of a trouble, from now on, and what it begins ends by itself.
  * What took place is counted, so that a test can tell that it did.
  */
-import type { JobSpec, Micros } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from './random.js';
 import { specOf } from './specs.js';
 import { LeftWaiting } from './waiting.js';
--- a/packages/emulator/src/loopback-stand-ins.ts
+++ b/packages/emulator/src/loopback-stand-ins.ts
@@ -1,5 +1,5 @@
 /** State service and cloud of the protocol on loopback, in this process. */
-import type { CloudOp, CloudReply } from '@shaleyoke/core/model';
+import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
 import { serve, type Served } from './loopback-http.js';
 import type { StateModel } from './state-model.js';
 import { cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from './wire.js';
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -1,6 +1,8 @@
 /** Workers on loopback: each with an address, a lease and tasks, in wall time. */
-import type { JobSpec, Micros, Order, Report, ReportedTask } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Order, Report, ReportedTask } from '@shaleyoke/core/domain/heartbeat';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { serve, type Served } from './loopback-http.js';
 import { encodeReport, ordersOf, workerAnswerOf } from './wire.js';
 
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -1,5 +1,5 @@
 /** Links between named parties, each direction by itself. A cut holds back what is sent until it ends. */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 export class Network {
   private readonly heldUntil = new Map<string, Micros>();
--- a/packages/emulator/src/scale/hollow-messages.ts
+++ b/packages/emulator/src/scale/hollow-messages.ts
@@ -1,6 +1,6 @@
 /** What the parts of a hollow run tell each other, and what its types of machines are. */
-import type { MachineType } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import { SECOND } from '@shaleyoke/core/domain/time';
 
 /** Handed to a process of hollow workers as the only argument, as JSON. */
 export interface HollowWorkersConfig {
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -1,6 +1,6 @@
 /** Thousands of workers in one process: each with its own address, connection, session, token, lease and tasks. */
 import { Agent } from 'node:http';
-import { MILLI } from '@shaleyoke/core/model';
+import { MILLI } from '@shaleyoke/core/domain/time';
 import { call } from '../loopback-http.js';
 import { LoopWorker, type WorkerWorld } from '../loopback-workers.js';
 import { specOf } from '../specs.js';
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -1,5 +1,7 @@
 /** Measures the leader of an emulated deployment: processor time by kind of input, writes, orders and starts. */
-import type { CoreEffect, Input, LogFields, Micros, Order } from '@shaleyoke/core/model';
+import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
+import type { Order } from '@shaleyoke/core/domain/heartbeat';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import type { StepMeter } from '../step-meter.js';
 import { summarize, type Summary } from './statistics.js';
 
--- a/packages/emulator/src/scale/load.ts
+++ b/packages/emulator/src/scale/load.ts
@@ -1,6 +1,7 @@
 /** Mixed work for measurements of scale: arrays, gangs, services and urgent arrays of many teams with quotas. */
-import type { JobSpec, Micros } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Random } from '../random.js';
 import { specOf } from '../specs.js';
 
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -1,6 +1,7 @@
 /** One size of an emulated deployment, measured: at rest, in a burst of mixed work, and at a change of leader. */
-import type { JobSpec, Micros } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '../random.js';
 import { World } from '../cluster-simulation.js';
 import { LeaderProbe, type PhaseReport } from './leader-probe.js';
--- a/packages/emulator/src/site.ts
+++ b/packages/emulator/src/site.ts
@@ -1,6 +1,7 @@
 /** A deployment for simulated worlds: the settings that its nodes are handed, and its one type of machine. */
-import type { MachineType, Membership, Settings } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { MachineType } from '@shaleyoke/core/domain/machine';
+import type { Membership, Settings } from '@shaleyoke/core/domain/settings';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { parseSettings } from '@shaleyoke/config/settings';
 
 export const settingsFor = (
--- a/packages/emulator/src/specs.ts
+++ b/packages/emulator/src/specs.ts
@@ -1,6 +1,6 @@
 /** Jobs for tests and demonstrations: two tasks of a core each, ten seconds long, with what is said differently. */
-import type { JobSpec } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { SECOND } from '@shaleyoke/core/domain/time';
 
 export const specOf = (id: string, more: Partial<JobSpec> = {}): JobSpec => ({
   id,
--- a/packages/emulator/src/state-model.ts
+++ b/packages/emulator/src/state-model.ts
@@ -1,6 +1,7 @@
 /** The state service as a model: told the time, it answers; nobody waits in it. */
-import type { Item, Micros, StateEvent, StateOp, StateReply } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Item, StateEvent, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 /** What the service keeps of past changes for watches. */
 const HISTORY = 10_000;
--- a/packages/emulator/src/step-meter.ts
+++ b/packages/emulator/src/step-meter.ts
@@ -1,5 +1,6 @@
 /** Observation of emulated controllers: the processor time of each step, and the effects that it returned. */
-import type { CoreEffect, Input, Micros } from '@shaleyoke/core/model';
+import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 /**
  * Attached to a `World`, it is told of each step of each controller. The world then charges a step's processor time to
--- a/packages/emulator/src/timeline.ts
+++ b/packages/emulator/src/timeline.ts
@@ -1,5 +1,5 @@
 /** Simulated time: what is planned happens in the order of its moments, and of its planning. */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 interface Planned {
   readonly at: Micros;
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -2,7 +2,8 @@
  * Jobs left waiting beside free room, judged from the world's own truth: a task that has not completed and is nowhere, while a
  * machine that fits is well and has room, and the team is under its limit.
  */
-import type { JobSpec, Micros } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import { TYPE } from './site.js';
 import type { World } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -1,16 +1,9 @@
 /** The other side of the protocol: what state service, cloud, workers and users read and write on the wire. */
-import type {
-  CloudOp,
-  CloudReply,
-  JobSpec,
-  ListedMachine,
-  MachineType,
-  Order,
-  Report,
-  StateOp,
-  StateReply,
-  WorkerAnswer,
-} from '@shaleyoke/core/model';
+import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { Order, Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
   amount,
   asFields,
--- a/packages/emulator/src/work.ts
+++ b/packages/emulator/src/work.ts
@@ -1,5 +1,6 @@
 /** What there is to do in a simulated world, and what of it workers have done. */
-import type { JobSpec, Micros } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 export class Work {
   readonly specs = new Map<string, JobSpec>();
--- a/packages/emulator/test/digest.test.ts
+++ b/packages/emulator/test/digest.test.ts
@@ -1,7 +1,7 @@
 /** The digest of a generated history is the same for equal code, and notices a single byte and a single message. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CoreEffect } from '@shaleyoke/core/model';
+import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import {
   digestOfSeed,
   NO_FEATURES,
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -1,7 +1,7 @@
 /** The check for jobs left waiting beside free room finds one, and takes none that waits for a reason. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND } from '@shaleyoke/core/model';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
 import { LeftWaiting } from '../src/waiting.js';
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -5,7 +5,9 @@
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
 import { Members } from '@shaleyoke/core/membership/peer-failure-detector';
-import { MILLI, SECOND, type Beat, type Membership, type Micros } from '@shaleyoke/core/model';
+import type { Beat } from '@shaleyoke/core/domain/peer';
+import type { Membership } from '@shaleyoke/core/domain/settings';
+import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { beatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
 
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -1,7 +1,7 @@
 /** Budgets and Kubernetes-shaped clients for the histories that `digest.ts` plays. */
 import { Budgets } from '@shaleyoke/budgets/feature';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
-import type { Team } from '@shaleyoke/core/model';
+import type { Team } from '@shaleyoke/core/domain/settings';
 import type { KubeAnswer } from '@shaleyoke/kubernetes/api';
 import { Kube } from '@shaleyoke/kubernetes/feature';
 import { FEATURE } from '@shaleyoke/kubernetes/front';
--- a/packages/kubernetes/src/commands.ts
+++ b/packages/kubernetes/src/commands.ts
@@ -2,7 +2,8 @@
 import { randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
-import type { Item, Settings } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { Settings } from '@shaleyoke/core/domain/settings';
 import { checkText } from './check.js';
 import { KubeSettingsError, parseKube } from './settings.js';
 import { KINDS, type Kind } from './subset.js';
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -2,7 +2,7 @@
  * Deletion in three steps, each on record before the next: the object is marked, its job is withdrawn, object and
  * manifest go. Whoever finds a marked object may go on: on the node that was asked, or in the leader after a crash.
  */
-import type { Write } from '@shaleyoke/core/model';
+import type { Write } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeLinks } from '@shaleyoke/core/ports';
 import { manifestKey } from './records.js';
 import type { KubeObject } from './view.js';
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -3,8 +3,9 @@
  * state that is no older than the question, whatever node was asked before; watches share one long poll.
  */
 import type { Context } from '@shaleyoke/core/node/node-context';
-import type { Item, Micros } from '@shaleyoke/core/model';
-import { MILLI, SECOND } from '@shaleyoke/core/model';
+import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ROOT } from './records.js';
 import { View, type Change } from './view.js';
 
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -4,7 +4,9 @@
  */
 import { Either } from 'effect';
 import { objectRoom } from './limits.js';
-import type { Condition, InnerAnswer, JobSpec, Write } from '@shaleyoke/core/model';
+import type { InnerAnswer } from '@shaleyoke/core/domain/client-api';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Condition, Write } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeLinks, NodePart } from '@shaleyoke/core/ports';
 import { allow, tenantOf, type Credentials } from './access.js';
 import { refuse, type KubeAnswer, type KubeRequest, type Refusal } from './api.js';
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -5,8 +5,9 @@
  */
 import type { ActiveJob, Hold } from '@shaleyoke/core/cluster/cluster-model';
 import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
-import type { Micros, Write } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { Write } from '@shaleyoke/core/domain/key-value-store';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import type { FeatureTerm, NodeLinks } from '@shaleyoke/core/ports';
 import { readEnded } from '@shaleyoke/core/codecs/records';
 import type { Term } from '@shaleyoke/core/leadership/leader-term';
--- a/packages/kubernetes/src/lists.ts
+++ b/packages/kubernetes/src/lists.ts
@@ -1,6 +1,6 @@
 /** Lists, whole or in parts: all parts of one list are of the moment of its first. */
-import type { Micros } from '@shaleyoke/core/model';
-import { SECOND } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { refuse, type Json, type KubeAnswer, type KubeRequest, type Selector } from './api.js';
 import { jobOf, labelsOf } from './render.js';
 import { objectsAfter, type KubeObject, type Objects, type View } from './view.js';
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -1,6 +1,7 @@
 /** What a manifest becomes in the scheduler's own terms, or each reason why it can't. Decides only. */
 import { Either, Schema } from 'effect';
-import type { JobSpec, Micros, Priority } from '@shaleyoke/core/model';
+import type { JobSpec, Priority } from '@shaleyoke/core/domain/job';
+import type { Micros } from '@shaleyoke/core/domain/time';
 import { problemsOf, type Path, type Problem, type Reason } from './problems.js';
 import { formatQuantity, parseQuantity, toNumber, type Nano } from './quantity.js';
 import {
--- a/packages/kubernetes/src/rollout.ts
+++ b/packages/kubernetes/src/rollout.ts
@@ -6,7 +6,7 @@
  * - never more pods than `replicas + surge`, counting those that may have been created and those that still go;
  * - no pod that is available is withdrawn while that leaves fewer than `replicas - unavailable` of them.
  */
-import type { Micros } from '@shaleyoke/core/model';
+import type { Micros } from '@shaleyoke/core/domain/time';
 
 export interface Pod {
   readonly name: string;
--- a/packages/kubernetes/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -2,7 +2,7 @@
 import { Schema } from 'effect';
 import ipaddr from 'ipaddr.js';
 import { parse as parseYaml } from 'yaml';
-import type { Team } from '@shaleyoke/core/model';
+import type { Team } from '@shaleyoke/core/domain/settings';
 import { check, read } from '@shaleyoke/config/checked';
 import { isLabel } from './subset.js';
 
--- a/packages/kubernetes/src/view.ts
+++ b/packages/kubernetes/src/view.ts
@@ -4,7 +4,7 @@
  * read in parts keeps the moment of its first part at no cost.
  */
 import { Order, RedBlackTree } from 'effect';
-import type { Item, StateEvent } from '@shaleyoke/core/model';
+import type { Item, StateEvent } from '@shaleyoke/core/domain/key-value-store';
 import { guardKey, MANIFESTS, nameOf, OBJECTS, readObject, readPiece, type ObjectRecord } from './records.js';
 import { readToken, TOKENS, type TokenRecord } from './tokens.js';
 
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -1,7 +1,9 @@
 /** Objects on several nodes in simulated time: identity, reading, watching, status; through crashes, loss and outages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND, type JobSpec, type Team } from '@shaleyoke/core/model';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Team } from '@shaleyoke/core/domain/settings';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import { readActive } from '@shaleyoke/core/codecs/records';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Item, StateEvent } from '@shaleyoke/core/model';
+import type { Item, StateEvent } from '@shaleyoke/core/domain/key-value-store';
 import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kubernetes/records';
 import { View } from '@shaleyoke/kubernetes/view';
 
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,5 +1,6 @@
 /** The cloud's interface: machine types, renting, returning, listing. */
-import type { CloudOp, CloudReply, ListedMachine, MachineType } from '@shaleyoke/core/model';
+import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
   amount,
   asFields,
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -3,7 +3,7 @@
  * before knows the first path only and answers 404 on the other: it is asked nothing that it doesn't know.
  */
 import avro from 'avsc';
-import type { Beat, PeerMessage, Progress } from '@shaleyoke/core/model';
+import type { Beat, PeerMessage, Progress } from '@shaleyoke/core/domain/peer';
 
 export const PROGRESS_PATH = '/peer/v1';
 export const BEAT_PATH = '/peer/v2/beat';
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -1,5 +1,5 @@
 /** The state service's interface. */
-import type { Item, StateEvent, StateOp, StateReply, Write } from '@shaleyoke/core/model';
+import type { Item, StateEvent, StateOp, StateReply, Write } from '@shaleyoke/core/domain/key-value-store';
 import { asFields, decodeBody, encodeBody, flag, integer, list, Malformed, text } from './body.js';
 import type { HttpCall } from './cloud.js';
 
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/users.ts
@@ -1,5 +1,6 @@
 /** The users' interface: submissions in, views of jobs out. */
-import type { JobSpec, JobView, Priority, Shape, UserAnswer, UserRequest } from '@shaleyoke/core/model';
+import type { UserAnswer, UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { JobSpec, JobView, Priority, Shape } from '@shaleyoke/core/domain/job';
 import {
   amount,
   asFields,
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -7,7 +7,7 @@
   ReportedTask,
   TaskState,
   WorkerAnswer,
-} from '@shaleyoke/core/model';
+} from '@shaleyoke/core/domain/heartbeat';
 import {
   asFields,
   decodeBody,
