--- a/packages/budgets/src/accounts.ts
+++ b/packages/budgets/src/accounts.ts
@@ -3,7 +3,7 @@
  * what was told. The first owners stand in the head, which is written anyway; those that have no room there on
  * pages of their own, written in the same transaction as what changes them. Decides only; does no I/O.
  */
-import { bytesOf } from '@shaleyoke/core/codecs/records';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { addCharge, type Books } from './books.js';
 import { chargeOf, monthRow, type MonthRow, type OwnersPart } from './records.js';
 
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -3,7 +3,7 @@
 import type { Command } from 'commander';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import { endedKey, JOBS, TIMINGS, TYPES } from '@shaleyoke/core/codecs/keys';
-import { bytesOf } from '@shaleyoke/core/codecs/records';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { isMonth } from './calendar.js';
 import { explainJob, standingOf } from './explain.js';
 import { spentOf } from './limits.js';
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -2,7 +2,8 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Item } from '@shaleyoke/core/domain/key-value-store';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import { readActive, readEnded, readTypes } from '@shaleyoke/core/codecs/records';
+import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
+import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
 import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
 import { probableCost } from './estimate.js';
@@ -76,17 +77,19 @@
   ];
   const specs = new Map<string, JobSpec>();
   for (const it of facts.active) {
-    const rec = readActive(it.value);
+    const rec = decodeActiveJob(it.value);
     if (rec !== null) specs.set(it.key.slice(JOBS.length), rec.spec);
   }
   const spec = specs.get(id);
   if (spec === undefined) {
-    const end = facts.ended === null ? null : readEnded(facts.ended.value);
+    const end = facts.ended === null ? null : decodeEndedJob(facts.ended.value);
     return end === null
       ? [`${id}: no such job`]
       : [`${id}: ${end.stage}; money holds nothing of it`, ...bill];
   }
-  const types = new Map<string, MachineType>((readTypes(facts.types?.value) ?? []).map((t) => [t.name, t]));
+  const types = new Map<string, MachineType>(
+    (decodeMachineTypes(facts.types?.value) ?? []).map((t) => [t.name, t]),
+  );
   if (types.size === 0) return [`${id}: the machine types are not on record yet; ask again later`];
   const timings = new Timings();
   timings.seed(facts.timings?.value);
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -3,7 +3,7 @@
  * transaction is in flight at a time; each is fenced by the leader's key and puts its values on condition of the
  * versions that they replace.
  */
-import { bytesOf } from '@shaleyoke/core/codecs/records';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { LEAD } from '@shaleyoke/core/codecs/keys';
 import type { Condition, Item, Write } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -10,7 +10,8 @@
 import type { Progress } from '../domain/peer.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { fitsSomewhere } from '../domain/resources.js';
-import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '../codecs/records.js';
+import { encodeActiveJob, encodeEndedJob, decodeActiveJob, decodeEndedJob } from '../codecs/job-codec.js';
+import { bytesOf } from '../codecs/value-size.js';
 
 type Known =
   | { readonly kind: 'active'; readonly version: number; readonly spec: JobSpec }
@@ -177,7 +178,7 @@
   private lookup(id: string, then: (f: Found) => void): void {
     this.ctx.state({ kind: 'get', key: activeKey(id) }, 1, (a) => {
       if (a.kind === 'item') {
-        const rec = readActive(a.item.value);
+        const rec = decodeActiveJob(a.item.value);
         if (rec === null) {
           then({ kind: 'unknown' });
           return;
@@ -188,7 +189,7 @@
       } else if (a.kind === 'missing') {
         this.ctx.state({ kind: 'get', key: endedKey(id) }, 1, (t) => {
           if (t.kind === 'item') {
-            const rec = readEnded(t.item.value);
+            const rec = decodeEndedJob(t.item.value);
             if (rec === null) {
               then({ kind: 'unknown' });
               return;
@@ -429,7 +430,7 @@
       refuse({ kind: 'impossible', problem: 'fits no allowed machine type' });
       return;
     }
-    const record = activeRecord(spec, this.ctx.wallNow);
+    const record = encodeActiveJob(spec, this.ctx.wallNow);
     if (bytesOf(record) > this.ctx.settings.valueBytes - 128) {
       refuse({ kind: 'malformed', problem: 'description too long' });
       return;
@@ -550,7 +551,7 @@
         conditions: [{ key: activeKey(id), version: k.version }],
         writes: [
           { kind: 'delete', key: activeKey(id) },
-          { kind: 'put', key: endedKey(id), value: endedRecord(k.spec, 'cancelled', 0, this.ctx.wallNow) },
+          { kind: 'put', key: endedKey(id), value: encodeEndedJob(k.spec, 'cancelled', 0, this.ctx.wallNow) },
         ],
       },
       1,
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -3,7 +3,7 @@
 import type { Order, Report } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
-import { Bits } from '../codecs/records.js';
+import { TaskBitset } from '../domain/task-bitset.js';
 import { spreadLimit, type Amounts } from '../domain/resources.js';
 
 export type AttemptState =
@@ -59,9 +59,9 @@
 
 /** The leader's picture of a job. Compact: one bit a task, records only for live ones. */
 export class ActiveJob {
-  readonly done: Bits;
+  readonly done: TaskBitset;
   /** The done tasks that are known to be written. */
-  readonly durable: Bits;
+  readonly durable: TaskBitset;
   readonly live = new Map<number, Attempt>();
   /** Machines on record as possibly holding tasks of this job: written before the first start there. */
   placedOn = new Set<string>();
@@ -106,8 +106,8 @@
     /** When this leader learned of it. */
     readonly seen: Micros,
   ) {
-    this.done = new Bits(spec.tasks);
-    this.durable = new Bits(spec.tasks);
+    this.done = new TaskBitset(spec.tasks);
+    this.durable = new TaskBitset(spec.tasks);
     this.effectivePriority = spec.priority;
   }
 
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -5,7 +5,7 @@
  */
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
-import { bytesOf } from '../codecs/records.js';
+import { bytesOf } from '../codecs/value-size.js';
 
 interface Sample {
   readonly ratio: number;
--- /dev/null
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -0,0 +1,57 @@
+/** Records of machines in the key-value store. */
+import { bytesOf } from './value-size.js';
+import { isStoredMap } from './stored-map.js';
+
+export interface MachineRecord {
+  readonly address: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** Set before the machine is returned: nothing may be started on it any more. */
+  readonly retiring: boolean;
+  /** Was there before this service rented anything. */
+  readonly standing: boolean;
+}
+
+const LONGEST_ADDRESS = '255.255.255.255:65535';
+
+/** Marks that are not set are left out: all versions read that as false, and pages are small. */
+export const encodeMachine = (record: MachineRecord): unknown => ({
+  address: record.address,
+  type: record.type,
+  zone: record.zone,
+  ...(record.spot ? { spot: true } : {}),
+  ...(record.retiring ? { retiring: true } : {}),
+  ...(record.standing ? { standing: true } : {}),
+});
+
+/** Null for what can't be read. */
+export const decodeMachine = (value: unknown): MachineRecord | null => {
+  if (!isStoredMap(value)) return null;
+  const { address, type, zone, spot, retiring, standing } = value;
+  if (typeof address !== 'string' || typeof type !== 'string' || typeof zone !== 'string') return null;
+  return {
+    address,
+    type,
+    zone,
+    spot: spot === true,
+    retiring: retiring === true,
+    standing: standing === true,
+  };
+};
+
+/** Bytes of the largest record that the machine can have, with its name: the longest address, and all marks. */
+export const largestMachineRecord = (
+  name: string,
+  { type, zone }: Pick<MachineRecord, 'type' | 'zone'>,
+): number =>
+  bytesOf({
+    [name]: encodeMachine({
+      address: LONGEST_ADDRESS,
+      type,
+      zone,
+      spot: true,
+      retiring: true,
+      standing: true,
+    }),
+  });
--- /dev/null
+++ b/packages/core/src/codecs/machine-type-codec.ts
@@ -0,0 +1,72 @@
+/** The machine types in the key-value store, so that controllers can start during an outage of the cloud. */
+import type { MachineType } from '../domain/machine.js';
+import { isStoredMap } from './stored-map.js';
+
+/** A machine type as it is stored. */
+interface StoredMachineType {
+  readonly name: string;
+  readonly cores: number;
+  readonly gpus: number;
+  readonly memoryGb: number;
+  readonly cacheGb: number;
+  readonly fetchGbPerS: number;
+  readonly price: number;
+  readonly spotPrice: number;
+  readonly bootUs: number;
+  readonly zones: readonly string[];
+}
+
+const AMOUNTS = [
+  'cores',
+  'gpus',
+  'memoryGb',
+  'cacheGb',
+  'fetchGbPerS',
+  'price',
+  'spotPrice',
+  'bootUs',
+] as const satisfies readonly (keyof StoredMachineType)[];
+
+const isStoredType = (value: unknown): boolean =>
+  isStoredMap(value) &&
+  typeof value['name'] === 'string' &&
+  AMOUNTS.every((amount) => {
+    const stored = value[amount];
+    return typeof stored === 'number' && Number.isFinite(stored) && stored >= 0;
+  }) &&
+  Number.isInteger(value['bootUs']) &&
+  Array.isArray(value['zones']) &&
+  value['zones'].every((zone) => typeof zone === 'string');
+
+export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
+  types.map((type): StoredMachineType => ({
+    name: type.name,
+    cores: type.cores,
+    gpus: type.gpus,
+    memoryGb: type.memoryGb,
+    cacheGb: type.cacheGb,
+    fetchGbPerS: type.fetchGbPerS,
+    price: type.price,
+    spotPrice: type.spotPrice,
+    bootUs: type.bootUs,
+    zones: type.zones,
+  }));
+
+const decodeType = (stored: StoredMachineType): MachineType => ({
+  name: stored.name,
+  cores: stored.cores,
+  gpus: stored.gpus,
+  memoryGb: stored.memoryGb,
+  cacheGb: stored.cacheGb,
+  fetchGbPerS: stored.fetchGbPerS,
+  price: stored.price,
+  spotPrice: stored.spotPrice,
+  bootUs: stored.bootUs,
+  zones: stored.zones,
+});
+
+/** Null where any of them can't be read: some types would be worse than none, since jobs would be told that they fit nowhere. */
+export const decodeMachineTypes = (value: unknown): readonly MachineType[] | null => {
+  if (!Array.isArray(value) || !value.every(isStoredType)) return null;
+  return (value as StoredMachineType[]).map(decodeType);
+};
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -11,7 +11,7 @@
 import type { Settings } from './domain/settings.js';
 import type { Micros } from './domain/time.js';
 import { MILLI, SECOND } from './domain/time.js';
-import { readTypes } from './codecs/records.js';
+import { decodeMachineTypes } from './codecs/machine-type-codec.js';
 import type { Feature, NodePart } from './ports.js';
 import { Scheduler } from './leader/scheduler.js';
 
@@ -151,7 +151,7 @@
       });
     };
     this.ctx.state({ kind: 'get', key: TYPES }, 1, (s) => {
-      const stored = s.kind === 'item' ? readTypes(s.item.value) : null;
+      const stored = s.kind === 'item' ? decodeMachineTypes(s.item.value) : null;
       if (stored !== null && stored.length > 0) {
         this.haveTypes(stored);
         this.savedTypes = true;
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -8,7 +8,7 @@
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import type { Condition, Write } from '../domain/key-value-store.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { endedRecord } from '../codecs/records.js';
+import { encodeEndedJob } from '../codecs/job-codec.js';
 
 export interface CascadeHost {
   readonly leadVersion: number;
@@ -56,7 +56,7 @@
         {
           kind: 'put',
           key: endedKey(job.id),
-          value: endedRecord(job.spec, 'cancelled', 0, this.ctx.wallNow),
+          value: encodeEndedJob(job.spec, 'cancelled', 0, this.ctx.wallNow),
         },
       );
     }
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -3,7 +3,7 @@
 import type { End } from './dependencies.js';
 import { endedKey } from '../codecs/keys.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import { readEnded } from '../codecs/records.js';
+import { decodeEndedJob } from '../codecs/job-codec.js';
 
 const AT_ONCE = 6;
 
@@ -41,7 +41,7 @@
       if (!this.active()) return;
       this.under--;
       this.asked.delete(id);
-      const rec = r.kind === 'item' ? readEnded(r.item.value) : null;
+      const rec = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
       if (rec !== null) this.found(id, { stage: rec.stage, at: rec.at });
       else {
         if (r.kind === 'item') this.ctx.error('job.unreadable', { job: id });
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -3,7 +3,7 @@
 import type { End } from './dependencies.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { endedRecord, readEnded } from '../codecs/records.js';
+import { encodeEndedJob, decodeEndedJob } from '../codecs/job-codec.js';
 import type { Term } from '../leadership/leader-term.js';
 
 export interface CompletionHost {
@@ -78,7 +78,7 @@
           {
             kind: 'put',
             key: endedKey(job.id),
-            value: endedRecord(job.spec, 'done', job.spec.tasks, ctx.wallNow),
+            value: encodeEndedJob(job.spec, 'done', job.spec.tasks, ctx.wallNow),
           },
         ],
       },
@@ -116,7 +116,7 @@
     this.term.ctx.state({ kind: 'get', key: endedKey(job.id) }, 1, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'item') {
-        const rec = readEnded(r.item.value);
+        const rec = decodeEndedJob(r.item.value);
         if (job.phase !== 'ended') job.phase = 'active';
         if (rec?.stage === 'done') this.host.told(job.id, 'done', rec.done);
         this.ended(job, rec?.stage ?? null);
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -30,7 +30,9 @@
 import { Features, type Feature } from '../ports.js';
 import { Fitness } from './leader-health.js';
 import { ProgressBook } from '../storage/progress-store.js';
-import { bytesOf, readActive } from '../codecs/records.js';
+import { decodeActiveJob } from '../codecs/job-codec.js';
+import { bytesOf } from '../codecs/value-size.js';
+import { encodeMachineTypes } from '../codecs/machine-type-codec.js';
 import { Reports } from '../tasks/heartbeat-handler.js';
 import { Roster } from '../storage/machine-store.js';
 import { Silence } from '../machines/machine-failure-detector.js';
@@ -346,7 +348,7 @@
   private addJob(id: string, value: unknown, version: number, fresh: boolean): void {
     const { jobs } = this.term.estate;
     if (jobs.has(id)) return;
-    const rec = readActive(value);
+    const rec = decodeActiveJob(value);
     if (rec === null) {
       this.ctx.error('job.unreadable', { job: id });
       return;
@@ -481,10 +483,11 @@
   /** Types are kept in the state service for nodes that start while the cloud is out. */
   saveTypes(types: readonly MachineType[]): void {
     // Some of them would be worse than none: jobs would be told that they fit nowhere.
-    if (bytesOf(types) > pageRoom(this.ctx.settings.valueBytes)) return;
+    const value = encodeMachineTypes(types);
+    if (bytesOf(value) > pageRoom(this.ctx.settings.valueBytes)) return;
     this.writer.put(
       TYPES,
-      () => types,
+      () => value,
       () => undefined,
       { checked: false, urgent: 'later' },
     );
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -4,6 +4,14 @@
  */
 import type { Context } from '../node/node-context.js';
 import { LEAD, TERM } from '../codecs/keys.js';
+import {
+  decodeLeader,
+  decodeTerm,
+  encodeLeader,
+  encodeTerm,
+  type LeaderRecord,
+  type TermRecord,
+} from '../codecs/leadership-codec.js';
 import type { StateReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
@@ -12,23 +20,11 @@
 /** Of the lease's length: how long one look at the leader's key lasts, so that a lost link shows soon. */
 const WATCH_PART = 0.5;
 
-interface LeadRecord {
-  readonly member: string;
-  readonly term: number;
-}
-
 /** The newest office that this node knows of, and when it last had word that it is held. */
-interface Seen extends LeadRecord {
+interface Seen extends LeaderRecord {
   readonly at: Micros;
 }
 
-const asLead = (v: unknown): LeadRecord | null => {
-  const r = v as Partial<LeadRecord> | null;
-  return typeof r === 'object' && r !== null && typeof r.member === 'string' && typeof r.term === 'number'
-    ? { member: r.member, term: r.term }
-    : null;
-};
-
 export interface Office {
   readonly term: number;
   /** Version of the leader's key: the condition that fences every write of the leader. */
@@ -42,14 +38,8 @@
   readonly freshness: Freshness;
 }
 
-/** The term's record. An older version leaves `first` out: then what stands ready can't be told any more. */
-interface TermRecord {
-  readonly n: number;
-  readonly first?: true;
-}
-
-/** The record of a term: the first one is open until the machines that stood ready are on record, whoever leads then. */
-export const termRecord = (n: number, first: boolean): TermRecord => (first ? { n, first } : { n });
+/** Where no term's record is there: nobody ever led. */
+const NO_TERM: TermRecord = { number: 0, first: true };
 
 export class Leadership {
   office: Office | null = null;
@@ -165,7 +155,7 @@
     this.looking = true;
     this.ctx.state({ kind: 'get', key: LEAD }, 0, (r) => {
       if (r.kind === 'item') {
-        const lead = asLead(r.item.value);
+        const lead = decodeLeader(r.item.value);
         if (lead?.member === this.ctx.settings.member && r.item.lease !== null) {
           // The state service's word for our own name: a predecessor of this process, surely dead, or an
           // attempt of ours whose answer was lost. Either way nobody acts under it.
@@ -228,16 +218,15 @@
 
   private claim(sent: Micros, lease: number, t: StateReply & { kind: 'item' | 'missing' }): void {
     const version = t.kind === 'item' ? t.item.version : 0;
-    const before = t.kind === 'item' ? (t.item.value as { n?: unknown; first?: unknown } | null) : null;
-    const last = t.kind === 'item' ? before?.n : 0;
-    if (typeof last !== 'number') {
+    const last = t.kind === 'item' ? decodeTerm(t.item.value) : NO_TERM;
+    if (last === null) {
       this.ctx.error('leader.term_unreadable');
       this.giveUp(lease, SECOND);
       return;
     }
-    const term = last + 1;
-    const first = t.kind === 'missing' || before?.first === true;
-    const value: LeadRecord = { member: this.ctx.settings.member, term };
+    const term = last.number + 1;
+    const { first } = last;
+    const { member } = this.ctx.settings;
     this.ctx.state(
       {
         kind: 'txn',
@@ -246,8 +235,8 @@
           { key: TERM, version },
         ],
         writes: [
-          { kind: 'put', key: LEAD, value, lease },
-          { kind: 'put', key: TERM, value: termRecord(term, first) },
+          { kind: 'put', key: LEAD, value: encodeLeader({ member, term }), lease },
+          { kind: 'put', key: TERM, value: encodeTerm({ number: term, first }) },
         ],
       },
       0,
@@ -257,7 +246,7 @@
           return;
         }
         this.acquiring = false;
-        this.note(value.member, term);
+        this.note(member, term);
         this.office = {
           term,
           version: r.revision,
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -6,7 +6,7 @@
  */
 import { TERM } from '../codecs/keys.js';
 import { SECOND, type Micros } from '../domain/time.js';
-import { termRecord } from '../leadership/leader-election.js';
+import { encodeTerm } from '../codecs/leadership-codec.js';
 import type { Term } from '../leadership/leader-term.js';
 import type { Machine } from '../cluster/cluster-model.js';
 import type { Roster } from '../storage/machine-store.js';
@@ -64,7 +64,7 @@
     this.state = 'closing';
     this.writer.put(
       TERM,
-      () => termRecord(this.term.no, false),
+      () => encodeTerm({ number: this.term.no, first: false }),
       () => {
         this.state = 'closed';
         this.term.ctx.info('fleet.standing', {
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -8,7 +8,7 @@
 import { LEAD } from '../codecs/keys.js';
 import type { Condition, Write } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import { bytesOf } from '../codecs/records.js';
+import { bytesOf } from '../codecs/value-size.js';
 
 /** Whether something waits for the write, or it may come when there is nothing more important. */
 export type Urgent = 'now' | 'later';
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -2,12 +2,13 @@
  * Progress of one job that is too large for a page, in keys of its own: each part has a share of the done
  * bits, from a byte that it names, and a share of the machines. What holds is what all parts say together.
  *
- * The version before reads them too: it takes the bits of part 0 and the machines of all parts. Bits of the
+ * The version before reads them too: it takes the bits of part 0 and the machines of all parts. TaskBitset of the
  * other parts it finds at places where no task is, so tasks may be started again, but none counts as done
  * that is not.
  */
 import { progressKey } from '../codecs/keys.js';
-import { readProgress, type Bits, type ProgressRecord } from '../codecs/records.js';
+import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
+import type { TaskBitset } from '../domain/task-bitset.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
@@ -15,8 +16,8 @@
 
 export interface LargeJob {
   readonly id: string;
-  readonly done: Bits;
-  readonly durable: Bits;
+  readonly done: TaskBitset;
+  readonly durable: TaskBitset;
   placedOn: Set<string>;
   dirty: boolean;
 }
@@ -145,7 +146,7 @@
         this.keyOf(k),
         () => this.make(k),
         (value) => {
-          const rec = readProgress(value);
+          const rec = decodeProgress(value);
           if (rec !== null) {
             this.job.durable.merge(rec.from ?? 0, rec.bits);
             for (const n of rec.machines) this.job.placedOn.add(n);
@@ -164,7 +165,7 @@
     }
   }
 
-  private make(k: number): ProgressRecord {
+  private make(k: number): unknown {
     this.job.dirty = false;
     this.assign();
     const p = this.part(k);
@@ -173,7 +174,7 @@
     for (const n of [...this.job.placedOn]) if (!all.has(n)) this.job.placedOn.delete(n);
     p.bits = this.bitsOf(k);
     this.changed.delete(k);
-    return { machines: [...p.names], bits: p.bits, from: k * this.share };
+    return encodeProgress({ machines: [...p.names], bits: p.bits, from: k * this.share });
   }
 
   /**
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -3,32 +3,23 @@
 import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
 import type { Item } from '../domain/key-value-store.js';
 import { Pages, readPage } from './packed-pages.js';
-import { bytesOf, readMachine, type MachineRecord } from '../codecs/records.js';
+import {
+  decodeMachine,
+  encodeMachine,
+  largestMachineRecord,
+  type MachineRecord,
+} from '../codecs/machine-codec.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
-/** Marks that are not set are left out: both versions read that as false, and pages are small. */
-const recordOf = (m: Machine): Partial<MachineRecord> => ({
-  address: m.address,
-  type: m.type,
-  zone: m.zone,
-  ...(m.spot ? { spot: true } : {}),
-  ...(m.retiring !== null ? { retiring: true } : {}),
-  ...(m.standing ? { standing: true } : {}),
+const recordOf = (machine: Machine): MachineRecord => ({
+  address: machine.address,
+  type: machine.type,
+  zone: machine.zone,
+  spot: machine.spot,
+  retiring: machine.retiring !== null,
+  standing: machine.standing,
 });
 
-/** Room for the longest address, and for all marks. */
-const roomOf = (name: string, r: Pick<MachineRecord, 'type' | 'zone'>): number =>
-  bytesOf({
-    [name]: {
-      address: '255.255.255.255:65535',
-      type: r.type,
-      zone: r.zone,
-      spot: true,
-      retiring: true,
-      standing: true,
-    },
-  });
-
 export class Roster {
   private readonly pages: Pages;
   /** Whether all that was on record could be read. */
@@ -43,7 +34,7 @@
     this.pages = new Pages(writer, ROSTER, limit, {
       describe: (name) => {
         const m = find(name);
-        return m === undefined ? null : recordOf(m);
+        return m === undefined ? null : encodeMachine(recordOf(m));
       },
       move: (name, then) => {
         const m = find(name);
@@ -68,7 +59,7 @@
     const found = new Map<string, MachineRecord>();
     const take = (name: string, value: unknown): void => {
       if (value === null) return;
-      const rec = readMachine(value);
+      const rec = decodeMachine(value);
       if (rec === null) {
         this.unreadable(name);
         return;
@@ -91,7 +82,7 @@
     for (const it of pages)
       this.pages.load(it, (name) => {
         const rec = found.get(name);
-        return rec === undefined ? null : roomOf(name, rec);
+        return rec === undefined ? null : largestMachineRecord(name, rec);
       });
     return found;
   }
@@ -117,7 +108,7 @@
   }
 
   private write(m: Machine, urgent: Urgent, done: () => void, refused?: () => void): void {
-    this.pages.put(m.name, roomOf(m.name, m), urgent, done, refused);
+    this.pages.put(m.name, largestMachineRecord(m.name, m), urgent, done, refused);
   }
 
   /** Moves on with taking apart what is too large or of the version before. */
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -11,7 +11,7 @@
  * copies are written and confirmed first, the old page is emptied last.
  */
 import type { Item } from '../domain/key-value-store.js';
-import { bytesOf } from '../codecs/records.js';
+import { bytesOf } from '../codecs/value-size.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
 interface Page {
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -8,7 +8,8 @@
 import { LargeProgress } from './large-progress.js';
 import type { Item } from '../domain/key-value-store.js';
 import { pageRoom, Pages, readPage } from './packed-pages.js';
-import { bytesOf, readProgress, type ProgressRecord } from '../codecs/records.js';
+import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
+import { bytesOf } from '../codecs/value-size.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
 const nothing = (): void => undefined;
@@ -28,7 +29,7 @@
     this.pages = new Pages(writer, PLACES, pageRoom(ctx.settings.valueBytes), {
       describe: (id) => this.describe(id),
       written: (id, value) => {
-        this.written(id, readProgress(value));
+        this.written(id, decodeProgress(value));
       },
       move: (id, then) => {
         const job = this.job(id);
@@ -99,7 +100,7 @@
     }
     this.writer.know(it.key, it.version);
     const part = partOf(Number(number ?? 0));
-    const rec = readProgress(it.value);
+    const rec = decodeProgress(it.value);
     merge(id!, rec?.from ?? this.placeOf(Number(number ?? 0)), it.value);
     if (rec !== null) this.largeOf(job).adopt(it.key, part, rec, bytesOf(it.value));
   }
@@ -125,7 +126,7 @@
   }
 
   private merge(job: ActiveJob, from: number | null, value: unknown, rosterWhole: boolean): void {
-    const rec = readProgress(value);
+    const rec = decodeProgress(value);
     if (rec === null) {
       // Never taken for absence: where its tasks are can't be known, so none is started by this leader.
       this.ctx.error('progress.unreadable', { job: job.id });
@@ -164,7 +165,7 @@
     return [...names];
   }
 
-  private describe(id: string): Omit<ProgressRecord, 'from'> | null {
+  private describe(id: string): unknown {
     const job = this.job(id);
     if (job === undefined) return null;
     job.dirty = false;
@@ -173,7 +174,7 @@
     // between would else be on no record, and be started again elsewhere by the next leader.
     const named = new Set(machines);
     for (const n of [...job.placedOn]) if (!named.has(n)) job.placedOn.delete(n);
-    return { machines, bits: job.done.encode(0, job.done.bytes.length) };
+    return encodeProgress({ machines, bits: job.done.encode(0, job.done.bytes.length), from: null });
   }
 
   private written(id: string, rec: ProgressRecord | null): void {
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -5,7 +5,13 @@
 import { ActiveJob, dueOf } from '@shaleyoke/core/cluster/cluster-model';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { activeRecord, bytesOf, endedRecord, readActive, readEnded } from '@shaleyoke/core/codecs/records';
+import {
+  encodeActiveJob,
+  encodeEndedJob,
+  decodeActiveJob,
+  decodeEndedJob,
+} from '@shaleyoke/core/codecs/job-codec';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
@@ -184,15 +190,15 @@
 test('records of jobs are read back; the version before reads those without needs and no others', () => {
   const needs = Array.from({ length: 150 }, (_, i) => `run-${400_000 + i * 7}`);
   const spec = specOf('run-7', { needs });
-  const record = activeRecord(spec, 5) as Record<string, unknown>;
-  assert.deepEqual(readActive(structuredClone(record)), { spec, at: 5 });
+  const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
+  assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, at: 5 });
   assert.ok(bytesOf(record) < 2_048 - 128, `${bytesOf(record)} bytes`);
   assert.equal(record['spec'], undefined, 'the version before would start it too early');
   // As that version writes them: no field `needs`, nothing that came later.
   const { needs: _, ...old } = specOf('run-8');
-  assert.deepEqual(readActive({ spec: old, at: 9 }), { spec: specOf('run-8'), at: 9 });
-  assert.deepEqual(activeRecord(specOf('run-8'), 9), { spec: old, at: 9 });
-  assert.deepEqual(readEnded({ stage: 'done', done: 2, spec: old }), {
+  assert.deepEqual(decodeActiveJob({ spec: old, at: 9 }), { spec: specOf('run-8'), at: 9 });
+  assert.deepEqual(encodeActiveJob(specOf('run-8'), 9), { spec: old, at: 9 });
+  assert.deepEqual(decodeEndedJob({ stage: 'done', done: 2, spec: old }), {
     stage: 'done',
     done: 2,
     shape: 'array',
@@ -200,5 +206,5 @@
   });
   // However long its description: a job accepted under larger limits can be ended under smaller ones.
   const long = specOf('run-9', { types: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
-  assert.ok(bytesOf(endedRecord(long, 'cancelled', 0, 1)) < 300);
+  assert.ok(bytesOf(encodeEndedJob(long, 'cancelled', 0, 1)) < 300);
 });
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -8,7 +8,8 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Pages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ProgressBook } from '@shaleyoke/core/storage/progress-store';
-import { Bits, bytesOf } from '@shaleyoke/core/codecs/records';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 import { Roster } from '@shaleyoke/core/storage/machine-store';
 import { Writer } from '@shaleyoke/core/storage/fenced-writer';
 import { Random } from '@shaleyoke/emulator/random';
@@ -236,7 +237,7 @@
 
 test('records of the version before are read and moved; what can not be read is never taken for absence', () => {
   const { ctx, store, writer } = setUp(1, 0);
-  const bits = new Bits(4);
+  const bits = new TaskBitset(4);
   bits.add(2);
   const put = (key: string, value: unknown): void => {
     store.items.set(key, { key, value, version: 1, lease: null });
@@ -306,13 +307,13 @@
     string,
     unknown,
   ] => {
-    const bits = new Bits(w.tasks);
+    const bits = new TaskBitset(w.tasks);
     for (const d of w.done) bits.add(d);
     return [id, { machines: w.names, bits: bits.encode(0, bits.bytes.length) }];
   };
   page('q/', [...want], 14, entry);
   // 16 KiB: a segment of that version held 9,216 bytes, and its place followed from its number alone.
-  const big = new Bits(100_000);
+  const big = new TaskBitset(100_000);
   const done = [5, 70_000, 73_727, 73_728, 73_735, 99_999];
   for (const d of done) big.add(d);
   const names = machines.slice(0, 200).map((m) => m.name);
--- /dev/null
+++ b/packages/core/test/stored-records.test.ts
@@ -0,0 +1,264 @@
+/**
+ * Literal values as they stand in the key-value store. Other versions of the program read and write the same records, so that
+ * no name in these examples may ever change.
+ */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  decodeActiveJob,
+  decodeEndedJob,
+  encodeActiveJob,
+  encodeEndedJob,
+} from '@shaleyoke/core/codecs/job-codec';
+import {
+  activeKey,
+  endedKey,
+  JOBS,
+  LEAD,
+  machineKey,
+  MACHINES,
+  PLACES,
+  PROGRESS,
+  progressKey,
+  ROSTER,
+  TERM,
+  TIMINGS,
+  TYPES,
+} from '@shaleyoke/core/codecs/keys';
+import { decodeLeader, decodeTerm, encodeLeader, encodeTerm } from '@shaleyoke/core/codecs/leadership-codec';
+import { decodeMachine, encodeMachine } from '@shaleyoke/core/codecs/machine-codec';
+import { decodeMachineTypes, encodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
+import { decodeProgress, encodeProgress } from '@shaleyoke/core/codecs/progress-codec';
+import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
+import { SECOND } from '@shaleyoke/core/domain/time';
+import { readPage } from '@shaleyoke/core/storage/packed-pages';
+import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { Random } from '@shaleyoke/emulator/random';
+import { specOf } from '@shaleyoke/emulator/specs';
+
+/** As it would be read back: the store keeps what JSON can say. */
+const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+
+const STORED_SPEC = {
+  id: 'run-412',
+  class: 'train',
+  team: 'vision',
+  shape: 'gang',
+  priority: 2,
+  tasks: 16,
+  cores: 8,
+  gpus: 1,
+  memoryGb: 64,
+  image: 'img-07',
+  imageGb: 6.2,
+  types: ['g8'],
+  zone: null,
+  sameZone: true,
+  spread: false,
+  spot: true,
+  estimateUs: 240_000_000,
+  checkpointUs: 30_000_000,
+  saveUs: 4_000_000,
+  deadlineUs: 900_000_000,
+};
+const SPEC = specOf('run-412', {
+  class: 'train',
+  team: 'vision',
+  shape: 'gang',
+  priority: 2,
+  tasks: 16,
+  cores: 8,
+  gpus: 1,
+  memoryGb: 64,
+  image: 'img-07',
+  imageGb: 6.2,
+  types: ['g8'],
+  sameZone: true,
+  spot: true,
+  estimateUs: 240 * SECOND,
+  checkpointUs: 30 * SECOND,
+  saveUs: 4 * SECOND,
+  deadlineUs: 900 * SECOND,
+});
+
+test('a job that has not ended', () => {
+  const record = { spec: STORED_SPEC, at: 1_796_126_400_000_000 };
+  assert.deepEqual(stored(encodeActiveJob(SPEC, 1_796_126_400_000_000)), record);
+  assert.deepEqual(decodeActiveJob(record), { spec: SPEC, at: 1_796_126_400_000_000 });
+});
+
+test('a job that waits for others', () => {
+  const record = {
+    awaiting: { spec: STORED_SPEC, at: 5, needs: { start: 'run-4', rests: '0,11' } },
+  };
+  const waiting = { ...SPEC, needs: ['run-40', 'run-411'] };
+  assert.deepEqual(stored(encodeActiveJob(waiting, 5)), record);
+  assert.deepEqual(decodeActiveJob(record), { spec: waiting, at: 5 });
+});
+
+test('a job that has ended', () => {
+  const spec = { id: 'run-412', shape: 'gang', tasks: 16, cores: 8 };
+  const record = { stage: 'done', done: 16, spec, at: 7 };
+  assert.deepEqual(stored(encodeEndedJob(SPEC, 'done', 16, 7)), record);
+  assert.deepEqual(decodeEndedJob(record), { stage: 'done', done: 16, shape: 'gang', at: 7 });
+  // The version before leaves the time of the end out.
+  const former = { stage: 'cancelled', done: 0, spec };
+  assert.deepEqual(decodeEndedJob(former), { stage: 'cancelled', done: 0, shape: 'gang', at: null });
+});
+
+test('records of jobs that can not be read are null', () => {
+  for (const value of [
+    null,
+    7,
+    [],
+    {},
+    { spec: {}, at: 1 },
+    { spec: STORED_SPEC },
+    { awaiting: { spec: STORED_SPEC, at: 1 } },
+  ])
+    assert.equal(decodeActiveJob(value), null, JSON.stringify(value));
+  for (const value of [null, {}, { stage: 'queued', spec: STORED_SPEC }, { stage: 'done' }])
+    assert.equal(decodeEndedJob(value), null, JSON.stringify(value));
+});
+
+test('a machine, with and without marks', () => {
+  const plain = { address: '10.1.0.7:90', type: 'g8', zone: 'a' };
+  const marked = { ...plain, spot: true, retiring: true, standing: true };
+  const unset = { spot: false, retiring: false, standing: false };
+  assert.deepEqual(stored(encodeMachine({ ...plain, ...unset })), plain);
+  assert.deepEqual(stored(encodeMachine(marked)), marked);
+  assert.deepEqual(decodeMachine(plain), { ...plain, ...unset });
+  assert.deepEqual(decodeMachine(marked), marked);
+  assert.equal(decodeMachine({ address: '10.1.0.7:90', type: 'g8' }), null);
+});
+
+test('progress on a page, and a part of the progress of a large job', () => {
+  const onPage = { machines: ['m-1', 'm-2'], bits: 'Aw==' };
+  const part = { ...onPage, from: 96 };
+  assert.deepEqual(stored(encodeProgress({ ...onPage, from: null })), onPage);
+  assert.deepEqual(stored(encodeProgress(part)), part);
+  assert.deepEqual(decodeProgress(onPage), { ...onPage, from: null });
+  assert.deepEqual(decodeProgress(part), part);
+  assert.equal(decodeProgress({ machines: [] }), null);
+});
+
+test('machine types', () => {
+  const record = [
+    {
+      name: 'g8',
+      cores: 32,
+      gpus: 8,
+      memoryGb: 256,
+      cacheGb: 100,
+      fetchGbPerS: 0.5,
+      price: 12.5,
+      spotPrice: 4.25,
+      bootUs: 45_000_000,
+      zones: ['a', 'b'],
+    },
+  ];
+  const types = decodeMachineTypes(record);
+  assert.equal(types?.[0]?.bootUs, 45 * SECOND);
+  assert.deepEqual(stored(encodeMachineTypes(types ?? [])), record);
+  for (const wrong of [
+    { ...record[0], cores: -1 },
+    { ...record[0], bootUs: 0.5 },
+    { ...record[0], zones: [1] },
+    {},
+  ])
+    assert.equal(decodeMachineTypes([record[0], wrong]), null);
+  assert.equal(decodeMachineTypes({}), null);
+});
+
+test("the leader's key and the term", () => {
+  assert.deepEqual(stored(encodeLeader({ member: 'dock-1', term: 7 })), { member: 'dock-1', term: 7 });
+  assert.deepEqual(decodeLeader({ member: 'dock-1', term: 7 }), { member: 'dock-1', term: 7 });
+  assert.equal(decodeLeader({ member: 'dock-1' }), null);
+  assert.deepEqual(stored(encodeTerm({ number: 7, first: true })), { n: 7, first: true });
+  assert.deepEqual(stored(encodeTerm({ number: 7, first: false })), { n: 7 });
+  assert.deepEqual(decodeTerm({ n: 7, first: true }), { number: 7, first: true });
+  assert.deepEqual(decodeTerm({ n: 7 }), { number: 7, first: false });
+  assert.equal(decodeTerm({}), null);
+});
+
+test('run times that were learned: ratio to the estimate, and 1 for a run that was cut short', () => {
+  const record = {
+    'train|g8': [
+      [1.1, 0],
+      [0.5, 1],
+    ],
+    train: [
+      [1.1, 0],
+      [0.5, 1],
+    ],
+    '': [
+      [1.1, 0],
+      [0.5, 1],
+    ],
+  };
+  const learned = new Timings();
+  learned.note('train', 'g8', 100 * SECOND, 110 * SECOND, true);
+  learned.note('train', 'g8', 100 * SECOND, 50 * SECOND, false);
+  assert.deepEqual(stored(learned.summary(16_000)), record);
+  const read = new Timings();
+  read.seed(record);
+  assert.deepEqual(stored(read.summary(16_000)), record);
+});
+
+test('keys', () => {
+  assert.deepEqual([LEAD, TERM, TYPES, TIMINGS], ['lead', 'term', 'types', 'timings']);
+  assert.deepEqual([JOBS, PLACES, ROSTER, PROGRESS, MACHINES], ['j/', 'q/', 'r/', 'p/', 'h/']);
+  assert.deepEqual(
+    [activeKey('run-1'), endedKey('run-1'), machineKey('m-1')],
+    ['j/run-1', 't/run-1', 'h/m-1'],
+  );
+  assert.deepEqual([progressKey('run-1', 0), progressKey('run-1', 3)], ['p/run-1', 'p/run-1/1000003']);
+});
+
+test('what a leader writes has these fields and no others', () => {
+  const world = new World(new Random(5), 3);
+  world.stand(2);
+  world.runFor(3 * SECOND);
+  world.submit(specOf('run-1', { tasks: 5, estimateUs: 60 * SECOND }));
+  world.submit(specOf('run-2', { needs: ['run-1'] }));
+  world.submit(specOf('run-3', { tasks: 1, estimateUs: SECOND }));
+  world.runFor(60 * SECOND);
+  const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
+  const entriesOf = (prefix: string): unknown[] =>
+    world.keys(prefix).flatMap((key) => {
+      assert.match(key, new RegExp(`^${prefix}s\\d+$`));
+      assert.deepEqual(fieldsOf(world.value(key)), ['entries']);
+      return Object.values(readPage(world.value(key)) ?? {});
+    });
+  assert.deepEqual(fieldsOf(world.value('lead')), ['member', 'term']);
+  assert.deepEqual(fieldsOf(world.value('term')), ['n']);
+  assert.deepEqual(fieldsOf(world.value('j/run-1')), ['at', 'spec']);
+  assert.deepEqual(fieldsOf((world.value('j/run-1') as { spec: unknown }).spec), fieldsOf(STORED_SPEC));
+  assert.deepEqual(fieldsOf(world.value('j/run-2')), ['awaiting']);
+  assert.deepEqual(fieldsOf((world.value('j/run-2') as { awaiting: unknown }).awaiting), [
+    'at',
+    'needs',
+    'spec',
+  ]);
+  assert.deepEqual(fieldsOf(world.value('t/run-3')), ['at', 'done', 'spec', 'stage']);
+  const progress = entriesOf('q/');
+  assert.ok(progress.length > 0);
+  for (const entry of progress) assert.deepEqual(fieldsOf(entry), ['bits', 'machines']);
+  const machines = entriesOf('r/');
+  assert.ok(machines.length > 0);
+  for (const entry of machines)
+    for (const field of fieldsOf(entry))
+      assert.ok(['address', 'type', 'zone', 'spot', 'retiring', 'standing'].includes(field), field);
+  assert.deepEqual(fieldsOf((world.value('types') as unknown[])[0]), [
+    'bootUs',
+    'cacheGb',
+    'cores',
+    'fetchGbPerS',
+    'gpus',
+    'memoryGb',
+    'name',
+    'price',
+    'spotPrice',
+    'zones',
+  ]);
+});
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -14,7 +14,7 @@
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { activeKey } from '@shaleyoke/core/codecs/keys';
 import type { Feature } from '@shaleyoke/core/ports';
-import { readActive } from '@shaleyoke/core/codecs/records';
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { CloudModel } from './cloud-model.js';
 import { Network } from './network.js';
 import type { Random } from './random.js';
@@ -630,7 +630,7 @@
   private describe(id: string): JobSpec | undefined {
     const known = this.work.specs.get(id);
     if (known !== undefined) return known;
-    const spec = readActive(this.state.value(activeKey(id)))?.spec;
+    const spec = decodeActiveJob(this.state.value(activeKey(id)))?.spec;
     if (spec !== undefined) this.work.specs.set(id, spec);
     return spec;
   }
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -12,7 +12,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { activeKey } from '@shaleyoke/core/codecs/keys';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { readActive } from '@shaleyoke/core/codecs/records';
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { asFields, decodeBody } from '@shaleyoke/protocol/body';
 import { controllerSettings } from './controller-settings.js';
 import { call, freePorts, type Served } from './loopback-http.js';
@@ -226,7 +226,7 @@
     const world: WorkerWorld = {
       now: () => this.now(),
       // As its worker fetches it, whoever submitted the job.
-      spec: (job) => this.specs.get(job) ?? readActive(this.state.value(activeKey(job)))?.spec,
+      spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.state.value(activeKey(job)))?.spec,
       nodes: this.nodes,
       reportUs: REPORT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -9,7 +9,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { FeatureTerm, NodeLinks } from '@shaleyoke/core/ports';
-import { readEnded } from '@shaleyoke/core/codecs/records';
+import { decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import type { Term } from '@shaleyoke/core/leadership/leader-term';
 import { RedBlackTree } from 'effect';
 import { Deletion } from './deletion.js';
@@ -130,7 +130,7 @@
     this.reads++;
     this.term.ctx.state({ kind: 'get', key: endedKey(id) }, 2, (r) => {
       this.reads--;
-      const end = r.kind === 'item' ? readEnded(r.item.value) : null;
+      const end = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
       if (end === null) return;
       this.ends.set(id, { kind: end.stage === 'done' ? 'done' : 'withdrawn', done: end.done });
     });
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { readActive } from '@shaleyoke/core/codecs/records';
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
@@ -181,7 +181,7 @@
   );
   // A team never comes from the client.
   object(ask(w, 0, { ...create('b'), team: 'u' } as KubeRequest));
-  assert.equal(readActive(w.value(w.keys('j/')[0]!))?.spec.team, 't');
+  assert.equal(decodeActiveJob(w.value(w.keys('j/')[0]!))?.spec.team, 't');
   w.users.asked.add(w.keys('j/')[0]!.slice(2));
   assert.equal(code(ask(w, 0, remove('b'))), 'deleted');
   w.runFor(60 * SECOND);
@@ -315,7 +315,7 @@
     const twin = specOf(`run-${k}`, { imageGb: 0, ...native });
     w.submit(twin);
     w.runFor(2 * SECOND);
-    const [ours, theirs] = [id, twin.id].map((x) => readActive(w.value(`j/${x}`))!.spec);
+    const [ours, theirs] = [id, twin.id].map((x) => decodeActiveJob(w.value(`j/${x}`))!.spec);
     assert.deepEqual({ ...ours, id: '' }, { ...theirs, id: '' }, name);
   }
 });
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -9,7 +9,8 @@
 import { decodeStateReply } from '@shaleyoke/protocol/state';
 import { decodeSubmission, route } from '@shaleyoke/protocol/users';
 import { decodeOrdersReply, decodeReport } from '@shaleyoke/protocol/workers';
-import { activeRecord, Bits, readActive } from '@shaleyoke/core/codecs/records';
+import { encodeActiveJob, decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 
 const seed = { seed: 20261, numRuns: 300 };
 
@@ -115,8 +116,8 @@
       if (r.kind !== 'submit' || r.spec === null) return;
       accepted++;
       // The state service keeps what JSON can say.
-      const kept = JSON.parse(JSON.stringify(decodeBody(encodeBody(activeRecord(r.spec, 5))))) as unknown;
-      assert.deepEqual(readActive(kept)?.spec, r.spec, `${name}: ${String(value)}`);
+      const kept = JSON.parse(JSON.stringify(decodeBody(encodeBody(encodeActiveJob(r.spec, 5))))) as unknown;
+      assert.deepEqual(decodeActiveJob(kept)?.spec, r.spec, `${name}: ${String(value)}`);
     }),
     { ...seed, numRuns: 3_000 },
   );
@@ -183,9 +184,9 @@
 test('sets of done tasks survive being written in segments', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 3000 }), fc.array(fc.nat(2999)), (size, picks) => {
-      const a = new Bits(size);
+      const a = new TaskBitset(size);
       for (const p of picks) a.add(p % size);
-      const b = new Bits(size);
+      const b = new TaskBitset(size);
       for (let from = 0; from < a.bytes.length; from += 64) b.merge(from, a.encode(from, from + 64));
       assert.deepEqual(b.bytes, a.bytes);
       assert.equal(b.count, a.count);
--- /dev/null
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -0,0 +1,406 @@
+/**
+ * Literal bodies of each message on the wire, as the protocol names them. The codecs are the only place that knows these
+ * names; none of them may change.
+ */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import type { Report } from '@shaleyoke/core/domain/heartbeat';
+import type { StateOp } from '@shaleyoke/core/domain/key-value-store';
+import { SECOND } from '@shaleyoke/core/domain/time';
+import { decodeBody, encodeBody } from '@shaleyoke/protocol/body';
+import { decodeCloudReply, encodeCloudOp } from '@shaleyoke/protocol/cloud';
+import { decodePeer, encodePeer } from '@shaleyoke/protocol/peers';
+import { decodeStateReply, encodeStateOp } from '@shaleyoke/protocol/state';
+import { decodeSubmission, encodeUserAnswer } from '@shaleyoke/protocol/users';
+import {
+  decodeOrdersReply,
+  decodeReport,
+  encodeOrders,
+  encodeWorkerAnswer,
+} from '@shaleyoke/protocol/workers';
+
+const bodyOf = (bytes: Uint8Array | null): unknown => (bytes === null ? null : decodeBody(bytes));
+
+test('a submission', () => {
+  const request = decodeSubmission(
+    encodeBody({
+      ref: 'run-412',
+      bundle: 'train',
+      owner: 'vision',
+      shape: 'group',
+      urgency: 'urgent',
+      parts: 16,
+      cores: 8,
+      gpus: 1,
+      memory_gb: 64,
+      build: 'img-07',
+      image_gb: 6.2,
+      models: ['g8'],
+      hall: 'a',
+      same_place: true,
+      scatter: false,
+      loaners: true,
+      expect_s: 240,
+      snapshot_s: 30,
+      flush_s: 4,
+      due_s: 900,
+      awaits: ['run-4'],
+    }),
+  );
+  const spec: JobSpec = {
+    id: 'run-412',
+    class: 'train',
+    team: 'vision',
+    shape: 'gang',
+    priority: 2,
+    tasks: 16,
+    cores: 8,
+    gpus: 1,
+    memoryGb: 64,
+    image: 'img-07',
+    imageGb: 6.2,
+    types: ['g8'],
+    zone: 'a',
+    sameZone: true,
+    spread: false,
+    spot: true,
+    estimateUs: 240 * SECOND,
+    checkpointUs: 30 * SECOND,
+    saveUs: 4 * SECOND,
+    deadlineUs: 900 * SECOND,
+    needs: ['run-4'],
+  };
+  assert.deepEqual(request, { kind: 'submit', id: 'run-412', spec, problem: null });
+});
+
+test('answers to users', () => {
+  const view = { id: 'run-1', done: 3, running: 2 };
+  const words = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
+  for (const stage of ['queued', 'running', 'done', 'cancelled'] as const) {
+    const answer = encodeUserAnswer({ kind: 'view', created: true, view: { ...view, stage } });
+    assert.equal(answer.status, 201);
+    assert.deepEqual(bodyOf(answer.body), { ref: 'run-1', stage: words[stage], done: 3, running: 2 });
+  }
+  const known = encodeUserAnswer({ kind: 'view', created: false, view: { ...view, stage: 'queued' } });
+  assert.equal(known.status, 200);
+  const refusals = [
+    [encodeUserAnswer({ kind: 'malformed', problem: 'x' }), 400],
+    [encodeUserAnswer({ kind: 'impossible', problem: 'x' }), 422],
+    [encodeUserAnswer({ kind: 'unavailable', retryAfterS: 1, problem: 'x' }), 503],
+  ] as const;
+  for (const [answer, status] of refusals) {
+    assert.equal(answer.status, status);
+    assert.deepEqual(bodyOf(answer.body), { error: 'x' });
+  }
+  assert.equal(refusals[2][0].retryAfterS, 1);
+  assert.equal(encodeUserAnswer({ kind: 'absent' }).status, 404);
+  assert.deepEqual(bodyOf(encodeUserAnswer({ kind: 'healthy' }).body), {});
+});
+
+const REPORT_BODY = {
+  berth: 'm-1',
+  address: '10.1.0.7:90',
+  model: 'g8',
+  hall: 'a',
+  loaners: true,
+  shift: 2,
+  tally: 17,
+  baton: 3_145_729,
+  recall_s: 12.5,
+  parts: [
+    { part: 'run-1/0', try: 50, stage: 'pulling' },
+    { part: 'run-1/1', try: 51, stage: 'gathering' },
+    { part: 'run-1/2', try: 52, stage: 'running' },
+    { part: 'run-1/3', try: 53, stage: 'flushing' },
+    { part: 'run-1/4', try: 54, stage: 'exited', cause: 'done' },
+    { part: 'run-1/5', try: 55, stage: 'exited', cause: 'stopped', saved: true },
+    { part: 'run-1/6', try: 56, stage: 'exited', cause: 'peers' },
+    { part: 'run-1/7', try: 57, stage: 'exited', cause: 'incomplete' },
+    { part: 'run-1/8', try: 58, stage: 'exited', cause: 'error' },
+    { part: 'run-1/9', try: 59, stage: 'exited', cause: 'full' },
+    { part: 'run-1/10', try: 60, stage: 'exited', cause: 'busy' },
+    { part: 'run-1/11', try: 61, stage: 'exited', cause: 'no_such' },
+  ],
+};
+const live = (index: number, state: 'fetching' | 'waiting' | 'running' | 'saving') =>
+  ({ job: 'run-1', index, attempt: 50 + index, state, cause: null, saved: false }) as const;
+const exited = (
+  index: number,
+  cause: 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'noRoom' | 'busy' | 'unknown',
+  saved = false,
+) => ({ job: 'run-1', index, attempt: 50 + index, state: 'exited', cause, saved }) as const;
+const REPORT: Report = {
+  machine: 'm-1',
+  address: '10.1.0.7:90',
+  type: 'g8',
+  zone: 'a',
+  spot: true,
+  session: 2,
+  seq: 17,
+  token: 3_145_729,
+  noticeUs: 12_500_000,
+  tasks: [
+    live(0, 'fetching'),
+    live(1, 'waiting'),
+    live(2, 'running'),
+    live(3, 'saving'),
+    exited(4, 'done'),
+    exited(5, 'stopped', true),
+    exited(6, 'peers'),
+    exited(7, 'alone'),
+    exited(8, 'error'),
+    exited(9, 'noRoom'),
+    exited(10, 'busy'),
+    exited(11, 'unknown'),
+  ],
+};
+
+test("a worker's report, as it comes by itself and in answer to orders", () => {
+  assert.deepEqual(decodeReport(REPORT_BODY), REPORT);
+  assert.deepEqual(decodeReport({ ...REPORT_BODY, recall_s: null }), { ...REPORT, noticeUs: null });
+  assert.deepEqual(decodeOrdersReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', report: REPORT });
+  assert.deepEqual(decodeOrdersReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', report: REPORT });
+  assert.deepEqual(decodeOrdersReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', report: null });
+});
+
+test('answers to reports, and orders', () => {
+  const id = { job: 'run-1', index: 4, attempt: 50 };
+  const orders = [
+    { op: 'start', ...id },
+    { op: 'stop', ...id, graceUs: 1_500_000 },
+    { op: 'forget', ...id },
+  ] as const;
+  const bodies = [
+    { verb: 'launch', part: 'run-1/4', try: 50 },
+    { verb: 'kill', part: 'run-1/4', try: 50, leeway_s: 1.5 },
+    { verb: 'clear', part: 'run-1/4', try: 50 },
+  ];
+  const accepted = encodeWorkerAnswer({ kind: 'accepted', token: 9, orders });
+  assert.equal(accepted.status, 200);
+  assert.deepEqual(bodyOf(accepted.body), { baton: 9, orders: bodies });
+  const redirect = encodeWorkerAnswer({ kind: 'redirect', leader: 'dock-1' });
+  assert.equal(redirect.status, 421);
+  assert.deepEqual(bodyOf(redirect.body), { foreman: 'dock-1' });
+  assert.deepEqual(bodyOf(encodeWorkerAnswer({ kind: 'redirect', leader: null }).body), {});
+  const unavailable = encodeWorkerAnswer({ kind: 'unavailable' });
+  assert.equal(unavailable.status, 503);
+  assert.deepEqual(bodyOf(unavailable.body), { error: 'not entitled to answer reports now' });
+  assert.deepEqual(bodyOf(encodeOrders(9, 2, orders)), { baton: 9, shift: 2, orders: bodies });
+});
+
+test('requests to the key-value store', () => {
+  const requests: [StateOp, string, string, unknown][] = [
+    [{ kind: 'get', key: 'j/run-1' }, 'GET', '/kv/j/run-1', null],
+    [{ kind: 'list', prefix: 'j/', limit: 500 }, 'GET', '/kv?under=j%2F&page=500', null],
+    [
+      { kind: 'list', prefix: 'j/', after: 'j/run-1', limit: 500 },
+      'GET',
+      '/kv?under=j%2F&since=j%2Frun-1&page=500',
+      null,
+    ],
+    [
+      {
+        kind: 'txn',
+        conditions: [{ key: 'lead', version: 4 }],
+        writes: [
+          { kind: 'put', key: 'lead', value: { member: 'dock-1' }, lease: 8 },
+          { kind: 'put', key: 'term', value: { n: 1 } },
+          { kind: 'delete', key: 'j/run-1' },
+        ],
+      },
+      'POST',
+      '/txn',
+      {
+        when: [{ key: 'lead', stamp: 4 }],
+        writes: [
+          { set: 'lead', data: { member: 'dock-1' }, permit: 8 },
+          { set: 'term', data: { n: 1 } },
+          { remove: 'j/run-1' },
+        ],
+      },
+    ],
+    [{ kind: 'grant', ttlMs: 4_000 }, 'POST', '/grants', { life_ms: 4_000 }],
+    [{ kind: 'renew', lease: 8 }, 'POST', '/grants/8/touch', {}],
+    [{ kind: 'revoke', lease: 8 }, 'DELETE', '/grants/8', null],
+    [
+      { kind: 'watch', prefix: 'j/', after: 12, waitMs: 8_000 },
+      'GET',
+      '/follow?under=j%2F&since=12&wait_ms=8000',
+      null,
+    ],
+  ];
+  for (const [operation, method, path, body] of requests) {
+    const call = encodeStateOp(operation);
+    assert.deepEqual([call.method, call.path, bodyOf(call.body)], [method, path, body]);
+  }
+});
+
+test('answers of the key-value store', () => {
+  const get = { kind: 'get', key: 'k' } as const;
+  const list = { kind: 'list', prefix: 'k', limit: 1 } as const;
+  const txn = { kind: 'txn', conditions: [], writes: [] } as const;
+  const grant = { kind: 'grant', ttlMs: 1 } as const;
+  const watch = { kind: 'watch', prefix: 'k', after: 0, waitMs: 1 } as const;
+  const row = { key: 'k', data: 7, stamp: 3, permit: null };
+  const item = { key: 'k', value: 7, version: 3, lease: null };
+  const answers: [StateOp, number, unknown, unknown][] = [
+    [get, 200, row, { kind: 'item', item }],
+    [get, 404, { ledger: 9 }, { kind: 'missing', revision: 9 }],
+    [
+      list,
+      200,
+      { rows: [row], more: true, ledger: 9 },
+      { kind: 'items', items: [item], more: true, revision: 9 },
+    ],
+    [txn, 200, { ledger: 9 }, { kind: 'ok', revision: 9 }],
+    [txn, 409, { failed: ['k'], ledger: 9 }, { kind: 'conflict', failed: ['k'], revision: 9 }],
+    [txn, 400, { error: 'no such lease' }, { kind: 'noLease' }],
+    [grant, 200, { permit: 8 }, { kind: 'granted', lease: 8 }],
+    [
+      watch,
+      200,
+      {
+        ledger: 9,
+        events: [
+          { set: 'k', data: 7, stamp: 8 },
+          { remove: 'k', stamp: 9 },
+        ],
+      },
+      {
+        kind: 'events',
+        events: [
+          { kind: 'put', key: 'k', value: 7, version: 8 },
+          { kind: 'delete', key: 'k', version: 9 },
+        ],
+        revision: 9,
+      },
+    ],
+    [watch, 410, {}, { kind: 'tooOld' }],
+    [get, 503, {}, { kind: 'failed', executed: false, cause: 'refused', reason: 'status 503' }],
+    [get, 429, {}, { kind: 'failed', executed: false, cause: 'busy', reason: 'status 429' }],
+  ];
+  for (const [operation, status, body, reply] of answers)
+    assert.deepEqual(decodeStateReply(operation, status, encodeBody(body)), reply);
+});
+
+test('requests to the cloud, and its answers', () => {
+  const rent = { kind: 'rent', request: 'r-7-1', type: 'g8', zone: 'a', spot: true, count: 4 } as const;
+  const rented = encodeCloudOp(rent);
+  assert.deepEqual([rented.method, rented.path], ['POST', '/hosts']);
+  assert.deepEqual(bodyOf(rented.body), {
+    booking: 'r-7-1',
+    model: 'g8',
+    hall: 'a',
+    loaners: true,
+    count: 4,
+  });
+  const removed = encodeCloudOp({ kind: 'delete', machines: ['m-1'] });
+  assert.deepEqual([removed.method, removed.path], ['POST', '/hosts/delete']);
+  assert.deepEqual(bodyOf(removed.body), { berths: ['m-1'] });
+  assert.equal(encodeCloudOp({ kind: 'types' }).path, '/flavors');
+  assert.equal(encodeCloudOp({ kind: 'list', after: 'm-1', limit: 500 }).path, '/hosts?since=m-1&page=500');
+  const model = {
+    sku: 'g8',
+    cores: 32,
+    gpus: 8,
+    memory_gb: 256,
+    cache_gb: 100,
+    pull_gb_per_s: 0.5,
+    rate: 12.5,
+    market_price: 4.25,
+    startup_s: 45,
+    halls: ['a', 'b'],
+  };
+  assert.deepEqual(decodeCloudReply({ kind: 'types' }, 200, encodeBody({ models: [model] })), {
+    kind: 'types',
+    types: [
+      {
+        name: 'g8',
+        cores: 32,
+        gpus: 8,
+        memoryGb: 256,
+        cacheGb: 100,
+        fetchGbPerS: 0.5,
+        price: 12.5,
+        spotPrice: 4.25,
+        bootUs: 45 * SECOND,
+        zones: ['a', 'b'],
+      },
+    ],
+  });
+  const host = {
+    ref: 'm-1',
+    address: '10.1.0.7:90',
+    model: 'g8',
+    hall: 'a',
+    loaners: true,
+    stage: 'running',
+    age_s: 3.5,
+  };
+  const listing = encodeBody({ berths: [host], more: false });
+  assert.deepEqual(decodeCloudReply({ kind: 'list', after: '', limit: 1 }, 200, listing), {
+    kind: 'listed',
+    machines: [
+      {
+        name: 'm-1',
+        address: '10.1.0.7:90',
+        type: 'g8',
+        zone: 'a',
+        spot: true,
+        state: 'running',
+        ageUs: 3_500_000,
+      },
+    ],
+    more: false,
+  });
+  assert.deepEqual(decodeCloudReply(rent, 200, encodeBody({ berths: ['m-1'] })), {
+    kind: 'rented',
+    machines: ['m-1'],
+  });
+  assert.deepEqual(decodeCloudReply(rent, 503, encodeBody({ error: 'no capacity' })), { kind: 'noCapacity' });
+  assert.deepEqual(decodeCloudReply({ kind: 'delete', machines: [] }, 200, Buffer.alloc(0)), {
+    kind: 'deleted',
+  });
+});
+
+test('messages between controllers, byte for byte', () => {
+  const progress = {
+    kind: 'progress',
+    member: 'dock-0',
+    term: 3,
+    notes: [{ id: 'run-7', done: 3, running: 4 }],
+  } as const;
+  const progressBytes = Buffer.from('0c646f636b2d300602' + '0a72756e2d37' + '060800', 'hex');
+  assert.deepEqual(encodePeer(progress), { path: '/peer/v1', body: progressBytes });
+  assert.deepEqual(decodePeer('progress', progressBytes), progress);
+  const beat = {
+    kind: 'beat',
+    member: 'dock-0',
+    incarnation: 9,
+    seq: 5,
+    term: 3,
+    stateAgeUs: null,
+    lateUs: 100,
+    workers: 7,
+    others: [{ member: 'dock-1', incarnation: 8, ageUs: 50, suspected: true }],
+  } as const;
+  const beatBytes = Buffer.from(
+    '0c646f636b2d30' +
+      '12' +
+      '0a' +
+      '0206' +
+      '00' +
+      'c801' +
+      '0e' +
+      '02' +
+      '0c646f636b2d31' +
+      '10' +
+      '64' +
+      '01' +
+      '00',
+    'hex',
+  );
+  assert.deepEqual(encodePeer(beat), { path: '/peer/v2/beat', body: beatBytes });
+  assert.deepEqual(decodePeer('beat', beatBytes), beat);
+});
