--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -10,6 +10,7 @@
 import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
 import { runNode, type FeatureListener } from '@shaleyoke/controller/node';
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
+import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 
 interface FileOptions {
@@ -144,7 +145,7 @@
   for (const c of found) if (c.level === 'warning') console.error(`warning: ${describe(c)}`);
   const errors = found.filter((c) => c.level === 'error').map(describe);
   if (errors.length > 0) throw new SettingsError(errors.join('\n'));
-  console.log(JSON.stringify(settings, null, 2));
+  console.log(JSON.stringify(printedSettings(settings), null, 2));
 });
 withFiles('leader', 'show who leads').action((o: FileOptions) => {
   show(o, LEAD);
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -62,49 +62,98 @@
   ],
 });
 
+/** A progress update as Avro has it. */
+interface ProgressRecord {
+  readonly member: string;
+  readonly term: number;
+  readonly notes: readonly { readonly id: string; readonly done: number; readonly running: number }[];
+}
+
+/** A heartbeat as Avro has it. */
+interface BeatRecord {
+  readonly member: string;
+  readonly incarnation: number;
+  readonly seq: number;
+  readonly term: number | null;
+  readonly stateAgeUs: number | null;
+  readonly lateUs: number;
+  readonly workers: number;
+  readonly others: readonly {
+    readonly member: string;
+    readonly incarnation: number;
+    readonly ageUs: number;
+    readonly suspected: boolean;
+  }[];
+}
+
+const toProgressRecord = (message: Progress): ProgressRecord => ({
+  member: message.member,
+  term: message.term,
+  notes: message.notes.map(({ id, done, running }) => ({ id, done, running })),
+});
+
+const fromProgressRecord = (record: ProgressRecord): Progress => ({
+  kind: 'progress',
+  member: record.member,
+  term: record.term,
+  notes: record.notes.map(({ id, done, running }) => ({ id, done, running })),
+});
+
+const toBeatRecord = (message: Beat): BeatRecord => ({
+  member: message.member,
+  incarnation: message.incarnation,
+  seq: message.seq,
+  term: message.term,
+  stateAgeUs: message.stateAgeUs,
+  lateUs: message.lateUs,
+  workers: message.workers,
+  others: message.others.map((other) => ({
+    member: other.member,
+    incarnation: other.incarnation,
+    ageUs: other.ageUs,
+    suspected: other.suspected,
+  })),
+});
+
+const fromBeatRecord = (record: BeatRecord): Beat => ({
+  kind: 'beat',
+  member: record.member,
+  incarnation: record.incarnation,
+  seq: record.seq,
+  term: record.term,
+  stateAgeUs: record.stateAgeUs,
+  lateUs: record.lateUs,
+  workers: record.workers,
+  others: record.others.map((other) => ({
+    member: other.member,
+    incarnation: other.incarnation,
+    ageUs: other.ageUs,
+    suspected: other.suspected,
+  })),
+});
+
 export interface PeerCall {
   readonly path: string;
   readonly body: Buffer;
 }
 
-export const encodePeer = (m: PeerMessage): PeerCall =>
-  m.kind === 'progress'
-    ? { path: PROGRESS_PATH, body: progress.toBuffer({ member: m.member, term: m.term, notes: m.notes }) }
-    : { path: BEAT_PATH, body: beat.toBuffer(m) };
+export const encodePeer = (message: PeerMessage): PeerCall =>
+  message.kind === 'progress'
+    ? { path: PROGRESS_PATH, body: progress.toBuffer(toProgressRecord(message)) }
+    : { path: BEAT_PATH, body: beat.toBuffer(toBeatRecord(message)) };
 
 /** Which kind a path carries; null for one that is not known. */
-export const peerKind = (path: string): PeerMessage['kind'] | null =>
-  path === PROGRESS_PATH ? 'progress' : path === BEAT_PATH ? 'beat' : null;
+export const peerKind = (path: string): PeerMessage['kind'] | null => {
+  if (path === PROGRESS_PATH) return 'progress';
+  return path === BEAT_PATH ? 'beat' : null;
+};
 
 /** Null for bytes that are no message: they are logged and dropped. */
 export const decodePeer = (kind: PeerMessage['kind'], bytes: Buffer): PeerMessage | null => {
   try {
-    if (kind === 'progress') {
-      const v = progress.fromBuffer(bytes) as Omit<Progress, 'kind'>;
-      return {
-        kind,
-        member: v.member,
-        term: v.term,
-        notes: v.notes.map((n) => ({ id: n.id, done: n.done, running: n.running })),
-      };
-    }
-    const v = beat.fromBuffer(bytes) as Omit<Beat, 'kind'>;
-    return {
-      kind,
-      member: v.member,
-      incarnation: v.incarnation,
-      seq: v.seq,
-      term: v.term,
-      stateAgeUs: v.stateAgeUs,
-      lateUs: v.lateUs,
-      workers: v.workers,
-      others: v.others.map((o) => ({
-        member: o.member,
-        incarnation: o.incarnation,
-        ageUs: o.ageUs,
-        suspected: o.suspected,
-      })),
-    };
+    return kind === 'progress'
+      ? fromProgressRecord(progress.fromBuffer(bytes) as ProgressRecord)
+      : fromBeatRecord(beat.fromBuffer(bytes) as BeatRecord);
   } catch {
     return null;
   }
