--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -106,7 +106,8 @@
   const change = { at: host.now(), by: o.by, why: o.why, before: plain(before), after };
   let changes = [...(old?.changes ?? []), change].slice(-KEPT_CHANGES);
   const record = (): LimitRecord => ({ v: 1, ...after, changes });
-  while (changes.length > 1 && bytesOf(record()) > at.settings.valueBytes - 256) changes = changes.slice(1);
+  while (changes.length > 1 && bytesOf(record()) > at.settings.maxValueBytes - 256)
+    changes = changes.slice(1);
   if (!(await at.service.put(limitKey(owner), record(), item?.version ?? 0))) {
     host.end(
       1,
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -38,7 +38,9 @@
   for (const type of types.values()) {
     if (!typeAllowed(spec, type)) continue;
     const us =
-      spec.shape === 'service' ? HOUR : timings.quantile(spec.class, type.name, spec.estimateUs, quantile);
+      spec.shape === 'service'
+        ? HOUR
+        : timings.quantile(spec.class, type.name, spec.estimatedRunUs, quantile);
     const hour = portion(rateOf(type.price), weightOf(spec, type), WHOLE);
     const task = Number((BigInt(hour) * BigInt(us)) / BigInt(HOUR)) + 1;
     if (least === null || task < least) least = task;
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -1,6 +1,6 @@
 /** Where owners stand, and why a job waits for money: worked out from the records alone, as the leader does it. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
@@ -47,11 +47,11 @@
 
 export interface JobFacts {
   /** Records `j/`, all of them. */
-  readonly active: readonly Item[];
+  readonly active: readonly StoredItem[];
   /** The job's record `t/`, if there is one. */
-  readonly ended: Item | null;
-  readonly types: Item | null;
-  readonly timings: Item | null;
+  readonly ended: StoredItem | null;
+  readonly types: StoredItem | null;
+  readonly timings: StoredItem | null;
 }
 
 const amount = (m: Money, currency: string): string => `${formatMoney(m)} ${currency}`;
@@ -97,7 +97,7 @@
   const next = [id];
   for (let x = next.pop(); x !== undefined; x = next.pop())
     for (const s of specs.values())
-      for (const l of s.id === x ? s.needs : s.needs.includes(x) ? [s.id] : [])
+      for (const l of s.id === x ? s.dependsOn : s.dependsOn.includes(x) ? [s.id] : [])
         if (specs.has(l) && !chain.has(l)) {
           chain.add(l);
           next.push(l);
@@ -125,7 +125,7 @@
     ...bill,
   ];
   if (needs.size === 0) return head('money does not hold it: it is committed and goes on to its end');
-  const begun = [...chain].some((j) => specs.get(j)!.needs.some((n) => !specs.has(n)));
+  const begun = [...chain].some((j) => specs.get(j)!.dependsOn.some((n) => !specs.has(n)));
   const reason = begun
     ? null
     : tooDear(needs, (owner) => standingOf(view, owner, settings, now), currency, chain.size);
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,7 +1,7 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
 import type { ActiveJob, Attempt, Hold, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature, FeatureTerm, Links } from '@shaleyoke/core/ports';
@@ -49,7 +49,7 @@
   /** The books are read and the term has begun: what happens is accounted. */
   private entered = false;
   private coreReady = false;
-  private found: { w: Micros | null; limits: readonly Item[] } | null = null;
+  private found: { w: Micros | null; limits: readonly StoredItem[] } | null = null;
   private since: Micros = 0;
   private early: EarlyEnd[] = [];
   /** Attempts that were done and are on no record of the books yet, and since when. */
@@ -152,7 +152,7 @@
     this.term.planSoon();
   }
 
-  private takeLimits(items: readonly Item[]): void {
+  private takeLimits(items: readonly StoredItem[]): void {
     for (const it of items) {
       const owner = it.key.slice(LIMITS.length);
       const record = readLimit(it.value);
@@ -224,7 +224,7 @@
   private unseenUs(a: Attempt): Micros {
     const { now, settings } = this.term.ctx;
     const last = Math.max(this.heard.get(a.machine.name) ?? 0, a.runningAt ?? 0);
-    return Math.max(0, Math.round(now - last - LATE * settings.reportUs));
+    return Math.max(0, Math.round(now - last - LATE * settings.heartbeatIntervalUs));
   }
 
   exited(job: string, exit: ReportedTask): void {
@@ -233,7 +233,7 @@
       return;
     }
     this.books.at(this.wall);
-    const kept = exit.cause === 'done' || exit.saved;
+    const kept = exit.cause === 'done' || exit.checkpointed;
     if (exit.cause === 'done') this.keep(job, exit.index, exit.attempt);
     this.books.end(job, exit.index, exit.attempt, kept ? ALL : { keptUs: 0, rest: 'lost' });
   }
@@ -258,7 +258,7 @@
   private noteEarly(job: string, index: number, no: number, exit: ReportedTask | null): void {
     if (this.early.length >= MAX_EARLY) return;
     const done = exit?.cause === 'done';
-    this.early.push({ job, index, no, done, kept: done || exit?.saved === true });
+    this.early.push({ job, index, no, done, kept: done || exit?.checkpointed === true });
   }
 
   gone(m: Machine): void {
@@ -308,7 +308,7 @@
       this.heard.set(m.name, m.leaseFrom);
     }
     for (const name of [...books.names()]) if (!estate.machines.has(name)) books.gone(name);
-    if (this.unseen && !books.holding && ctx.now > office.since + 2 * ctx.settings.reportUs) {
+    if (this.unseen && !books.holding && ctx.now > office.since + 2 * ctx.settings.heartbeatIntervalUs) {
       // All machines have told what runs there: what nobody reports is nowhere.
       this.unseen = false;
       books.forsakeUnseen();
--- a/packages/budgets/src/fetch.ts
+++ b/packages/budgets/src/fetch.ts
@@ -1,13 +1,13 @@
 /** Reads the books for tools: as much as is asked for, in an order in which nothing that moves is missed. */
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import { viewBooks, type BooksView } from './reader.js';
 import { CLOSED, HEAD, JOURNAL, journalKey, LIMITS, OPEN, OWNERS, readClosed } from './records.js';
 
 /** The state service, as tools need it. Each throws if it does not answer. */
 export interface Service {
   /** All items under a prefix, of keys after `after` and not after `until`, in the order of their keys. */
-  list(prefix: string, after?: string, until?: string): Promise<readonly Item[]>;
-  get(key: string): Promise<Item | null>;
+  list(prefix: string, after?: string, until?: string): Promise<readonly StoredItem[]>;
+  get(key: string): Promise<StoredItem | null>;
   /** By compare-and-set; 0: the key must not exist. False: somebody else was faster. */
   put(key: string, value: unknown, version: number): Promise<boolean>;
 }
@@ -18,10 +18,10 @@
  */
 const read = async (
   service: Service,
-  closed: readonly Item[],
+  closed: readonly StoredItem[],
   after?: string,
   until?: string,
-): Promise<Item[]> => {
+): Promise<StoredItem[]> => {
   const head = await service.get(HEAD);
   const owners = await service.list(OWNERS);
   const open = await service.list(OPEN);
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -128,7 +128,7 @@
     const next = [first];
     for (let job = next.pop(); job !== undefined; job = next.pop()) {
       const linked = [...this.host.links.needing(job.id)];
-      for (const n of job.spec.needs) {
+      for (const n of job.spec.dependsOn) {
         const needed = this.host.job(n);
         if (needed !== undefined) linked.push(needed);
       }
@@ -143,7 +143,7 @@
 
   /** Whether it, or a job that it needs, has begun or ended: then its chain is under way, whatever it costs. */
   private underWay(job: ActiveJob): boolean {
-    return job.begun || job.spec.needs.some((n) => this.host.job(n) === undefined);
+    return job.begun || job.spec.dependsOn.some((n) => this.host.job(n) === undefined);
   }
 
   private committed(job: ActiveJob): boolean {
@@ -164,7 +164,7 @@
    */
   holds(job: ActiveJob): string | null {
     const linked =
-      job.spec.needs.length > 0 || !this.host.links.needing(job.id)[Symbol.iterator]().next().done;
+      job.spec.dependsOn.length > 0 || !this.host.links.needing(job.id)[Symbol.iterator]().next().done;
     const chain = linked ? this.chainOf(job) : [job];
     const open = chain.filter((j) => !this.committed(j));
     if (open.length === 0) return null;
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -26,14 +26,14 @@
 const byEnd = (a: Attempt, exit: ReportedTask | null, ranUs: Micros): Outcome => {
   const { job } = a;
   const { spec } = job;
-  if (spec.shape === 'service' || exit?.cause === 'done' || exit?.saved === true) return ALL;
+  if (spec.shape === 'service' || exit?.cause === 'done' || exit?.checkpointed === true) return ALL;
   // Its user withdrew it: what ran until then was asked for.
   if (job.phase === 'ended' && job.cancelled && !job.doomed) return ALL;
   if (exit?.cause === 'error') return failsEverywhere(job) ? ALL : { keptUs: 0, rest: 'lost' };
   const rest = a.stopping !== null ? 'stopped' : 'lost';
-  if (spec.checkpointUs <= 0) return { keptUs: 0, rest };
+  if (spec.checkpointIntervalUs <= 0) return { keptUs: 0, rest };
   // Checkpoints are at multiples of the job's progress, whoever made it.
   const before = job.credit.get(spec.shape === 'gang' ? -1 : a.index) ?? 0;
-  const safe = Math.floor((before + ranUs) / spec.checkpointUs) * spec.checkpointUs - before;
+  const safe = Math.floor((before + ranUs) / spec.checkpointIntervalUs) * spec.checkpointIntervalUs - before;
   return { keptUs: Math.max(0, Math.min(ranUs, safe)), rest };
 };
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -1,5 +1,5 @@
 /** The books as the records tell them: for tools, which read and change nothing. */
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import { addCharge, noCharge, noReasons, REASONS, type Charge, type Reason } from './books.js';
 import type { Money } from './money.js';
 import { attemptsOf } from './packing.js';
@@ -55,7 +55,7 @@
 }
 
 /** The head with the owners that stand on pages of their own. */
-const withOwners = (head: Head, items: readonly Item[], problems: string[]): Head => {
+const withOwners = (head: Head, items: readonly StoredItem[], problems: string[]): Head => {
   let all = head;
   for (const it of items.filter((x) => x.key.startsWith(OWNERS))) {
     const page = readOwners(it.value);
@@ -75,7 +75,7 @@
 /**
  * `items`: what stands under `b/`, in any order; `first`: the page at which what was read of the journal begins.
  */
-export const viewBooks = (items: readonly Item[], first = 0): BooksView => {
+export const viewBooks = (items: readonly StoredItem[], first = 0): BooksView => {
   const problems: string[] = [];
   const lines: Line[] = [];
   const open: OpenView[] = [];
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -5,7 +5,7 @@
  */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { LEAD } from '@shaleyoke/core/codecs/keys';
-import type { Condition, Item, Write } from '@shaleyoke/core/domain/key-value-store';
+import type { VersionCondition, StoredItem, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
@@ -49,7 +49,7 @@
 export interface Found {
   /** Everything up to this moment is accounted; null where no books were ever kept. */
   readonly w: Micros | null;
-  readonly limits: readonly Item[];
+  readonly limits: readonly StoredItem[];
 }
 
 export class Store {
@@ -66,7 +66,7 @@
   /** Records that can't be read: nothing is written over them. */
   blind: string | null = null;
   /** Further puts that are to go with the next head: closed statements. */
-  private readonly extra: { owner: string; write: Write; done: () => void }[] = [];
+  private readonly extra: { owner: string; write: StoreWrite; done: () => void }[] = [];
 
   constructor(
     private readonly term: Term,
@@ -74,7 +74,7 @@
     marks: Marks,
     private readonly changesPerS: number,
   ) {
-    const { valueBytes } = term.ctx.settings;
+    const { maxValueBytes: valueBytes } = term.ctx.settings;
     this.room = pageRoom(valueBytes);
     this.accounts = new Accounts(books, marks, valueBytes, HEAD_REST);
   }
@@ -82,8 +82,11 @@
   // ---- reading -----------------------------------------------------------------------------------
 
   load(then: (found: Found) => void): void {
-    if (this.term.ctx.settings.txnOps < LEAST_OPS) {
-      this.term.ctx.error('budgets.txn_ops', { txnOps: this.term.ctx.settings.txnOps, least: LEAST_OPS });
+    if (this.term.ctx.settings.maxTransactionOperations < LEAST_OPS) {
+      this.term.ctx.error('budgets.txn_ops', {
+        txnOps: this.term.ctx.settings.maxTransactionOperations,
+        least: LEAST_OPS,
+      });
       this.blind = 'cluster.state.txn_ops';
       then({ w: null, limits: [] });
       return;
@@ -116,7 +119,7 @@
     then({ w: null, limits: [] });
   }
 
-  private restoreOwners(head: Head, owners: readonly Item[], then: (found: Found) => void): boolean {
+  private restoreOwners(head: Head, owners: readonly StoredItem[], then: (found: Found) => void): boolean {
     this.accounts.adopt(0, head.f, { m: head.m, z: head.z, c: head.c, t: head.t });
     for (const it of owners) {
       const page = readOwners(it.value);
@@ -133,9 +136,9 @@
 
   private restore(
     head: Head,
-    open: readonly Item[],
-    journal: readonly Item[],
-    limits: readonly Item[],
+    open: readonly StoredItem[],
+    journal: readonly StoredItem[],
+    limits: readonly StoredItem[],
     then: (found: Found) => void,
   ): void {
     const { books } = this;
@@ -193,7 +196,7 @@
   }
 
   /** A record as it is now; tried until the state service answers. */
-  get(key: string, then: (item: Item | null) => void): void {
+  get(key: string, then: (item: StoredItem | null) => void): void {
     this.term.ctx.state({ kind: 'get', key }, 1, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'item') then(r.item);
@@ -206,7 +209,12 @@
   }
 
   /** All items under a prefix, after a key. */
-  list(prefix: string, after: string, then: (items: readonly Item[]) => void, found: Item[] = []): void {
+  list(
+    prefix: string,
+    after: string,
+    then: (items: readonly StoredItem[]) => void,
+    found: StoredItem[] = [],
+  ): void {
     const op = { kind: 'list', prefix, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
     this.term.ctx.state(op, 1, (r) => {
       if (this.term.stopped) return;
@@ -240,7 +248,7 @@
   }
 
   /** Puts a record of an owner with the next head, in the same transaction; `done` once that is surely written. */
-  with(owner: string, write: Write, done: () => void): void {
+  with(owner: string, write: StoreWrite, done: () => void): void {
     this.extra.push({ owner, write, done });
   }
 
@@ -253,21 +261,21 @@
     // Pages of owners that this transaction has to hold: a closed statement never stands without its mark.
     const touched = new Set<number>();
     if (extra !== undefined) this.touch(touched, extra.owner);
-    const ops = this.term.ctx.settings.txnOps - 1 - (extra === undefined ? 0 : 1);
+    const ops = this.term.ctx.settings.maxTransactionOperations - 1 - (extra === undefined ? 0 : 1);
     const journal = this.append(ops, touched);
     const open = this.packing.pack(this.stillOpen(), this.room);
     const parts = this.accounts.parts();
     const owners = this.ownersToWrite(parts, touched, ops - journal.length);
     const head = this.head(w, parts.get(0)!);
-    if (bytesOf(head) > this.term.ctx.settings.valueBytes - 128) {
+    if (bytesOf(head) > this.term.ctx.settings.maxValueBytes - 128) {
       this.goBlind(HEAD, () => undefined);
       this.term.ctx.error('budgets.too_many_owners', { bytes: bytesOf(head) });
       return;
     }
-    const first: Write[] = [
+    const first: StoreWrite[] = [
       { kind: 'put', key: HEAD, value: head },
-      ...journal.map((p): Write => ({ kind: 'put', key: journalKey(p.n), value: p })),
-      ...owners.map(([n, part]): Write => {
+      ...journal.map((p): StoreWrite => ({ kind: 'put', key: journalKey(p.n), value: p })),
+      ...owners.map(([n, part]): StoreWrite => {
         return { kind: 'put', key: ownersKey(n), value: { v: 1, f: this.flushNo, ...part } };
       }),
       ...(extra === undefined ? [] : [extra.write]),
@@ -392,7 +400,7 @@
   private sendOpen(pages: Packed[], then: () => void): void {
     const batch: Packed[] = [];
     let bytes = 0;
-    while (pages.length > 0 && batch.length < this.term.ctx.settings.txnOps) {
+    while (pages.length > 0 && batch.length < this.term.ctx.settings.maxTransactionOperations) {
       const size = Buffer.byteLength(pages[0]!.text) + 256;
       if (batch.length > 0 && bytes + size > MAX_BYTES) break;
       bytes += size;
@@ -413,9 +421,9 @@
   }
 
   /** Tried with the same values until it is surely written: what comes after it rests on that. */
-  private send(writes: readonly Write[], what: 'head' | 'open', then: () => void): void {
+  private send(writes: readonly StoreWrite[], what: 'head' | 'open', then: () => void): void {
     const { ctx, office, leadership } = this.term;
-    const conditions: Condition[] = [
+    const conditions: VersionCondition[] = [
       { key: LEAD, version: office.version },
       ...writes.map((x) => ({ key: x.key, version: this.versions.get(x.key) ?? 0 })),
     ];
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -14,7 +14,7 @@
   type JournalPage,
 } from '@shaleyoke/budgets/records';
 import { statementOf } from '@shaleyoke/budgets/statement';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
 const MONTHS = ['2026-09', '2026-10', '2026-11', '2026-12', '2027-01', '2027-02'];
 const calendar = new Calendar('Europe/Warsaw');
@@ -23,7 +23,7 @@
 /** A state service that holds `records`, and counts what is read of the journal. */
 const serviceOf = (records: ReadonlyMap<string, unknown>): { service: Service; pages: () => number } => {
   let pages = 0;
-  const item = (key: string): Item => ({ key, value: records.get(key), version: 1, lease: null });
+  const item = (key: string): StoredItem => ({ key, value: records.get(key), version: 1, lease: null });
   return {
     pages: () => pages,
     service: {
--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -15,7 +15,7 @@
   w.runFor(3 * SECOND);
   w.submit(specOf('run-1', { tasks: 5 }));
   w.submit(specOf('run-2', { shape: 'gang', tasks: 3, sameZone: true, team: 'u' }));
-  w.submit(specOf('run-3', { shape: 'service', tasks: 1, team: 'u', estimateUs: 1000 * SECOND }));
+  w.submit(specOf('run-3', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }));
   w.runFor(180 * SECOND);
   const v = view(w);
   assert.deepEqual(verifyBooks(v), []);
@@ -54,9 +54,9 @@
               shape: 'gang',
               tasks: 1 + r.below(3),
               sameZone: true,
-              estimateUs: 12 * SECOND,
+              estimatedRunUs: 12 * SECOND,
             })
-          : specOf(id, { team, tasks: 1 + r.below(6), estimateUs: (4 + r.below(30)) * SECOND });
+          : specOf(id, { team, tasks: 1 + r.below(6), estimatedRunUs: (4 + r.below(30)) * SECOND });
         specs.push(spec);
         w.submit(spec);
       }
@@ -106,7 +106,7 @@
 test('a leader that dies costs its owners nothing, and what ran all the time is charged through', () => {
   const { w } = play(new Random(4));
   w.runFor(3 * SECOND);
-  w.submit(specOf('run-1', { tasks: 4, estimateUs: 150 * SECOND }));
+  w.submit(specOf('run-1', { tasks: 4, estimatedRunUs: 150 * SECOND }));
   w.runFor(60 * SECOND);
   const leader = w.nodes.findIndex((n) => n.core?.leads() === true);
   w.crash(leader, 3 * SECOND);
@@ -123,7 +123,7 @@
     // Books are written rarely, as they are where many pages change at each flush.
     const { w } = play(new Random(20 + k), 'changes_per_s: 0.05');
     w.runFor(3 * SECOND);
-    w.submit(specOf('run-1', { tasks: 4, estimateUs: 120 * SECOND }));
+    w.submit(specOf('run-1', { tasks: 4, estimatedRunUs: 120 * SECOND }));
     const tasks = (): { state: string }[] => [...w.workers.values()].flatMap((x) => x.tasks);
     for (let s = 0; s < 1200 && !tasks().some((t) => t.state === 'exited'); s++) w.runFor(SECOND / 4);
     // Between the core's record of the end and that of the books, which is written every few seconds.
@@ -155,7 +155,7 @@
   w.limits = { valueBytes: 2_048, ops: 5 };
   w.runFor(3 * SECOND);
   names.forEach((team, k) => {
-    w.submit(specOf(`run-${1000 + k}`, { team, tasks: 2, estimateUs: 40 * SECOND }));
+    w.submit(specOf(`run-${1000 + k}`, { team, tasks: 2, estimatedRunUs: 40 * SECOND }));
   });
   const before = new Map<string, number>();
   for (let s = 0; s < 480; s++) {
@@ -163,7 +163,7 @@
     if (s < 320 && s % 70 === 45) w.crash(w.nodes.findIndex((n) => n.core?.leads() === true) % 3, 3 * SECOND);
     if (s === 250)
       names.forEach((team, k) => {
-        w.submit(specOf(`run-${2000 + k}`, { team, tasks: 1, estimateUs: 20 * SECOND }));
+        w.submit(specOf(`run-${2000 + k}`, { team, tasks: 1, estimatedRunUs: 20 * SECOND }));
       });
     const v = view(w);
     assert.deepEqual(v.problems, [], `second ${s}`);
@@ -190,7 +190,7 @@
   // More services than the journal pages of one transaction hold; charged as they run, then all withdrawn.
   const ids = Array.from({ length: 240 }, (_, k) => `run-${String(k).padStart(6, '0')}`);
   for (const id of ids)
-    w.submit(specOf(id, { shape: 'service', tasks: 1, cores: 1, estimateUs: 1000 * SECOND }));
+    w.submit(specOf(id, { shape: 'service', tasks: 1, cores: 1, estimatedRunUs: 1000 * SECOND }));
   const before = new Map<string, number>();
   for (let s = 0; s < 220; s++) {
     w.runFor(SECOND);
@@ -210,7 +210,7 @@
 test('lost work is the platform account: a job whose machines die is billed for one run', () => {
   const { w } = play(new Random(9));
   w.runFor(3 * SECOND);
-  w.submit(specOf('run-1', { tasks: 3, estimateUs: 60 * SECOND }));
+  w.submit(specOf('run-1', { tasks: 3, estimatedRunUs: 60 * SECOND }));
   for (let k = 0; k < 3; k++) {
     w.runFor(45 * SECOND);
     for (const x of [...w.workers.values()]) if (x.alive && x.tasks.length > 0) w.killWorker(x);
@@ -231,10 +231,10 @@
   // Ninety seconds before December begins in Warsaw.
   const { w } = play(new Random(6), '', 4, '', Date.UTC(2026, 10, 30, 22, 58, 30) * 1000);
   w.runFor(3 * SECOND);
-  w.submit(specOf('run-1', { tasks: 2, estimateUs: 120 * SECOND }));
-  w.submit(specOf('run-2', { shape: 'service', tasks: 1, team: 'u', estimateUs: 1000 * SECOND }));
+  w.submit(specOf('run-1', { tasks: 2, estimatedRunUs: 120 * SECOND }));
+  w.submit(specOf('run-2', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }));
   w.runFor(200 * SECOND);
-  w.submit(specOf('run-3', { tasks: 2, estimateUs: 20 * SECOND }));
+  w.submit(specOf('run-3', { tasks: 2, estimatedRunUs: 20 * SECOND }));
   w.runFor(150 * SECOND);
   const v = view(w);
   assert.deepEqual(verifyBooks(v), []);
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -17,7 +17,7 @@
 };
 /** Two tasks of 60 s, each a quarter of a machine at 1.00 an hour: 0.0083; committed with 2.2 times that at most. */
 const job = (id: string, more: Partial<JobSpec> = {}): JobSpec =>
-  specOf(id, { tasks: 2, estimateUs: 60 * SECOND, ...more });
+  specOf(id, { tasks: 2, estimatedRunUs: 60 * SECOND, ...more });
 
 test('what does not fit stays queued, others go on, and it begins when the limit is raised', () => {
   const { w } = play(new Random(2), 'owners:\n  t: { hard: 0.04 }\n');
@@ -61,7 +61,7 @@
     const chain = (name: string): string[] => {
       const ids = Array.from({ length: 3 }, (_, i) => `run-${name}${i}`);
       ids.forEach((id, i) => {
-        w.submit(job(id, { estimateUs: 20 * SECOND, needs: i === 0 ? [] : [ids[i - 1]!] }));
+        w.submit(job(id, { estimatedRunUs: 20 * SECOND, dependsOn: i === 0 ? [] : [ids[i - 1]!] }));
         w.runFor(200_000);
       });
       return ids;
@@ -73,7 +73,7 @@
       // Lowered in the middle: what has begun goes on.
       if (k === 3) w.put('b/l/t', { v: 1, soft: null, hard: 1_000, changes: [] });
       // Joins the end of a chain that has begun, when there is no money left at all.
-      if (k === 5) w.submit(job('run-99', { needs: [first[2]!], estimateUs: 10 * SECOND }));
+      if (k === 5) w.submit(job('run-99', { dependsOn: [first[2]!], estimatedRunUs: 10 * SECOND }));
       w.runFor(12 * SECOND);
     }
     w.runFor(200 * SECOND);
@@ -112,7 +112,7 @@
           shape: gang ? 'gang' : 'array',
           sameZone: gang,
           tasks: 1 + r.below(3),
-          estimateUs: (10 + r.below(50)) * SECOND,
+          estimatedRunUs: (10 + r.below(50)) * SECOND,
         });
         specs.push(spec);
         w.submit(spec);
@@ -128,7 +128,7 @@
     const v = view(w);
     assert.deepEqual(verifyBooks(v), [], `seed ${seed}`);
     // A commitment is the 0.9 quantile, at most 2.2 times what the run will be; the time of a report is more.
-    const longest = Math.max(...specs.map((s) => s.tasks * (s.estimateUs + 9 * SECOND)));
+    const longest = Math.max(...specs.map((s) => s.tasks * (s.estimatedRunUs + 9 * SECOND)));
     const error = (longest / 3600 / 4) * 2;
     for (const [, c] of totalsOf(v.lines).get('t') ?? []) most = Math.max(most, c.money);
     assert.ok(most <= limit + error, `seed ${seed}: ${most} of ${limit}`);
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -8,7 +8,7 @@
 import { World } from '@shaleyoke/emulator/cluster-simulation';
 
 export const teams = (names: readonly string[]): Team[] =>
-  names.map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
+  names.map((name) => ({ name, guaranteedCores: 0, maxCores: 0, guaranteedGpus: 0, maxGpus: 0 }));
 export const TEAMS: Team[] = teams(['t', 'u']);
 export const settings = (limits = '', of = TEAMS): ReturnType<typeof parseBudgets> =>
   parseBudgets(`version: 1\ncurrency: EUR\nzone: Europe/Warsaw\n${limits}`, of, 'budgets');
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -23,7 +23,7 @@
     w.submit(
       specOf(`run-${i}`, { team: i % 2 === 0 ? 't' : 'u', class: i % 2 === 0 ? 'geheim-t' : 'geheim-u' }),
     );
-  w.submit(specOf('run-8', { team: 'u', tasks: 9, estimateUs: 100 * SECOND }));
+  w.submit(specOf('run-8', { team: 'u', tasks: 9, estimatedRunUs: 100 * SECOND }));
   w.runFor(120 * SECOND);
   return w;
 };
--- a/packages/budgets/test/stored-records.test.ts
+++ b/packages/budgets/test/stored-records.test.ts
@@ -100,8 +100,8 @@
 test('what a leader writes has these fields and no others', () => {
   const { w: world } = play(new Random(1));
   world.runFor(3 * SECOND);
-  world.submit(specOf('run-1', { tasks: 2, estimateUs: 20 * SECOND }));
-  world.submit(specOf('run-2', { tasks: 2, estimateUs: 900 * SECOND }));
+  world.submit(specOf('run-1', { tasks: 2, estimatedRunUs: 20 * SECOND }));
+  world.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 900 * SECOND }));
   world.runFor(120 * SECOND);
   const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
   assert.deepEqual(fieldsOf(world.value('b/head')), fieldsOf(HEAD_RECORD));
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -3,7 +3,7 @@
  * with ten thousand open charges. Not a test: run by hand, `node --import tsx packages/budgets/tools/scale.ts`.
  */
 import { performance } from 'node:perf_hooks';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import { Books, noReasons } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
 import { attemptsOf, Packing } from '../src/packing.js';
@@ -35,8 +35,8 @@
   return a;
 };
 
-const month = (attempts: number): Item[] => {
-  const items: Item[] = [];
+const month = (attempts: number): StoredItem[] => {
+  const items: StoredItem[] = [];
   const totals = new Map<string, [string, number, number, number, number, number]>();
   let page: JournalPage = { v: 1, n: 0, prev: '', rows: [] };
   let rows: JournalRow[] = [];
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { Effect, Layer } from 'effect';
-import type { Item, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Feature } from '@shaleyoke/core/ports';
 import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
@@ -95,7 +95,7 @@
   });
 };
 
-const page = (prefix: string, after: string | undefined): Effect.Effect<StateReply, never, Clients> =>
+const page = (prefix: string, after: string | undefined): Effect.Effect<StoreReply, never, Clients> =>
   Clients.pipe(
     Effect.flatMap((c) =>
       c.state({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) }, 2),
@@ -110,7 +110,7 @@
     for (;;) {
       const r = yield* page(prefix, after);
       if (r.kind !== 'items') return false;
-      for (const it of r.items as readonly Item[])
+      for (const it of r.items as readonly StoredItem[])
         console.log(JSON.stringify({ key: it.key, value: it.value }));
       after = r.items.at(-1)?.key;
       if (!r.more || after === undefined) return true;
@@ -200,14 +200,14 @@
 } => {
   const layer = ClientsLive(settings);
   const clients = Effect.runSync(Effect.provide(Clients, layer));
-  const call = async (op: StateOp): Promise<StateReply> => {
+  const call = async (op: StoreOperation): Promise<StoreReply> => {
     const r = await Effect.runPromise(clients.state(op, 2));
     if (r.kind === 'failed') throw new Error(`the state service does not answer (${r.reason})`);
     return r;
   };
   return {
     list: async (prefix, from, until) => {
-      const items: Item[] = [];
+      const items: StoredItem[] = [];
       for (let after = from; ; after = items.at(-1)?.key) {
         const r = await call({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) });
         if (r.kind !== 'items') throw new Error('the state service gave no list');
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -16,12 +16,12 @@
 const cancellation = (s: Settings): Contradiction[] => {
   const bound = freshnessBound(s);
   if (bound >= LEAST_BOUND) return [];
-  const least = s.cancelUs + LEAST_BOUND - bound;
+  const least = s.cancellationDeadlineUs + LEAST_BOUND - bound;
   return [
     {
       level: 'error',
       field: 'cluster.workers.cancel_s',
-      problem: `${seconds(s.cancelUs)} s leaves too little beside lease_s of ${seconds(s.leaseUs)} s: where the state service can't be reached, tasks of cancelled jobs may run longer`,
+      problem: `${seconds(s.cancellationDeadlineUs)} s leaves too little beside lease_s of ${seconds(s.workerLeaseUs)} s: where the state service can't be reached, tasks of cancelled jobs may run longer`,
       remedy: `raise cancel_s to ${seconds(least + 100_000)} s or more, or lower lease_s`,
     },
   ];
@@ -31,8 +31,8 @@
   s.teams.flatMap((t) =>
     (
       [
-        ['cpus', t.cores, t.coresMax],
-        ['gpus', t.gpus, t.gpusMax],
+        ['cpus', t.guaranteedCores, t.maxCores],
+        ['gpus', t.guaranteedGpus, t.maxGpus],
       ] as const
     )
       .filter(([, guaranteed, most]) => most > 0 && guaranteed > most)
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -2,7 +2,7 @@
 import { Schema } from 'effect';
 import { parse as parseToml } from 'smol-toml';
 import { parse as parseYaml } from 'yaml';
-import type { Membership, Settings, Tuning } from '@shaleyoke/core/domain/settings';
+import type { MembershipSettings, Settings, Tuning } from '@shaleyoke/core/domain/settings';
 import { check, read } from './checked.js';
 
 const us = (s: number): number => Math.round(s * 1e6);
@@ -113,31 +113,31 @@
   const o = check(Operators, value, 'operators settings', fail);
   return {
     leaderLeaseUs: us(o.leader_lease_s),
-    silentUs: us(o.silent_s),
+    machineSuspicionUs: us(o.silent_s),
     searchBudgetUs: us(o.search_budget_ms / 1000),
-    searchWidth: o.search_width,
-    searchDepth: o.search_depth,
-    searchGroups: o.search_groups,
-    searchToleranceUs: us(o.search_tolerance_s),
-    turnWaitUs: us(o.turn_wait_s),
-    turnEveryUs: us(o.turn_every_s),
-    idleReturnUs: us(o.idle_return_s),
-    rentMarginUs: us(o.rent_margin_s),
-    thrift: o.thrift,
-    progressUs: us(o.progress_s),
+    shortlistSize: o.search_width,
+    rolloutDepth: o.search_depth,
+    maxGroupsPerPlan: o.search_groups,
+    makespanToleranceUs: us(o.search_tolerance_s),
+    fairShareDrainUs: us(o.turn_wait_s),
+    fairShareTurnIntervalUs: us(o.turn_every_s),
+    idleScaleInUs: us(o.idle_return_s),
+    scaleOutThresholdUs: us(o.rent_margin_s),
+    costSensitivity: o.thrift,
+    progressIntervalUs: us(o.progress_s),
   };
 };
 
 /** The operators' file that switches the beats between controllers on. Throws `SettingsError` naming each wrong field. */
-export const parseMembership = (yaml: string, what: string): Membership => {
+export const parseMembership = (yaml: string, what: string): MembershipSettings => {
   const m = check(MembershipFile, read(parseYaml, yaml, what, fail), what, fail, true);
-  return { beatUs: us(m.beat_s), suspectBeats: m.suspect_after_beats };
+  return { heartbeatIntervalUs: us(m.beat_s), suspectAfterMissed: m.suspect_after_beats };
 };
 
 export const parseSettings = (
   toml: string,
   yaml: string | null,
-  membership: Membership | null = null,
+  membership: MembershipSettings | null = null,
 ): Settings => {
   const p = check(Platform, read(parseToml, toml, 'settings', fail), 'settings', fail);
   const c = p.cluster;
@@ -154,34 +154,34 @@
     peerListen: p.cluster_listen,
     peers: p.peers,
     cloudAddress: p.endpoints.cloud,
-    stateAddress: p.endpoints.state,
-    members: p.peers.length + 1,
+    storeAddress: p.endpoints.state,
+    memberCount: p.peers.length + 1,
     teams: c.teams.map((t) => ({
       name: t.name,
-      cores: t.cpus,
-      coresMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
+      guaranteedCores: t.cpus,
+      maxCores: t.cpus_max,
+      guaranteedGpus: t.gpus,
+      maxGpus: t.gpus_max,
     })),
     objectives: c.objectives.map((o) => ({
       kind: o.kind,
       class: o.class ?? null,
       withinUs: o.within_s === undefined ? null : us(o.within_s),
       share: o.share ?? null,
-      times: o.times ?? 1,
+      deadlineFactor: o.times ?? 1,
     })),
-    reportUs: us(c.workers.report_s),
-    leaseUs,
-    gangWaitUs: us(c.workers.gang_wait_s),
-    gangPeerUs: us(c.workers.gang_peer_s),
-    cancelUs,
-    stateRps: Math.min(c.state.rps, next?.rps ?? Infinity),
-    stateWriteRps: Math.min(c.state.write_rps, next?.write_rps ?? Infinity),
-    valueBytes: Math.floor(Math.min(c.state.value_kb, next?.value_kb ?? Infinity) * 1024),
-    txnOps: Math.max(1, Math.floor(Math.min(c.state.txn_ops, next?.txn_ops ?? Infinity))),
-    formerValueBytes: Math.floor(c.state.value_kb * 1024),
-    cloudRps: c.cloud.rps,
-    listLagUs: us(c.cloud.list_lag_s),
+    heartbeatIntervalUs: us(c.workers.report_s),
+    workerLeaseUs: leaseUs,
+    gangStartTimeoutUs: us(c.workers.gang_wait_s),
+    gangPeerTimeoutUs: us(c.workers.gang_peer_s),
+    cancellationDeadlineUs: cancelUs,
+    storeRequestsPerS: Math.min(c.state.rps, next?.rps ?? Infinity),
+    storeWritesPerS: Math.min(c.state.write_rps, next?.write_rps ?? Infinity),
+    maxValueBytes: Math.floor(Math.min(c.state.value_kb, next?.value_kb ?? Infinity) * 1024),
+    maxTransactionOperations: Math.max(1, Math.floor(Math.min(c.state.txn_ops, next?.txn_ops ?? Infinity))),
+    formerMaxValueBytes: Math.floor(c.state.value_kb * 1024),
+    cloudRequestsPerS: c.cloud.rps,
+    cloudListLagUs: us(c.cloud.list_lag_s),
     maxConnections: c.machine_limits.max_connections,
     membership,
     tuning: {
--- a/packages/config/test/printed-settings.test.ts
+++ b/packages/config/test/printed-settings.test.ts
@@ -6,7 +6,10 @@
 
 test('every setting is printed under its documented name', () => {
   const teams = '[[cluster.teams]]\nname = "t"\ncpus = 2.0\ncpus_max = 10.0\n';
-  const settings = settingsFor('n0', ['n0', 'n1'], teams, '', { beatUs: 1_000_000, suspectBeats: 3 });
+  const settings = settingsFor('n0', ['n0', 'n1'], teams, '', {
+    heartbeatIntervalUs: 1_000_000,
+    suspectAfterMissed: 3,
+  });
   assert.deepEqual(JSON.parse(JSON.stringify(printedSettings(settings))), {
     member: 'n0',
     listen: '10.0.0.1:80',
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -9,8 +9,8 @@
 
 test('the leader lease never outgrows half of what cancel_s leaves beside lease_s', () => {
   const s = settingsFor('a', ['a'], '');
-  assert.ok(s.tuning.leaderLeaseUs * 2 + s.leaseUs <= s.cancelUs);
-  assert.equal(s.members, 1);
+  assert.ok(s.tuning.leaderLeaseUs * 2 + s.workerLeaseUs <= s.cancellationDeadlineUs);
+  assert.equal(s.memberCount, 1);
 });
 
 test('wrong settings are named', () => {
@@ -26,25 +26,31 @@
 });
 
 test('unknown fields are ignored and defaults hold', () => {
-  assert.equal(parseTuning('a_later_field: 1').silentUs, 10 * SECOND);
-  assert.equal(parseTuning(null).thrift, 'auto');
+  assert.equal(parseTuning('a_later_field: 1').machineSuspicionUs, 10 * SECOND);
+  assert.equal(parseTuning(null).costSensitivity, 'auto');
 });
 
 test('the smaller of the present and the announced limits holds, whichever are announced', () => {
   const plain = settingsFor('a', ['a'], '');
   const next = settingsFor('a', ['a'], '', 'value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0');
-  assert.deepEqual([plain.valueBytes, plain.txnOps, plain.stateWriteRps], [16_384, 16, 50]);
-  assert.deepEqual([next.valueBytes, next.txnOps, next.stateWriteRps], [2_048, 5, 15]);
-  assert.deepEqual([next.stateRps, next.formerValueBytes], [100, 16_384]);
+  assert.deepEqual(
+    [plain.maxValueBytes, plain.maxTransactionOperations, plain.storeWritesPerS],
+    [16_384, 16, 50],
+  );
+  assert.deepEqual([next.maxValueBytes, next.maxTransactionOperations, next.storeWritesPerS], [2_048, 5, 15]);
+  assert.deepEqual([next.storeRequestsPerS, next.formerMaxValueBytes], [100, 16_384]);
   const larger = settingsFor('a', ['a'], '', 'value_kb = 64.0');
-  assert.deepEqual([larger.valueBytes, larger.txnOps], [16_384, 16]);
+  assert.deepEqual([larger.maxValueBytes, larger.maxTransactionOperations], [16_384, 16]);
 });
 
 test('the file that switches beats on is closed, and names what is wrong in it', () => {
-  assert.deepEqual(parseMembership('version: 1\n', 'm.yaml'), { beatUs: SECOND, suspectBeats: 3 });
+  assert.deepEqual(parseMembership('version: 1\n', 'm.yaml'), {
+    heartbeatIntervalUs: SECOND,
+    suspectAfterMissed: 3,
+  });
   assert.deepEqual(parseMembership('version: 1\nbeat_s: 0.25\nsuspect_after_beats: 5\n', 'm.yaml'), {
-    beatUs: SECOND / 4,
-    suspectBeats: 5,
+    heartbeatIntervalUs: SECOND / 4,
+    suspectAfterMissed: 5,
   });
   for (const [yaml, named] of [
     ['', /m\.yaml/],
@@ -69,15 +75,15 @@
     [10, 27],
     [30, 27],
   ] as const) {
-    const bad = { ...good, cancelUs: cancelS * SECOND, leaseUs: leaseS * SECOND };
+    const bad = { ...good, cancellationDeadlineUs: cancelS * SECOND, workerLeaseUs: leaseS * SECOND };
     const [c, ...more] = contradictions(bad);
     assert.ok(c !== undefined && more.length === 0);
     assert.equal(c.level, 'error');
     assert.match(describe(c), /cancel_s.*lease_s.*raise cancel_s to/s);
     // What the remedy says is enough, and little less is not.
     const least = Number(/to (\d+\.\d)/.exec(c.remedy)![1]) * SECOND;
-    assert.deepEqual(contradictions({ ...bad, cancelUs: least }), []);
-    assert.equal(contradictions({ ...bad, cancelUs: least - SECOND / 2 }).length, 1);
+    assert.deepEqual(contradictions({ ...bad, cancellationDeadlineUs: least }), []);
+    assert.equal(contradictions({ ...bad, cancellationDeadlineUs: least - SECOND / 2 }).length, 1);
   }
   assert.ok(freshnessBound(good) > LEAST_BOUND);
 });
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -1,9 +1,9 @@
 /** The outside systems that the core calls: state service, cloud, workers, other controllers. */
 import { Context, Effect, Layer } from 'effect';
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
-import type { Urgency } from '@shaleyoke/core/domain/effects';
-import type { Order, OrdersReply } from '@shaleyoke/core/domain/heartbeat';
-import type { StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
+import type { WorkerCommand, CommandReply } from '@shaleyoke/core/domain/heartbeat';
+import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { PeerMessage } from '@shaleyoke/core/domain/peer';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -17,14 +17,14 @@
 import { Limiter } from './limiter.js';
 
 export interface ClientsService {
-  readonly state: (op: StateOp, urgency: Urgency) => Effect.Effect<StateReply>;
-  readonly cloud: (op: CloudOp, urgency: Urgency) => Effect.Effect<CloudReply>;
+  readonly state: (op: StoreOperation, urgency: RequestUrgency) => Effect.Effect<StoreReply>;
+  readonly cloud: (op: CloudOperation, urgency: RequestUrgency) => Effect.Effect<CloudReply>;
   readonly orders: (
     address: string,
     token: number,
     session: number,
-    orders: readonly Order[],
-  ) => Effect.Effect<OrdersReply>;
+    orders: readonly WorkerCommand[],
+  ) => Effect.Effect<CommandReply>;
   readonly peer: (member: string, message: PeerMessage) => Effect.Effect<void>;
   readonly role: (leader: boolean) => void;
 }
@@ -48,7 +48,7 @@
 }
 const ALONE: Shares = { requests: 0.95, changes: 0.95, cloud: 0.95 };
 const shares = (s: Settings, leader: boolean): Shares => {
-  const others = s.members - 1;
+  const others = s.memberCount - 1;
   if (others <= 0) return ALONE;
   return leader
     ? { requests: 0.4, changes: 0.65, cloud: 0.9 }
@@ -56,11 +56,11 @@
 };
 
 /** How long a call that was turned away for the budget is tried again, by urgency. */
-const RETRY_FOR: Record<Urgency, Micros> = { 0: 2 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
+const RETRY_FOR: Record<RequestUrgency, Micros> = { 0: 2 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
 /** Idle connections to workers are closed: at a thousand machines they would use up the sockets. */
 const WORKER_IDLE_MS = 4_000;
 
-const admitted = (limiter: Limiter, urgency: Urgency, writes: number): Effect.Effect<boolean> =>
+const admitted = (limiter: Limiter, urgency: RequestUrgency, writes: number): Effect.Effect<boolean> =>
   Effect.async<boolean>((resume) => {
     limiter.admit(urgency, writes, (ok) => {
       resume(Effect.succeed(ok));
@@ -70,11 +70,11 @@
 const make = (settings: Settings): ClientsService => {
   const share = shares(settings, false);
   const stateLimiter = new Limiter(
-    settings.stateRps * share.requests,
-    settings.stateWriteRps * share.changes,
+    settings.storeRequestsPerS * share.requests,
+    settings.storeWritesPerS * share.changes,
     steadyNow,
   );
-  const cloudLimiter = new Limiter(settings.cloudRps * share.cloud, 1, steadyNow);
+  const cloudLimiter = new Limiter(settings.cloudRequestsPerS * share.cloud, 1, steadyNow);
   const stateAgent = makeAgent(16);
   const watchAgent = makeAgent(4);
   const cloudAgent = makeAgent(4);
@@ -88,20 +88,20 @@
       const agent = op.kind === 'watch' ? watchAgent : stateAgent;
       const until = steadyNow() + RETRY_FOR[urgency];
       const call = encodeStateOp(op);
-      const attempt = (): Effect.Effect<StateReply> =>
+      const attempt = (): Effect.Effect<StoreReply> =>
         admitted(stateLimiter, urgency, writes).pipe(
           Effect.flatMap((ok) => {
             if (!ok)
-              return Effect.succeed<StateReply>({
+              return Effect.succeed<StoreReply>({
                 kind: 'failed',
                 executed: false,
                 cause: 'busy',
                 reason: 'over budget',
               });
-            return callHttp(agent, settings.stateAddress, call, timeout).pipe(
+            return callHttp(agent, settings.storeAddress, call, timeout).pipe(
               Effect.flatMap((r) => {
                 if (r === null)
-                  return Effect.succeed<StateReply>({
+                  return Effect.succeed<StoreReply>({
                     kind: 'failed',
                     executed: null,
                     cause: 'silent',
@@ -139,7 +139,7 @@
         ORDERS_TIMEOUT,
       ).pipe(
         Effect.map((r) =>
-          r === null ? { kind: 'lost' as const, report: null } : decodeOrdersReply(r.status, r.body),
+          r === null ? { kind: 'lost' as const, heartbeat: null } : decodeOrdersReply(r.status, r.body),
         ),
       ),
     peer: (member, message) => {
@@ -150,8 +150,8 @@
     },
     role: (leader) => {
       const s = shares(settings, leader);
-      stateLimiter.setRates(settings.stateRps * s.requests, settings.stateWriteRps * s.changes);
-      cloudLimiter.setRates(settings.cloudRps * s.cloud, 1);
+      stateLimiter.setRates(settings.storeRequestsPerS * s.requests, settings.storeWritesPerS * s.changes);
+      cloudLimiter.setRates(settings.cloudRequestsPerS * s.cloud, 1);
     },
   };
 };
--- a/packages/controller/src/limiter.ts
+++ b/packages/controller/src/limiter.ts
@@ -2,19 +2,19 @@
  * Keeps a node inside its share of a service's request budget. Urgent calls go first, and the last
  * tokens are kept for them: renewals of the lease must not starve behind anything.
  */
-import type { Urgency } from '@shaleyoke/core/domain/effects';
+import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 interface Waiting {
-  readonly urgency: Urgency;
+  readonly urgency: RequestUrgency;
   readonly writes: number;
   readonly until: Micros;
   readonly run: (admitted: boolean) => void;
 }
 
 /** How long a call may wait for its turn before it is given up, by urgency. */
-const PATIENCE: Record<Urgency, Micros> = { 0: 4 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
+const PATIENCE: Record<RequestUrgency, Micros> = { 0: 4 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
 
 class Bucket {
   private tokens: number;
@@ -53,7 +53,7 @@
 const LEAST_PART = 0.15;
 const RECOVER_EVERY: Micros = 2 * SECOND;
 
-const RESERVE: Record<Urgency, number> = { 0: 0, 1: 0.1, 2: 0.3 };
+const RESERVE: Record<RequestUrgency, number> = { 0: 0, 1: 0.1, 2: 0.3 };
 
 export class Limiter {
   private readonly requests: Bucket;
@@ -113,7 +113,7 @@
     this.apply();
   }
 
-  admit(urgency: Urgency, writes: number, run: (admitted: boolean) => void): void {
+  admit(urgency: RequestUrgency, writes: number, run: (admitted: boolean) => void): void {
     const w: Waiting = { urgency, writes, until: this.now() + PATIENCE[urgency], run };
     let i = this.queue.length;
     while (i > 0 && this.queue[i - 1]!.urgency > urgency) i--;
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -2,7 +2,7 @@
 import { Effect, Runtime, type Scope } from 'effect';
 import { Core } from '@shaleyoke/core/core';
 import type { AskFeature, Feature } from '@shaleyoke/core/ports';
-import type { UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import { decodeBody, encodeBody, Malformed } from '@shaleyoke/protocol/body';
@@ -111,7 +111,7 @@
     reply?.(o);
   }
 
-  private ask(answer: (o: Outgoing) => void, body: UserRequest): void {
+  private ask(answer: (o: Outgoing) => void, body: ClientRequest): void {
     const request = this.nextRequest++;
     this.open.set(request, answer);
     this.feed({ kind: 'user', request, body, wallUs: wallNow() });
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -4,10 +4,10 @@
  */
 import type { Context } from '../node/node-context.js';
 import { activeKey, endedKey, idOfActive } from '../codecs/keys.js';
-import type { Beside, InnerAnswer, UserAnswer, UserRequest } from '../domain/client-api.js';
-import type { JobSpec, JobView, Stage } from '../domain/job.js';
-import type { Condition } from '../domain/key-value-store.js';
-import type { Progress } from '../domain/peer.js';
+import type { ExtraWrites, InternalResponse, ClientResponse, ClientRequest } from '../domain/client-api.js';
+import type { JobSpec, JobView, JobStage } from '../domain/job.js';
+import type { VersionCondition } from '../domain/key-value-store.js';
+import type { ProgressUpdate } from '../domain/peer.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { fitsSomewhere } from '../domain/resources.js';
 import { encodeActiveJob, encodeEndedJob, decodeActiveJob, decodeEndedJob } from '../codecs/job-codec.js';
@@ -26,7 +26,7 @@
 /** What an answer to a poll rests on. */
 type Basis =
   | { readonly kind: 'final'; readonly known: Known & { kind: 'ended' } }
-  | { readonly kind: 'conditions'; readonly conditions: readonly Condition[] }
+  | { readonly kind: 'conditions'; readonly conditions: readonly VersionCondition[] }
   /** The records of these jobs have to be read first. */
   | { readonly kind: 'unread'; readonly ids: readonly string[] };
 
@@ -53,7 +53,7 @@
   private readonly doubted = new Map<string, number>();
 
   /** Who waits for answers within this process, by request; those have numbers below zero. */
-  private readonly inner = new Map<number, (answer: InnerAnswer) => void>();
+  private readonly inner = new Map<number, (answer: InternalResponse) => void>();
   private lastInner = 0;
 
   private readonly gatherUs: Micros;
@@ -63,7 +63,7 @@
     /** Whether the state service answers another node while it does not answer this one. */
     private readonly servedElsewhere: () => boolean = () => false,
   ) {
-    this.gatherUs = Math.max(GATHER_US, Math.round(SECOND / (POLL_SHARE * ctx.settings.stateRps)));
+    this.gatherUs = Math.max(GATHER_US, Math.round(SECOND / (POLL_SHARE * ctx.settings.storeRequestsPerS)));
     ctx.linkLost.push(() => {
       // Who waits for the next comparison is told now: a user's poll gives up after two seconds.
       for (const waiters of this.waiting.values()) this.fail(waiters);
@@ -79,7 +79,7 @@
     return this.ctx.link.downSince !== null;
   }
 
-  handle(request: number, body: UserRequest): void {
+  handle(request: number, body: ClientRequest): void {
     if (body.kind !== 'health' && this.cutOff && !this.hasEnded(body.id)) {
       this.answer(request, this.unavailable('state service not answering'));
       return;
@@ -104,7 +104,7 @@
    * Users are sent away from a node that is cut off from the state service only if another one is known to be served: in an
    * outage all nodes would leave the load balancer, and be missing from it for seconds after its end.
    */
-  private health(): UserAnswer {
+  private health(): ClientResponse {
     if (this.ctx.types.size === 0) return this.unavailable('machine types not known yet');
     return this.cutOff && this.servedElsewhere()
       ? this.unavailable('state service not answering this node')
@@ -117,15 +117,15 @@
   }
 
   /** The same for a feature of this process: by the same path, with the answer handed over. */
-  ask(body: UserRequest, then: (answer: InnerAnswer) => void): void {
+  ask(body: ClientRequest, then: (answer: InternalResponse) => void): void {
     const request = --this.lastInner;
     this.inner.set(request, then);
     this.handle(request, body);
   }
 
   /** Display counts from the leader. */
-  noteProgress(m: Progress): void {
-    for (const n of m.notes) {
+  noteProgress(m: ProgressUpdate): void {
+    for (const n of m.jobs) {
       this.progress.delete(n.id);
       this.progress.set(n.id, { done: n.done, running: n.running });
       if (this.progress.size > MAX_CACHED) this.drop(this.progress);
@@ -137,7 +137,7 @@
     this.remember(id, { kind: 'ended', stage, done, service });
   }
 
-  private answer(request: number, answer: InnerAnswer): void {
+  private answer(request: number, answer: InternalResponse): void {
     const then = this.inner.get(request);
     if (then !== undefined) {
       this.inner.delete(request);
@@ -145,7 +145,7 @@
     } else if (answer.kind !== 'taken') this.ctx.emit({ kind: 'answerUser', request, answer });
   }
 
-  private unavailable(problem: string): UserAnswer {
+  private unavailable(problem: string): ClientResponse {
     return { kind: 'unavailable', retryAfterS: 1, problem };
   }
 
@@ -166,7 +166,7 @@
   private view(id: string, k: Known): JobView {
     if (k.kind === 'ended') return { id, stage: k.stage, done: k.done, running: 0 };
     const p = this.progress.get(id) ?? { done: 0, running: 0 };
-    const stage: Stage = p.running > 0 ? 'running' : 'queued';
+    const stage: JobStage = p.running > 0 ? 'running' : 'queued';
     return { id, stage, done: p.done, running: p.running };
   }
 
@@ -222,7 +222,7 @@
    */
   private basisOf(id: string): Basis {
     const known = this.cache.get(id);
-    const conditions: Condition[] = [];
+    const conditions: VersionCondition[] = [];
     if (known === undefined) {
       conditions.push({ key: activeKey(id), version: 0 }, { key: endedKey(id), version: 0 });
       return { kind: 'conditions', conditions };
@@ -239,7 +239,7 @@
         return { kind: 'final', known: cancelled };
       }
       conditions.push({ key: activeKey(x.id), version: x.known.version });
-      for (const n of x.known.spec.needs) {
+      for (const n of x.known.spec.dependsOn) {
         if (seen.has(n)) continue;
         seen.add(n);
         const needed = this.cache.get(n);
@@ -251,7 +251,7 @@
   }
 
   private get conditionLimit(): number {
-    return Math.max(2, this.ctx.settings.txnOps * 4);
+    return Math.max(2, this.ctx.settings.maxTransactionOperations * 4);
   }
 
   /**
@@ -263,7 +263,7 @@
     // Those in equal doubt at a time, the least doubted first: what is well is not compared together with what may not be.
     let most = -1;
     for (const id of this.waiting.keys()) most = Math.max(most, this.companyOf(id));
-    const conditions = new Map<string, Condition>();
+    const conditions = new Map<string, VersionCondition>();
     const batch = new Map<string, { waiters: Waiter[]; keys: string[] }>();
     for (const [id, waiters] of [...this.waiting]) {
       const basis = this.basisOf(id);
@@ -328,7 +328,7 @@
 
   /** Which of the conditions fail, or null if that can't be learned. */
   private compare(
-    conditions: readonly Condition[],
+    conditions: readonly VersionCondition[],
     limit: number,
     then: (failed: ReadonlySet<string> | null) => void,
   ): void {
@@ -379,15 +379,15 @@
     });
   }
 
-  private found(request: number, id: string, f: Found, none: UserAnswer): void {
+  private found(request: number, id: string, f: Found, none: ClientResponse): void {
     if (f.kind === 'unknown') this.answer(request, this.unavailable('state service not answering'));
     else if (f.kind === 'none') this.answer(request, none);
     // Whether it still waits is told by the records of others as well.
-    else if (f.kind === 'active' && f.spec.needs.length > 0) this.poll(request, id);
+    else if (f.kind === 'active' && f.spec.dependsOn.length > 0) this.poll(request, id);
     else this.show(request, id, f);
   }
 
-  private submit(request: number, body: UserRequest & { kind: 'submit' }): void {
+  private submit(request: number, body: ClientRequest & { kind: 'submit' }): void {
     const { id, spec } = body;
     const known = id === null ? undefined : this.cache.get(id);
     if (known?.kind === 'ended' && id !== null) {
@@ -401,7 +401,7 @@
       return;
     }
     // A known job is answered with its state whatever the body says; only then is the body judged.
-    const refuse = (a: UserAnswer): void => {
+    const refuse = (a: ClientResponse): void => {
       if (id === null) this.answer(request, a);
       else this.lookup(id, (f) => this.found(request, id, f, a));
     };
@@ -416,8 +416,8 @@
     }
     const times = spec.shape === 'array' ? 1 : spec.tasks;
     if (
-      (team.coresMax > 0 && spec.cores * times > team.coresMax) ||
-      (team.gpusMax > 0 && spec.gpus * times > team.gpusMax)
+      (team.maxCores > 0 && spec.cores * times > team.maxCores) ||
+      (team.maxGpus > 0 && spec.gpus * times > team.maxGpus)
     ) {
       refuse({ kind: 'impossible', problem: "more than the team's limit" });
       return;
@@ -431,11 +431,11 @@
       return;
     }
     const record = encodeActiveJob(spec, this.ctx.wallNow);
-    if (bytesOf(record) > this.ctx.settings.valueBytes - 128) {
+    if (bytesOf(record) > this.ctx.settings.maxValueBytes - 128) {
       refuse({ kind: 'malformed', problem: 'description too long' });
       return;
     }
-    this.checkNeeds(spec.needs, (problem) => {
+    this.checkNeeds(spec.dependsOn, (problem) => {
       if (problem === null) this.accept(request, spec, record, body.beside);
       else if (problem === 'unknown')
         this.answer(request, this.unavailable('named jobs can not be looked up'));
@@ -466,7 +466,7 @@
     if (--left === 0) then(worst);
   }
 
-  private accept(request: number, spec: JobSpec, record: unknown, beside: Beside | undefined): void {
+  private accept(request: number, spec: JobSpec, record: unknown, beside: ExtraWrites | undefined): void {
     this.ctx.state(
       {
         kind: 'txn',
@@ -486,7 +486,7 @@
             job: spec.id,
             class: spec.class,
             tasks: spec.tasks,
-            ...(spec.needs.length > 0 ? { needs: spec.needs } : {}),
+            ...(spec.dependsOn.length > 0 ? { needs: spec.dependsOn } : {}),
           });
           // A feature's client is told of what was put just now; how the job stands it asks for later.
           if (beside !== undefined)
@@ -518,7 +518,7 @@
     const show = (): void => {
       this.show(request, id, this.cache.get(id) ?? k, true);
     };
-    const basis = k.spec.needs.length === 0 ? null : this.basisOf(id);
+    const basis = k.spec.dependsOn.length === 0 ? null : this.basisOf(id);
     if (basis === null || basis.kind === 'final') show();
     else if (basis.kind === 'unread') this.poll(request, id);
     else
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,6 +1,6 @@
 /** Jobs that have not ended, machines and their sessions, and the attempts that join them. */
 import type { Slot } from './machine-slot.js';
-import type { Order, Report } from '../domain/heartbeat.js';
+import type { WorkerCommand, Heartbeat } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 import { TaskBitset } from '../domain/task-bitset.js';
@@ -176,10 +176,10 @@
 
   /** Whether one more task may begin in the zone, given where the job's other tasks are. */
   zoneAllows(zone: string): boolean {
-    if (!this.spec.sameZone && !this.spec.spread) return true;
+    if (!this.spec.sameZone && !this.spec.spreadAcrossZones) return true;
     const z = this.zones();
     if (this.spec.sameZone) for (const other of z.keys()) if (other !== zone) return false;
-    return !this.spec.spread || (z.get(zone) ?? 0) < spreadLimit(this.spec);
+    return !this.spec.spreadAcrossZones || (z.get(zone) ?? 0) < spreadLimit(this.spec);
   }
 }
 
@@ -210,7 +210,7 @@
   notice: Micros | null = null;
   readonly attempts = new Map<string, Attempt>();
   readonly images = new Map<string, Micros>();
-  outbox: Order[] = [];
+  outbox: WorkerCommand[] = [];
   calling = false;
   idleSince: Micros;
   errorsInRow = 0;
@@ -314,8 +314,8 @@
   }
 
   /** Whether a report is newer than everything known of the machine. */
-  isNewer(r: Report): boolean {
-    return r.session > this.session || (r.session === this.session && r.seq > this.seq);
+  isNewer(r: Heartbeat): boolean {
+    return r.agentEpoch > this.session || (r.agentEpoch === this.session && r.sequence > this.seq);
   }
 
   /** Room left beside what is surely there: as much as others may have put there meanwhile. */
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -33,7 +33,7 @@
     if (spec.shape === 'service') return 1e13;
     const credit = a.job.credit.get(spec.shape === 'gang' ? -1 : a.index) ?? 0;
     const elapsed = credit + (a.runningAt === null ? 0 : this.ctx.now - a.runningAt);
-    return this.timings.remaining(spec.class, a.machine.type, spec.estimateUs, elapsed);
+    return this.timings.remaining(spec.class, a.machine.type, spec.estimatedRunUs, elapsed);
   }
 
   usage(): Usage {
@@ -54,7 +54,7 @@
    * starts from nothing pays by use.
    */
   thrifty(): boolean {
-    const { thrift } = this.ctx.settings.tuning;
+    const { costSensitivity: thrift } = this.ctx.settings.tuning;
     if (thrift !== 'auto') return thrift === 'on';
     return !this.totals.anyStanding;
   }
@@ -62,17 +62,17 @@
   slackOf(job: ActiveJob): Micros | null {
     const { spec } = job;
     const credit = job.credit.get(-1) ?? 0;
-    const run = this.timings.remaining(spec.class, spec.types?.[0] ?? '', spec.estimateUs, credit);
+    const run = this.timings.remaining(spec.class, spec.machineTypes?.[0] ?? '', spec.estimatedRunUs, credit);
     return latestStart(job, this.ctx.settings.objectives, this.ctx.wallNow, run, SETUP);
   }
 
   /** From a job's release to its end: its run, its image, and what lies between one job and the next. */
   expectedOf(job: ActiveJob): Micros {
     const { spec } = job;
-    const run = this.timings.remaining(spec.class, spec.types?.[0] ?? '', spec.estimateUs, 0);
+    const run = this.timings.remaining(spec.class, spec.machineTypes?.[0] ?? '', spec.estimatedRunUs, 0);
     let rate = 0;
     for (const t of this.ctx.types.values())
-      if (typeAllowed(spec, t) && t.fetchGbPerS > 0) rate = Math.max(rate, t.fetchGbPerS);
+      if (typeAllowed(spec, t) && t.imagePullGbPerS > 0) rate = Math.max(rate, t.imagePullGbPerS);
     return run + (rate > 0 ? Math.round((spec.imageGb / rate) * SECOND) : 0) + HANDOVER;
   }
 
@@ -84,7 +84,7 @@
   /** Work that can wait a while and still meet its aim need not have machines rented for it at once. */
   marginOf(job: ActiveJob): Micros {
     if (!this.thrifty()) return 0;
-    const { rentMarginUs } = this.ctx.settings.tuning;
+    const { scaleOutThresholdUs: rentMarginUs } = this.ctx.settings.tuning;
     const slack = this.slackOf(job);
     if (slack === null) return rentMarginUs;
     return rentMarginUs + Math.min(rentMarginUs, Math.round(slack / 4));
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -38,8 +38,8 @@
     return Math.max(
       0,
       Math.min(
-        left(team.coresMax, (this.cores.get(spec.team) ?? 0) + this.doubted.cores, spec.cores),
-        left(team.gpusMax, (this.gpus.get(spec.team) ?? 0) + this.doubted.gpus, spec.gpus),
+        left(team.maxCores, (this.cores.get(spec.team) ?? 0) + this.doubted.cores, spec.cores),
+        left(team.maxGpus, (this.gpus.get(spec.team) ?? 0) + this.doubted.gpus, spec.gpus),
       ),
     );
   }
@@ -55,12 +55,12 @@
   for (const job of byAge) {
     const { team: name, tasks, cores, gpus } = job.spec;
     const team = teams.find((t) => t.name === name);
-    if (team === undefined || (team.cores <= 0 && team.gpus <= 0)) continue;
+    if (team === undefined || (team.guaranteedCores <= 0 && team.guaranteedGpus <= 0)) continue;
     const t = taken.get(name) ?? { cores: 0, gpus: 0 };
     t.cores += cores * tasks;
     t.gpus += gpus * tasks;
     taken.set(name, t);
-    if (t.cores <= team.cores + 1e-6 && t.gpus <= team.gpus + 1e-6) inside.add(job);
+    if (t.cores <= team.guaranteedCores + 1e-6 && t.gpus <= team.guaranteedGpus + 1e-6) inside.add(job);
   }
   return inside;
 };
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -4,7 +4,7 @@
  */
 import { dueOf, type ActiveJob } from './cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
-import type { Objective } from '../domain/settings.js';
+import type { ServiceLevelObjective } from '../domain/settings.js';
 import { SECOND, type Micros } from '../domain/time.js';
 
 /**
@@ -14,7 +14,7 @@
  */
 export const latestStart = (
   job: ActiveJob,
-  objectives: readonly Objective[],
+  objectives: readonly ServiceLevelObjective[],
   now: Micros,
   run: Micros,
   setup: Micros,
@@ -26,12 +26,12 @@
   };
   for (const o of objectives) {
     if (job.chain !== null && o.kind === 'deadline' && o.class === job.chain.last.spec.class)
-      aim(dueOf(job.chain, o.times) - now - setup - run);
+      aim(dueOf(job.chain, o.deadlineFactor) - now - setup - run);
     if (o.class !== job.spec.class) continue;
     if (o.kind === 'wait' && o.withinUs !== null && !job.startedOnce) aim(o.withinUs - age - setup);
     else if (o.kind === 'finished' && o.withinUs !== null) aim(o.withinUs - age - setup - run);
     else if (o.kind === 'deadline' && job.spec.deadlineUs !== null)
-      aim(job.at + job.spec.deadlineUs * o.times - now - setup - run);
+      aim(job.at + job.spec.deadlineUs * o.deadlineFactor - now - setup - run);
   }
   return best;
 };
@@ -40,7 +40,7 @@
 const AT_ONCE: Micros = 10 * SECOND;
 
 /** The shortest wait that an aim allows the class; null: none speaks of it. */
-export const allowedWait = (cls: string, objectives: readonly Objective[]): Micros | null => {
+export const allowedWait = (cls: string, objectives: readonly ServiceLevelObjective[]): Micros | null => {
   let within: Micros | null = null;
   for (const o of objectives)
     if (o.kind === 'wait' && o.class === cls && o.withinUs !== null)
@@ -49,7 +49,7 @@
 };
 
 /** Urgent work: it can't wait for the next tasks to end. */
-export const mustStartAtOnce = (spec: JobSpec, objectives: readonly Objective[]): boolean =>
+export const mustStartAtOnce = (spec: JobSpec, objectives: readonly ServiceLevelObjective[]): boolean =>
   (allowedWait(spec.class, objectives) ?? Infinity) < AT_ONCE;
 
 export interface Contender {
--- a/packages/core/src/cluster/preemption-policy.ts
+++ b/packages/core/src/cluster/preemption-policy.ts
@@ -9,7 +9,9 @@
 
 /** Whether a team uses more than it is guaranteed. */
 const beyond = (team: Team | undefined, use: TeamUse | undefined): boolean =>
-  team !== undefined && use !== undefined && (use.cores > team.cores + 1e-6 || use.gpus > team.gpus + 1e-6);
+  team !== undefined &&
+  use !== undefined &&
+  (use.cores > team.guaranteedCores + 1e-6 || use.gpus > team.guaranteedGpus + 1e-6);
 
 export interface Rights {
   readonly teams: readonly Team[];
--- a/packages/core/src/codecs/job-codec.ts
+++ b/packages/core/src/codecs/job-codec.ts
@@ -2,7 +2,7 @@
  * Records of jobs in the key-value store: one form while a job is active, another once it has ended. Every stored field is
  * named here; the names must not change, since other versions read the same records.
  */
-import type { JobSpec, Priority, Shape } from '../domain/job.js';
+import type { JobSpec, Priority, JobShape } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 import { isStoredMap } from './stored-map.js';
 
@@ -11,7 +11,7 @@
   readonly id: string;
   readonly class: string;
   readonly team: string;
-  readonly shape: Shape;
+  readonly shape: JobShape;
   readonly priority: Priority;
   readonly tasks: number;
   readonly cores: number;
@@ -40,7 +40,7 @@
 export interface EndedJobRecord {
   readonly stage: 'done' | 'cancelled';
   readonly done: number;
-  readonly shape: Shape;
+  readonly shape: JobShape;
   /** Time of day of the end; null in records of the version before. */
   readonly at: Micros | null;
 }
@@ -57,14 +57,14 @@
   memoryGb: spec.memoryGb,
   image: spec.image,
   imageGb: spec.imageGb,
-  types: spec.types,
+  types: spec.machineTypes,
   zone: spec.zone,
   sameZone: spec.sameZone,
-  spread: spec.spread,
+  spread: spec.spreadAcrossZones,
   spot: spec.spot,
-  estimateUs: spec.estimateUs,
-  checkpointUs: spec.checkpointUs,
-  saveUs: spec.saveUs,
+  estimateUs: spec.estimatedRunUs,
+  checkpointUs: spec.checkpointIntervalUs,
+  saveUs: spec.checkpointDurationUs,
   deadlineUs: spec.deadlineUs,
 });
 
@@ -80,16 +80,16 @@
   memoryGb: stored.memoryGb,
   image: stored.image,
   imageGb: stored.imageGb,
-  types: stored.types,
+  machineTypes: stored.types,
   zone: stored.zone,
   sameZone: stored.sameZone,
-  spread: stored.spread,
+  spreadAcrossZones: stored.spread,
   spot: stored.spot,
-  estimateUs: stored.estimateUs,
-  checkpointUs: stored.checkpointUs,
-  saveUs: stored.saveUs,
+  estimatedRunUs: stored.estimateUs,
+  checkpointIntervalUs: stored.checkpointUs,
+  checkpointDurationUs: stored.saveUs,
   deadlineUs: stored.deadlineUs,
-  needs,
+  dependsOn: needs,
 });
 
 /** The fields without which nothing can be done with a record; an ended job's record has no others. */
@@ -125,9 +125,9 @@
  */
 export const encodeActiveJob = (spec: JobSpec, at: Micros): unknown => {
   const stored = encodeSpec(spec);
-  return spec.needs.length === 0
+  return spec.dependsOn.length === 0
     ? { spec: stored, at }
-    : { awaiting: { spec: stored, at, needs: packIds(spec.needs) } };
+    : { awaiting: { spec: stored, at, needs: packIds(spec.dependsOn) } };
 };
 
 /** Null for what can't be read. */
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -5,7 +5,7 @@
 import { Beats } from './membership/peer-heartbeats.js';
 import { Leadership } from './leadership/leader-election.js';
 import type { CoreEffect, Input } from './domain/effects.js';
-import type { Report, WorkerAnswer } from './domain/heartbeat.js';
+import type { Heartbeat, HeartbeatResponse } from './domain/heartbeat.js';
 import type { MachineType } from './domain/machine.js';
 import type { PeerMessage } from './domain/peer.js';
 import type { Settings } from './domain/settings.js';
@@ -131,7 +131,7 @@
     else if (newest) this.desk.noteProgress(m);
   }
 
-  private answerReport(r: Report): WorkerAnswer {
+  private answerReport(r: Heartbeat): HeartbeatResponse {
     if (this.scheduler !== null && this.leadership.hasRight()) return this.scheduler.onReport(r);
     if (this.scheduler !== null) {
       this.scheduler.heard(r);
--- a/packages/core/src/domain/client-api.ts
+++ b/packages/core/src/domain/client-api.ts
@@ -1,14 +1,14 @@
 /** Requests of users and of features' clients, and the answers to them. */
 import type { JobSpec, JobView } from './job.js';
-import type { Condition, Write } from './key-value-store.js';
+import type { VersionCondition, StoreWrite } from './key-value-store.js';
 
 /** Put together with a job's record, in the same transaction, or not at all. */
-export interface Beside {
-  readonly conditions: readonly Condition[];
-  readonly writes: readonly Write[];
+export interface ExtraWrites {
+  readonly conditions: readonly VersionCondition[];
+  readonly writes: readonly StoreWrite[];
 }
 
-export type UserRequest =
+export type ClientRequest =
   | {
       readonly kind: 'submit';
       /** The id, when at least that could be read. */
@@ -16,13 +16,13 @@
       readonly spec: JobSpec | null;
       readonly problem: string | null;
       /** Never from the users' own interface. */
-      readonly beside?: Beside;
+      readonly beside?: ExtraWrites;
     }
   | { readonly kind: 'poll'; readonly id: string }
   | { readonly kind: 'cancel'; readonly id: string }
   | { readonly kind: 'health' };
 
-export type UserAnswer =
+export type ClientResponse =
   | {
       readonly kind: 'view';
       readonly created: boolean;
@@ -37,4 +37,4 @@
   | { readonly kind: 'healthy' };
 
 /** What a feature is told that asked on a client's behalf; `taken`: keys of `beside` that were there already. */
-export type InnerAnswer = UserAnswer | { readonly kind: 'taken'; readonly keys: readonly string[] };
+export type InternalResponse = ClientResponse | { readonly kind: 'taken'; readonly keys: readonly string[] };
--- a/packages/core/src/domain/cloud.ts
+++ b/packages/core/src/domain/cloud.ts
@@ -1,7 +1,7 @@
 /** Operations on the cloud's interface, and its answers. */
 import type { ListedMachine, MachineType } from './machine.js';
 
-export type CloudOp =
+export type CloudOperation =
   | { readonly kind: 'types' }
   | {
       readonly kind: 'rent';
--- a/packages/core/src/domain/effects.ts
+++ b/packages/core/src/domain/effects.ts
@@ -1,22 +1,22 @@
 /** Inputs and effects of the state machine. */
-import type { UserAnswer, UserRequest } from './client-api.js';
-import type { CloudOp, CloudReply } from './cloud.js';
-import type { Order, OrdersReply, Report, WorkerAnswer } from './heartbeat.js';
-import type { StateOp, StateReply } from './key-value-store.js';
+import type { ClientResponse, ClientRequest } from './client-api.js';
+import type { CloudOperation, CloudReply } from './cloud.js';
+import type { WorkerCommand, CommandReply, Heartbeat, HeartbeatResponse } from './heartbeat.js';
+import type { StoreOperation, StoreReply } from './key-value-store.js';
 import type { PeerMessage } from './peer.js';
 import type { Micros } from './time.js';
 
 /** 0 is the most urgent: lease renewal, then answers to users, then the rest. */
-export type Urgency = 0 | 1 | 2;
+export type RequestUrgency = 0 | 1 | 2;
 
 export type Input =
   | { readonly kind: 'start'; readonly wallUs: Micros }
   | { readonly kind: 'timer' }
-  | { readonly kind: 'state'; readonly call: number; readonly reply: StateReply }
+  | { readonly kind: 'state'; readonly call: number; readonly reply: StoreReply }
   | { readonly kind: 'cloud'; readonly call: number; readonly reply: CloudReply }
-  | { readonly kind: 'orders'; readonly call: number; readonly reply: OrdersReply }
-  | { readonly kind: 'user'; readonly request: number; readonly body: UserRequest; readonly wallUs: Micros }
-  | { readonly kind: 'report'; readonly request: number; readonly report: Report }
+  | { readonly kind: 'orders'; readonly call: number; readonly reply: CommandReply }
+  | { readonly kind: 'user'; readonly request: number; readonly body: ClientRequest; readonly wallUs: Micros }
+  | { readonly kind: 'report'; readonly request: number; readonly report: Heartbeat }
   /** Of a client of a feature; the feature alone knows what `body` is. */
   | {
       readonly kind: 'asked';
@@ -33,18 +33,28 @@
 
 /** What the core wants done; the runtime does it and feeds back what came of it. */
 export type CoreEffect =
-  | { readonly kind: 'state'; readonly call: number; readonly op: StateOp; readonly urgency: Urgency }
-  | { readonly kind: 'cloud'; readonly call: number; readonly op: CloudOp; readonly urgency: Urgency }
+  | {
+      readonly kind: 'state';
+      readonly call: number;
+      readonly op: StoreOperation;
+      readonly urgency: RequestUrgency;
+    }
+  | {
+      readonly kind: 'cloud';
+      readonly call: number;
+      readonly op: CloudOperation;
+      readonly urgency: RequestUrgency;
+    }
   | {
       readonly kind: 'orders';
       readonly call: number;
       readonly address: string;
       readonly token: number;
       readonly session: number;
-      readonly orders: readonly Order[];
+      readonly orders: readonly WorkerCommand[];
     }
-  | { readonly kind: 'answerUser'; readonly request: number; readonly answer: UserAnswer }
-  | { readonly kind: 'answerWorker'; readonly request: number; readonly answer: WorkerAnswer }
+  | { readonly kind: 'answerUser'; readonly request: number; readonly answer: ClientResponse }
+  | { readonly kind: 'answerWorker'; readonly request: number; readonly answer: HeartbeatResponse }
   /** One of several for the same request, until `last`. */
   | {
       readonly kind: 'answerAsked';
--- a/packages/core/src/domain/heartbeat.ts
+++ b/packages/core/src/domain/heartbeat.ts
@@ -11,23 +11,23 @@
   readonly attempt: number;
   readonly state: TaskState;
   readonly cause: ExitCause | null;
-  readonly saved: boolean;
+  readonly checkpointed: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
-  readonly token: number;
-  readonly noticeUs: Micros | null;
+  readonly agentEpoch: number;
+  readonly sequence: number;
+  readonly fencingToken: number;
+  readonly terminationNoticeUs: Micros | null;
   readonly tasks: readonly ReportedTask[];
 }
 
-export type Order =
+export type WorkerCommand =
   | { readonly op: 'start'; readonly job: string; readonly index: number; readonly attempt: number }
   | {
       readonly op: 'stop';
@@ -38,13 +38,13 @@
     }
   | { readonly op: 'forget'; readonly job: string; readonly index: number; readonly attempt: number };
 
-export interface OrdersReply {
+export interface CommandReply {
   /** `executed`, `refused` (nothing executed), or `lost`: nobody can tell. */
   readonly kind: 'executed' | 'refused' | 'lost';
-  readonly report: Report | null;
+  readonly heartbeat: Heartbeat | null;
 }
 
-export type WorkerAnswer =
-  | { readonly kind: 'accepted'; readonly token: number; readonly orders: readonly Order[] }
+export type HeartbeatResponse =
+  | { readonly kind: 'accepted'; readonly token: number; readonly orders: readonly WorkerCommand[] }
   | { readonly kind: 'redirect'; readonly leader: string | null }
   | { readonly kind: 'unavailable' };
--- a/packages/core/src/domain/job.ts
+++ b/packages/core/src/domain/job.ts
@@ -1,7 +1,7 @@
 /** Jobs as their owners describe them, and as they are shown. */
 import type { Micros } from './time.js';
 
-export type Shape = 'array' | 'gang' | 'service';
+export type JobShape = 'array' | 'gang' | 'service';
 
 /** 0 best effort, 1 normal, 2 high, 3 production. */
 export type Priority = 0 | 1 | 2 | 3;
@@ -11,7 +11,7 @@
   /** The class of jobs it belongs to. */
   readonly class: string;
   readonly team: string;
-  readonly shape: Shape;
+  readonly shape: JobShape;
   readonly priority: Priority;
   readonly tasks: number;
   readonly cores: number;
@@ -19,24 +19,24 @@
   readonly memoryGb: number;
   readonly image: string;
   readonly imageGb: number;
-  readonly types: readonly string[] | null;
+  readonly machineTypes: readonly string[] | null;
   readonly zone: string | null;
   readonly sameZone: boolean;
-  readonly spread: boolean;
+  readonly spreadAcrossZones: boolean;
   readonly spot: boolean;
-  readonly estimateUs: Micros;
-  readonly checkpointUs: Micros;
-  readonly saveUs: Micros;
+  readonly estimatedRunUs: Micros;
+  readonly checkpointIntervalUs: Micros;
+  readonly checkpointDurationUs: Micros;
   readonly deadlineUs: Micros | null;
   /** Jobs that have to be done before any task of this one starts. */
-  readonly needs: readonly string[];
+  readonly dependsOn: readonly string[];
 }
 
-export type Stage = 'queued' | 'running' | 'done' | 'cancelled';
+export type JobStage = 'queued' | 'running' | 'done' | 'cancelled';
 
 export interface JobView {
   readonly id: string;
-  readonly stage: Stage;
+  readonly stage: JobStage;
   readonly done: number;
   readonly running: number;
 }
--- a/packages/core/src/domain/machine.ts
+++ b/packages/core/src/domain/machine.ts
@@ -6,8 +6,8 @@
   readonly cores: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  readonly cacheGb: number;
-  readonly fetchGbPerS: number;
+  readonly imageCacheGb: number;
+  readonly imagePullGbPerS: number;
   /** Per hour. */
   readonly price: number;
   readonly spotPrice: number;
--- a/packages/core/src/domain/resources.ts
+++ b/packages/core/src/domain/resources.ts
@@ -40,10 +40,10 @@
 };
 
 export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
-  (spec.types === null || spec.types.includes(type.name)) && fits(spec, type);
+  (spec.machineTypes === null || spec.machineTypes.includes(type.name)) && fits(spec, type);
 
 export const placeAllowed = (spec: JobSpec, type: string, zone: string, spot: boolean): boolean =>
-  (spec.types === null || spec.types.includes(type)) &&
+  (spec.machineTypes === null || spec.machineTypes.includes(type)) &&
   (spec.zone === null || spec.zone === zone) &&
   (spec.spot || !spot);
 
--- a/packages/core/src/domain/settings.ts
+++ b/packages/core/src/domain/settings.ts
@@ -3,19 +3,19 @@
 
 export interface Team {
   readonly name: string;
-  readonly cores: number;
-  readonly coresMax: number;
-  readonly gpus: number;
-  readonly gpusMax: number;
+  readonly guaranteedCores: number;
+  readonly maxCores: number;
+  readonly guaranteedGpus: number;
+  readonly maxGpus: number;
 }
 
-export interface Objective {
+export interface ServiceLevelObjective {
   readonly kind: string;
   readonly class: string | null;
   readonly withinUs: Micros | null;
   readonly share: number | null;
   /** For deadlines: how many times the job's own deadline. */
-  readonly times: number;
+  readonly deadlineFactor: number;
 }
 
 /** What the platform's file and the operators' own file say, checked. */
@@ -25,28 +25,28 @@
   readonly peerListen: string;
   readonly peers: readonly { readonly member: string; readonly address: string }[];
   readonly cloudAddress: string;
-  readonly stateAddress: string;
-  readonly members: number;
+  readonly storeAddress: string;
+  readonly memberCount: number;
   readonly teams: readonly Team[];
-  readonly objectives: readonly Objective[];
-  readonly reportUs: Micros;
-  readonly leaseUs: Micros;
-  readonly gangWaitUs: Micros;
-  readonly gangPeerUs: Micros;
-  readonly cancelUs: Micros;
+  readonly objectives: readonly ServiceLevelObjective[];
+  readonly heartbeatIntervalUs: Micros;
+  readonly workerLeaseUs: Micros;
+  readonly gangStartTimeoutUs: Micros;
+  readonly gangPeerTimeoutUs: Micros;
+  readonly cancellationDeadlineUs: Micros;
   /** Limits of the state service: the smaller of those of now and those announced. */
-  readonly stateRps: number;
-  readonly stateWriteRps: number;
-  readonly valueBytes: number;
-  readonly txnOps: number;
+  readonly storeRequestsPerS: number;
+  readonly storeWritesPerS: number;
+  readonly maxValueBytes: number;
+  readonly maxTransactionOperations: number;
   /** The limit on values that the version before went by. */
-  readonly formerValueBytes: number;
-  readonly cloudRps: number;
-  readonly listLagUs: Micros;
+  readonly formerMaxValueBytes: number;
+  readonly cloudRequestsPerS: number;
+  readonly cloudListLagUs: Micros;
   readonly maxConnections: number;
   readonly tuning: Tuning;
   /** Null: switched off, nothing is sent. */
-  readonly membership: Membership | null;
+  readonly membership: MembershipSettings | null;
 }
 
 /** The operators' own settings (YAML), each with a default. */
@@ -54,34 +54,34 @@
   /** Time to live of the leader's lease. */
   readonly leaderLeaseUs: Micros;
   /** Silence after which a machine is suspected. */
-  readonly silentUs: Micros;
+  readonly machineSuspicionUs: Micros;
   /** Budget of one search. */
   readonly searchBudgetUs: Micros;
   /** Waiting tasks (groups) on the shortlist of a search. */
-  readonly searchWidth: number;
+  readonly shortlistSize: number;
   /** Waiting groups played out to completion behind each candidate. */
-  readonly searchDepth: number;
+  readonly rolloutDepth: number;
   /** Waiting groups that one plan places, with and without GPUs each; the rest wait for the next. */
-  readonly searchGroups: number;
+  readonly maxGroupsPerPlan: number;
   /** Makespans closer than this count as equal. */
-  readonly searchToleranceUs: Micros;
+  readonly makespanToleranceUs: Micros;
   /** How long starts pause on machines that drain for the oldest task. */
-  readonly turnWaitUs: Micros;
+  readonly fairShareDrainUs: Micros;
   /** How often each team's oldest job gets a turn ahead of the order by aims. */
-  readonly turnEveryUs: Micros;
+  readonly fairShareTurnIntervalUs: Micros;
   /** Idle time after which a machine is returned where money is an aim. */
-  readonly idleReturnUs: Micros;
+  readonly idleScaleInUs: Micros;
   /** How much sooner a rented machine must finish work where money is an aim. */
-  readonly rentMarginUs: Micros;
+  readonly scaleOutThresholdUs: Micros;
   /** Whether capacity is saved; `auto`: where no machine stood ready before the service rented any. */
-  readonly thrift: 'auto' | 'on' | 'off';
+  readonly costSensitivity: 'auto' | 'on' | 'off';
   /** How often counts of progress are written. */
-  readonly progressUs: Micros;
+  readonly progressIntervalUs: Micros;
 }
 
 /** How controllers notice one another (operators' file, when switched on). */
-export interface Membership {
-  readonly beatUs: Micros;
+export interface MembershipSettings {
+  readonly heartbeatIntervalUs: Micros;
   /** Beats that must be missing at least before a peer is suspected. */
-  readonly suspectBeats: number;
+  readonly suspectAfterMissed: number;
 }
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -63,7 +63,7 @@
   }
 
   add(job: ActiveJob): void {
-    const needs = job.spec.needs;
+    const needs = job.spec.dependsOn;
     if (needs.length === 0) return;
     this.stale = true;
     const unmet = new Set<string>();
@@ -128,7 +128,7 @@
   /** The job has ended, however: it waits for nothing any more. */
   remove(job: ActiveJob): void {
     this.unmet.delete(job);
-    for (const n of job.spec.needs) {
+    for (const n of job.spec.dependsOn) {
       const others = this.dependents.get(n);
       if (others?.delete(job) !== true) continue;
       this.stale = true;
@@ -160,7 +160,7 @@
       const due = chain === null ? Infinity : dueOf(chain);
       const own = job.spec.deadlineUs === null ? Infinity : job.at + job.spec.deadlineUs;
       const last = own <= due ? job : chain?.last;
-      for (const n of job.spec.needs) {
+      for (const n of job.spec.dependsOn) {
         const needed = this.host.job(n);
         if (needed === undefined) continue;
         if (job.priority > needed.priority) needed.priority = job.priority;
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -6,7 +6,7 @@
 import type { Context } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
-import type { Condition, Write } from '../domain/key-value-store.js';
+import type { VersionCondition, StoreWrite } from '../domain/key-value-store.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { encodeEndedJob } from '../codecs/job-codec.js';
 
@@ -28,7 +28,7 @@
     private readonly ctx: Context,
     private readonly host: CascadeHost,
   ) {
-    this.most = Math.max(1, Math.floor(ctx.settings.txnOps / 2));
+    this.most = Math.max(1, Math.floor(ctx.settings.maxTransactionOperations / 2));
   }
 
   add(jobs: readonly ActiveJob[]): void {
@@ -47,8 +47,8 @@
     const batch = this.queue.slice(0, this.most);
     this.busy = batch.length > 0;
     if (batch.length === 0) return;
-    const conditions: Condition[] = [{ key: LEAD, version: this.host.leadVersion }];
-    const writes: Write[] = [];
+    const conditions: VersionCondition[] = [{ key: LEAD, version: this.host.leadVersion }];
+    const writes: StoreWrite[] = [];
     for (const job of batch) {
       conditions.push({ key: activeKey(job.id), version: job.version });
       writes.push(
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -46,7 +46,7 @@
     const zones = job.zones();
     const zoneAllows = (zone: string): boolean => {
       if (spec.sameZone && [...zones.keys()].some((other) => other !== zone)) return false;
-      return !spec.spread || (zones.get(zone) ?? 0) < spreadLimit(spec);
+      return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < spreadLimit(spec);
     };
     for (const step of steps) {
       const machine = this.term.estate.machines.get(step.slot.machine!);
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -188,9 +188,9 @@
       waiting.overflow,
       {
         budgetUs: tuning.searchBudgetUs,
-        width: tuning.searchWidth,
-        depth: tuning.searchDepth,
-        toleranceUs: tuning.searchToleranceUs,
+        width: tuning.shortlistSize,
+        depth: tuning.rolloutDepth,
+        toleranceUs: tuning.makespanToleranceUs,
         skipWhenPlenty: this.comparisonsCutShort,
       },
       () => clock.elapsed() - pictureUs,
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,5 +1,5 @@
 /** Counts of done and running tasks for display, to the other controllers and to this one's users. */
-import type { ProgressNote } from '../domain/peer.js';
+import type { JobProgress } from '../domain/peer.js';
 import type { Term } from '../leadership/leader-term.js';
 import type { Desk } from '../api/job-service.js';
 
@@ -30,14 +30,14 @@
       kind: 'progress',
       member: ctx.settings.member,
       term: this.term.no,
-      notes: this.notes(all),
+      jobs: this.notes(all),
     } as const;
     this.desk.noteProgress(message);
     for (const peer of ctx.settings.peers) ctx.emit({ kind: 'peer', member: peer.member, message });
   }
 
-  private notes(all: boolean): ProgressNote[] {
-    const notes: ProgressNote[] = [];
+  private notes(all: boolean): JobProgress[] {
+    const notes: JobProgress[] = [];
     for (const job of this.term.estate.jobs.values()) {
       if (job.phase === 'ended' || job.held) continue;
       const note = { id: job.id, done: job.done.count, running: job.running() };
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -16,8 +16,8 @@
 import { Imaging } from '../scheduling/snapshot-builder.js';
 import { idOfActive, JOBS, MACHINES, PLACES, PROGRESS, ROSTER, TIMINGS, TYPES } from '../codecs/keys.js';
 import type { Leadership, Office } from '../leadership/leader-election.js';
-import type { Report, WorkerAnswer } from '../domain/heartbeat.js';
-import type { Item } from '../domain/key-value-store.js';
+import type { Heartbeat, HeartbeatResponse } from '../domain/heartbeat.js';
+import type { StoredItem } from '../domain/key-value-store.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
@@ -97,7 +97,7 @@
     };
     this.writer = new Writer(ctx, office.version, fenced);
     this.progress = new ProgressBook(ctx, this.writer, (id) => estate.jobs.get(id), find);
-    this.roster = new Roster(this.writer, pageRoom(ctx.settings.valueBytes), find, (key) => {
+    this.roster = new Roster(this.writer, pageRoom(ctx.settings.maxValueBytes), find, (key) => {
       ctx.error('roster.unreadable', { key });
     });
     this.attempts = new Attempts(term, {
@@ -297,18 +297,18 @@
     this.planner.schedulePass();
   }
 
-  onReport(r: Report): WorkerAnswer {
+  onReport(r: Heartbeat): HeartbeatResponse {
     return this.reports.answer(r);
   }
 
   /** A report that could not be answered with 200 still shows that its sender is there. */
-  heard(r: Report): void {
+  heard(r: Heartbeat): void {
     this.reports.heard(r);
   }
 
   // ---- taking over -------------------------------------------------------------------------------
 
-  private rebuild(read: (prefix: string) => readonly Item[], timings: Item | null): void {
+  private rebuild(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void {
     const { machines, jobs } = this.term.estate;
     if (timings !== null) {
       this.term.estate.timings.seed(timings.value);
@@ -355,14 +355,14 @@
     }
     // A list of several pages may show a job whose end this leader has written since. One that waits for others may be
     // told as cancelled though its own record has yet to say so.
-    if (rec.spec.needs.length === 0 && this.desk.hasEnded(id)) return;
+    if (rec.spec.dependsOn.length === 0 && this.desk.hasEnded(id)) return;
     const job = new ActiveJob(rec.spec, version, rec.at, this.ctx.now);
     jobs.set(id, job);
     if (fresh) {
       this.deps.add(job);
       this.holdOne(job);
       if (job.held) this.ctx.info('job.held', { job: id, for: this.deps.waitsFor(job) });
-      else if (rec.spec.needs.length === 0 && job.barred === null) this.fleet.noteArrival(rec.spec);
+      else if (rec.spec.dependsOn.length === 0 && job.barred === null) this.fleet.noteArrival(rec.spec);
       this.ctx.debug('job.seen', { job: id, class: rec.spec.class });
       if (this.fleet.mustStartAtOnce(rec.spec)) this.planner.scheduleUrgentPass();
     }
@@ -434,7 +434,7 @@
       for (const m of estate.machines.values()) if (m.outbox.length > 0) this.attempts.pump(m);
       this.attempts.checkGangs();
     }
-    if (this.ctx.now - this.lastFlush >= settings.tuning.progressUs) {
+    if (this.ctx.now - this.lastFlush >= settings.tuning.progressIntervalUs) {
       this.lastFlush = this.ctx.now;
       this.progress.flush(estate.jobs.values());
     }
@@ -446,7 +446,7 @@
     if (this.sweeps % 4 === 0 || this.planner.owes) this.planner.schedulePass();
     if (this.sweeps % 6 === 0 && entitled && estate.thrifty()) this.consolidation.consolidate();
     // Pages of the version before, or too large, are taken apart while nothing else waits to be written.
-    if (this.writer.backlog < settings.txnOps) {
+    if (this.writer.backlog < settings.maxTransactionOperations) {
       this.roster.settle();
       this.progress.settle(estate.jobs.values());
     }
@@ -465,13 +465,13 @@
     const { now, settings } = this.ctx;
     const { resignedAt } = this.leadership;
     if (settings.peers.length === 0 || this.term.accounting) return false;
-    return resignedAt === null || now - resignedAt > 4 * settings.leaseUs;
+    return resignedAt === null || now - resignedAt > 4 * settings.workerLeaseUs;
   }
 
   private saveTimings(): void {
     if (this.attempts.noted === 0) return;
     this.attempts.noted = 0;
-    const value = this.term.estate.timings.summary(pageRoom(this.ctx.settings.valueBytes));
+    const value = this.term.estate.timings.summary(pageRoom(this.ctx.settings.maxValueBytes));
     this.writer.put(
       TIMINGS,
       () => value,
@@ -484,7 +484,7 @@
   saveTypes(types: readonly MachineType[]): void {
     // Some of them would be worse than none: jobs would be told that they fit nowhere.
     const value = encodeMachineTypes(types);
-    if (bytesOf(value) > pageRoom(this.ctx.settings.valueBytes)) return;
+    if (bytesOf(value) > pageRoom(this.ctx.settings.maxValueBytes)) return;
     this.writer.put(
       TYPES,
       () => value,
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -55,7 +55,7 @@
     for (const job of order) {
       if (urgentOnly && !this.parts.fleet.mustStartAtOnce(job.spec)) continue;
       const kind = gpuKind(job.spec);
-      if (taken[kind]! >= this.term.ctx.settings.tuning.searchGroups) {
+      if (taken[kind]! >= this.term.ctx.settings.tuning.maxGroupsPerPlan) {
         beyond.push(job);
         continue;
       }
@@ -135,7 +135,7 @@
     };
     const ahead = stagesAhead(estate.jobs.values(), deps, (id) => estate.jobs.get(id), endOf, now + boot);
     return ahead.map(({ job, ready }) => ({
-      spec: { ...job.spec, shape: 'array', sameZone: false, spread: false, priority: job.priority },
+      spec: { ...job.spec, shape: 'array', sameZone: false, spreadAcrossZones: false, priority: job.priority },
       count: Math.min(job.spec.tasks, MAX_REPRESENTED),
       zones: new Map(),
       avoid: new Set(),
--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -19,14 +19,14 @@
 export const LEAST_BOUND: Micros = 3 * SECOND;
 
 /** What `cancel_s` leaves beside a worker's lease, clocks at their worst; the leader's knowledge may be that old. */
-export const freshnessBound = (s: Pick<Settings, 'cancelUs' | 'leaseUs'>): Micros =>
-  Math.floor((s.cancelUs - s.leaseUs * (1 + 2 * DRIFT) - MARGIN) * (1 - DRIFT));
+export const freshnessBound = (s: Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>): Micros =>
+  Math.floor((s.cancellationDeadlineUs - s.workerLeaseUs * (1 + 2 * DRIFT) - MARGIN) * (1 - DRIFT));
 
 export class Freshness {
   readonly bound: Micros;
   private knownAt: Micros | null = null;
 
-  constructor(settings: Pick<Settings, 'cancelUs' | 'leaseUs'>) {
+  constructor(settings: Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>) {
     this.bound = Math.max(LEAST_BOUND, freshnessBound(settings));
   }
 
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,6 +1,6 @@
 /** What a new leader reads of its predecessors, and how it hears of jobs from then on. */
 import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../codecs/keys.js';
-import type { Item, StateEvent } from '../domain/key-value-store.js';
+import type { StoredItem, StoreEvent } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import type { Freshness } from './cancellation-freshness.js';
@@ -15,7 +15,7 @@
 
 export interface TakeoverHost {
   /** All that was read; `read` gives the items under a prefix. `timings`: the stored summary, or null. */
-  rebuild(read: (prefix: string) => readonly Item[], timings: Item | null): void;
+  rebuild(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
   /** A job's record is there: as read anew, or as the watch tells. */
   appeared(id: string, value: unknown, version: number): void;
   /** A job's record is gone, by a change of this version or a later one. */
@@ -25,7 +25,7 @@
 }
 
 interface Listed {
-  readonly items: Item[];
+  readonly items: StoredItem[];
   /** Of the first page: what changed later may or may not be in the list. */
   readonly revision: number;
   /** When the first page was asked for. */
@@ -48,7 +48,7 @@
 
   /** Six reads at any size: the records come in pages. The jobs come first: workers are answered from then on. */
   start(): void {
-    const lists = new Map<string, Item[]>();
+    const lists = new Map<string, StoredItem[]>();
     const prefixes = [JOBS, PLACES, ROSTER, PROGRESS, MACHINES];
     const next = (i: number): void => {
       const prefix = prefixes[i];
@@ -75,7 +75,7 @@
   }
 
   private listAll(prefix: string, then: (l: Listed) => void): void {
-    let items: Item[] = [];
+    let items: StoredItem[] = [];
     let first: { revision: number; sent: Micros } | null = null;
     const page = (after: string | undefined): void => {
       const sent = this.term.ctx.now;
@@ -173,7 +173,7 @@
     });
   }
 
-  private onJobEvent(e: StateEvent): void {
+  private onJobEvent(e: StoreEvent): void {
     const id = idOfActive(e.key);
     if (e.kind === 'put') this.host.appeared(id, e.value, e.version);
     else this.host.vanished(id, e.version);
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -12,7 +12,7 @@
   type LeaderRecord,
   type TermRecord,
 } from '../codecs/leadership-codec.js';
-import type { StateReply } from '../domain/key-value-store.js';
+import type { StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { DRIFT, Freshness } from './cancellation-freshness.js';
@@ -216,7 +216,7 @@
     });
   }
 
-  private claim(sent: Micros, lease: number, t: StateReply & { kind: 'item' | 'missing' }): void {
+  private claim(sent: Micros, lease: number, t: StoreReply & { kind: 'item' | 'missing' }): void {
     const version = t.kind === 'item' ? t.item.version : 0;
     const last = t.kind === 'item' ? decodeTerm(t.item.value) : NO_TERM;
     if (last === null) {
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -44,7 +44,7 @@
 
   /** Workers still turn to this new leader. */
   get accounting(): boolean {
-    return this.ctx.now <= this.office.since + ACCOUNTING_REPORTS * this.ctx.settings.reportUs;
+    return this.ctx.now <= this.office.since + ACCOUNTING_REPORTS * this.ctx.settings.heartbeatIntervalUs;
   }
 
   /**
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -130,7 +130,10 @@
       const count = Math.ceil(jobs * a.tasks);
       if (count === 0) continue;
       out.push(
-        this.roomFor({ ...a.spec, shape: 'array', tasks: count, sameZone: false, spread: false }, count),
+        this.roomFor(
+          { ...a.spec, shape: 'array', tasks: count, sameZone: false, spreadAcrossZones: false },
+          count,
+        ),
       );
     }
     return out;
@@ -313,8 +316,8 @@
       const pages = 1 + Math.floor(seen.length / PAGE);
       const every = Math.max(
         4 * SECOND,
-        this.ctx.settings.listLagUs,
-        Math.ceil((6 * SECOND * pages) / Math.max(this.ctx.settings.cloudRps, 0.1)),
+        this.ctx.settings.cloudListLagUs,
+        Math.ceil((6 * SECOND * pages) / Math.max(this.ctx.settings.cloudRequestsPerS, 0.1)),
       );
       if (r.kind === 'listed') {
         seen.push(...r.machines);
@@ -352,7 +355,7 @@
     const { standing } = this.host;
     if (standing.open) standing.settle([...this.host.machines()].filter((m) => names.has(m.name)));
     // A list is at most two lags old. It shows every machine that was listed before that and still exists.
-    const lag = this.ctx.settings.listLagUs * 2 + SECOND;
+    const lag = this.ctx.settings.cloudListLagUs * 2 + SECOND;
     for (const m of [...this.host.machines()])
       if (!names.has(m.name) && m.firstListed !== null && m.firstListed < began - lag)
         this.host.gone(m, 'unlisted');
@@ -371,7 +374,7 @@
         continue;
       }
       if (!m.usable() || m.standing || m.attempts.size > 0 || needed.has(m.name)) continue;
-      const patience = this.ctx.settings.tuning.idleReturnUs * (thrifty ? 1 : UNTHRIFTY_PATIENCE);
+      const patience = this.ctx.settings.tuning.idleScaleInUs * (thrifty ? 1 : UNTHRIFTY_PATIENCE);
       if (now - m.idleSince > patience) this.host.retire(m, 'idle');
     }
   }
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -28,7 +28,7 @@
   /** A worker that was not answered for its lease, drift and all, has dropped its tasks. */
   expireLeases(): void {
     const { ctx, estate } = this.term;
-    const length = Math.ceil(ctx.settings.leaseUs * (1 + 2 * DRIFT)) + 300 * MILLI;
+    const length = Math.ceil(ctx.settings.workerLeaseUs * (1 + 2 * DRIFT)) + 300 * MILLI;
     for (const m of estate.machines.values()) {
       if (ctx.now <= m.leaseFrom + length) continue;
       if (!m.up && !m.unresolved) continue;
@@ -54,8 +54,8 @@
   check(): void {
     const { ctx, estate, leadership } = this.term;
     // Two reports may be late or lost before a machine is suspected.
-    const { reportUs } = ctx.settings;
-    const silentUs = Math.max(ctx.settings.tuning.silentUs, 2.5 * reportUs);
+    const { heartbeatIntervalUs: reportUs } = ctx.settings;
+    const silentUs = Math.max(ctx.settings.tuning.machineSuspicionUs, 2.5 * reportUs);
     // Who is merely overdue counts too: machines of a zone that is cut off become silent one after the
     // other, and the first third of them would be deleted before the rest shows that it is the network.
     const overdueUs = 1.3 * reportUs;
@@ -77,7 +77,7 @@
     // Who resigned for this a while ago stays now: if all machines died at once, no node hears of them, and the
     // leaders would follow each other for ever without any staying until the machines' leases have run out.
     const { resignedAt } = leadership;
-    const again = resignedAt !== null && ctx.now - resignedAt < 4 * ctx.settings.leaseUs;
+    const again = resignedAt !== null && ctx.now - resignedAt < 4 * ctx.settings.workerLeaseUs;
     if (up >= 3 && quiet === up && !again && ctx.settings.peers.length > 0) {
       leadership.resign(20 * SECOND, 'no worker reaches this node');
       return;
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,6 +1,6 @@
 /** The machines of a term: known from the records, the cloud or their own reports, until they are gone. */
 import { Machine, type Attempt } from '../cluster/cluster-model.js';
-import type { Report } from '../domain/heartbeat.js';
+import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI } from '../domain/time.js';
@@ -39,7 +39,7 @@
   }
 
   /** The machine that a report comes from; null if it is gone for good. */
-  reporting(r: Report): Machine | null {
+  reporting(r: Heartbeat): Machine | null {
     const m = this.machines.get(r.machine);
     if (m !== undefined) return m;
     if (this.buried.has(r.machine)) return null;
@@ -54,14 +54,18 @@
    * tasks and is not on record tells of a time before its end. A late report of that kind once had a new leader take the
    * machine for one that is there, with tasks that ran elsewhere by then, until a lease had passed.
    */
-  private isGhost(r: Report): boolean {
+  private isGhost(r: Heartbeat): boolean {
     if (r.tasks.length === 0 || !this.roster.whole) return false;
-    this.term.ctx.info('report.of_gone', { machine: r.machine, session: r.session, tasks: r.tasks.length });
+    this.term.ctx.info('report.of_gone', {
+      machine: r.machine,
+      session: r.agentEpoch,
+      tasks: r.tasks.length,
+    });
     return true;
   }
 
   /** Whether what came before the records were read is of a machine that is on none: then it is let go. */
-  letGoGhost(m: Machine, r: Report): boolean {
+  letGoGhost(m: Machine, r: Heartbeat): boolean {
     if (m.recorded !== 'no' || !this.isGhost(r)) return false;
     this.machines.delete(m.name);
     return true;
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -2,8 +2,8 @@
  * What a node knows of the other controllers: who is heard, who is suspected, and what each of them reaches. A state
  * machine of beats and time. Suspicion is no proof: nothing rests on it that can't be undone (docs/membership.md).
  */
-import type { Beat, BeatOf } from '../domain/peer.js';
-import type { Membership } from '../domain/settings.js';
+import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
+import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 
 /** Gaps between beats that are remembered of each peer. */
@@ -25,7 +25,7 @@
   /** When a beat of it came last, here. */
   heardAt: Micros;
   /** Its newest beat. */
-  beat: Beat | null;
+  beat: PeerHeartbeat | null;
   /** When the state service last gave it a good answer, by its own word; null: never, or no word. */
   stateGoodAt: Micros | null;
   readonly gaps: number[];
@@ -43,7 +43,7 @@
   private seq = 0;
 
   constructor(
-    private readonly settings: Membership,
+    private readonly settings: MembershipSettings,
     peers: readonly string[],
     private readonly now: () => Micros,
   ) {
@@ -61,14 +61,14 @@
   }
 
   /** A beat came. What it changes, for the log; null for one that tells nothing new, or comes from nobody we know. */
-  take(b: Beat): Change | null {
+  take(b: PeerHeartbeat): Change | null {
     const m = this.all.get(b.member);
     if (m === undefined) return null;
     const now = this.now();
     const last = m.beat;
     // Held back on its way, or of a process that another one has replaced.
     if (b.incarnation < m.incarnation && !this.staysOlder(m, b.incarnation, now)) return null;
-    if (b.incarnation === m.incarnation && last !== null && b.seq <= last.seq) return null;
+    if (b.incarnation === m.incarnation && last !== null && b.sequence <= last.sequence) return null;
     m.stray = null;
     const restarted = last !== null && b.incarnation !== m.incarnation;
     const was = m.level;
@@ -82,7 +82,7 @@
     m.incarnation = b.incarnation;
     m.heardAt = now;
     m.beat = b;
-    m.stateGoodAt = b.stateAgeUs === null ? null : now - b.stateAgeUs;
+    m.stateGoodAt = b.storeAnswerAgeUs === null ? null : now - b.storeAnswerAgeUs;
     m.level = 'alive';
     if (restarted) return { kind: 'restarted', member: m.name, incarnation: b.incarnation };
     return was === 'alive' ? null : { kind: 'heard', member: m.name, after: last === null ? null : silent };
@@ -97,7 +97,7 @@
       m.stray = { incarnation, at: now, count: 1 };
       return false;
     }
-    if (now - m.stray.at >= this.settings.beatUs / 2)
+    if (now - m.stray.at >= this.settings.heartbeatIntervalUs / 2)
       m.stray = { incarnation, at: now, count: m.stray.count + 1 };
     return m.stray.count >= STRAYS;
   }
@@ -121,7 +121,7 @@
   }
 
   private limitOf(m: Member, lateUs: Micros): Micros {
-    const { beatUs, suspectBeats } = this.settings;
+    const { heartbeatIntervalUs: beatUs, suspectAfterMissed: suspectBeats } = this.settings;
     const least = beatUs * suspectBeats;
     let wide = 0;
     if (m.gaps.length > 2) {
@@ -145,13 +145,13 @@
   }
 
   /** The next beat of this node. */
-  compose(own: BeatOf): Beat {
+  compose(own: PeerStatus): PeerHeartbeat {
     const now = this.now();
     return {
       ...own,
       kind: 'beat',
-      seq: ++this.seq,
-      others: [...this.all.values()]
+      sequence: ++this.seq,
+      peers: [...this.all.values()]
         .filter((m) => m.beat !== null)
         .map((m) => ({
           member: m.name,
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,7 +1,7 @@
 /** Sends this node's beats, takes those of the others, and logs what that changes. */
 import type { Context } from '../node/node-context.js';
-import type { Beat } from '../domain/peer.js';
-import type { Membership } from '../domain/settings.js';
+import type { PeerHeartbeat } from '../domain/peer.js';
+import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { Members, type Change } from './peer-failure-detector.js';
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly ctx: Context,
-    private readonly settings: Membership,
+    private readonly settings: MembershipSettings,
     /** The term of the office that is held with right now; null: none. */
     private readonly term: () => number | null,
   ) {
@@ -45,7 +45,7 @@
     this.tick();
   }
 
-  take(b: Beat): void {
+  take(b: PeerHeartbeat): void {
     this.outbid(b);
     this.tell(this.members.take(b));
     const since = this.ctx.link.downSince;
@@ -58,8 +58,8 @@
    * as ours or higher, and peers would drop our beats for seconds. What they say of this name that we can't have told them
    * ourselves was of that process.
    */
-  private outbid(b: Beat): void {
-    for (const o of b.others) {
+  private outbid(b: PeerHeartbeat): void {
+    for (const o of b.peers) {
       if (o.member !== this.ctx.settings.member) continue;
       const before = o.incarnation === this.incarnation && o.ageUs > this.ctx.now - this.startedAt;
       if (o.incarnation > this.incarnation || before) this.incarnation = o.incarnation + 1;
@@ -87,19 +87,19 @@
     // What was late once is doubted for a while: the next beats of others may still be on their way in.
     this.lateUs = Math.max(ctx.now - this.dueAt, Math.floor(this.lateUs / 2));
     for (const c of this.members.check(this.lateUs)) this.tell(c);
-    const oldest = ctx.now - REPORTS * ctx.settings.reportUs;
+    const oldest = ctx.now - REPORTS * ctx.settings.heartbeatIntervalUs;
     for (const [machine, at] of this.workers) if (at < oldest) this.workers.delete(machine);
     const message = this.members.compose({
       member: ctx.settings.member,
       incarnation: this.incarnation,
       term: this.term(),
-      stateAgeUs: ctx.link.lastGood === 0 ? null : ctx.now - ctx.link.lastGood,
-      lateUs: this.lateUs,
-      workers: this.workers.size,
+      storeAnswerAgeUs: ctx.link.lastGood === 0 ? null : ctx.now - ctx.link.lastGood,
+      timerDelayUs: this.lateUs,
+      workerCount: this.workers.size,
     });
     for (const p of ctx.settings.peers) ctx.emit({ kind: 'peer', member: p.member, message });
-    this.dueAt = ctx.now + this.settings.beatUs;
-    ctx.after(this.settings.beatUs, () => {
+    this.dueAt = ctx.now + this.settings.heartbeatIntervalUs;
+    ctx.after(this.settings.heartbeatIntervalUs, () => {
       this.tick();
     });
   }
@@ -111,7 +111,7 @@
       const m = this.members.all.get(c.member);
       // What others say of it is evidence to read, not to act on.
       const also = [...this.members.all.values()].flatMap((x) =>
-        (x.beat?.others ?? [])
+        (x.beat?.peers ?? [])
           .filter((o) => o.member === c.member)
           .map((o) => ({
             by: x.name,
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,10 +1,10 @@
 /** What every part of the core shares within one node: the present time, pending calls, timers. */
 import { TERM } from '../codecs/keys.js';
 import { Link } from './store-connection.js';
-import type { CloudOp, CloudReply } from '../domain/cloud.js';
-import type { CoreEffect, LogFields, Urgency } from '../domain/effects.js';
-import type { Order, OrdersReply } from '../domain/heartbeat.js';
-import type { FailureCause, StateOp, StateReply } from '../domain/key-value-store.js';
+import type { CloudOperation, CloudReply } from '../domain/cloud.js';
+import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
+import type { WorkerCommand, CommandReply } from '../domain/heartbeat.js';
+import type { StoreFailureCause, StoreOperation, StoreReply } from '../domain/key-value-store.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Settings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
@@ -36,9 +36,9 @@
   /** Who wants to know when it is lost. */
   readonly linkLost: (() => void)[] = [];
   private probing = false;
-  private readonly stateCalls = new Map<number, { sent: Micros; then: (r: StateReply) => void }>();
+  private readonly stateCalls = new Map<number, { sent: Micros; then: (r: StoreReply) => void }>();
   private readonly cloudCalls = new Map<number, (r: CloudReply) => void>();
-  private readonly orderCalls = new Map<number, (r: OrdersReply) => void>();
+  private readonly orderCalls = new Map<number, (r: CommandReply) => void>();
 
   /** `stopwatch` only bounds the time spent on a search; decisions never read it otherwise. */
   constructor(
@@ -71,13 +71,13 @@
     this.out.push({ kind: 'log', level: 'error', event, fields });
   }
 
-  state(op: StateOp, urgency: Urgency, then: (r: StateReply) => void): void {
+  state(op: StoreOperation, urgency: RequestUrgency, then: (r: StoreReply) => void): void {
     const call = this.nextCall++;
     this.stateCalls.set(call, { sent: this.now, then });
     this.out.push({ kind: 'state', call, op, urgency });
   }
 
-  cloud(op: CloudOp, urgency: Urgency, then: (r: CloudReply) => void): void {
+  cloud(op: CloudOperation, urgency: RequestUrgency, then: (r: CloudReply) => void): void {
     const call = this.nextCall++;
     this.cloudCalls.set(call, then);
     this.out.push({ kind: 'cloud', call, op, urgency });
@@ -87,8 +87,8 @@
     address: string,
     token: number,
     session: number,
-    orders: readonly Order[],
-    then: (r: OrdersReply) => void,
+    orders: readonly WorkerCommand[],
+    then: (r: CommandReply) => void,
   ): void {
     const call = this.nextCall++;
     this.orderCalls.set(call, then);
@@ -113,7 +113,7 @@
     }
   }
 
-  stateReplied(call: number, r: StateReply): void {
+  stateReplied(call: number, r: StoreReply): void {
     const waiting = this.stateCalls.get(call);
     this.stateCalls.delete(call);
     if (waiting === undefined) return;
@@ -128,7 +128,7 @@
       this.info('state.back', { afterS: (this.now - since) / SECOND });
   }
 
-  private linkBad(cause: FailureCause): void {
+  private linkBad(cause: StoreFailureCause): void {
     this.info('state.lost', { cause });
     for (const tell of this.linkLost) tell();
     if (!this.probing) this.probe();
@@ -151,7 +151,7 @@
     then?.(r);
   }
 
-  ordersReplied(call: number, r: OrdersReply): void {
+  ordersReplied(call: number, r: CommandReply): void {
     const then = this.orderCalls.get(call);
     this.orderCalls.delete(call);
     then?.(r);
--- a/packages/core/src/node/store-connection.ts
+++ b/packages/core/src/node/store-connection.ts
@@ -2,7 +2,7 @@
  * Whether the state service answers this node, from the node's own calls alone. It can't tell an outage from a cut or a
  * refusal that only this node meets: peers tell them apart, or nobody does.
  */
-import type { FailureCause } from '../domain/key-value-store.js';
+import type { StoreFailureCause } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 
 export class Link {
@@ -22,7 +22,7 @@
   }
 
   /** A call that was sent at `sent` failed. Whether that begins an interruption. */
-  bad(cause: FailureCause, sent: Micros): boolean {
+  bad(cause: StoreFailureCause, sent: Micros): boolean {
     // Being asked to slow down is an answer; and one lost call says nothing if others were answered meanwhile.
     if (cause === 'busy' || this.lastGood >= sent) return false;
     this.lastBadSent = Math.max(this.lastBadSent, sent);
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -5,7 +5,7 @@
  */
 import type { ActiveJob, Attempt, Hold, Machine } from './cluster/cluster-model.js';
 import type { Context } from './node/node-context.js';
-import type { InnerAnswer, UserRequest } from './domain/client-api.js';
+import type { InternalResponse, ClientRequest } from './domain/client-api.js';
 import type { ReportedTask } from './domain/heartbeat.js';
 import type { Term } from './leadership/leader-term.js';
 
@@ -43,7 +43,7 @@
 export interface NodeLinks {
   readonly ctx: Context;
   /** As a user of this node would ask, on the same path. */
-  ask(body: UserRequest, then: (answer: InnerAnswer) => void): void;
+  ask(body: ClientRequest, then: (answer: InternalResponse) => void): void;
 }
 
 /** A feature's part on a node, for clients of its own. */
--- a/packages/core/src/scheduling/backfill.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -9,7 +9,7 @@
 import type { PlacementSimulation } from './placement-simulation.js';
 
 const isUnbound = ({ spec, zones, only }: Group): boolean =>
-  only === null && (zones.size === 0 || !(spec.sameZone || spec.spread));
+  only === null && (zones.size === 0 || !(spec.sameZone || spec.spreadAcrossZones));
 
 /** The zone with the most room now, for a group whose tasks have to be in one; null: any zone. */
 const zoneFor = (simulation: PlacementSimulation, group: Group): string | null => {
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -38,7 +38,7 @@
           a.runningAt !== null &&
           now - a.runningAt > 35 * SECOND &&
           a.job.spec.shape === 'array' &&
-          a.job.spec.checkpointUs > 0,
+          a.job.spec.checkpointIntervalUs > 0,
       );
       const longest = Math.max(...[...m.attempts.values()].map((a) => this.estate.remaining(a)));
       if (movable && longest > 30 * SECOND && this.fitsElsewhere(m)) best = { m, share };
@@ -47,7 +47,7 @@
     const { m } = best;
     this.ctx.info('machine.consolidate', { machine: m.name, tasks: m.attempts.size });
     m.retiring = 'consolidated';
-    for (const a of [...m.attempts.values()]) this.stopAttempt(a, a.job.spec.saveUs + SECOND);
+    for (const a of [...m.attempts.values()]) this.stopAttempt(a, a.job.spec.checkpointDurationUs + SECOND);
     this.retireWhenEmpty(m, 'consolidated', now + 20 * SECOND);
   }
 
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -12,7 +12,7 @@
 };
 
 export const zoneRoom = (group: Group, used: ReadonlyMap<string, number>, zone: string): number =>
-  group.spec.spread
+  group.spec.spreadAcrossZones
     ? spreadLimit(group.spec) - (group.zones.get(zone) ?? 0) - (used.get(zone) ?? 0)
     : Infinity;
 
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -44,7 +44,9 @@
 /** What of a job's room is kept in each of so many zones, so that it finds enough wherever it may go. */
 const shareOf = ({ spec, count }: Group, zones: number): number => {
   if (spec.sameZone) return count;
-  return spec.spread ? Math.max(spreadLimit(spec), Math.ceil(count / 2)) : Math.ceil(count / zones);
+  return spec.spreadAcrossZones
+    ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
+    : Math.ceil(count / zones);
 };
 
 /** Work behind the groups that are compared. */
--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -78,7 +78,7 @@
   ) {
     const kinds = new Map<string, JobSpec>();
     for (const k of [...(picture.kinds ?? []), ...groups.map((g) => g.spec)]) {
-      const key = `${k.cores}|${k.gpus}|${k.memoryGb}|${k.types?.join('+') ?? '*'}`;
+      const key = `${k.cores}|${k.gpus}|${k.memoryGb}|${k.machineTypes?.join('+') ?? '*'}`;
       if (k.shape !== 'service') kinds.set(key, k);
     }
     this.kinds = [...kinds.values()];
@@ -308,7 +308,7 @@
   private gapFor(spec: JobSpec, type: MachineType): number | null {
     let gap: number | null = null;
     for (const k of this.largerThan(spec)) {
-      if (!fits(k, type) || (k.types !== null && !k.types.includes(type.name))) continue;
+      if (!fits(k, type) || (k.machineTypes !== null && !k.machineTypes.includes(type.name))) continue;
       const places = timesFits(k, this.room);
       const rest = {
         cores: this.room.cores - places * k.cores,
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -93,6 +93,13 @@
 
 /** What a task needs and where it may go, as text: equal for tasks that find room on the same machines. */
 export const taskKind = (spec: JobSpec): string =>
-  [spec.cores, spec.gpus, spec.memoryGb, spec.zone ?? '*', spec.spot, spec.types?.join('+') ?? '*'].join('|');
+  [
+    spec.cores,
+    spec.gpus,
+    spec.memoryGb,
+    spec.zone ?? '*',
+    spec.spot,
+    spec.machineTypes?.join('+') ?? '*',
+  ].join('|');
 
 export const gpuKind = (spec: JobSpec): 0 | 1 => (spec.gpus > 0 ? 1 : 0);
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -32,7 +32,7 @@
   preempt(byJob: ReadonlyMap<ActiveJob, readonly Step[]>): void {
     // Looking for victims goes through all machines: only where there may be some, and a few times a plan.
     const { teams } = this.ctx.settings;
-    const guarantees = teams.length > 1 && teams.some((t) => t.cores > 0 || t.gpus > 0);
+    const guarantees = teams.length > 1 && teams.some((t) => t.guaranteedCores > 0 || t.guaranteedGpus > 0);
     const lowest = this.estate.totals.lowestRunning();
     const { now } = this.ctx;
     let clearings: Clearings | null = null;
@@ -51,12 +51,13 @@
       job.promisedOn = clearing.machines;
       stopped += victims.length;
       // What is being freed is for this job: others must not slip in before all of it is there.
-      job.promisedUntil = this.ctx.now + Math.max(...victims.map((v) => v.job.spec.saveUs)) + 6 * SECOND;
+      job.promisedUntil =
+        this.ctx.now + Math.max(...victims.map((v) => v.job.spec.checkpointDurationUs)) + 6 * SECOND;
       this.ctx.debug('preempt', () => ({
         job: job.id,
         victims: victims.map((v) => `${v.job.id}/${v.index}`),
       }));
-      for (const v of victims) this.stopAttempt(v, v.job.spec.saveUs + SECOND);
+      for (const v of victims) this.stopAttempt(v, v.job.spec.checkpointDurationUs + SECOND);
     }
   }
 
@@ -98,7 +99,9 @@
       types,
       this.estate.rights(),
       (a) => {
-        const least = awaited.has(a.job.spec.class) ? SETTLED : Math.max(a.job.spec.saveUs * 2, 5 * SECOND);
+        const least = awaited.has(a.job.spec.class)
+          ? SETTLED
+          : Math.max(a.job.spec.checkpointDurationUs * 2, 5 * SECOND);
         return a.runningAt !== null && now - a.runningAt >= least && !this.pressed(a, loss(a.job));
       },
     );
@@ -111,7 +114,7 @@
     const left = this.estate.remaining(a);
     for (const o of this.ctx.settings.objectives) {
       if (o.kind !== 'deadline' || o.class !== spec.class) continue;
-      const slack = spec.deadlineUs * o.times - (this.ctx.wallNow - at) - left;
+      const slack = spec.deadlineUs * o.deadlineFactor - (this.ctx.wallNow - at) - left;
       if (slack >= 0 && slack < loss) return true;
     }
     return false;
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -46,7 +46,7 @@
       a.state === 'running' &&
       a.runningAt !== null &&
       a.job.spec.shape === 'array' &&
-      a.job.spec.checkpointUs > 0 &&
+      a.job.spec.checkpointIntervalUs > 0 &&
       this.spare(a)
     );
   }
@@ -61,7 +61,7 @@
       spec.cores,
       spec.gpus,
       spec.memoryGb,
-      spec.types?.join('+') ?? '*',
+      spec.machineTypes?.join('+') ?? '*',
       spec.zone ?? '*',
       spec.spot,
       spec.sameZone,
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -77,22 +77,22 @@
     const out: ActiveJob[] = [];
     const stillWaiting = new Set(waiting);
     for (const [team, job] of oldest) {
-      const t = this.turns.get(team) ?? { job: null, since: now, next: now + tuning.turnEveryUs };
+      const t = this.turns.get(team) ?? { job: null, since: now, next: now + tuning.fairShareTurnIntervalUs };
       this.turns.set(team, t);
       if (t.job !== null && !stillWaiting.has(t.job)) {
         // It started, or ended: the turn is over.
         t.job = null;
-        t.next = now + tuning.turnEveryUs;
+        t.next = now + tuning.fairShareTurnIntervalUs;
       }
       if (t.job === null && now >= t.next) {
         t.job = job;
         t.since = now;
       }
       if (t.job === null) continue;
-      if (now - t.since > tuning.turnWaitUs) {
+      if (now - t.since > tuning.fairShareDrainUs) {
         // The drain was bounded: others get on, and the turn comes round again.
         t.job = null;
-        t.next = now + tuning.turnEveryUs;
+        t.next = now + tuning.fairShareTurnIntervalUs;
       } else out.push(t.job);
     }
     return out;
@@ -105,7 +105,12 @@
     const contenders = jobs.map((job): Contender => {
       const { spec } = job;
       const credit = job.credit.get(-1) ?? 0;
-      const run = this.estate.timings.remaining(spec.class, spec.types?.[0] ?? '', spec.estimateUs, credit);
+      const run = this.estate.timings.remaining(
+        spec.class,
+        spec.machineTypes?.[0] ?? '',
+        spec.estimatedRunUs,
+        credit,
+      );
       const amount = job.waiting * (gpu ? spec.gpus : spec.cores);
       work += run * amount;
       amounts += amount;
--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -7,9 +7,9 @@
 import type { Group, Picture } from './plan-input.js';
 
 export const fetchTime = (spec: JobSpec, s: { type: MachineType; images: ReadonlySet<string> }): Micros =>
-  s.images.has(spec.image) || s.type.fetchGbPerS <= 0
+  s.images.has(spec.image) || s.type.imagePullGbPerS <= 0
     ? 0
-    : Math.round((spec.imageGb / s.type.fetchGbPerS) * 1e6);
+    : Math.round((spec.imageGb / s.type.imagePullGbPerS) * 1e6);
 
 export const MAX_DEAR = 3;
 /** What a place that is dearer by its job's lowest price again counts as, in waiting time. */
@@ -42,7 +42,7 @@
   const share = s.type.gpus > 0 ? s.free.gpus / s.type.gpus : s.free.cores / s.type.cores;
   w += Math.round(4_000_000 * Math.max(0, Math.min(1, share)));
   // Machines that may be taken back are for work that saves; the others are for what must not go there.
-  if (spec.spot) w += s.spot === spec.checkpointUs > 0 ? 0 : 4_000_000;
+  if (spec.spot) w += s.spot === spec.checkpointIntervalUs > 0 ? 0 : 4_000_000;
   return w;
 };
 
@@ -59,7 +59,7 @@
     // a dear machine cheap.
     let cheapest = Infinity;
     for (const t of p.types)
-      if ((g.spec.types === null || g.spec.types.includes(t.name)) && fits(g.spec, t))
+      if ((g.spec.machineTypes === null || g.spec.machineTypes.includes(t.name)) && fits(g.spec, t))
         cheapest = Math.min(cheapest, perTask(g.spec, t, false));
     d = cheapest > 0 && cheapest < Infinity ? Math.min(MAX_DEAR, perTask(g.spec, type, spot) / cheapest) : 1;
     g.dear.set(key, d);
@@ -74,7 +74,7 @@
   if (d === undefined) {
     let cheapest = Infinity;
     for (const t of p.types)
-      if ((g.spec.types === null || g.spec.types.includes(t.name)) && fits(g.spec, t))
+      if ((g.spec.machineTypes === null || g.spec.machineTypes.includes(t.name)) && fits(g.spec, t))
         cheapest = Math.min(cheapest, t.price);
     d = cheapest > 0 && cheapest < Infinity ? (spot ? type.spotPrice : type.price) / cheapest : 1;
     g.dear.set(key, d);
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -56,8 +56,8 @@
         a.stopping !== null
           ? a.stopping.graceUs + SECOND
           : this.estate.remaining(a) +
-            (a.runningAt === null && type.fetchGbPerS > 0 && !m.images.has(a.job.spec.image)
-              ? (a.job.spec.imageGb / type.fetchGbPerS) * SECOND
+            (a.runningAt === null && type.imagePullGbPerS > 0 && !m.images.has(a.job.spec.image)
+              ? (a.job.spec.imageGb / type.imagePullGbPerS) * SECOND
               : 0);
       const { cores, gpus, memoryGb } = a.job.spec;
       changes.push({ at: now + left, cores, gpus, memoryGb });
@@ -97,7 +97,7 @@
       rented: new Map(),
       predictor: {
         runTime: (spec, type, credit) =>
-          this.estate.timings.remaining(spec.class, type.name, spec.estimateUs, credit),
+          this.estate.timings.remaining(spec.class, type.name, spec.estimatedRunUs, credit),
       },
     };
   }
--- a/packages/core/src/scheduling/uncontended-placement.ts
+++ b/packages/core/src/scheduling/uncontended-placement.ts
@@ -24,7 +24,7 @@
 
 /** Machines that a group may use, as text: groups with the same text share all of them. */
 const reachOf = ({ spec }: Group): string =>
-  `${spec.types?.join('+') ?? '*'}|${spec.zone ?? '*'}|${spec.spot}`;
+  `${spec.machineTypes?.join('+') ?? '*'}|${spec.zone ?? '*'}|${spec.spot}`;
 
 /**
  * True only if all groups can begin now together: where each of them may go there is free room for several times what
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -6,7 +6,7 @@
  */
 import type { Context } from '../node/node-context.js';
 import { LEAD } from '../codecs/keys.js';
-import type { Condition, Write } from '../domain/key-value-store.js';
+import type { VersionCondition, StoreWrite } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { bytesOf } from '../codecs/value-size.js';
 
@@ -23,10 +23,10 @@
 
 interface Entry {
   readonly key: string;
-  readonly make: () => Write;
+  readonly make: () => StoreWrite;
   readonly checked: boolean;
   readonly urgent: Urgent;
-  readonly done: ((w: Write) => void)[];
+  readonly done: ((w: StoreWrite) => void)[];
   readonly refused: ((bytes: number) => void)[];
 }
 
@@ -52,7 +52,7 @@
     private readonly leadVersion: number,
     private readonly onFenced: () => void,
   ) {
-    this.most = ctx.settings.txnOps;
+    this.most = ctx.settings.maxTransactionOperations;
   }
 
   stop(): void {
@@ -77,7 +77,7 @@
   /** Puts what `make` gives when its turn comes. `done` follows once that is surely written. */
   put(key: string, make: () => unknown, done: (value: unknown) => void, options: PutOptions = {}): void {
     const entry = this.pending.get(key);
-    const then = (w: Write): void => {
+    const then = (w: StoreWrite): void => {
       done(w.kind === 'put' ? w.value : null);
     };
     this.pending.set(key, {
@@ -131,8 +131,8 @@
 
   /** What somebody waits for first; but one in a transaction is left for the rest, which must get on too. */
   private next(): Entry[] {
-    if (this.most < this.ctx.settings.txnOps && this.ctx.now > this.cautiousUntil) {
-      this.most = Math.min(this.ctx.settings.txnOps, this.most * 2);
+    if (this.most < this.ctx.settings.maxTransactionOperations && this.ctx.now > this.cautiousUntil) {
+      this.most = Math.min(this.ctx.settings.maxTransactionOperations, this.most * 2);
       this.cautiousUntil = this.ctx.now + CAUTION;
     }
     const now: Entry[] = [];
@@ -145,8 +145,8 @@
 
   private flush(): void {
     if (this.stopped) return;
-    const batch: { entry: Entry; write: Write; size: number }[] = [];
-    const conditions: Condition[] = [{ key: LEAD, version: this.leadVersion }];
+    const batch: { entry: Entry; write: StoreWrite; size: number }[] = [];
+    const conditions: VersionCondition[] = [{ key: LEAD, version: this.leadVersion }];
     let bytes = 0;
     for (const entry of this.next()) {
       const write = entry.make();
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,7 +1,7 @@
 /** Machines on record: nothing is started on one that is not, and what is to be deleted is marked first. */
 import type { Machine } from '../cluster/cluster-model.js';
 import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
-import type { Item } from '../domain/key-value-store.js';
+import type { StoredItem } from '../domain/key-value-store.js';
 import { Pages, readPage } from './packed-pages.js';
 import {
   decodeMachine,
@@ -55,7 +55,7 @@
   }
 
   /** Machines that an earlier leader recorded, in pages or, by an earlier version, a key a machine. */
-  load(pages: readonly Item[], own: readonly Item[]): Map<string, MachineRecord> {
+  load(pages: readonly StoredItem[], own: readonly StoredItem[]): Map<string, MachineRecord> {
     const found = new Map<string, MachineRecord>();
     const take = (name: string, value: unknown): void => {
       if (value === null) return;
@@ -88,7 +88,7 @@
   }
 
   /** What an earlier version wrote moves into pages; its keys go once that is done. */
-  adopt(own: readonly Item[], find: (name: string) => Machine | undefined): void {
+  adopt(own: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
     for (const it of own) {
       const m = find(it.key.slice(MACHINES.length));
       if (m === undefined) continue;
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -10,7 +10,7 @@
  * a record is what all its copies say together. Pages that have become too large are taken apart likewise:
  * copies are written and confirmed first, the old page is emptied last.
  */
-import type { Item } from '../domain/key-value-store.js';
+import type { StoredItem } from '../domain/key-value-store.js';
 import { bytesOf } from '../codecs/value-size.js';
 import type { Urgent, Writer } from './fenced-writer.js';
 
@@ -93,7 +93,7 @@
   }
 
   /** A page as it was read; `keep` gives the room of a record that is still needed, null if it is not. */
-  load(item: Item, keep: (id: string) => number | null): void {
+  load(item: StoredItem, keep: (id: string) => number | null): void {
     const name = item.key.slice(this.prefix.length);
     const entries = readPage(item.value);
     this.writer.know(item.key, item.version);
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -6,7 +6,7 @@
 import type { Context } from '../node/node-context.js';
 import { PLACES, PROGRESS, partOf } from '../codecs/keys.js';
 import { LargeProgress } from './large-progress.js';
-import type { Item } from '../domain/key-value-store.js';
+import type { StoredItem } from '../domain/key-value-store.js';
 import { pageRoom, Pages, readPage } from './packed-pages.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
@@ -26,7 +26,7 @@
     private readonly job: (id: string) => ActiveJob | undefined,
     private readonly machine: (name: string) => Machine | undefined,
   ) {
-    this.pages = new Pages(writer, PLACES, pageRoom(ctx.settings.valueBytes), {
+    this.pages = new Pages(writer, PLACES, pageRoom(ctx.settings.maxValueBytes), {
       describe: (id) => this.describe(id),
       written: (id, value) => {
         this.written(id, decodeProgress(value));
@@ -51,8 +51,8 @@
 
   /** Takes over what an earlier leader wrote, in pages or in keys of a job's own. */
   load(
-    pages: readonly Item[],
-    own: readonly Item[],
+    pages: readonly StoredItem[],
+    own: readonly StoredItem[],
     jobs: Iterable<ActiveJob>,
     /** Whether every machine that an earlier leader used is known; else unknown names are not gone ones. */
     rosterWhole: boolean,
@@ -91,7 +91,7 @@
     }
   }
 
-  private loadOwn(it: Item, merge: (id: string, from: number | null, value: unknown) => void): void {
+  private loadOwn(it: StoredItem, merge: (id: string, from: number | null, value: unknown) => void): void {
     const [id, number] = it.key.slice(PROGRESS.length).split('/');
     const job = this.job(id!);
     if (job === undefined) {
@@ -111,14 +111,14 @@
    */
   private placeOf(segment: number): number | null {
     if (segment === 0) return 0;
-    const size = Math.floor(((this.ctx.settings.formerValueBytes - 4096) * 3) / 4);
+    const size = Math.floor(((this.ctx.settings.formerMaxValueBytes - 4096) * 3) / 4);
     return size > 0 && Number.isInteger(segment) ? segment * size : null;
   }
 
   private largeOf(job: ActiveJob): LargeProgress {
     let l = this.large.get(job.id);
     if (l === undefined) {
-      const limit = pageRoom(this.ctx.settings.valueBytes);
+      const limit = pageRoom(this.ctx.settings.maxValueBytes);
       l = new LargeProgress(this.writer, job, limit, this.nameLength, () => this.names(job));
       this.large.set(job.id, l);
     }
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -4,7 +4,7 @@
  */
 import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
 import { leftovers, wholeGang } from './gang-attempts.js';
-import type { OrdersReply, Report, ReportedTask } from '../domain/heartbeat.js';
+import type { CommandReply, Heartbeat, ReportedTask } from '../domain/heartbeat.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
 import type { Term } from '../leadership/leader-term.js';
@@ -16,7 +16,7 @@
   /** Puts the places of a job on record: nothing is sent there before. */
   place(job: ActiveJob, then: () => void, refused: () => void): void;
   /** A report that came with the answer to orders. */
-  report(m: Machine, r: Report): void;
+  report(m: Machine, r: Heartbeat): void;
   /** Nothing of an ended job may be left. */
   released(job: ActiveJob): void;
   /** An attempt is not there any more. */
@@ -160,7 +160,7 @@
     const cause = exit?.cause ?? null;
     ctx.debug('attempt.ended', { job: job.id, task: a.index, machine: m.name, cause: cause ?? 'gone' });
     this.host.ended(a, exit);
-    this.learn(a, cause, exit?.saved === true);
+    this.learn(a, cause, exit?.checkpointed === true);
     if (cause === 'error') this.onError(m, job);
     if (cause === 'noRoom' || cause === 'busy' || cause === 'unknown')
       job.notBefore = Math.max(job.notBefore, ctx.now + SECOND);
@@ -180,15 +180,16 @@
     const total = before + ran;
     if (cause === 'done') {
       if (a.timed && (job.spec.shape !== 'gang' || a.index === 0)) {
-        timings.note(job.spec.class, m.type, job.spec.estimateUs, total, true);
+        timings.note(job.spec.class, m.type, job.spec.estimatedRunUs, total, true);
         this.noted++;
       }
       job.credit.delete(slot);
       return;
     }
-    if (a.timed && cause !== 'error') timings.note(job.spec.class, m.type, job.spec.estimateUs, total, false);
+    if (a.timed && cause !== 'error')
+      timings.note(job.spec.class, m.type, job.spec.estimatedRunUs, total, false);
     if (cause === 'error') return;
-    const every = job.spec.checkpointUs;
+    const every = job.spec.checkpointIntervalUs;
     if (saved) job.credit.set(slot, total);
     else if (every > 0) job.credit.set(slot, Math.max(before, Math.floor(total / every) * every));
   }
@@ -210,7 +211,7 @@
     m.errorJobs.add(job.id);
     if (m.errorsInRow >= 2 && (m.errorJobs.size >= 2 || m.errorsInRow >= 4) && m.retiring === null) {
       m.retiring = 'faulty';
-      for (const a of [...m.attempts.values()]) this.stop(a, a.job.spec.saveUs + SECOND);
+      for (const a of [...m.attempts.values()]) this.stop(a, a.job.spec.checkpointDurationUs + SECOND);
       this.host.retireWhenEmpty(m, 'faulty', ctx.now + 8 * SECOND);
     }
   }
@@ -348,7 +349,7 @@
     });
   }
 
-  private onOrdersReply(m: Machine, starts: readonly Attempt[], r: OrdersReply): void {
+  private onOrdersReply(m: Machine, starts: readonly Attempt[], r: CommandReply): void {
     const { ctx } = this.term;
     if (r.kind === 'lost') {
       if (starts.length > 0) {
@@ -365,7 +366,7 @@
       // Executed before its report was made: what the report doesn't list is not there.
       for (const a of starts) if (a.state === 'sent') a.state = 'fetching';
     }
-    const report = r.report;
+    const report = r.heartbeat;
     if (report !== null && report.machine === m.name && m.isNewer(report)) this.host.report(m, report);
   }
 }
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -2,7 +2,7 @@
 import { MAX_ORDERS, type Attempts } from './attempt-lifecycle.js';
 import { attemptKey, type ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
 import { gangAttempt, leftovers } from './gang-attempts.js';
-import type { Order, Report, ReportedTask, WorkerAnswer } from '../domain/heartbeat.js';
+import type { WorkerCommand, Heartbeat, ReportedTask, HeartbeatResponse } from '../domain/heartbeat.js';
 import type { JobSpec } from '../domain/job.js';
 import { SECOND } from '../domain/time.js';
 import type { Park } from '../machines/machine-lifecycle.js';
@@ -21,7 +21,7 @@
 
 export class Reports {
   /** Reports that came while the records were being read. */
-  private readonly early = new Map<Machine, Report>();
+  private readonly early = new Map<Machine, Heartbeat>();
 
   constructor(
     private readonly term: Term,
@@ -31,19 +31,19 @@
   ) {}
 
   /** A report that could not be answered with 200 still shows that its sender is there. */
-  heard(r: Report): void {
+  heard(r: Heartbeat): void {
     const m = this.term.estate.machines.get(r.machine);
     if (m?.isNewer(r) === true) m.lastReport = this.term.ctx.now;
   }
 
-  answer(r: Report): WorkerAnswer {
+  answer(r: Heartbeat): HeartbeatResponse {
     const { ctx } = this.term;
     const m = this.park.reporting(r);
     // A report that was held back outlives its machine.
     if (m === null) return { kind: 'unavailable' };
-    if (r.token > this.term.tokenOf(m)) {
+    if (r.fencingToken > this.term.tokenOf(m)) {
       // It would drop a 200 of ours, and stay here until its lease has run out.
-      ctx.info('report.token_ahead', { machine: m.name, token: r.token });
+      ctx.info('report.token_ahead', { machine: m.name, token: r.fencingToken });
       return { kind: 'unavailable' };
     }
     const newer = m.isNewer(r);
@@ -80,20 +80,20 @@
   }
 
   /** A report newer than all that is known of its machine. */
-  take(m: Machine, r: Report): void {
+  take(m: Machine, r: Heartbeat): void {
     const { ctx } = this.term;
-    if (r.session > m.session) {
-      if (m.session > 0) ctx.info('machine.session', { machine: m.name, session: r.session });
-      for (const a of [...m.attempts.values()]) if (a.session < r.session) this.attempts.end(a, null);
-      m.session = r.session;
+    if (r.agentEpoch > m.session) {
+      if (m.session > 0) ctx.info('machine.session', { machine: m.name, session: r.agentEpoch });
+      for (const a of [...m.attempts.values()]) if (a.session < r.agentEpoch) this.attempts.end(a, null);
+      m.session = r.agentEpoch;
       // It began by now, and lasts for a whole lease from its beginning. Who hears of it from the answer to an order, which
       // renews nothing, would else end at once what it had just started there (ran_twice in a generated history).
       m.leaseFrom = ctx.now;
       m.images.clear();
       m.touch();
     }
-    m.seq = r.seq;
-    m.seenToken = Math.max(m.seenToken, r.token);
+    m.seq = r.sequence;
+    m.seenToken = Math.max(m.seenToken, r.fencingToken);
     if (!m.up) {
       m.up = true;
       m.upSince = ctx.now;
@@ -101,9 +101,9 @@
       ctx.info('machine.up', { machine: m.name, type: m.type, afterS: (ctx.now - m.rentedAt) / SECOND });
       this.term.planSoon();
     }
-    const noticed = r.noticeUs === null ? null : ctx.now + r.noticeUs;
+    const noticed = r.terminationNoticeUs === null ? null : ctx.now + r.terminationNoticeUs;
     if (noticed !== null && m.notice === null) {
-      ctx.info('machine.notice', { machine: m.name, leftS: r.noticeUs! / SECOND });
+      ctx.info('machine.notice', { machine: m.name, leftS: r.terminationNoticeUs! / SECOND });
       m.notice = noticed;
       this.term.planSoon();
     } else if (noticed === null) m.notice = null;
@@ -114,8 +114,8 @@
     this.takeTasks(m, r);
   }
 
-  private takeTasks(m: Machine, r: Report): void {
-    if (m.unresolved && r.token >= this.term.firstToken) {
+  private takeTasks(m: Machine, r: Heartbeat): void {
+    if (m.unresolved && r.fencingToken >= this.term.firstToken) {
       // Fenced from every older leader: what it lists is all there can be.
       m.unresolved = false;
       this.term.planSoon();
@@ -125,7 +125,7 @@
     if (m.attempts.size > 0 || m.strangers > 0) m.idleSince = this.term.ctx.now;
   }
 
-  private matchTasks(m: Machine, r: Report): void {
+  private matchTasks(m: Machine, r: Heartbeat): void {
     const listed = new Set<Attempt>();
     const proof = this.isProof(r);
     m.strangers = 0;
@@ -157,7 +157,7 @@
       if (listed.has(a)) continue;
       // An order whose answer was lost may still be executed, until the worker is fenced from it.
       if (a.state === 'recording' || a.state === 'sent') continue;
-      if (a.state === 'unknown' && r.token <= a.token) continue;
+      if (a.state === 'unknown' && r.fencingToken <= a.token) continue;
       this.attempts.end(a, null);
     }
   }
@@ -167,8 +167,8 @@
    * for, but does not decide which of two attempts is the true one. It once did: the true one was stopped, and begun a third
    * time before it had heard of that (docs/incidents/kept-reports.md).
    */
-  private isProof(r: Report): boolean {
-    return r.token >= this.term.firstToken;
+  private isProof(r: Heartbeat): boolean {
+    return r.fencingToken >= this.term.firstToken;
   }
 
   /** Whether the task may be of use where it is reported. */
@@ -217,7 +217,7 @@
   private holdImage(m: Machine, spec: JobSpec): void {
     m.images.delete(spec.image);
     m.images.set(spec.image, spec.imageGb);
-    const cache = this.term.ctx.types.get(m.type)?.cacheGb ?? Infinity;
+    const cache = this.term.ctx.types.get(m.type)?.imageCacheGb ?? Infinity;
     let sum = 0;
     for (const gb of m.images.values()) sum += gb;
     for (const [image, gb] of m.images) {
@@ -247,17 +247,17 @@
       const { spec } = a.job;
       const ends = this.term.estate.remaining(a);
       if (spec.shape !== 'service' && ends < left * 0.6) continue;
-      const grace = Math.max(0, Math.min(spec.saveUs + SECOND, left - SECOND));
+      const grace = Math.max(0, Math.min(spec.checkpointDurationUs + SECOND, left - SECOND));
       if (spec.shape === 'gang') {
-        for (const b of leftovers(a.job)) this.attempts.stop(b, Math.max(grace, spec.saveUs));
+        for (const b of leftovers(a.job)) this.attempts.stop(b, Math.max(grace, spec.checkpointDurationUs));
         a.job.broken = true;
       } else this.attempts.stop(a, grace);
     }
   }
 
   /** Derived anew from each report, so nothing is forgotten when an answer is lost. */
-  private stopsFor(m: Machine, r: Report): Order[] {
-    const orders: Order[] = [];
+  private stopsFor(m: Machine, r: Heartbeat): WorkerCommand[] {
+    const orders: WorkerCommand[] = [];
     const listed = new Set<Attempt>();
     for (const t of r.tasks) {
       if (t.state === 'exited') continue;
@@ -283,15 +283,15 @@
   }
 
   /** Before the records are read: tasks of jobs that had ended by then. Nothing else is known to be over. */
-  private earlyStops(r: Report): Order[] {
+  private earlyStops(r: Heartbeat): WorkerCommand[] {
     const { listed } = this.term;
     return r.tasks
       .filter((t) => t.state !== 'exited' && listed !== null && !listed.has(t.job))
       .map((t) => ({ op: 'stop' as const, job: t.job, index: t.index, attempt: t.attempt, graceUs: 0 }));
   }
 
-  private forgetsFor(m: Machine, r: Report, most: number): Order[] {
-    const orders: Order[] = [];
+  private forgetsFor(m: Machine, r: Heartbeat, most: number): WorkerCommand[] {
+    const orders: WorkerCommand[] = [];
     for (const t of r.tasks) {
       if (orders.length >= most) break;
       if (t.state !== 'exited') continue;
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -61,7 +61,7 @@
 test('a gang behind the compared groups begins whole or not at all, and spread and zone are kept', () => {
   const slots = [...boxes(3), ...Array.from({ length: 3 }, (_, i) => slotOf(`z${i}`, box, { zone: 'b' }))];
   const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 4, cores: 4, sameZone: true }));
-  const spread = groupOf(specOf('run-2', { tasks: 9, cores: 2, spread: true }));
+  const spread = groupOf(specOf('run-2', { tasks: 9, cores: 2, spreadAcrossZones: true }));
   const bound = groupOf(specOf('run-3', { tasks: 9, cores: 2, sameZone: true }));
   const d = search(pictureOf(slots, { box: 5 }), [], LIMITS, still, overflowOf([gang, spread]));
   assert.ok(!d.steps.some((s) => s.group === gang));
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -50,11 +50,13 @@
 };
 
 const JOBS: readonly JobSpec[] = [
-  specOf('run-1', { shape: 'gang', tasks: 128, estimateUs: 6 * SECOND }),
-  specOf('run-2', { tasks: 60, estimateUs: 5 * SECOND }),
-  specOf('run-3', { tasks: 25, cores: 2, estimateUs: 4 * SECOND, spread: true }),
-  specOf('run-4', { shape: 'gang', tasks: 16, cores: 2, estimateUs: 5 * SECOND, sameZone: true }),
-  ...Array.from({ length: 12 }, (_, i) => specOf(`run-${10 + i}`, { tasks: 3 + i, estimateUs: 3 * SECOND })),
+  specOf('run-1', { shape: 'gang', tasks: 128, estimatedRunUs: 6 * SECOND }),
+  specOf('run-2', { tasks: 60, estimatedRunUs: 5 * SECOND }),
+  specOf('run-3', { tasks: 25, cores: 2, estimatedRunUs: 4 * SECOND, spreadAcrossZones: true }),
+  specOf('run-4', { shape: 'gang', tasks: 16, cores: 2, estimatedRunUs: 5 * SECOND, sameZone: true }),
+  ...Array.from({ length: 12 }, (_, i) =>
+    specOf(`run-${10 + i}`, { tasks: 3 + i, estimatedRunUs: 3 * SECOND }),
+  ),
 ];
 
 const submitAll = (world: World): void => {
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
@@ -16,9 +16,9 @@
 const LONG = 3_600 * SECOND;
 
 const jobOf = (id: string, n: number): JobSpec => {
-  if (n % 3 === 0) return specOf(id, { shape: 'gang', tasks: 3, sameZone: true, estimateUs: LONG });
-  if (n % 3 === 1) return specOf(id, { shape: 'service', tasks: 2, estimateUs: LONG });
-  return specOf(id, { tasks: 4, estimateUs: LONG });
+  if (n % 3 === 0) return specOf(id, { shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: LONG });
+  if (n % 3 === 1) return specOf(id, { shape: 'service', tasks: 2, estimatedRunUs: LONG });
+  return specOf(id, { tasks: 4, estimatedRunUs: LONG });
 };
 
 interface Played {
@@ -38,7 +38,7 @@
   );
   w.machines.slowClocks = 0.0005;
   w.nodes.forEach((n, i) => (n.rate = [0.9995, 1.0005, 1][(i + seed) % 3]!));
-  if (seed % 2 === 0) w.membership = { beatUs: SECOND, suspectBeats: 3 };
+  if (seed % 2 === 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: jobs }, (_, i) => `run-${seed}${String(i).padStart(3, '0')}`);
   ids.forEach((id, i) => {
@@ -180,11 +180,11 @@
 });
 
 interface Inside {
-  readonly scheduler: { onReport(r: Report): WorkerAnswer };
+  readonly scheduler: { onReport(r: Heartbeat): HeartbeatResponse };
 }
 
 /** What the leader answers to this report. */
-const answerOf = (w: World, r: Report): WorkerAnswer => {
+const answerOf = (w: World, r: Heartbeat): HeartbeatResponse => {
   const core = w.nodes.find((n) => n.core?.leads() === true)!.core as unknown as Inside;
   return core.scheduler.onReport(r);
 };
@@ -213,11 +213,11 @@
   const empty = answerOf(w, { ...old, tasks: [] });
   assert.ok(empty.kind === 'accepted' && empty.orders.some((o) => o.op === 'stop' && o.job === id));
   // It has seen a token that is not of this term: it would drop a 200, and nothing is learned from it.
-  const ahead = { ...newer, seq: newer.seq + 1, token: 2 ** 50 };
+  const ahead = { ...newer, sequence: newer.sequence + 1, fencingToken: 2 ** 50 };
   assert.equal(answerOf(w, ahead).kind, 'unavailable');
   // More of what nobody knows than an answer holds.
   const strangers = Array.from({ length: 401 }, (_, i) => ({ ...tasks[0]!, job: `run-9${i}` }));
-  assert.equal(answerOf(w, { ...newer, seq: newer.seq + 1, tasks: strangers }).kind, 'unavailable');
+  assert.equal(answerOf(w, { ...newer, sequence: newer.sequence + 1, tasks: strangers }).kind, 'unavailable');
 });
 
 test('a start that is held up on its way is refused once its job is over and its worker was answered', () => {
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -16,7 +16,7 @@
 
 interface Inside {
   readonly scheduler: {
-    onReport(r: Report): WorkerAnswer;
+    onReport(r: Heartbeat): HeartbeatResponse;
     readonly term: { readonly ready: boolean; readonly firstToken: number };
   } | null;
 }
@@ -30,7 +30,7 @@
  * A leader ends; the next one has just read the records, and no worker has come to it but the copies given by `old`. Reports
  * of workers are held back meanwhile.
  */
-const nextLeader = (w: World, old: readonly Report[]): void => {
+const nextLeader = (w: World, old: readonly Heartbeat[]): void => {
   const won = w.nodes.map(() => false);
   w.onLog = (n, event) => {
     if (event === 'leader.ready') won[w.nodes.findIndex((x) => x.name === n)] = true;
@@ -53,12 +53,12 @@
 const moved = (
   seed: number,
   shape: 'array' | 'gang',
-): { w: World; old: Report; from: Worker; task: string } => {
+): { w: World; old: Heartbeat; from: Worker; task: string } => {
   const w = new World(new Random(seed * 37 + 5), 3, TEAM(40), 40, 5);
   w.stand(8);
   w.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++)
-    w.submit(specOf(`run-${seed}${i}`, { shape, tasks: 3, estimateUs: 900 * SECOND }));
+    w.submit(specOf(`run-${seed}${i}`, { shape, tasks: 3, estimatedRunUs: 900 * SECOND }));
   w.runFor(20 * SECOND);
   const from = [...w.workers.values()].find((x) => x.alive && running(x).length > 0)!;
   const old = w.machines.reportOf(from);
@@ -114,12 +114,14 @@
     const w = new World(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
     w.stand(2);
     w.runFor(3 * SECOND);
-    w.submit(specOf('run-1', { tasks: 8, team: 't', estimateUs: 900 * SECOND, checkpointUs: SECOND }));
+    w.submit(
+      specOf('run-1', { tasks: 8, team: 't', estimatedRunUs: 900 * SECOND, checkpointIntervalUs: SECOND }),
+    );
     w.runFor(15 * SECOND);
     const old = Array.from({ length: 8 }, () => [...w.workers.values()].map((x) => w.machines.reportOf(x)));
     // Team u takes the place of team t, and has more waiting than its limit allows.
-    w.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimateUs: 900 * SECOND }));
-    w.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimateUs: 900 * SECOND }));
+    w.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
+    w.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
     w.runFor(30 * SECOND);
     const of = (id: string): number =>
       [...w.workers.values()].reduce(
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -24,10 +24,10 @@
     if (i > 0 && r.chance(0.8)) for (let k = 0; k < 1 + r.below(3); k++) needs.add(id(r.below(i)));
     specs.push(
       specOf(id(i), {
-        needs: [...needs],
+        dependsOn: [...needs],
         shape: r.chance(0.25) ? 'gang' : 'array',
         tasks: 1 + r.below(3),
-        estimateUs: (2 + r.below(8)) * SECOND,
+        estimatedRunUs: (2 + r.below(8)) * SECOND,
         priority: r.below(4) as JobSpec['priority'],
         deadlineUs: r.chance(0.3) ? (60 + r.below(200)) * SECOND : null,
       }),
@@ -48,7 +48,7 @@
       w.loss = r.chance(0.3) ? 0.25 : 0.03;
       // A user names only what was accepted.
       const spec = specs[submitted];
-      if (spec?.needs.every((n) => w.stageOf(n) !== undefined) === true && r.chance(0.7)) {
+      if (spec?.dependsOn.every((n) => w.stageOf(n) !== undefined) === true && r.chance(0.7)) {
         w.submit(spec);
         submitted++;
       }
@@ -80,14 +80,14 @@
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 12 }, (_, i) => `run-${i}`);
   ids.forEach((id, i) => {
-    w.submit(specOf(id, { needs: i === 0 ? [] : [`run-${i - 1}`], estimateUs: 100 * SECOND }));
+    w.submit(specOf(id, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }));
     w.runFor(SECOND);
   });
   w.cancel('run-0');
   w.runFor(60_000);
   for (const k of [0, 1, 2]) w.crash(k, (1 + k) * SECOND);
   // Submitted when what it needs is cancelled already: accepted all the same.
-  w.submit(specOf('run-99', { needs: ['run-0'] }));
+  w.submit(specOf('run-99', { dependsOn: ['run-0'] }));
   w.runFor(16 * SECOND);
   for (const id of [...ids, 'run-99']) w.poll(id);
   w.runFor(2 * SECOND);
@@ -102,14 +102,15 @@
   for (let seed = 1; seed <= 6; seed++) {
     const w = new World(new Random(seed));
     w.runFor(3 * SECOND);
-    w.submit(specOf('run-0', { estimateUs: 300 * SECOND }));
+    w.submit(specOf('run-0', { estimatedRunUs: 300 * SECOND }));
     w.runFor(SECOND);
-    w.submit(specOf('run-1', { needs: ['run-0'] }));
+    w.submit(specOf('run-1', { dependsOn: ['run-0'] }));
     for (let k = 0; k < 8; k++) w.poll('run-1');
     w.runFor(SECOND);
     w.cancel('run-0');
     w.runFor(45 * SECOND);
-    for (let k = 2; k < 8; k++) w.submit(specOf(`run-${k}`, { needs: [k % 2 === 0 ? 'run-0' : 'run-1'] }));
+    for (let k = 2; k < 8; k++)
+      w.submit(specOf(`run-${k}`, { dependsOn: [k % 2 === 0 ? 'run-0' : 'run-1'] }));
     w.runFor(SECOND);
     for (let k = 2; k < 8; k++) assert.equal(w.stageOf(`run-${k}`), 'cancelled', `seed ${seed} run-${k}`);
     assert.deepEqual(w.broken, []);
@@ -120,7 +121,9 @@
   const w = new World(new Random(8));
   w.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++) {
-    w.submit(specOf(`run-${i}`, { needs: i === 0 ? [] : [`run-${i - 1}`], estimateUs: 100 * SECOND }));
+    w.submit(
+      specOf(`run-${i}`, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }),
+    );
     w.runFor(300_000);
   }
   const leader = w.nodes.findIndex((n) => n.core?.leads() === true);
@@ -139,12 +142,12 @@
   const w = new World(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   w.runFor(3 * SECOND);
   const wide = Array.from({ length: 70 }, (_, i) => `run-${100 + i}`);
-  for (const id of wide) w.submit(specOf(id, { tasks: 1, estimateUs: 2 * SECOND }));
+  for (const id of wide) w.submit(specOf(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
   w.submit(specOf('run-1', { shape: 'service', tasks: 1 }));
   w.runFor(3 * SECOND);
-  w.submit(specOf('run-2', { needs: ['run-1'] }));
-  w.submit(specOf('run-3', { needs: ['run-77'] }));
-  w.submit(specOf('run-4', { needs: wide }));
+  w.submit(specOf('run-2', { dependsOn: ['run-1'] }));
+  w.submit(specOf('run-3', { dependsOn: ['run-77'] }));
+  w.submit(specOf('run-4', { dependsOn: wide }));
   w.runFor(90 * SECOND);
   w.poll('run-4');
   w.runFor(2 * SECOND);
@@ -165,37 +168,38 @@
       resolve: () => assert.fail('all are there'),
       released: () => undefined,
       doomed: () => assert.fail('none is cancelled'),
-      expected: (j) => j.spec.estimateUs,
+      expected: (j) => j.spec.estimatedRunUs,
     });
     for (const j of jobs.values()) deps.add(j);
     deps.refresh(false);
-    const after = (id: string): ActiveJob[] => [...jobs.values()].filter((j) => j.spec.needs.includes(id));
+    const after = (id: string): ActiveJob[] =>
+      [...jobs.values()].filter((j) => j.spec.dependsOn.includes(id));
     const priority = (j: ActiveJob): number => Math.max(j.spec.priority, ...after(j.id).map(priority));
     const latest = (j: ActiveJob): number =>
       Math.min(
         ...after(j.id).map(
           (d) =>
             Math.min(latest(d), d.spec.deadlineUs === null ? Infinity : d.at + d.spec.deadlineUs) -
-            d.spec.estimateUs,
+            d.spec.estimatedRunUs,
         ),
       );
     for (const j of jobs.values()) {
       assert.equal(j.priority, priority(j), `seed ${seed} ${j.id}`);
       assert.equal(j.chain === null ? Infinity : dueOf(j.chain), latest(j), `seed ${seed} ${j.id}`);
-      assert.equal(j.held, j.spec.needs.length > 0);
+      assert.equal(j.held, j.spec.dependsOn.length > 0);
     }
   }
 });
 
 test('records of jobs are read back; the version before reads those without needs and no others', () => {
   const needs = Array.from({ length: 150 }, (_, i) => `run-${400_000 + i * 7}`);
-  const spec = specOf('run-7', { needs });
+  const spec = specOf('run-7', { dependsOn: needs });
   const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
   assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, at: 5 });
   assert.ok(bytesOf(record) < 2_048 - 128, `${bytesOf(record)} bytes`);
   assert.equal(record['spec'], undefined, 'the version before would start it too early');
   // As that version writes them: no field `needs`, nothing that came later.
-  const { needs: _, ...old } = specOf('run-8');
+  const { dependsOn: _, ...old } = specOf('run-8');
   assert.deepEqual(decodeActiveJob({ spec: old, at: 9 }), { spec: specOf('run-8'), at: 9 });
   assert.deepEqual(encodeActiveJob(specOf('run-8'), 9), { spec: old, at: 9 });
   assert.deepEqual(decodeEndedJob({ stage: 'done', done: 2, spec: old }), {
@@ -205,6 +209,6 @@
     at: null,
   });
   // However long its description: a job accepted under larger limits can be ended under smaller ones.
-  const long = specOf('run-9', { types: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
+  const long = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
   assert.ok(bytesOf(encodeEndedJob(long, 'cancelled', 0, 1)) < 300);
 });
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -1,7 +1,7 @@
 /** What a leader knows of jobs, whatever the order in which lists and watches are answered, and how old that counts as. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StateEvent, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
 import { Freshness } from '@shaleyoke/core/leadership/cancellation-freshness';
@@ -10,8 +10,8 @@
 import { Random } from '@shaleyoke/emulator/random';
 
 interface Call {
-  readonly op: StateOp;
-  readonly then: (r: StateReply) => void;
+  readonly op: StoreOperation;
+  readonly then: (r: StoreReply) => void;
 }
 
 /** A leader's picture of jobs, with a state service that answers when and what the test says. */
@@ -21,13 +21,13 @@
   later: { at: number; run: () => void }[] = [];
   readonly logged: string[] = [];
   readonly jobs = new Map<string, number>();
-  readonly freshness = new Freshness({ cancelUs: 40 * SECOND, leaseUs: 20 * SECOND });
+  readonly freshness = new Freshness({ cancellationDeadlineUs: 40 * SECOND, workerLeaseUs: 20 * SECOND });
   readonly takeover: Takeover;
   private readonly term: { ready: boolean; listed: ReadonlySet<string> | null };
 
   constructor() {
     const ctx = {
-      state: (op: StateOp, _urgency: number, then: (r: StateReply) => void) => {
+      state: (op: StoreOperation, _urgency: number, then: (r: StoreReply) => void) => {
         this.calls.push({ op, then });
       },
       info: (event: string) => {
@@ -67,7 +67,7 @@
   }
 
   /** Takes the oldest call of this kind. */
-  take(kind: StateOp['kind']): Call {
+  take(kind: StoreOperation['kind']): Call {
     const i = this.calls.findIndex((c) => c.op.kind === kind);
     assert.ok(i >= 0, `no ${kind} among ${this.calls.map((c) => c.op.kind).join()}`);
     return this.calls.splice(i, 1)[0]!;
@@ -89,20 +89,20 @@
   }
 }
 
-const items = (ids: readonly string[], revision: number, more = false): StateReply => ({
+const items = (ids: readonly string[], revision: number, more = false): StoreReply => ({
   kind: 'items',
   items: ids.map((id) => ({ key: JOBS + id, value: {}, version: revision - 1, lease: null })),
   more,
   revision,
 });
-const put = (id: string, version: number): StateEvent => ({
+const put = (id: string, version: number): StoreEvent => ({
   kind: 'put',
   key: JOBS + id,
   value: {},
   version,
 });
-const gone = (id: string, version: number): StateEvent => ({ kind: 'delete', key: JOBS + id, version });
-const events = (list: StateEvent[], revision: number): StateReply => ({
+const gone = (id: string, version: number): StoreEvent => ({ kind: 'delete', key: JOBS + id, version });
+const events = (list: StoreEvent[], revision: number): StoreReply => ({
   kind: 'events',
   events: list,
   revision,
@@ -172,7 +172,7 @@
   for (let seed = 1; seed <= 60; seed++) {
     const r = new Random(seed);
     const s = new Stage();
-    const log: StateEvent[] = [];
+    const log: StoreEvent[] = [];
     const ended = new Set<string>();
     let revision = 50;
     const alive = (at: number): string[] => {
@@ -184,7 +184,7 @@
         }
       return [...ids].map((k) => k.slice(JOBS.length));
     };
-    const listAt = (at: number): StateReply => ({
+    const listAt = (at: number): StoreReply => ({
       kind: 'items',
       items: alive(at).map((id) => ({
         key: JOBS + id,
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -100,7 +100,8 @@
     w.stand(4);
     w.runFor(3 * SECOND);
     // Short tasks: something is started all the time, on machines that are on record for the job.
-    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimateUs: 900 * MILLI }));
+    for (let i = 0; i < 4; i++)
+      w.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
     w.runFor(20 * SECOND);
     const { starts } = w;
     w.runFor(5 * SECOND);
@@ -167,7 +168,7 @@
     for (let t = 0; t < 480; t++) {
       const spec = specOf(`run-${seed}${String(t).padStart(4, '0')}`, {
         tasks: 1,
-        estimateUs: (1 + r.below(5)) * SECOND,
+        estimatedRunUs: (1 + r.below(5)) * SECOND,
       });
       ids.push(spec.id);
       w.submit(spec);
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
@@ -54,8 +54,8 @@
       w.runFor(3 * SECOND);
       const length = (6 + r.below(8)) * SECOND;
       const specs = [
-        specOf('run-1', { tasks: 3, estimateUs: length }),
-        specOf('run-2', { tasks: 2, estimateUs: length }),
+        specOf('run-1', { tasks: 3, estimatedRunUs: length }),
+        specOf('run-2', { tasks: 2, estimatedRunUs: length }),
       ];
       for (const spec of specs) w.submit(spec);
       for (let i = 0; i < changes; i++) {
@@ -77,7 +77,7 @@
 
 interface Inside {
   readonly scheduler: {
-    onReport(r: Report): WorkerAnswer;
+    onReport(r: Heartbeat): HeartbeatResponse;
     readonly term: {
       readonly ready: boolean;
       readonly estate: { readonly machines: ReadonlyMap<string, unknown> };
@@ -93,7 +93,8 @@
       if (event === 'machine.retire' && f['reason'] === 'silent') missed.set(String(f['machine']), w.now);
     };
     w.runFor(2 * SECOND);
-    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimateUs: 300 * SECOND }));
+    for (let i = 0; i < 4; i++)
+      w.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
     w.runFor(30 * SECOND);
     const x = [...w.workers.values()].find((y) => y.alive && y.tasks.length > 0)!;
     // What it has sent so far comes again, one after the other, for longer than its lease.
@@ -118,7 +119,8 @@
   for (let seed = 1; seed <= 4; seed++) {
     const w = new World(new Random(seed * 91), 3, TEAM(16), 16, 4);
     w.runFor(2 * SECOND);
-    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimateUs: 300 * SECOND }));
+    for (let i = 0; i < 4; i++)
+      w.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
     w.runFor(30 * SECOND);
     const x = [...w.workers.values()].find((y) => y.alive && y.tasks.some((t) => t.state === 'running'))!;
     const old = w.machines.reportOf(x);
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -13,7 +13,7 @@
 test('a repeated submission of a job that the node knows costs no writes', () => {
   const w = new World(new Random(5), 3, undefined, undefined, 4);
   w.runFor(3 * SECOND);
-  const spec = specOf('run-1', { estimateUs: 300 * SECOND });
+  const spec = specOf('run-1', { estimatedRunUs: 300 * SECOND });
   w.submit(spec);
   w.runFor(2 * SECOND);
   const before = w.state.wasted;
@@ -33,7 +33,7 @@
   const w = new World(new Random(11), 1, '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n', 4, 2);
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 40 }, (_, i) => `run-${100 + i}`);
-  for (const id of ids) w.submit(specOf(id, { tasks: 1, estimateUs: 600 * SECOND }));
+  for (const id of ids) w.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
   w.runFor(10 * SECOND);
   const bad = ids[17]!;
   w.state.mute.add(`j/${bad}`);
@@ -60,7 +60,7 @@
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 1_500 }, (_, i) => `run-${10_000 + i}`);
   for (const id of ids) {
-    w.submit(specOf(id, { tasks: 1, estimateUs: 600 * SECOND }));
+    w.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
     w.runFor(25 * MILLI);
   }
   w.stateOutage(20 * SECOND);
@@ -84,7 +84,7 @@
     w.runFor(3 * SECOND);
     const ids = Array.from({ length: 4 }, (_, i) => `run-${seed}${i}`);
     const specs = ids.map((id, i) =>
-      specOf(id, { shape: 'gang', tasks: 2, cores: 3, estimateUs: [2, 2, 400, 400][i]! * SECOND }),
+      specOf(id, { shape: 'gang', tasks: 2, cores: 3, estimatedRunUs: [2, 2, 400, 400][i]! * SECOND }),
     );
     for (const spec of specs) w.submit(spec);
     w.runFor(25 * SECOND);
@@ -102,7 +102,7 @@
         spec,
         { ...spec, team: 'nobody' },
         { ...spec, cores: 1_000 },
-        { ...spec, types: ['none'] },
+        { ...spec, machineTypes: ['none'] },
       ])
         for (let node = 0; node < 3; node++) w.users.submit(body);
     w.runFor(4 * SECOND);
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -43,7 +43,7 @@
 const world = (seed: number, nodes: number): { w: World; leader: () => string; log: string[] } => {
   const w = new World(new Random(seed), nodes, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   w.runFor(3 * SECOND);
-  for (let i = 0; i < 8; i++) w.submit(specOf(`run-${i}`, { tasks: 8, estimateUs: 200 * SECOND }));
+  for (let i = 0; i < 8; i++) w.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 200 * SECOND }));
   w.runFor(40 * SECOND);
   const log: string[] = [];
   w.onLog = (node, event) => log.push(`${node} ${event}`);
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Members, type Change } from '@shaleyoke/core/membership/peer-failure-detector';
-import type { Beat } from '@shaleyoke/core/domain/peer';
-import type { Membership } from '@shaleyoke/core/domain/settings';
+import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
+import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { beatOf } from '@shaleyoke/emulator/beats';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { World } from '@shaleyoke/emulator/cluster-simulation';
 
-const ON: Membership = { beatUs: SECOND, suspectBeats: 3 };
+const ON: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
 
 /** One watcher of one peer, with time in hand. */
@@ -18,11 +18,11 @@
   now: Micros = 0;
   readonly members = new Members(ON, ['p'], () => this.now);
   readonly changes: Change[] = [];
-  private readonly inbox: { at: Micros; beat: Beat }[] = [];
+  private readonly inbox: { at: Micros; beat: PeerHeartbeat }[] = [];
   private checked: Micros = 0;
 
   /** The beat comes after `delay`. */
-  send(at: Micros, delay: Micros, beat: Beat): void {
+  send(at: Micros, delay: Micros, beat: PeerHeartbeat): void {
     this.inbox.push({ at: at + delay, beat });
   }
 
@@ -79,7 +79,7 @@
     for (let i = 1; i <= 40; i++) {
       at += (1_000 + r.below(1_900)) * MILLI;
       last = at;
-      w.send(at, 0, beatOf('p', i, { lateUs: SECOND }));
+      w.send(at, 0, beatOf('p', i, { timerDelayUs: SECOND }));
     }
     w.to(last);
     assert.equal(w.suspicions, 0, `seed ${seed}`);
@@ -139,10 +139,10 @@
 test('what a peer reaches is known as of its own word', () => {
   const w = new Watch();
   w.now = 10 * SECOND;
-  w.members.take(beatOf('p', 1, { stateAgeUs: 2 * SECOND }));
+  w.members.take(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
   assert.equal(w.members.reachesState(7 * SECOND), 'p');
   assert.equal(w.members.reachesState(8 * SECOND), null);
-  w.members.take(beatOf('p', 2, { stateAgeUs: null }));
+  w.members.take(beatOf('p', 2, { storeAnswerAgeUs: null }));
   assert.equal(w.members.reachesState(0), null);
 });
 
@@ -160,7 +160,7 @@
   const log: string[] = [];
   w.onLog = (node, event, f) => log.push(`${node} ${event} ${String(f['of'] ?? '')}`);
   w.runFor(3 * SECOND);
-  for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimateUs: 200 * SECOND }));
+  for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 200 * SECOND }));
   w.runFor(30 * SECOND);
   return { w, log };
 };
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -4,7 +4,12 @@
 import { Machine, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { Context } from '@shaleyoke/core/node/node-context';
 import { LEAD } from '@shaleyoke/core/codecs/keys';
-import type { Item, StateOp, StateReply, Write } from '@shaleyoke/core/domain/key-value-store';
+import type {
+  StoredItem,
+  StoreOperation,
+  StoreReply,
+  StoreWrite,
+} from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Pages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ProgressBook } from '@shaleyoke/core/storage/progress-store';
@@ -20,7 +25,7 @@
 
 /** A store that loses requests and answers, and carries some out late. */
 class Store {
-  readonly items = new Map<string, Item>();
+  readonly items = new Map<string, StoredItem>();
   revision = 1;
   largest = 0;
   puts = 0;
@@ -39,7 +44,7 @@
     this.items.set(LEAD, { key: LEAD, value: {}, version: 1, lease: null });
   }
 
-  private apply(op: StateOp): StateReply {
+  private apply(op: StoreOperation): StoreReply {
     if (op.kind === 'get') {
       const item = this.items.get(op.key);
       return item === undefined ? { kind: 'missing', revision: this.revision } : { kind: 'item', item };
@@ -64,7 +69,7 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  private write(w: Write): void {
+  private write(w: StoreWrite): void {
     this.puts++;
     if (w.kind === 'delete') {
       this.items.delete(w.key);
@@ -86,7 +91,7 @@
       this.ctx.out = [];
       for (const e of out) {
         if (e.kind !== 'state') continue;
-        const failed: StateReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
+        const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
         const fate = this.random.next();
         if (fate >= this.trouble) this.ctx.stateReplied(e.call, this.apply(e.op));
         else {
@@ -102,7 +107,7 @@
     }
   }
 
-  under(prefix: string): Item[] {
+  under(prefix: string): StoredItem[] {
     return [...this.items.values()].filter((i) => i.key.startsWith(prefix));
   }
 }
@@ -177,7 +182,7 @@
   const jobs = new Map<string, ActiveJob>();
   const job = (id: string): ActiveJob | undefined => jobs.get(id);
   const find = (n: string): Machine | undefined => machines.get(n);
-  const roster = new Roster(writer, pageRoom(settings.valueBytes), find, () => assert.fail('unreadable'));
+  const roster = new Roster(writer, pageRoom(settings.maxValueBytes), find, () => assert.fail('unreadable'));
   const book = new ProgressBook(ctx, writer, job, find);
   for (let i = 0; i < 1_000; i++) {
     const m = machine(i);
@@ -213,10 +218,10 @@
   store.runFor(10 * SECOND);
   assert.equal(placed, 200);
   assert.ok(store.puts <= 40, `${store.puts} puts`);
-  assert.ok(store.largest <= settings.valueBytes);
+  assert.ok(store.largest <= settings.maxValueBytes);
 
   const next = setUp(2, 0);
-  const found = new Roster(next.writer, pageRoom(settings.valueBytes), () => undefined, assert.fail).load(
+  const found = new Roster(next.writer, pageRoom(settings.maxValueBytes), () => undefined, assert.fail).load(
     store.under('r/'),
     [],
   );
@@ -252,7 +257,7 @@
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
   const find = (n: string): Machine | undefined => (n === m.name ? m : undefined);
-  const roster = new Roster(writer, pageRoom(settings.valueBytes), find, () => assert.fail('unreadable'));
+  const roster = new Roster(writer, pageRoom(settings.maxValueBytes), find, () => assert.fail('unreadable'));
   assert.equal(roster.load([], store.under('h/')).get(m.name)?.retiring, true);
   roster.adopt(store.under('h/'), find);
   const book = new ProgressBook(ctx, writer, (id) => jobs.get(id), find);
@@ -347,7 +352,7 @@
       const jobs = new Map(
         [...want].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
       );
-      const roster = new Roster(writer, pageRoom(lower.valueBytes), find, assert.fail);
+      const roster = new Roster(writer, pageRoom(lower.maxValueBytes), find, assert.fail);
       const found = roster.load(at.under('r/'), at.under('h/'));
       assert.equal(found.size, 240);
       for (const [name, rec] of found) {
@@ -400,7 +405,7 @@
   assert.equal(refused, 1);
   assert.deepEqual(done.length, 11);
   // Smaller limits than announced: pages are made smaller, and every record gets its place.
-  const pages: Pages = new Pages(writer, 'q/', pageRoom(settings.valueBytes), {
+  const pages: Pages = new Pages(writer, 'q/', pageRoom(settings.maxValueBytes), {
     describe: (id) => ({ id, pad: 'z'.repeat(60) }),
     move: (id, then) => {
       pages.put(
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -10,9 +10,9 @@
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(4);
   if (pick === 0)
-    return specOf(id, { shape: 'gang', tasks: 1 + r.below(4), sameZone: true, estimateUs: 15 * SECOND });
-  if (pick === 1) return specOf(id, { tasks: 4, spread: true, estimateUs: 20 * SECOND });
-  return specOf(id, { tasks: 1 + r.below(6), estimateUs: (5 + r.below(40)) * SECOND });
+    return specOf(id, { shape: 'gang', tasks: 1 + r.below(4), sameZone: true, estimatedRunUs: 15 * SECOND });
+  if (pick === 1) return specOf(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 20 * SECOND });
+  return specOf(id, { tasks: 1 + r.below(6), estimatedRunUs: (5 + r.below(40)) * SECOND });
 };
 
 /** One cut: of what from what, for how long, in one direction or both. */
@@ -43,7 +43,7 @@
 const play = (seed: number, nodes: number): { broken: string[]; open: string[]; won: number } => {
   const r = new Random(seed * 104_729);
   const w = new World(r, nodes, '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n', 16, 6);
-  if (seed % 3 !== 0) w.membership = { beatUs: SECOND, suspectBeats: 3 };
+  if (seed % 3 !== 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   let won = 0;
   w.onLog = (_node, event) => {
     if (event === 'leader.won') won++;
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -4,7 +4,7 @@
 import { Link } from '@shaleyoke/core/node/store-connection';
 import { Core } from '@shaleyoke/core/core';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
-import type { Report } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -18,7 +18,7 @@
   const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
   w.runFor(3 * SECOND);
   for (let i = 0; i < 10; i++)
-    w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimateUs: 300 * SECOND }));
+    w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
   w.runFor(60 * SECOND);
   const leader = w.nodes.find((n) => n.core?.leads())!.name;
   const log: string[] = [];
@@ -86,16 +86,16 @@
   tell(atS: number, member: string, term: number): void;
 }
 
-const REPORT: Report = {
+const REPORT: Heartbeat = {
   machine: 'm-1',
   address: 'm-1',
   type: 'box',
   zone: 'a',
   spot: false,
-  session: 1,
-  seq: 1,
-  token: 0,
-  noticeUs: null,
+  agentEpoch: 1,
+  sequence: 1,
+  fencingToken: 0,
+  terminationNoticeUs: null,
   tasks: [],
 };
 
@@ -113,7 +113,7 @@
       return a?.kind === 'redirect' ? a.leader : null;
     },
     tell: (atS, member, term) => {
-      feed(atS, { kind: 'peer', message: { kind: 'progress', member, term, notes: [] } });
+      feed(atS, { kind: 'peer', message: { kind: 'progress', member, term, jobs: [] } });
     },
   };
 };
@@ -157,7 +157,7 @@
   const w = new World(new Random(5), 1);
   w.runFor(3 * SECOND);
   w.submit(specOf('run-1', { tasks: 2 }));
-  w.submit(specOf('run-2', { tasks: 2, estimateUs: 600 * SECOND }));
+  w.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
   w.runFor(40 * SECOND);
   w.poll('run-1');
   w.runFor(2 * SECOND);
@@ -217,7 +217,9 @@
     const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
-      w.submit(specOf(`run-${i}`, { tasks: 3, estimateUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }));
+      w.submit(
+        specOf(`run-${i}`, { tasks: 3, estimatedRunUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }),
+      );
     w.runFor(30 * SECOND);
     const leader = w.nodes.findIndex((n) => n.core?.leads());
     w.network.cutOneWay('state', `n${leader}`, 60 * SECOND);
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -21,7 +21,7 @@
 
 test('a cold machine that finishes sooner beats the warm one', () => {
   const warm = slotOf('warm', typeOf('cpu', { cores: 1 }), { images: new Set(['img']) });
-  const cold = slotOf('cold', typeOf('gpu', { cores: 1, fetchGbPerS: 0.5 }));
+  const cold = slotOf('cold', typeOf('gpu', { cores: 1, imagePullGbPerS: 0.5 }));
   const g = groupOf(specOf('run-1', { tasks: 1, imageGb: 1 }));
   const d = search(pictureOf([warm, cold], { cpu: 12, gpu: 3 }), [g], limits, still);
   assert.equal(d.steps[0]?.slot.key, 'cold');
@@ -113,8 +113,8 @@
     ['run-2', 'run-3', 'run-1', 'run-4'],
   );
   const objectives = [
-    { kind: 'wait', class: 'c', withinUs: 15 * SECOND, share: 0.9, times: 1 },
-    { kind: 'finished', class: 'c', withinUs: 100 * SECOND, share: 0.9, times: 1 },
+    { kind: 'wait', class: 'c', withinUs: 15 * SECOND, share: 0.9, deadlineFactor: 1 },
+    { kind: 'finished', class: 'c', withinUs: 100 * SECOND, share: 0.9, deadlineFactor: 1 },
   ];
   assert.equal(latestStart(b!, objectives, b!.at, 10 * SECOND, 0), 15 * SECOND);
   assert.equal(latestStart(b!, objectives, b!.at + 20 * SECOND, 10 * SECOND, 0), 70 * SECOND);
@@ -219,7 +219,7 @@
   const type = typeOf('cpu', { cores: 4 });
   const types = new Map([['cpu', type]]);
   const old = new ActiveJob(
-    specOf('run-8', { tasks: 99, cores: 2, priority: 0, checkpointUs: SECOND }),
+    specOf('run-8', { tasks: 99, cores: 2, priority: 0, checkpointIntervalUs: SECOND }),
     1,
     0,
     0,
@@ -310,7 +310,7 @@
 
 test('a gang begins where all members have room now, if it is done sooner than by waiting for what each likes', () => {
   // Seen on a krakow day: each of ten gangs held some free places in the plan and waited for the rest.
-  const type = typeOf('node', { cores: 4, memoryGb: 16, fetchGbPerS: 0.2 });
+  const type = typeOf('node', { cores: 4, memoryGb: 16, imagePullGbPerS: 0.2 });
   const idle = ['a1', 'a2', 'a3'].map((k) => slotOf(k, type, { sunk: false }));
   const warm = ['w1', 'w2', 'w3'].map((k) =>
     slotOf(k, type, {
@@ -337,7 +337,7 @@
 test('room kept for services is not given to other work, nor kept from the services themselves', () => {
   const type = typeOf('cpu', { cores: 4, memoryGb: 100 });
   const slots = (): Slot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
-  const service = specOf('run-1', { shape: 'service', tasks: 4, spread: true, priority: 3 });
+  const service = specOf('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
   const kept = groupOf(service, { phantom: true, kept: true });
   const array = groupOf(specOf('run-2', { tasks: 30 }));
   const startedNow = (groups: Group[], of: string): number =>
@@ -347,9 +347,12 @@
   assert.equal(startedNow([array], 'run-2'), 16);
   // Half of its tasks in each zone: whichever has room when it comes.
   assert.equal(startedNow([array, kept], 'run-2'), 12);
-  const alone = groupOf({ ...service, spread: false, sameZone: true }, { phantom: true, kept: true });
+  const alone = groupOf(
+    { ...service, spreadAcrossZones: false, sameZone: true },
+    { phantom: true, kept: true },
+  );
   assert.equal(startedNow([array, alone], 'run-2'), 8);
-  const anywhere = groupOf({ ...service, spread: false, tasks: 5 }, { phantom: true, kept: true });
+  const anywhere = groupOf({ ...service, spreadAcrossZones: false, tasks: 5 }, { phantom: true, kept: true });
   assert.equal(startedNow([array, anywhere], 'run-2'), 10);
   const real = groupOf({ ...service, id: 'run-3' }, { reserve: true });
   assert.equal(startedNow([array, real, kept], 'run-3'), 4);
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -10,11 +10,11 @@
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(5);
   if (pick === 0)
-    return specOf(id, { shape: 'gang', tasks: 1 + r.below(3), sameZone: true, estimateUs: 8 * SECOND });
-  if (pick === 1) return specOf(id, { tasks: 4, spread: true });
+    return specOf(id, { shape: 'gang', tasks: 1 + r.below(3), sameZone: true, estimatedRunUs: 8 * SECOND });
+  if (pick === 1) return specOf(id, { tasks: 4, spreadAcrossZones: true });
   if (pick === 2) return specOf(id, { tasks: 3, sameZone: true, cores: 2 });
   if (pick === 3) return specOf(id, { tasks: 2, zone: 'b', spot: true, priority: 0 });
-  return specOf(id, { tasks: 1 + r.below(6), estimateUs: (4 + r.below(20)) * SECOND });
+  return specOf(id, { tasks: 1 + r.below(6), estimatedRunUs: (4 + r.below(20)) * SECOND });
 };
 
 test('a quiet service does what it is asked to', () => {
@@ -81,8 +81,8 @@
     ids.push(id);
     w.submit(
       i % 3 === 0
-        ? specOf(id, { shape: 'gang', tasks: 24, cores: 2, sameZone: true, estimateUs: 60 * SECOND })
-        : specOf(id, { tasks: 60, cores: 2, estimateUs: 60 * SECOND }),
+        ? specOf(id, { shape: 'gang', tasks: 24, cores: 2, sameZone: true, estimatedRunUs: 60 * SECOND })
+        : specOf(id, { tasks: 60, cores: 2, estimatedRunUs: 60 * SECOND }),
     );
   }
   for (let round = 0; round < 4; round++) {
@@ -108,7 +108,7 @@
     const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 12);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 6; i++)
-      w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimateUs: 60 * SECOND }));
+      w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 60 * SECOND }));
     w.runFor(30 * SECOND);
     for (let round = 0; round < 4; round++) {
       w.listDelay = 2 * SECOND;
@@ -125,7 +125,7 @@
   // Found by a generated world: each leader resigned after ten seconds of silence, before the leases ran out.
   const w = new World(new Random(2));
   w.runFor(3 * SECOND);
-  for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 4, estimateUs: 60 * SECOND }));
+  for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 4, estimatedRunUs: 60 * SECOND }));
   w.runFor(25 * SECOND);
   const before = [...w.workers.values()].filter((x) => x.alive);
   assert.ok(before.length >= 3);
@@ -149,9 +149,9 @@
   for (let offset = 0; offset < 24; offset++) {
     const w = new World(new Random(offset + 1), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
     w.runFor(3 * SECOND);
-    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimateUs: 90 * SECOND }));
+    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 90 * SECOND }));
     w.runFor(30 * SECOND);
-    for (let i = 10; i < 14; i++) w.submit(specOf(`run-${i}`, { tasks: 4, estimateUs: 40 * SECOND }));
+    for (let i = 10; i < 14; i++) w.submit(specOf(`run-${i}`, { tasks: 4, estimatedRunUs: 40 * SECOND }));
     w.runFor((10 + offset * 4) * 1000);
     w.stateOutage(24 * SECOND);
     w.runFor(60 * SECOND);
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -17,7 +17,7 @@
 
 const estateOf = (machines: number): Estate => {
   const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
-  const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, times: 1 }];
+  const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, deadlineFactor: 1 }];
   const ctx = new Context({ ...settings, objectives }, () => 0);
   ctx.types = new Map([['gpu', GPU]]);
   const estate = new Estate(ctx);
@@ -31,7 +31,7 @@
 };
 
 const add = (estate: Estate, id: string, more: Partial<JobSpec>): ActiveJob => {
-  const job = new ActiveJob(specOf(id, { types: ['gpu'], ...more }), 1, 0, 0);
+  const job = new ActiveJob(specOf(id, { machineTypes: ['gpu'], ...more }), 1, 0, 0);
   estate.jobs.set(id, job);
   return job;
 };
@@ -42,7 +42,7 @@
   cores: 6,
   gpus: 1,
   memoryGb: 8,
-  estimateUs: 100 * SECOND,
+  estimatedRunUs: 100 * SECOND,
 };
 
 test('GPUs without cores beside them are no room: what can not be in time comes after what can', () => {
@@ -84,7 +84,7 @@
   );
 });
 
-const URGENT = { kind: 'wait', class: 'urgent', withinUs: 1.6 * SECOND, share: 0.99, times: 1 };
+const URGENT = { kind: 'wait', class: 'urgent', withinUs: 1.6 * SECOND, share: 0.99, deadlineFactor: 1 };
 const TEAMS = Array.from({ length: 20 }, (_, i) => `team-${i}`);
 
 test('urgent work of any shape comes before the turns of many teams', () => {
