--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -17,9 +17,9 @@
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(5);
   if (pick === 0)
-    return specOf(id, { shape: 'gang', tasks: 1 + r.below(4), sameZone: true, estimateUs: 12 * SECOND });
-  if (pick === 1) return specOf(id, { tasks: 4, spread: true, estimateUs: 15 * SECOND });
-  return specOf(id, { tasks: 1 + r.below(8), estimateUs: (3 + r.below(30)) * SECOND });
+    return specOf(id, { shape: 'gang', tasks: 1 + r.below(4), sameZone: true, estimatedRunUs: 12 * SECOND });
+  if (pick === 1) return specOf(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 15 * SECOND });
+  return specOf(id, { tasks: 1 + r.below(8), estimatedRunUs: (3 + r.below(30)) * SECOND });
 };
 
 /** Ends of processes that are back at once: one of them, the leader, or all; now, or again and again. */
@@ -53,7 +53,7 @@
   const r = new Random(seed * 15_485_863);
   const teams = `[[cluster.teams]]\nname = "t"\ncpus_max = ${size.limitCores}.0\n`;
   const w = new World(r, size.nodes, teams, size.limitCores, size.perZone);
-  if (seed % 3 !== 0) w.membership = { beatUs: SECOND, suspectBeats: 3 };
+  if (seed % 3 !== 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   w.stand(size.standing);
   let won = 0;
   w.onLog = (_node, event) => {
@@ -126,7 +126,7 @@
   const w = new World(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
   w.stand(2);
   w.runFor(3 * SECOND);
-  w.submit(specOf('run-1', { tasks: 1, estimateUs: 5 * SECOND }));
+  w.submit(specOf('run-1', { tasks: 1, estimatedRunUs: 5 * SECOND }));
   let seen = 0;
   let copy: (() => string) | null = null;
   for (let i = 0; i < 400; i++) {
@@ -160,7 +160,7 @@
     }
     w.runFor(30 * SECOND);
     // More than stands there: machines are rented beside them, and only these are returned.
-    for (let i = 0; i < 16; i++) w.submit(specOf(`run-${i}`, { tasks: 8, estimateUs: 20 * SECOND }));
+    for (let i = 0; i < 16; i++) w.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 20 * SECOND }));
     w.runFor(300 * SECOND);
     assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
     assert.ok(w.workers.size > first.size, 'machines were rented');
@@ -175,7 +175,7 @@
     const w = new World(new Random(seed), 5, '[[cluster.teams]]\nname = "t"\ncpus_max = 60.0\n', 60, 20);
     w.stand(30);
     w.runFor(3 * SECOND);
-    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimateUs: 300 * SECOND }));
+    for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
     w.runFor(20 * SECOND);
     const leader = w.nodes.findIndex((n) => n.core?.leads());
     // With the leader, few enough machines die for the next one to plan before it knows of that.
@@ -187,7 +187,7 @@
       if (event === 'leader.ready') ready = w.now;
     };
     w.crash(leader, 8 * SECOND);
-    w.submit(specOf('run-9', { tasks: 4, estimateUs: 10 * SECOND }));
+    w.submit(specOf('run-9', { tasks: 4, estimatedRunUs: 10 * SECOND }));
     while (w.now < 60 * SECOND && firstStart === 0) {
       w.runFor(100 * MILLI);
       if ([...w.workers.values()].some((x) => x.tasks.some((t) => t.job === 'run-9'))) firstStart = w.now;
@@ -206,7 +206,7 @@
     w.stand(30);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
-      w.submit(specOf(`run-${i}`, { class: 'd', tasks: 6, estimateUs: 300 * SECOND }));
+      w.submit(specOf(`run-${i}`, { class: 'd', tasks: 6, estimatedRunUs: 300 * SECOND }));
     w.runFor(20 * SECOND);
     // So many that nothing else is planned until they are known to be gone.
     for (const x of [...w.workers.values()].slice(0, 8)) w.killWorker(x);
@@ -218,8 +218,8 @@
       w.nodes.findIndex((n) => n.core?.leads()),
       300 * MILLI,
     );
-    w.submit(specOf('run-8', { class: 'd', tasks: 4, estimateUs: 10 * SECOND }));
-    w.submit(specOf('run-9', { shape: 'service', priority: 3, tasks: 4, spread }));
+    w.submit(specOf('run-8', { class: 'd', tasks: 4, estimatedRunUs: 10 * SECOND }));
+    w.submit(specOf('run-9', { shape: 'service', priority: 3, tasks: 4, spreadAcrossZones: spread }));
     const began = (id: string): Micros | null => {
       const n = [...w.workers.values()].flatMap((x) => x.tasks.filter((t) => t.job === id)).length;
       return n === 4 ? w.now : null;
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -72,12 +72,12 @@
   memoryGb: 64,
   image: 'img-07',
   imageGb: 6.2,
-  types: ['g8'],
+  machineTypes: ['g8'],
   sameZone: true,
   spot: true,
-  estimateUs: 240 * SECOND,
-  checkpointUs: 30 * SECOND,
-  saveUs: 4 * SECOND,
+  estimatedRunUs: 240 * SECOND,
+  checkpointIntervalUs: 30 * SECOND,
+  checkpointDurationUs: 4 * SECOND,
   deadlineUs: 900 * SECOND,
 });
 
@@ -91,7 +91,7 @@
   const record = {
     awaiting: { spec: STORED_SPEC, at: 5, needs: { start: 'run-4', rests: '0,11' } },
   };
-  const waiting = { ...SPEC, needs: ['run-40', 'run-411'] };
+  const waiting = { ...SPEC, dependsOn: ['run-40', 'run-411'] };
   assert.deepEqual(stored(encodeActiveJob(waiting, 5)), record);
   assert.deepEqual(decodeActiveJob(record), { spec: waiting, at: 5 });
 });
@@ -219,9 +219,9 @@
   const world = new World(new Random(5), 3);
   world.stand(2);
   world.runFor(3 * SECOND);
-  world.submit(specOf('run-1', { tasks: 5, estimateUs: 60 * SECOND }));
-  world.submit(specOf('run-2', { needs: ['run-1'] }));
-  world.submit(specOf('run-3', { tasks: 1, estimateUs: SECOND }));
+  world.submit(specOf('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
+  world.submit(specOf('run-2', { dependsOn: ['run-1'] }));
+  world.submit(specOf('run-3', { tasks: 1, estimatedRunUs: SECOND }));
   world.runFor(60 * SECOND);
   const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
   const entriesOf = (prefix: string): unknown[] =>
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -80,7 +80,7 @@
 const compare = (totals: ClusterTotals, machines: ReadonlyMap<string, Machine>, what: string): void => {
   const counted = fullCount(machines.values());
   const usage = totals.usage();
-  const limit = { name: 't', cores: 0, gpus: 0, coresMax: 60, gpusMax: 30 };
+  const limit = { name: 't', guaranteedCores: 0, guaranteedGpus: 0, maxCores: 60, maxGpus: 30 };
   for (const probe of PROBES)
     assert.equal(
       usage.room(probe, limit),
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -19,8 +19,8 @@
   cores: 8,
   gpus: 0,
   memoryGb: 32,
-  cacheGb: 50,
-  fetchGbPerS: 10,
+  imageCacheGb: 50,
+  imagePullGbPerS: 10,
   price: 36,
   spotPrice: 12,
   bootUs: 3 * SECOND,
@@ -43,7 +43,7 @@
     cores: 2,
     memoryGb: 4,
     image: 'brieven-1',
-    estimateUs: 8 * SECOND,
+    estimatedRunUs: 8 * SECOND,
     ...more,
   });
 
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -47,7 +47,7 @@
       jobs.push(
         jobOf(`run-${k}`, TENANTS[k % 4]!, {
           tasks: 1 + r.below(3),
-          estimateUs: (2 + r.below(3)) * SECOND,
+          estimatedRunUs: (2 + r.below(3)) * SECOND,
           ...(k % 5 === 0 ? { shape: 'gang', sameZone: true } : {}),
         }),
       );
--- a/packages/emulator/src/beats.ts
+++ b/packages/emulator/src/beats.ts
@@ -1,15 +1,15 @@
 /** Beats for tests and the detector's table: of a process that is in time and served, with what is said differently. */
-import type { Beat } from '@shaleyoke/core/domain/peer';
+import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 
-export const beatOf = (member: string, seq: number, more: Partial<Beat> = {}): Beat => ({
+export const beatOf = (member: string, seq: number, more: Partial<PeerHeartbeat> = {}): PeerHeartbeat => ({
   kind: 'beat',
   member,
   incarnation: 1,
-  seq,
+  sequence: seq,
   term: null,
-  stateAgeUs: 0,
-  lateUs: 0,
-  workers: 0,
-  others: [],
+  storeAnswerAgeUs: 0,
+  timerDelayUs: 0,
+  workerCount: 0,
+  peers: [],
   ...more,
 });
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -1,5 +1,5 @@
 /** The cloud as a model: what is rented, listed and charged for. The machines themselves are the workers'. */
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { TYPE } from './site.js';
@@ -29,7 +29,7 @@
     public perZone: number,
   ) {}
 
-  apply(op: CloudOp): CloudReply {
+  apply(op: CloudOperation): CloudReply {
     if (this.now() < this.downUntil) return { kind: 'failed', reason: 'trouble' };
     switch (op.kind) {
       case 'types':
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -3,13 +3,13 @@
  * joined by a network. They keep the rules as invariants: whatever breaks one is collected in `broken`.
  */
 import { Core } from '@shaleyoke/core/core';
-import type { UserAnswer, UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
-import type { OrdersReply, Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { CommandReply, Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { StateOp } from '@shaleyoke/core/domain/key-value-store';
-import type { Membership } from '@shaleyoke/core/domain/settings';
+import type { StoreOperation } from '@shaleyoke/core/domain/key-value-store';
+import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { activeKey } from '@shaleyoke/core/codecs/keys';
@@ -87,7 +87,7 @@
   readonly unanswered = new Map<string, number>();
   /** Chance that a copy of a report is kept, and reaches every controller as the next leader begins. */
   keepReports = 0;
-  private kept: Report[] = [];
+  private kept: Heartbeat[] = [];
   /** Copies of kept reports that reached a controller. */
   keptArrived = 0;
   /** Transactions that were carried out so late, and those among them whose conditions still held. */
@@ -114,9 +114,9 @@
   onLog: (node: string, event: string, fields: LogFields) => void = () => undefined;
   private readonly time = new Timeline();
   private nextRequest = 1;
-  private readonly asking = new Map<string, (a: UserAnswer) => void>();
+  private readonly asking = new Map<string, (a: ClientResponse) => void>();
   private readonly askingFeatures = new Map<string, (answer: unknown, last: boolean) => void>();
-  private readonly reporting = new Map<string, (a: WorkerAnswer) => void>();
+  private readonly reporting = new Map<string, (a: HeartbeatResponse) => void>();
 
   constructor(
     readonly random: Random,
@@ -132,7 +132,7 @@
     /** Time of day at the world's beginning; may be set back between starts of processes. */
     public wallStart: Micros = 0,
     /** Whether controllers send beats; read at each start of a process. */
-    public membership: Membership | null = null,
+    public membership: MembershipSettings | null = null,
     /** How the controllers' core is set up; read at each start of a process. */
     readonly coreOptions: CoreOptions = {},
   ) {
@@ -410,7 +410,7 @@
     });
   }
 
-  private losesAnswer(n: SimNode, op: StateOp, call: number, back: (input: Input) => void): boolean {
+  private losesAnswer(n: SimNode, op: StoreOperation, call: number, back: (input: Input) => void): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.refusedFor(n.name) > 0) return false;
     if (this.network.delay(n.name, 'state') > 0 || !this.random.chance(this.answersLost)) return false;
     this.plan(3 * MILLI, () => {
@@ -424,7 +424,7 @@
     return true;
   }
 
-  private writesLate(n: SimNode, op: StateOp, call: number, back: (input: Input) => void): boolean {
+  private writesLate(n: SimNode, op: StoreOperation, call: number, back: (input: Input) => void): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.refusedFor(n.name) > 0) return false;
     if (!this.random.chance(this.lateWrites)) return false;
     this.plan((2_000 + this.random.below(10_000)) * MILLI, () => {
@@ -440,7 +440,7 @@
     run: () => R,
     reply: (r: R) => void,
     lost: R,
-    watch: (StateOp & { kind: 'watch' }) | null,
+    watch: (StoreOperation & { kind: 'watch' }) | null,
     from: string,
     to: string,
   ): void {
@@ -592,16 +592,20 @@
     else if (sent < w.deafUntil) this.machines.unanswered(w);
   }
 
-  private carryOrders(n: SimNode, e: CoreEffect & { kind: 'orders' }, reply: (r: OrdersReply) => void): void {
+  private carryOrders(
+    n: SimNode,
+    e: CoreEffect & { kind: 'orders' },
+    reply: (r: CommandReply) => void,
+  ): void {
     const w = this.workers.get(e.address);
     const held = Math.max(w === undefined ? 0 : w.cutUntil - this.now, this.network.delay(n.name, e.address));
     if (w !== undefined && w.deafUntil > this.now) {
       this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', report: null });
+        reply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
-    const run = (): OrdersReply => this.machines.orders(e.address, e.token, e.session, e.orders);
+    const run = (): CommandReply => this.machines.orders(e.address, e.token, e.session, e.orders);
     const late = this.ordersLate !== null && this.random.chance(this.ordersLate.share);
     if (late) {
       this.plan(ORDERS_PATIENCE + this.random.below(this.ordersLate!.most), () => {
@@ -609,7 +613,7 @@
         run();
       });
       this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', report: null });
+        reply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
@@ -619,11 +623,11 @@
         run();
       });
       this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', report: null });
+        reply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
-    this.carry(run, reply, { kind: 'lost', report: null }, null, n.name, e.address);
+    this.carry(run, reply, { kind: 'lost', heartbeat: null }, null, n.name, e.address);
   }
 
   /** A job's description as its worker fetches it, whoever submitted the job. */
@@ -637,7 +641,7 @@
 
   // ---- users -------------------------------------------------------------------------------------
 
-  private ask(i: number, body: UserRequest, then: (a: UserAnswer | null) => void): void {
+  private ask(i: number, body: ClientRequest, then: (a: ClientResponse | null) => void): void {
     const n = this.nodes[i]!;
     const request = this.nextRequest++;
     if (n.core === null) {
@@ -646,7 +650,7 @@
     }
     const key = `${n.name}/${n.life}/${request}`;
     let open = true;
-    const finish = (a: UserAnswer | null): void => {
+    const finish = (a: ClientResponse | null): void => {
       if (!open) return;
       open = false;
       this.asking.delete(key);
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -75,22 +75,23 @@
   const common: Partial<JobSpec> = {
     team: random.chance(0.5) ? 't' : 'u',
     priority: random.below(4) as JobSpec['priority'],
-    estimateUs: (3 + random.below(40)) * SECOND,
+    estimatedRunUs: (3 + random.below(40)) * SECOND,
     spot: random.chance(0.4),
     deadlineUs: random.chance(0.3) ? (30 + random.below(90)) * SECOND : null,
-    needs: earlier.length > 0 && random.chance(0.25) ? [earlier[random.below(earlier.length)]!] : [],
+    dependsOn: earlier.length > 0 && random.chance(0.25) ? [earlier[random.below(earlier.length)]!] : [],
   };
   const shape = random.below(6);
   if (shape === 0)
     return specOf(id, { ...common, shape: 'gang', tasks: 2 + random.below(3), sameZone: true });
-  if (shape === 1) return specOf(id, { ...common, tasks: 4, spread: true });
+  if (shape === 1) return specOf(id, { ...common, tasks: 4, spreadAcrossZones: true });
   if (shape === 2) {
-    const checkpoints = { checkpointUs: 3 * SECOND, saveUs: 2 * SECOND };
+    const checkpoints = { checkpointIntervalUs: 3 * SECOND, checkpointDurationUs: 2 * SECOND };
     return specOf(id, { ...common, ...checkpoints, tasks: 1 + random.below(3) });
   }
   if (shape === 3)
     return specOf(id, { ...common, shape: 'service', tasks: 1 + random.below(3), deadlineUs: null });
-  if (shape === 4) return specOf(id, { ...common, tasks: 1 + random.below(3), types: ['box'], zone: 'a' });
+  if (shape === 4)
+    return specOf(id, { ...common, tasks: 1 + random.below(3), machineTypes: ['box'], zone: 'a' });
   return specOf(id, { ...common, tasks: 1 + random.below(30) });
 };
 
@@ -143,7 +144,7 @@
     '',
     () => features(new Random(plan.seed)),
     WALL_START,
-    plan.membership ? { beatUs: SECOND, suspectBeats: 3 } : null,
+    plan.membership ? { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 } : null,
     { onEffect },
   );
   if (plan.seed % 2 === 1) world.stand(3);
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -165,7 +165,7 @@
     }
   },
   'a question, a repetition or a cancellation meets the end of the last task': ({ w, r, submit, count }) => {
-    for (let i = 0; i < 4; i++) submit({ tasks: 1 + r.below(2), estimateUs: (2 + r.below(8)) * SECOND });
+    for (let i = 0; i < 4; i++) submit({ tasks: 1 + r.below(2), estimatedRunUs: (2 + r.below(8)) * SECOND });
     w.work.onDone = (id) => {
       const spec = w.work.specs.get(id);
       if (spec === undefined) return;
@@ -212,7 +212,7 @@
   },
   'every team at its limit, jobs cancelled whose machines are cut off or hang, the leader changes': (s) => {
     const { w, r } = s;
-    for (let i = 0; i < 3; i++) s.submit({ tasks: 6, estimateUs: 90 * SECOND });
+    for (let i = 0; i < 3; i++) s.submit({ tasks: 6, estimatedRunUs: 90 * SECOND });
     w.later(14 * SECOND, () => {
       s.count(
         'cores in use',
@@ -226,7 +226,7 @@
   },
   'cancelled as the office changes hands': (s) => {
     const { w, r, count } = s;
-    s.submit({ tasks: 4, estimateUs: 200 * SECOND });
+    s.submit({ tasks: 4, estimatedRunUs: 200 * SECOND });
     w.later(10 * SECOND, () => {
       const i = w.leader();
       if (i < 0) return;
@@ -261,7 +261,7 @@
     const before = w.workers.size;
     // Room has to come from new machines.
     for (const x of busy(w)) if (r.chance(0.6)) w.killWorker(x);
-    for (let i = 0; i < 3; i++) s.submit({ tasks: 4, estimateUs: (5 + r.below(30)) * SECOND });
+    for (let i = 0; i < 3; i++) s.submit({ tasks: 4, estimatedRunUs: (5 + r.below(30)) * SECOND });
     const lag = r.below(3);
     if (lag === 0) w.lateWrites = 0.5;
     else if (lag === 1) w.answersLost = 0.5;
@@ -288,7 +288,12 @@
   },
   'machines are taken with notice, and jobs cancelled while they save': (s) => {
     const { w, r, count } = s;
-    s.submit({ tasks: 6, estimateUs: 120 * SECOND, checkpointUs: 2 * SECOND, saveUs: 4 * SECOND });
+    s.submit({
+      tasks: 6,
+      estimatedRunUs: 120 * SECOND,
+      checkpointIntervalUs: 2 * SECOND,
+      checkpointDurationUs: 4 * SECOND,
+    });
     w.later(14 * SECOND, () => {
       for (const x of busy(w).slice(0, 4))
         if (r.chance(0.7)) {
@@ -312,7 +317,7 @@
     w.state.writesPerSecond = 25;
     for (let i = 0; i < 48; i++)
       w.later(i * 250 * MILLI, () => {
-        const id = s.submit({ tasks: 1, estimateUs: (1 + r.below(3)) * SECOND });
+        const id = s.submit({ tasks: 1, estimatedRunUs: (1 + r.below(3)) * SECOND });
         count('small jobs');
         if (r.chance(0.25))
           w.later(r.below(4_000) * MILLI, () => {
@@ -359,9 +364,9 @@
   },
   'jobs bound to one zone lose machines': (s) => {
     const { w, r, count } = s;
-    s.submit({ tasks: 4, zone: 'a', estimateUs: 20 * SECOND });
-    s.submit({ shape: 'gang', tasks: 3, sameZone: true, estimateUs: 20 * SECOND });
-    s.submit({ tasks: 4, spread: true, estimateUs: 20 * SECOND });
+    s.submit({ tasks: 4, zone: 'a', estimatedRunUs: 20 * SECOND });
+    s.submit({ shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: 20 * SECOND });
+    s.submit({ tasks: 4, spreadAcrossZones: true, estimatedRunUs: 20 * SECOND });
     w.later(13 * SECOND, () => {
       for (const x of busy(w))
         if (x.zone === 'a' && r.chance(0.6)) {
@@ -379,8 +384,8 @@
       s.submit({
         tasks: 3 + r.below(4),
         priority: [0, 1, 2, 3][r.below(4)] as JobSpec['priority'],
-        estimateUs: (8 + r.below(15)) * SECOND,
-        ...(r.chance(0.5) ? { checkpointUs: 2 * SECOND, saveUs: 2 * SECOND } : {}),
+        estimatedRunUs: (8 + r.below(15)) * SECOND,
+        ...(r.chance(0.5) ? { checkpointIntervalUs: 2 * SECOND, checkpointDurationUs: 2 * SECOND } : {}),
       });
     count('bursts');
     w.later(20 * SECOND, () => {
@@ -393,12 +398,17 @@
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(6);
   if (pick === 0)
-    return specOf(id, { shape: 'gang', tasks: 2 + r.below(2), sameZone: true, estimateUs: 20 * SECOND });
-  if (pick === 1) return specOf(id, { tasks: 3, spread: true, estimateUs: 25 * SECOND });
+    return specOf(id, { shape: 'gang', tasks: 2 + r.below(2), sameZone: true, estimatedRunUs: 20 * SECOND });
+  if (pick === 1) return specOf(id, { tasks: 3, spreadAcrossZones: true, estimatedRunUs: 25 * SECOND });
   if (pick === 2)
-    return specOf(id, { tasks: 2, estimateUs: 40 * SECOND, checkpointUs: 3 * SECOND, saveUs: 2 * SECOND });
+    return specOf(id, {
+      tasks: 2,
+      estimatedRunUs: 40 * SECOND,
+      checkpointIntervalUs: 3 * SECOND,
+      checkpointDurationUs: 2 * SECOND,
+    });
   // Of one to three tasks, some of them much longer than others take in all.
-  return specOf(id, { tasks: 1 + r.below(3), estimateUs: (4 + r.below(60)) * SECOND });
+  return specOf(id, { tasks: 1 + r.below(3), estimatedRunUs: (4 + r.below(60)) * SECOND });
 };
 
 export interface Outcome {
@@ -453,7 +463,7 @@
     null,
     coreOptions,
   );
-  if (seed % 2 === 0) w.membership = { beatUs: SECOND, suspectBeats: 3 };
+  if (seed % 2 === 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   const counts = new Map<string, number>();
   const count = (what: string, by = 1): void => {
     counts.set(what, (counts.get(what) ?? 0) + by);
--- a/packages/emulator/src/loopback-stand-ins.ts
+++ b/packages/emulator/src/loopback-stand-ins.ts
@@ -1,5 +1,5 @@
 /** State service and cloud of the protocol on loopback, in this process. */
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import { serve, type Served } from './loopback-http.js';
 import type { StateModel } from './state-model.js';
 import { cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from './wire.js';
@@ -16,7 +16,7 @@
     else reply(encodeStateReply(op, state.apply(op)));
   });
 
-export const serveCloud = (answer: (op: CloudOp) => CloudReply): Promise<Served> =>
+export const serveCloud = (answer: (op: CloudOperation) => CloudReply): Promise<Served> =>
   serve('127.0.0.1:0', (request, reply) => {
     reply(encodeCloudReply(answer(cloudOpOf(request.method, request.url, request.body))));
   });
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -1,5 +1,5 @@
 /** Workers on loopback: each with an address, a lease and tasks, in wall time. */
-import type { Order, Report, ReportedTask } from '@shaleyoke/core/domain/heartbeat';
+import type { WorkerCommand, Heartbeat, ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -122,24 +122,24 @@
     this.reportAt = Math.min(this.reportAt, Math.max(this.world.now(), this.reported + LEAST_GAP));
   }
 
-  private report(): Report {
+  private report(): Heartbeat {
     return {
       machine: this.name,
       address: this.address,
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
-      noticeUs: null,
+      agentEpoch: this.session,
+      sequence: ++this.seq,
+      fencingToken: this.token,
+      terminationNoticeUs: null,
       tasks: this.tasks.map(({ job, index, attempt, state, cause }) => ({
         job,
         index,
         attempt,
         state,
         cause,
-        saved: false,
+        checkpointed: false,
       })),
     };
   }
@@ -180,7 +180,7 @@
   private begin(t: LoopTask, spec: JobSpec, now: Micros): void {
     if (t.state !== 'running') return;
     t.since = now;
-    t.until = spec.shape === 'service' ? Infinity : now + spec.estimateUs;
+    t.until = spec.shape === 'service' ? Infinity : now + spec.estimatedRunUs;
   }
 
   /** Whether a member of the gang has completed: then all of them do. */
@@ -230,7 +230,7 @@
     }
   }
 
-  private execute(o: Order): void {
+  private execute(o: WorkerCommand): void {
     const t = this.tasks.find((x) => x.job === o.job && x.index === o.index);
     if (o.op === 'forget') {
       this.tasks = this.tasks.filter((x) => x !== t || x.attempt !== o.attempt || x.state !== 'exited');
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -6,7 +6,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -183,7 +183,7 @@
 
   // ---- cloud -------------------------------------------------------------------------------------
 
-  private cloud(op: CloudOp): CloudReply {
+  private cloud(op: CloudOperation): CloudReply {
     switch (op.kind) {
       case 'types':
         return { kind: 'types', types: this.o.types };
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -34,7 +34,7 @@
   return {
     now: nowUs,
     // Descriptions are the users' to upload: all tasks of a hollow run are alike.
-    spec: (job) => specOf(job, { estimateUs: config.taskUs }),
+    spec: (job) => specOf(job, { estimatedRunUs: config.taskUs }),
     nodes: config.nodes,
     reportUs: config.reportUs,
     leaseUs: config.leaseUs,
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -6,7 +6,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { controllerSettings } from '../controller-settings.js';
@@ -147,7 +147,7 @@
   }
 
   /** All machines stand ready; none can be rented. */
-  private cloud(op: CloudOp): CloudReply {
+  private cloud(op: CloudOperation): CloudReply {
     if (op.kind === 'types') return { kind: 'types', types: [HOLLOW_TYPE] };
     if (op.kind === 'rent') return { kind: 'noCapacity' };
     if (op.kind === 'delete') return { kind: 'deleted' };
@@ -368,7 +368,7 @@
       tasks: ARRAY_TASKS,
       gpus: number % 2,
       image: `image-${number % 8}`,
-      estimateUs: this.o.taskSeconds * SECOND,
+      estimatedRunUs: this.o.taskSeconds * SECOND,
     });
     const { address } = this.controllers[number % this.controllers.length]!;
     this.submittedAt.set(spec.id, Date.now());
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -1,6 +1,6 @@
 /** Measures the leader of an emulated deployment: processor time by kind of input, writes, orders and starts. */
 import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
-import type { Order } from '@shaleyoke/core/domain/heartbeat';
+import type { WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import type { StepMeter } from '../step-meter.js';
 import { summarize, type Summary } from './statistics.js';
@@ -29,7 +29,7 @@
 
 export class LeaderProbe implements StepMeter {
   /** Told of each start when it is first sent to its machine. */
-  onStart: (order: Order & { op: 'start' }) => void = () => undefined;
+  onStart: (order: WorkerCommand & { op: 'start' }) => void = () => undefined;
   private leader = '';
   private steps = new Map<Input['kind'], number[]>();
   private plans: { groups: number; search: number; act: number }[] = [];
@@ -70,7 +70,7 @@
     else if (effect.kind === 'log' && effect.event === 'plan') this.notePlan(effect.fields);
   }
 
-  private countStarts(orders: readonly Order[]): void {
+  private countStarts(orders: readonly WorkerCommand[]): void {
     for (const order of orders)
       if (order.op === 'start') {
         this.counts.starts++;
--- a/packages/emulator/src/scale/load.ts
+++ b/packages/emulator/src/scale/load.ts
@@ -66,7 +66,7 @@
           team: TEAMS[number % TEAMS.length]!,
           cores: TASK_CORES,
           image: `image-${number % IMAGES}`,
-          estimateUs: spec.shape === 'service' ? 0 : runTime(random),
+          estimatedRunUs: spec.shape === 'service' ? 0 : runTime(random),
         }),
       );
     }
--- a/packages/emulator/src/site.ts
+++ b/packages/emulator/src/site.ts
@@ -1,6 +1,6 @@
 /** A deployment for simulated worlds: the settings that its nodes are handed, and its one type of machine. */
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import type { Membership, Settings } from '@shaleyoke/core/domain/settings';
+import type { MembershipSettings, Settings } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { parseSettings } from '@shaleyoke/config/settings';
 
@@ -9,7 +9,7 @@
   all: readonly string[],
   teams: string,
   next = '',
-  membership: Membership | null = null,
+  membership: MembershipSettings | null = null,
   /** The operators' own settings (YAML); null: all defaults. */
   operators: string | null = null,
 ): Settings => {
@@ -33,8 +33,8 @@
   cores: 4,
   gpus: 0,
   memoryGb: 16,
-  cacheGb: 20,
-  fetchGbPerS: 1,
+  imageCacheGb: 20,
+  imagePullGbPerS: 1,
   price: 1,
   spotPrice: 0.4,
   bootUs: 10 * SECOND,
--- a/packages/emulator/src/state-model.ts
+++ b/packages/emulator/src/state-model.ts
@@ -1,17 +1,22 @@
 /** The state service as a model: told the time, it answers; nobody waits in it. */
-import type { Item, StateEvent, StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type {
+  StoredItem,
+  StoreEvent,
+  StoreOperation,
+  StoreReply,
+} from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 /** What the service keeps of past changes for watches. */
 const HISTORY = 10_000;
 
-type WatchOp = StateOp & { readonly kind: 'watch' };
+type WatchOp = StoreOperation & { readonly kind: 'watch' };
 
 interface Watch {
   readonly op: WatchOp;
   readonly until: Micros;
-  readonly reply: (r: StateReply) => void;
+  readonly reply: (r: StoreReply) => void;
 }
 
 export class StateModel {
@@ -30,9 +35,9 @@
   /** Puts and deletes carried out. */
   changes = 0;
   revision = 1;
-  private readonly kv = new Map<string, Item>();
+  private readonly kv = new Map<string, StoredItem>();
   private readonly leases = new Map<number, { ttl: Micros; ends: Micros }>();
-  private readonly history: StateEvent[] = [];
+  private readonly history: StoreEvent[] = [];
   private watches: Watch[] = [];
   private nextLease = 1;
 
@@ -77,7 +82,7 @@
       }
   }
 
-  private note(e: StateEvent): void {
+  private note(e: StoreEvent): void {
     this.history.push(e);
     if (this.history.length > 2 * HISTORY) this.history.splice(0, HISTORY);
     this.watches = this.watches.filter((w) => {
@@ -89,7 +94,7 @@
     });
   }
 
-  private eventsFor(op: WatchOp): StateReply {
+  private eventsFor(op: WatchOp): StoreReply {
     const first = this.history[0];
     if (this.history.length >= HISTORY && first !== undefined && op.after < first.version)
       return { kind: 'tooOld' };
@@ -100,7 +105,7 @@
     };
   }
 
-  watch(op: WatchOp, reply: (r: StateReply) => void): void {
+  watch(op: WatchOp, reply: (r: StoreReply) => void): void {
     if (this.down) {
       reply({ kind: 'failed', executed: false, cause: 'refused', reason: '503' });
       return;
@@ -110,7 +115,7 @@
     else this.watches.push({ op, until: this.now() + op.waitMs * MILLI, reply });
   }
 
-  apply(op: StateOp): StateReply {
+  apply(op: StoreOperation): StoreReply {
     if (this.down) return { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
     this.expire();
     if (this.mute.size > 0 && this.asksMute(op))
@@ -144,7 +149,7 @@
     }
   }
 
-  private list(op: StateOp & { kind: 'list' }): StateReply {
+  private list(op: StoreOperation & { kind: 'list' }): StoreReply {
     const items = [...this.kv.values()]
       .filter((i) => i.key.startsWith(op.prefix) && (op.after === undefined || i.key > op.after))
       .sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -156,7 +161,7 @@
     };
   }
 
-  private transact(op: StateOp & { kind: 'txn' }): StateReply {
+  private transact(op: StoreOperation & { kind: 'txn' }): StoreReply {
     const tooLarge = op.writes.some(
       (w) => w.kind === 'put' && Buffer.byteLength(JSON.stringify(w.value)) > this.limits.valueBytes,
     );
@@ -185,7 +190,7 @@
     return { kind: 'ok', revision: this.revision };
   }
 
-  private asksMute(op: StateOp): boolean {
+  private asksMute(op: StoreOperation): boolean {
     if (op.kind === 'get') return this.mute.has(op.key);
     return (
       op.kind === 'txn' &&
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -1,5 +1,5 @@
 /** Users as a model: they submit, poll and cancel, try again, and remember what they were told. */
-import type { UserAnswer, UserRequest } from '@shaleyoke/core/domain/client-api';
+import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -18,7 +18,7 @@
   readonly now: Micros;
   readonly nodes: number;
   /** Asks a node; null: no answer within the user's patience. */
-  ask(node: number, body: UserRequest, then: (a: UserAnswer | null) => void): void;
+  ask(node: number, body: ClientRequest, then: (a: ClientResponse | null) => void): void;
   later(delay: Micros, run: () => void): void;
   broke(what: string): void;
 }
@@ -49,8 +49,8 @@
 
   private ask(
     id: string,
-    body: UserRequest,
-    then: (a: UserAnswer | null) => void,
+    body: ClientRequest,
+    then: (a: ClientResponse | null) => void,
     node = this.random.below(this.host.nodes),
   ): void {
     const known = this.told.get(id);
@@ -67,7 +67,7 @@
     for (let node = 0; node < this.host.nodes; node++)
       for (const round of [0, 1, 2]) {
         this.looks.set(word, (this.looks.get(word) ?? 0) + 1);
-        const body: UserRequest =
+        const body: ClientRequest =
           this.random.chance(0.3) || (round === 0 && word === 'accepted')
             ? { kind: 'submit', id, spec, problem: null }
             : { kind: 'poll', id };
@@ -106,7 +106,7 @@
   }
 
   /** What any node had told when the question was asked must never be taken back. */
-  private hear(id: string, a: UserAnswer | null, known: Told | undefined): void {
+  private hear(id: string, a: ClientResponse | null, known: Told | undefined): void {
     if (a?.kind === 'view') this.answeredAt.set(id, this.now);
     if (known !== undefined && (a?.kind === 'absent' || a?.kind === 'malformed' || a?.kind === 'impossible'))
       this.host.broke(`forgotten ${id}: ${a.kind}`);
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -70,7 +70,7 @@
     const stage = w.stageOf(id);
     if (stage === undefined || stage === 'done' || stage === 'cancelled' || w.users.asked.has(id))
       return false;
-    if (w.work.isDone(id) || spec.needs.some((n) => !w.work.isDone(n))) return false;
+    if (w.work.isDone(id) || spec.dependsOn.some((n) => !w.work.isDone(n))) return false;
     const zones = new Map<string, number>();
     const there = new Set<number>();
     for (const x of w.workers.values())
@@ -91,12 +91,12 @@
     for (const [x, cores] of free) {
       if ((spec.zone !== null && spec.zone !== x.zone) || (x.spot && !spec.spot)) continue;
       if (spec.sameZone && [...zones.keys()].some((z) => z !== x.zone)) continue;
-      if (spec.spread && (zones.get(x.zone) ?? 0) >= Math.ceil(spec.tasks / 2)) continue;
+      if (spec.spreadAcrossZones && (zones.get(x.zone) ?? 0) >= Math.ceil(spec.tasks / 2)) continue;
       places.set(x.zone, (places.get(x.zone) ?? 0) + Math.floor(cores / spec.cores));
     }
     if (!gang) return [...places.values()].some((n) => n > 0);
     // A gang that spreads is not looked for: none is played.
-    if (spec.spread) return false;
+    if (spec.spreadAcrossZones) return false;
     return spec.sameZone
       ? [...places.values()].some((n) => n >= need)
       : [...places.values()].reduce((a, b) => a + b, 0) >= need;
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -1,8 +1,8 @@
 /** The other side of the protocol: what state service, cloud, workers and users read and write on the wire. */
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
-import type { Order, Report, WorkerAnswer } from '@shaleyoke/core/domain/heartbeat';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { WorkerCommand, Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { StateOp, StateReply } from '@shaleyoke/core/domain/key-value-store';
+import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
   amount,
@@ -38,7 +38,7 @@
 
 // ---- state service -------------------------------------------------------------------------------
 
-export const stateOpOf = (method: string, url: string, body: Buffer): StateOp => {
+export const stateOpOf = (method: string, url: string, body: Buffer): StoreOperation => {
   const { path, q } = query(url);
   const f = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path.startsWith('/kv/')) return { kind: 'get', key: path.slice(4) };
@@ -85,7 +85,7 @@
   throw new Malformed(`no such request: ${method} ${path}`);
 };
 
-export const encodeStateReply = (op: StateOp, r: StateReply): Answer => {
+export const encodeStateReply = (op: StoreOperation, r: StoreReply): Answer => {
   switch (r.kind) {
     case 'item':
       return answer(200, {
@@ -130,7 +130,7 @@
 
 // ---- cloud ---------------------------------------------------------------------------------------
 
-export const cloudOpOf = (method: string, url: string, body: Buffer): CloudOp => {
+export const cloudOpOf = (method: string, url: string, body: Buffer): CloudOperation => {
   const { path, q } = query(url);
   const f = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path === '/flavors') return { kind: 'types' };
@@ -157,8 +157,8 @@
   cores: t.cores,
   gpus: t.gpus,
   memory_gb: t.memoryGb,
-  cache_gb: t.cacheGb,
-  pull_gb_per_s: t.fetchGbPerS,
+  cache_gb: t.imageCacheGb,
+  pull_gb_per_s: t.imagePullGbPerS,
   rate: t.price,
   market_price: t.spotPrice,
   startup_s: seconds(t.bootUs),
@@ -194,27 +194,27 @@
 
 // ---- workers -------------------------------------------------------------------------------------
 
-export const encodeReport = (r: Report): Buffer =>
+export const encodeReport = (r: Heartbeat): Buffer =>
   encodeBody({
     berth: r.machine,
     address: r.address,
     model: r.type,
     hall: r.zone,
     loaners: r.spot,
-    shift: r.session,
-    tally: r.seq,
-    baton: r.token,
-    recall_s: r.noticeUs === null ? null : seconds(r.noticeUs),
+    shift: r.agentEpoch,
+    tally: r.sequence,
+    baton: r.fencingToken,
+    recall_s: r.terminationNoticeUs === null ? null : seconds(r.terminationNoticeUs),
     parts: r.tasks.map((t) => ({
       part: taskName(t.job, t.index),
       try: t.attempt,
       stage: nameIn(STATES, t.state),
       ...(t.cause === null ? {} : { cause: nameIn(CAUSES, t.cause) }),
-      ...(t.saved ? { saved: true } : {}),
+      ...(t.checkpointed ? { saved: true } : {}),
     })),
   });
 
-const orderOf = (value: unknown): Order => {
+const orderOf = (value: unknown): WorkerCommand => {
   const f = asFields(value, 'order');
   const id = { ...splitTask(text(f, 'part')), attempt: integer(f, 'try') };
   switch (text(f, 'verb')) {
@@ -229,7 +229,7 @@
   }
 };
 
-export const ordersOf = (body: Buffer): { token: number; session: number; orders: Order[] } => {
+export const ordersOf = (body: Buffer): { token: number; session: number; orders: WorkerCommand[] } => {
   const f = asFields(decodeBody(body), 'request');
   return {
     token: integer(f, 'baton'),
@@ -238,7 +238,7 @@
   };
 };
 
-export const workerAnswerOf = (status: number, body: Buffer): WorkerAnswer => {
+export const workerAnswerOf = (status: number, body: Buffer): HeartbeatResponse => {
   try {
     const f = asFields(decodeBody(body), 'answer');
     if (status === 200)
@@ -270,14 +270,14 @@
     memory_gb: s.memoryGb,
     build: s.image,
     image_gb: s.imageGb,
-    models: s.types,
+    models: s.machineTypes,
     hall: s.zone,
     same_place: s.sameZone,
-    scatter: s.spread,
+    scatter: s.spreadAcrossZones,
     loaners: s.spot,
-    expect_s: seconds(s.estimateUs),
-    snapshot_s: seconds(s.checkpointUs),
-    flush_s: seconds(s.saveUs),
+    expect_s: seconds(s.estimatedRunUs),
+    snapshot_s: seconds(s.checkpointIntervalUs),
+    flush_s: seconds(s.checkpointDurationUs),
     due_s: s.deadlineUs === null ? null : seconds(s.deadlineUs),
-    ...(s.needs.length > 0 ? { awaits: s.needs } : {}),
+    ...(s.dependsOn.length > 0 ? { awaits: s.dependsOn } : {}),
   });
--- a/packages/emulator/src/work.ts
+++ b/packages/emulator/src/work.ts
@@ -39,7 +39,7 @@
     const seen = new Set([id]);
     const next = [id];
     for (let x = next.pop(); x !== undefined; x = next.pop())
-      for (const n of this.specs.get(x)?.needs ?? [])
+      for (const n of this.specs.get(x)?.dependsOn ?? [])
         if (!seen.has(n)) {
           seen.add(n);
           next.push(n);
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -1,10 +1,10 @@
 /** Workers as a model: tasks, gangs, sessions and leases, with the rules checked at each start. */
 import type {
-  Order,
-  OrdersReply,
-  Report,
+  WorkerCommand,
+  CommandReply,
+  Heartbeat,
   ReportedTask,
-  WorkerAnswer,
+  HeartbeatResponse,
 } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
@@ -27,7 +27,7 @@
   attempt: number;
   state: ReportedTask['state'];
   cause: ReportedTask['cause'];
-  saved: boolean;
+  checkpointed: boolean;
   /** When the state changes by itself. */
   until: Micros;
   /** When it began to run. */
@@ -155,30 +155,30 @@
 
   // ---- reports -----------------------------------------------------------------------------------
 
-  reportOf(w: Worker): Report {
+  reportOf(w: Worker): Heartbeat {
     return {
       machine: w.name,
       address: w.name,
       type: TYPE.name,
       zone: w.zone,
       spot: w.spot,
-      session: w.session,
-      seq: ++w.seq,
-      token: w.token,
-      noticeUs: w.takenAt === null ? null : Math.max(0, w.takenAt - this.now),
-      tasks: w.tasks.map(({ job, index, attempt, state, cause, saved }) => ({
+      agentEpoch: w.session,
+      sequence: ++w.seq,
+      fencingToken: w.token,
+      terminationNoticeUs: w.takenAt === null ? null : Math.max(0, w.takenAt - this.now),
+      tasks: w.tasks.map(({ job, index, attempt, state, cause, checkpointed }) => ({
         job,
         index,
         attempt,
         state,
         cause,
-        saved,
+        checkpointed,
       })),
     };
   }
 
   /** The answer to a report that was sent in this session, at that time. `to`: the node that an answer names, if known. */
-  answered(w: Worker, session: number, sent: Micros, a: WorkerAnswer, to: number): void {
+  answered(w: Worker, session: number, sent: Micros, a: HeartbeatResponse, to: number): void {
     if (!w.alive || w.session !== session || this.now < w.cutUntil) return;
     if (a.kind === 'accepted') {
       if (a.token < w.token) return;
@@ -205,16 +205,16 @@
   // ---- orders ------------------------------------------------------------------------------------
 
   /** Direct commands: executed if token and session still match. */
-  orders(name: string, token: number, session: number, orders: readonly Order[]): OrdersReply {
+  orders(name: string, token: number, session: number, orders: readonly WorkerCommand[]): CommandReply {
     const w = this.all.get(name);
-    if (w === undefined || !w.alive || this.now < w.upAt) return { kind: 'lost', report: null };
-    if (token < w.token || session !== w.session) return { kind: 'refused', report: this.reportOf(w) };
+    if (w === undefined || !w.alive || this.now < w.upAt) return { kind: 'lost', heartbeat: null };
+    if (token < w.token || session !== w.session) return { kind: 'refused', heartbeat: this.reportOf(w) };
     w.token = token;
     for (const o of orders) this.execute(w, o);
-    return { kind: 'executed', report: this.reportOf(w) };
+    return { kind: 'executed', heartbeat: this.reportOf(w) };
   }
 
-  private execute(w: Worker, o: Order): void {
+  private execute(w: Worker, o: WorkerCommand): void {
     const t = w.tasks.find((x) => x.job === o.job && x.index === o.index);
     if (o.op === 'forget') {
       w.tasks = w.tasks.filter((x) => x !== t || x.attempt !== o.attempt || x.state !== 'exited');
@@ -226,7 +226,7 @@
     }
     if (t !== undefined && t.attempt === o.attempt) return;
     if (t !== undefined && t.state !== 'exited') {
-      w.tasks.push({ ...o, state: 'exited', cause: 'busy', saved: false, until: 0, since: null });
+      w.tasks.push({ ...o, state: 'exited', cause: 'busy', checkpointed: false, until: 0, since: null });
       return;
     }
     w.tasks = w.tasks.filter((x) => x !== t);
@@ -237,7 +237,7 @@
       attempt: o.attempt,
       state: 'fetching',
       cause: null,
-      saved: false,
+      checkpointed: false,
       until: this.now + 500 * MILLI,
       since: null,
     });
@@ -249,11 +249,11 @@
     if (t.state === 'running' && spec !== undefined) {
       if (this.host.cancelledAt(t.job) === undefined && !this.work.isDone(t.job))
         this.stoppedRunning.push({ at: this.now, task: `${t.job}/${t.index}`, machine: w.name });
-      if (spec.checkpointUs > 0 && graceUs >= spec.saveUs) {
+      if (spec.checkpointIntervalUs > 0 && graceUs >= spec.checkpointDurationUs) {
         this.noteRun(t);
         t.since = null;
         t.state = 'saving';
-        t.until = this.now + spec.saveUs;
+        t.until = this.now + spec.checkpointDurationUs;
         this.saves.begun++;
         return;
       }
@@ -268,14 +268,14 @@
   }
 
   /** The rules, checked at the moment of a start. */
-  private checkStart(w: Worker, o: Order & { op: 'start' }): void {
+  private checkStart(w: Worker, o: WorkerCommand & { op: 'start' }): void {
     this.starts++;
     const spec = this.host.describe(o.job);
     if (spec === undefined) {
       this.host.broke(`start of unknown ${o.job}`);
       return;
     }
-    for (const n of spec.needs)
+    for (const n of spec.dependsOn)
       if (!this.work.isDone(n)) this.host.broke(`too_early ${o.job}/${o.index}: ${n} is not done`);
     const told = this.host.cancelledAt(o.job);
     if (told !== undefined) this.startedAfter.push(this.now - told);
@@ -296,7 +296,7 @@
     }
     if (cores > this.limitCores) this.host.broke(`quota ${o.job}: ${cores}`);
     if (spec.sameZone && zones.size > 1) this.host.broke(`wrong_place ${o.job}: zones`);
-    if (spec.spread && (zones.get(w.zone) ?? 0) > Math.ceil(spec.tasks / 2))
+    if (spec.spreadAcrossZones && (zones.get(w.zone) ?? 0) > Math.ceil(spec.tasks / 2))
       this.host.broke(`wrong_place ${o.job}: spread`);
     if ((spec.zone !== null && spec.zone !== w.zone) || (w.spot && !spec.spot))
       this.host.broke(`wrong_place ${o.job}: ${w.zone}`);
@@ -330,7 +330,7 @@
         if (t.state === 'fetching') {
           t.state = spec.shape === 'gang' ? 'waiting' : 'running';
           if (t.state === 'running') t.since = this.now;
-          t.until = this.now + spec.estimateUs;
+          t.until = this.now + spec.estimatedRunUs;
         } else if (t.state === 'running') {
           this.noteRun(t);
           t.state = 'exited';
@@ -339,7 +339,7 @@
         } else if (t.state === 'saving') {
           t.state = 'exited';
           t.cause = 'stopped';
-          t.saved = true;
+          t.checkpointed = true;
           this.saves.ended++;
         } else continue;
         changed = true;
@@ -372,7 +372,7 @@
         for (const t of members) {
           t.state = 'running';
           t.since = this.now;
-          t.until = this.now + spec.estimateUs;
+          t.until = this.now + spec.estimatedRunUs;
         }
       else if (members.length < spec.tasks && !this.work.completed.has(spec.id))
         for (const t of members)
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -17,7 +17,7 @@
   );
   w.stand(2);
   w.runFor(3 * SECOND);
-  for (let i = 0; i < 5; i++) w.submit(specOf(`run-${i}`, { tasks: 2, estimateUs: 400 * SECOND }));
+  for (let i = 0; i < 5; i++) w.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
   w.runFor(20 * SECOND);
   before(w);
   const waiting = new LeftWaiting(w, coresMax);
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -5,13 +5,13 @@
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
 import { Members } from '@shaleyoke/core/membership/peer-failure-detector';
-import type { Beat } from '@shaleyoke/core/domain/peer';
-import type { Membership } from '@shaleyoke/core/domain/settings';
+import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
+import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { beatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
 
-const ON: Membership = { beatUs: SECOND, suspectBeats: 3 };
+const ON: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 
 interface Case {
   readonly name: string;
@@ -41,7 +41,7 @@
 
 interface Heard {
   readonly at: Micros;
-  readonly beat: Beat;
+  readonly beat: PeerHeartbeat;
 }
 
 /** The beats of a sender that ends at `end`, as they arrive. */
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -17,7 +17,13 @@
 import type { Random } from '../src/random.js';
 import type { World } from '../src/cluster-simulation.js';
 
-const TEAMS: Team[] = ['t', 'u'].map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
+const TEAMS: Team[] = ['t', 'u'].map((name) => ({
+  name,
+  guaranteedCores: 0,
+  maxCores: 0,
+  guaranteedGpus: 0,
+  maxGpus: 0,
+}));
 const BUDGETS = parseBudgets(
   'version: 1\ncurrency: EUR\nzone: Europe/Warsaw\nowners:\n  u: { soft: 0.02, hard: 0.06 }\n',
   TEAMS,
--- a/packages/kubernetes/src/check.ts
+++ b/packages/kubernetes/src/check.ts
@@ -25,18 +25,20 @@
   const image = w.imageGb === 0 ? w.image : `${w.image} (${decimal(w.imageGb)} GB)`;
   const where = [
     w.zone === null ? 'any zone' : `zone ${w.zone}`,
-    w.types === null ? 'any machine type' : w.types.join(' or '),
+    w.machineTypes === null ? 'any machine type' : w.machineTypes.join(' or '),
     w.spot ? 'spot machines too' : 'no spot machines',
     ...(w.sameZone ? ['all in one zone'] : []),
-    ...(w.spread ? ['half in one zone at most'] : []),
+    ...(w.spreadAcrossZones ? ['half in one zone at most'] : []),
   ];
   const priority = ['best_effort', 'normal', 'urgent', 'critical'][w.priority]!;
   return [
     `class ${w.class}, priority ${priority}`,
     `each: ${decimal(w.cores)} cores${gpus}, ${decimal(w.memoryGb)} GB; image ${image}`,
     where.join('; '),
-    ...(w.checkpointUs > 0
-      ? [`saves every ${seconds(w.checkpointUs)}, in ${seconds(w.saveUs)} when it is stopped`]
+    ...(w.checkpointIntervalUs > 0
+      ? [
+          `saves every ${seconds(w.checkpointIntervalUs)}, in ${seconds(w.checkpointDurationUs)} when it is stopped`,
+        ]
       : ['never saves: what is stopped begins anew']),
   ];
 };
@@ -49,8 +51,8 @@
   return [
     `Job ${m.manifest.metadata.name}: ${shape}`,
     ...describe(work),
-    work.estimateUs > 0
-      ? `estimate ${seconds(work.estimateUs)} a task`
+    work.estimatedRunUs > 0
+      ? `estimate ${seconds(work.estimatedRunUs)} a task`
       : 'no estimate: learned from its class',
     ...(work.deadlineUs === null ? [] : [`due ${seconds(work.deadlineUs)} after its creation`]),
     ...(m.awaits.length === 0 ? [] : [`starts after ${m.awaits.join(', ')}`]),
--- a/packages/kubernetes/src/commands.ts
+++ b/packages/kubernetes/src/commands.ts
@@ -2,7 +2,7 @@
 import { randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import { checkText } from './check.js';
 import { KubeSettingsError, parseKube } from './settings.js';
@@ -12,8 +12,8 @@
 
 /** The state service, as tools need it. Each throws if it does not answer. */
 export interface Service {
-  list(prefix: string): Promise<readonly Item[]>;
-  get(key: string): Promise<Item | null>;
+  list(prefix: string): Promise<readonly StoredItem[]>;
+  get(key: string): Promise<StoredItem | null>;
   /** By compare-and-set; 0: the key must not exist. False: somebody else was faster. */
   put(key: string, value: unknown, version: number): Promise<boolean>;
   remove(key: string, version: number): Promise<boolean>;
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -2,7 +2,7 @@
  * Deletion in three steps, each on record before the next: the object is marked, its job is withdrawn, object and
  * manifest go. Whoever finds a marked object may go on: on the node that was asked, or in the leader after a crash.
  */
-import type { Write } from '@shaleyoke/core/domain/key-value-store';
+import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeLinks } from '@shaleyoke/core/ports';
 import { manifestKey } from './records.js';
 import type { KubeObject } from './view.js';
@@ -43,11 +43,11 @@
 
   private remove(o: KubeObject, then: () => void): void {
     const { ctx } = this.links;
-    const pieces = Array.from({ length: o.record.pieces }, (_, n): Write => ({
+    const pieces = Array.from({ length: o.record.pieces }, (_, n): StoreWrite => ({
       kind: 'delete',
       key: manifestKey(o.record.uid, n),
     }));
-    const first = pieces.slice(0, ctx.settings.txnOps - 1);
+    const first = pieces.slice(0, ctx.settings.maxTransactionOperations - 1);
     ctx.state(
       {
         kind: 'txn',
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -3,7 +3,7 @@
  * state that is no older than the question, whatever node was asked before; watches share one long poll.
  */
 import type { Context } from '@shaleyoke/core/node/node-context';
-import type { Item } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ROOT } from './records.js';
@@ -32,7 +32,7 @@
     /** Told of changes in their order; `lost` where some may be missing, and every watch has to end. */
     private readonly host: { changed(changes: readonly Change[]): void; lost(): void },
   ) {
-    this.gatherUs = Math.max(GATHER, Math.round(SECOND / (SHARE * ctx.settings.stateRps)));
+    this.gatherUs = Math.max(GATHER, Math.round(SECOND / (SHARE * ctx.settings.storeRequestsPerS)));
   }
 
   /** `then(true)`: the view is no older than this call. `then(false)`: the state service does not answer. */
@@ -89,7 +89,7 @@
   }
 
   /** Reads all objects. Pages are of different moments: what changed meanwhile is put right from the first's on. */
-  private load(then: (ok: boolean) => void, after = '', found: Item[] = [], from = -1): void {
+  private load(then: (ok: boolean) => void, after = '', found: StoredItem[] = [], from = -1): void {
     const op = { kind: 'list', prefix: ROOT, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
     this.ctx.state(op, 1, (r) => {
       if (r.kind !== 'items') {
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -4,9 +4,9 @@
  */
 import { Either } from 'effect';
 import { objectRoom } from './limits.js';
-import type { InnerAnswer } from '@shaleyoke/core/domain/client-api';
+import type { InternalResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { Condition, Write } from '@shaleyoke/core/domain/key-value-store';
+import type { VersionCondition, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeLinks, NodePart } from '@shaleyoke/core/ports';
 import { allow, tenantOf, type Credentials } from './access.js';
 import { refuse, type KubeAnswer, type KubeRequest, type Refusal } from './api.js';
@@ -180,8 +180,8 @@
   ): void {
     const { settings, wallNow } = this.links.ctx;
     const uid = uidOf(this.random());
-    const spec: JobSpec = { ...m.work, id: nativeIdOf(uid), team: r.team, needs };
-    const pieces = piecesOf(JSON.stringify(m.manifest), objectRoom(settings.valueBytes));
+    const spec: JobSpec = { ...m.work, id: nativeIdOf(uid), team: r.team, dependsOn: needs };
+    const pieces = piecesOf(JSON.stringify(m.manifest), objectRoom(settings.maxValueBytes));
     const record: ObjectRecord = {
       v: 1,
       uid,
@@ -191,15 +191,15 @@
       status: newStatus(),
       deleting: null,
     };
-    const writes = pieces.map((value, n): Write => ({ kind: 'put', key: manifestKey(uid, n), value }));
+    const writes = pieces.map((value, n): StoreWrite => ({ kind: 'put', key: manifestKey(uid, n), value }));
     // The job's record, the object, and as many pieces as there is room for; the others come before, under a guard.
-    const all = writes.length <= settings.txnOps - 2;
-    const room = settings.txnOps - (all ? 2 : 3);
+    const all = writes.length <= settings.maxTransactionOperations - 2;
+    const room = settings.maxTransactionOperations - (all ? 2 : 3);
     const guard = guardKey(uid);
-    const early: Write[] = all
+    const early: StoreWrite[] = all
       ? []
       : [{ kind: 'put', key: guard, value: { v: 1, text: '' } }, ...writes.slice(room)];
-    this.putFirst(early, settings.txnOps, [], (conditions) => {
+    this.putFirst(early, settings.maxTransactionOperations, [], (conditions) => {
       if (conditions === null) {
         this.answer(request, unavailable('state service not answering'));
         return;
@@ -224,10 +224,10 @@
 
   /** Pieces that have no room beside the object; their versions are conditions of it then. */
   private putFirst(
-    writes: readonly Write[],
+    writes: readonly StoreWrite[],
     ops: number,
-    put: readonly Condition[],
-    then: (conditions: readonly Condition[] | null) => void,
+    put: readonly VersionCondition[],
+    then: (conditions: readonly VersionCondition[] | null) => void,
   ): void {
     if (writes.length === 0) {
       then(put);
@@ -249,7 +249,7 @@
     namespace: string,
     m: MappedJob,
     record: ObjectRecord,
-    a: InnerAnswer,
+    a: InternalResponse,
   ): void {
     const { name } = m.manifest.metadata;
     const cause = (message: string): Refusal =>
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -5,7 +5,7 @@
  */
 import type { ActiveJob, Hold } from '@shaleyoke/core/cluster/cluster-model';
 import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
-import type { Write } from '@shaleyoke/core/domain/key-value-store';
+import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { FeatureTerm, NodeLinks } from '@shaleyoke/core/ports';
@@ -184,8 +184,8 @@
       if (since === undefined) this.loose.set(uid, ctx.now);
       else if (ctx.now > since + SWEEP_AFTER && this.allowance >= 1) {
         const guard = { key: guardKey(uid), version: this.follow.view.guards.get(uid) ?? 0 };
-        const some = pieces.slice(0, ctx.settings.txnOps - 1);
-        const writes = some.map((n): Write => ({ kind: 'delete', key: manifestKey(uid, n) }));
+        const some = pieces.slice(0, ctx.settings.maxTransactionOperations - 1);
+        const writes = some.map((n): StoreWrite => ({ kind: 'delete', key: manifestKey(uid, n) }));
         // The guard goes last: until then its object can be put, and then what is left of the sweep fails.
         if (guard.version > 0 && some.length === pieces.length)
           writes.push({ kind: 'delete', key: guard.key });
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -18,7 +18,7 @@
 } from './subset.js';
 
 /** All of a native job but its id, its team and the ids of the jobs that it awaits. */
-export type Work = Omit<JobSpec, 'id' | 'team' | 'needs'>;
+export type Work = Omit<JobSpec, 'id' | 'team' | 'dependsOn'>;
 
 export interface MappedJob {
   readonly kind: 'Job';
@@ -166,14 +166,14 @@
     memoryGb: toNumber(memory, GB),
     image: container.image,
     imageGb: toNumber(parseQuantity(note(notes, 'image-size') ?? '0') ?? 0n, GB),
-    types: allowed.length === 0 ? null : allowed,
+    machineTypes: allowed.length === 0 ? null : allowed,
     zone: pod.nodeSelector?.[ZONE] ?? null,
     sameZone: flag(notes, 'same-zone'),
-    spread: flag(notes, 'spread'),
+    spreadAcrossZones: flag(notes, 'spread'),
     spot: pod.tolerations?.some((t) => t.key === SPOT) ?? false,
-    estimateUs: micros(note(notes, 'estimate')),
-    checkpointUs: checkpoint,
-    saveUs: save,
+    estimatedRunUs: micros(note(notes, 'estimate')),
+    checkpointIntervalUs: checkpoint,
+    checkpointDurationUs: save,
     deadlineUs: note(notes, 'due') === undefined ? null : micros(note(notes, 'due')),
   };
 };
--- a/packages/kubernetes/src/view.ts
+++ b/packages/kubernetes/src/view.ts
@@ -4,7 +4,7 @@
  * read in parts keeps the moment of its first part at no cost.
  */
 import { Order, RedBlackTree } from 'effect';
-import type { Item, StateEvent } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem, StoreEvent } from '@shaleyoke/core/domain/key-value-store';
 import { guardKey, MANIFESTS, nameOf, OBJECTS, readObject, readPiece, type ObjectRecord } from './records.js';
 import { readToken, TOKENS, type TokenRecord } from './tokens.js';
 
@@ -52,7 +52,7 @@
   readonly unreadable = new Set<string>();
 
   /** Begins anew from a list that was read page by page, the first page at the number `from`. */
-  reset(items: readonly Item[], from: number): void {
+  reset(items: readonly StoredItem[], from: number): void {
     this.objects = RedBlackTree.empty<string, KubeObject>(Order.string);
     this.pieces.clear();
     this.tokens.clear();
@@ -130,7 +130,7 @@
   }
 
   /** Events after `at`, in their order, and the number up to which those are all. What is older is known. */
-  apply(events: readonly StateEvent[], revision: number): Change[] {
+  apply(events: readonly StoreEvent[], revision: number): Change[] {
     const fresh = events.filter((e) => e.version > this.at);
     // An object and its manifest come in one transaction, in any order within it.
     for (const e of fresh) if (e.kind === 'put') this.putOther(e.key, e.value, e.version);
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -20,7 +20,7 @@
 const ANY: Selector = { labels: {}, name: null };
 
 const teams = (names: readonly string[]): Team[] =>
-  names.map((name) => ({ name, cores: 0, coresMax: 0, gpus: 0, gpusMax: 0 }));
+  names.map((name) => ({ name, guaranteedCores: 0, maxCores: 0, guaranteedGpus: 0, maxGpus: 0 }));
 const SETTINGS = parseKube(
   `version: 1
 listen: 127.0.0.1:6443
@@ -279,7 +279,7 @@
   const w = worldOf({ seed: 9 });
   w.runFor(5 * SECOND);
   const kinds: [string, object, object, Partial<JobSpec>][] = [
-    ['array', {}, {}, { memoryGb: 1, cores: 1, estimateUs: 5 * SECOND, class: 'img' }],
+    ['array', {}, {}, { memoryGb: 1, cores: 1, estimatedRunUs: 5 * SECOND, class: 'img' }],
     [
       'gang',
       { 'shaleyoke/gang': 'true', 'shaleyoke/same-zone': 'true' },
@@ -288,7 +288,7 @@
         shape: 'gang',
         tasks: 3,
         sameZone: true,
-        estimateUs: 5 * SECOND,
+        estimatedRunUs: 5 * SECOND,
         class: 'img',
       },
     ],
@@ -302,10 +302,10 @@
       },
       {},
       {
-        checkpointUs: 10 * SECOND,
-        saveUs: SECOND / 2,
+        checkpointIntervalUs: 10 * SECOND,
+        checkpointDurationUs: SECOND / 2,
         deadlineUs: 900 * SECOND,
-        estimateUs: 5 * SECOND,
+        estimatedRunUs: 5 * SECOND,
       },
     ],
   ];
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import type { Item, StateEvent } from '@shaleyoke/core/domain/key-value-store';
+import type { StoredItem, StoreEvent } from '@shaleyoke/core/domain/key-value-store';
 import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kubernetes/records';
 import { View } from '@shaleyoke/kubernetes/view';
 
@@ -18,10 +18,10 @@
 });
 
 /** A ledger of what happens to three objects; each has its manifest put and removed with it. */
-const ledgerOf = (steps: readonly number[]): { events: StateEvent[]; stores: Map<string, Item>[] } => {
-  const events: StateEvent[] = [];
-  const stores: Map<string, Item>[] = [new Map()];
-  const put = (store: Map<string, Item>, key: string, value: unknown, version: number): void => {
+const ledgerOf = (steps: readonly number[]): { events: StoreEvent[]; stores: Map<string, StoredItem>[] } => {
+  const events: StoreEvent[] = [];
+  const stores: Map<string, StoredItem>[] = [new Map()];
+  const put = (store: Map<string, StoredItem>, key: string, value: unknown, version: number): void => {
     events.push({ kind: 'put', key, value, version });
     store.set(key, { key, value, version, lease: null });
   };
@@ -48,7 +48,7 @@
   NAMES.map((n) => v.get(objectKey('n', n)))
     .filter((o) => o !== null)
     .map((o) => `${o.name} ${o.record.uid} ${o.version}`);
-const wanted = (store: ReadonlyMap<string, Item>): string[] =>
+const wanted = (store: ReadonlyMap<string, StoredItem>): string[] =>
   NAMES.filter((n) => store.has(objectKey('n', n))).map((n) => {
     const it = store.get(objectKey('n', n))!;
     return `${n} ${(it.value as ObjectRecord).uid} ${it.version}`;
@@ -68,7 +68,7 @@
         const to = Math.min(end, from + spread);
         const v = new View();
         // Each key is read at a moment of its own between the first page and the last.
-        const items: Item[] = [];
+        const items: StoredItem[] = [];
         const keys = new Set(events.map((e) => e.key));
         [...keys].sort().forEach((key, i, all) => {
           const at = from + Math.floor(((to - from) * i) / all.length);
@@ -76,7 +76,7 @@
           if (it !== undefined) items.push(it);
         });
         v.reset(items, from);
-        const between = (a: number, b: number): StateEvent[] =>
+        const between = (a: number, b: number): StoreEvent[] =>
           events.filter((e) => e.version > a && e.version <= b);
         v.apply(between(from, to), to);
         v.settle();
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,5 +1,5 @@
 /** The cloud's interface: machine types, renting, returning, listing. */
-import type { CloudOp, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
   amount,
@@ -32,7 +32,7 @@
     return v;
   });
 
-export const encodeCloudOp = (op: CloudOp): HttpCall => {
+export const encodeCloudOp = (op: CloudOperation): HttpCall => {
   switch (op.kind) {
     case 'types':
       return { method: 'GET', path: '/flavors', body: null };
@@ -66,8 +66,8 @@
     cores: amount(f, 'cores'),
     gpus: f['gpus'] === undefined || f['gpus'] === null ? 0 : amount(f, 'gpus'),
     memoryGb: amount(f, 'memory_gb'),
-    cacheGb: amount(f, 'cache_gb'),
-    fetchGbPerS: amount(f, 'pull_gb_per_s'),
+    imageCacheGb: amount(f, 'cache_gb'),
+    imagePullGbPerS: amount(f, 'pull_gb_per_s'),
     price: amount(f, 'rate'),
     spotPrice: amount(f, 'market_price'),
     bootUs: micros(amount(f, 'startup_s')),
@@ -88,7 +88,7 @@
   };
 };
 
-export const decodeCloudReply = (op: CloudOp, status: number, bytes: Uint8Array): CloudReply => {
+export const decodeCloudReply = (op: CloudOperation, status: number, bytes: Uint8Array): CloudReply => {
   try {
     const body = bytes.length === 0 ? {} : decodeBody(bytes);
     if (status === 503 && op.kind === 'rent') {
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -3,7 +3,7 @@
  * before knows the first path only and answers 404 on the other: it is asked nothing that it doesn't know.
  */
 import avro from 'avsc';
-import type { Beat, PeerMessage, Progress } from '@shaleyoke/core/domain/peer';
+import type { PeerHeartbeat, PeerMessage, ProgressUpdate } from '@shaleyoke/core/domain/peer';
 
 export const PROGRESS_PATH = '/peer/v1';
 export const BEAT_PATH = '/peer/v2/beat';
@@ -86,28 +86,28 @@
   }[];
 }
 
-const toProgressRecord = (message: Progress): ProgressRecord => ({
+const toProgressRecord = (message: ProgressUpdate): ProgressRecord => ({
   member: message.member,
   term: message.term,
-  notes: message.notes.map(({ id, done, running }) => ({ id, done, running })),
+  notes: message.jobs.map(({ id, done, running }) => ({ id, done, running })),
 });
 
-const fromProgressRecord = (record: ProgressRecord): Progress => ({
+const fromProgressRecord = (record: ProgressRecord): ProgressUpdate => ({
   kind: 'progress',
   member: record.member,
   term: record.term,
-  notes: record.notes.map(({ id, done, running }) => ({ id, done, running })),
+  jobs: record.notes.map(({ id, done, running }) => ({ id, done, running })),
 });
 
-const toBeatRecord = (message: Beat): BeatRecord => ({
+const toBeatRecord = (message: PeerHeartbeat): BeatRecord => ({
   member: message.member,
   incarnation: message.incarnation,
-  seq: message.seq,
+  seq: message.sequence,
   term: message.term,
-  stateAgeUs: message.stateAgeUs,
-  lateUs: message.lateUs,
-  workers: message.workers,
-  others: message.others.map((other) => ({
+  stateAgeUs: message.storeAnswerAgeUs,
+  lateUs: message.timerDelayUs,
+  workers: message.workerCount,
+  others: message.peers.map((other) => ({
     member: other.member,
     incarnation: other.incarnation,
     ageUs: other.ageUs,
@@ -115,16 +115,16 @@
   })),
 });
 
-const fromBeatRecord = (record: BeatRecord): Beat => ({
+const fromBeatRecord = (record: BeatRecord): PeerHeartbeat => ({
   kind: 'beat',
   member: record.member,
   incarnation: record.incarnation,
-  seq: record.seq,
+  sequence: record.seq,
   term: record.term,
-  stateAgeUs: record.stateAgeUs,
-  lateUs: record.lateUs,
-  workers: record.workers,
-  others: record.others.map((other) => ({
+  storeAnswerAgeUs: record.stateAgeUs,
+  timerDelayUs: record.lateUs,
+  workerCount: record.workers,
+  peers: record.others.map((other) => ({
     member: other.member,
     incarnation: other.incarnation,
     ageUs: other.ageUs,
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/state.ts
@@ -1,14 +1,20 @@
 /** The state service's interface. */
-import type { Item, StateEvent, StateOp, StateReply, Write } from '@shaleyoke/core/domain/key-value-store';
+import type {
+  StoredItem,
+  StoreEvent,
+  StoreOperation,
+  StoreReply,
+  StoreWrite,
+} from '@shaleyoke/core/domain/key-value-store';
 import { asFields, decodeBody, encodeBody, flag, integer, list, Malformed, text } from './body.js';
 import type { HttpCall } from './cloud.js';
 
-const encodeWrite = (w: Write): unknown =>
+const encodeWrite = (w: StoreWrite): unknown =>
   w.kind === 'put'
     ? { set: w.key, data: w.value, ...(w.lease === undefined ? {} : { permit: w.lease }) }
     : { remove: w.key };
 
-export const encodeStateOp = (op: StateOp): HttpCall => {
+export const encodeStateOp = (op: StoreOperation): HttpCall => {
   switch (op.kind) {
     case 'get':
       return { method: 'GET', path: `/kv/${op.key}`, body: null };
@@ -44,7 +50,7 @@
   }
 };
 
-const decodeItem = (value: unknown): Item => {
+const decodeItem = (value: unknown): StoredItem => {
   const f = asFields(value, 'row');
   const lease = f['permit'];
   return {
@@ -55,14 +61,14 @@
   };
 };
 
-const decodeEvent = (value: unknown): StateEvent => {
+const decodeEvent = (value: unknown): StoreEvent => {
   const f = asFields(value, 'event');
   return typeof f['remove'] === 'string'
     ? { kind: 'delete', key: f['remove'], version: integer(f, 'stamp') }
     : { kind: 'put', key: text(f, 'set'), value: f['data'], version: integer(f, 'stamp') };
 };
 
-const decodeOk = (op: StateOp, body: unknown): StateReply => {
+const decodeOk = (op: StoreOperation, body: unknown): StoreReply => {
   const f = () => asFields(body, 'answer');
   switch (op.kind) {
     case 'get':
@@ -90,7 +96,7 @@
   }
 };
 
-export const decodeStateReply = (op: StateOp, status: number, bytes: Uint8Array): StateReply => {
+export const decodeStateReply = (op: StoreOperation, status: number, bytes: Uint8Array): StoreReply => {
   try {
     if (status === 429 || status === 503)
       return {
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/users.ts
@@ -1,6 +1,6 @@
 /** The users' interface: submissions in, views of jobs out. */
-import type { UserAnswer, UserRequest } from '@shaleyoke/core/domain/client-api';
-import type { JobSpec, JobView, Priority, Shape } from '@shaleyoke/core/domain/job';
+import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
+import type { JobSpec, JobView, Priority, JobShape } from '@shaleyoke/core/domain/job';
 import {
   amount,
   asFields,
@@ -16,7 +16,7 @@
   type Fields,
 } from './body.js';
 
-export const SHAPES: ReadonlyMap<string, Shape> = new Map([
+export const SHAPES: ReadonlyMap<string, JobShape> = new Map([
   ['array', 'array'],
   ['group', 'gang'],
   ['service', 'service'],
@@ -79,20 +79,20 @@
     memoryGb: amount(f, 'memory_gb'),
     image: nonEmpty(f, 'build'),
     imageGb: amount(f, 'image_gb'),
-    types,
+    machineTypes: types,
     zone: optionalText(f, 'hall'),
     sameZone: flag(f, 'same_place'),
-    spread: flag(f, 'scatter'),
+    spreadAcrossZones: flag(f, 'scatter'),
     spot: flag(f, 'loaners'),
-    estimateUs: duration(f, 'expect_s'),
-    checkpointUs: duration(f, 'snapshot_s'),
-    saveUs: duration(f, 'flush_s'),
+    estimatedRunUs: duration(f, 'expect_s'),
+    checkpointIntervalUs: duration(f, 'snapshot_s'),
+    checkpointDurationUs: duration(f, 'flush_s'),
     deadlineUs: f['due_s'] === null || f['due_s'] === undefined ? null : duration(f, 'due_s'),
-    needs: decodeNeeds(f, id),
+    dependsOn: decodeNeeds(f, id),
   };
 };
 
-export const decodeSubmission = (bytes: Uint8Array): UserRequest => {
+export const decodeSubmission = (bytes: Uint8Array): ClientRequest => {
   let id: string | null = null;
   try {
     const f = asFields(decodeBody(bytes), 'submission');
@@ -149,7 +149,7 @@
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
-export const encodeUserAnswer = (a: UserAnswer): HttpAnswer => {
+export const encodeUserAnswer = (a: ClientResponse): HttpAnswer => {
   switch (a.kind) {
     case 'view':
       return { status: a.created ? 201 : 200, body: encodeBody(view(a.view)) };
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,12 +1,12 @@
 /** Workers: their reports, the answers to them, and direct orders. */
 import type {
   ExitCause,
-  Order,
-  OrdersReply,
-  Report,
+  WorkerCommand,
+  CommandReply,
+  Heartbeat,
   ReportedTask,
   TaskState,
-  WorkerAnswer,
+  HeartbeatResponse,
 } from '@shaleyoke/core/domain/heartbeat';
 import {
   asFields,
@@ -58,11 +58,11 @@
     attempt: integer(f, 'try'),
     state,
     cause: state === 'exited' ? oneOf(CAUSES, f, 'cause') : null,
-    saved: f['saved'] === true,
+    checkpointed: f['saved'] === true,
   };
 };
 
-export const decodeReport = (value: unknown): Report => {
+export const decodeReport = (value: unknown): Heartbeat => {
   const f = asFields(value, 'report');
   const notice = optionalAmount(f, 'recall_s');
   return {
@@ -71,15 +71,15 @@
     type: text(f, 'model'),
     zone: text(f, 'hall'),
     spot: flag(f, 'loaners'),
-    session: integer(f, 'shift'),
-    seq: integer(f, 'tally'),
-    token: integer(f, 'baton'),
-    noticeUs: notice === null ? null : micros(notice),
+    agentEpoch: integer(f, 'shift'),
+    sequence: integer(f, 'tally'),
+    fencingToken: integer(f, 'baton'),
+    terminationNoticeUs: notice === null ? null : micros(notice),
     tasks: list(f['parts'], 'parts').map(decodeTask),
   };
 };
 
-const encodeOrder = (o: Order): unknown => {
+const encodeOrder = (o: WorkerCommand): unknown => {
   const part = taskName(o.job, o.index);
   switch (o.op) {
     case 'start':
@@ -91,7 +91,7 @@
   }
 };
 
-export const encodeWorkerAnswer = (a: WorkerAnswer): { status: number; body: Buffer } => {
+export const encodeWorkerAnswer = (a: HeartbeatResponse): { status: number; body: Buffer } => {
   switch (a.kind) {
     case 'accepted':
       return { status: 200, body: encodeBody({ baton: a.token, orders: a.orders.map(encodeOrder) }) };
@@ -104,17 +104,17 @@
 
 export const ORDERS_PATH = '/orders';
 
-export const encodeOrders = (token: number, session: number, orders: readonly Order[]): Buffer =>
+export const encodeOrders = (token: number, session: number, orders: readonly WorkerCommand[]): Buffer =>
   encodeBody({ baton: token, shift: session, orders: orders.map(encodeOrder) });
 
 /** A malformed answer counts as none: whether the orders were executed stays open. */
-export const decodeOrdersReply = (status: number, bytes: Uint8Array): OrdersReply => {
-  if (status !== 200 && status !== 409) return { kind: 'lost', report: null };
+export const decodeOrdersReply = (status: number, bytes: Uint8Array): CommandReply => {
+  if (status !== 200 && status !== 409) return { kind: 'lost', heartbeat: null };
   try {
     const report = decodeReport(decodeBody(bytes));
-    return { kind: status === 200 ? 'executed' : 'refused', report };
+    return { kind: status === 200 ? 'executed' : 'refused', heartbeat: report };
   } catch (e) {
-    if (e instanceof Malformed) return { kind: 'lost', report: null };
+    if (e instanceof Malformed) return { kind: 'lost', heartbeat: null };
     throw e;
   }
 };
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -40,7 +40,7 @@
   const r = decodeSubmission(encodeBody(submission));
   assert.equal(r.kind === 'submit' ? r.problem : '', null);
   assert.equal(r.kind === 'submit' ? r.spec?.shape : '', 'gang');
-  assert.equal(r.kind === 'submit' ? r.spec?.estimateUs : 0, 240_000_000);
+  assert.equal(r.kind === 'submit' ? r.spec?.estimatedRunUs : 0, 240_000_000);
   assert.equal(r.kind === 'submit' ? r.spec?.zone : '', null);
 });
 
@@ -169,13 +169,16 @@
     { noNullPrototype: true },
   );
   fc.assert(
-    fc.property(fc.string(), fc.nat(), fc.array(note, { maxLength: 40 }), (member, term, notes) => {
-      assert.deepEqual(decodePeer('progress', encodePeer({ kind: 'progress', member, term, notes }).body), {
-        kind: 'progress',
-        member,
-        term,
-        notes,
-      });
+    fc.property(fc.string(), fc.nat(), fc.array(note, { maxLength: 40 }), (member, term, jobs) => {
+      assert.deepEqual(
+        decodePeer('progress', encodePeer({ kind: 'progress', member, term, jobs: jobs }).body),
+        {
+          kind: 'progress',
+          member,
+          term,
+          jobs,
+        },
+      );
     }),
     seed,
   );
@@ -206,7 +209,7 @@
 test('named jobs are read once each; what is no list of other job ids is malformed', () => {
   const needs = (awaits: unknown): readonly string[] | null => {
     const r = decodeSubmission(encodeBody({ ...submission, awaits }));
-    return r.kind === 'submit' && r.spec !== null ? r.spec.needs : null;
+    return r.kind === 'submit' && r.spec !== null ? r.spec.dependsOn : null;
   };
   assert.deepEqual(needs(undefined), []);
   assert.deepEqual(needs(null), []);
@@ -226,12 +229,12 @@
       kind: fc.constant('beat' as const),
       member: fc.string(),
       incarnation: fc.integer({ min: 1, max: 2 ** 52 }),
-      seq: fc.nat(),
+      sequence: fc.nat(),
       term: fc.option(fc.nat()),
-      stateAgeUs: fc.option(fc.integer({ min: 0, max: 2 ** 45 })),
-      lateUs: fc.nat(),
-      workers: fc.nat(10_000),
-      others: fc.array(heard, { maxLength: 9 }),
+      storeAnswerAgeUs: fc.option(fc.integer({ min: 0, max: 2 ** 45 })),
+      timerDelayUs: fc.nat(),
+      workerCount: fc.nat(10_000),
+      peers: fc.array(heard, { maxLength: 9 }),
     },
     { noNullPrototype: true },
   );
@@ -242,8 +245,7 @@
       assert.equal(peerKind(path), 'beat');
       assert.deepEqual(decodePeer('beat', body), b);
       assert.ok(
-        body.length <
-          100 + 9 * 40 + 4 * (b.member.length + b.others.reduce((n, o) => n + o.member.length, 0)),
+        body.length < 100 + 9 * 40 + 4 * (b.member.length + b.peers.reduce((n, o) => n + o.member.length, 0)),
       );
     }),
     seed,
@@ -258,7 +260,7 @@
     kind: 'progress',
     member: 'dock-0',
     term: 3,
-    notes: [{ id: 'run-7', done: 3, running: 4 }],
+    jobs: [{ id: 'run-7', done: 3, running: 4 }],
   } as const;
   assert.deepEqual(decodePeer('progress', bytes), message);
   assert.deepEqual(encodePeer(message), { path: '/peer/v1', body: bytes });
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -5,8 +5,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { Report } from '@shaleyoke/core/domain/heartbeat';
-import type { StateOp } from '@shaleyoke/core/domain/key-value-store';
+import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
+import type { StoreOperation } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { decodeBody, encodeBody } from '@shaleyoke/protocol/body';
 import { decodeCloudReply, encodeCloudOp } from '@shaleyoke/protocol/cloud';
@@ -60,16 +60,16 @@
     memoryGb: 64,
     image: 'img-07',
     imageGb: 6.2,
-    types: ['g8'],
+    machineTypes: ['g8'],
     zone: 'a',
     sameZone: true,
-    spread: false,
+    spreadAcrossZones: false,
     spot: true,
-    estimateUs: 240 * SECOND,
-    checkpointUs: 30 * SECOND,
-    saveUs: 4 * SECOND,
+    estimatedRunUs: 240 * SECOND,
+    checkpointIntervalUs: 30 * SECOND,
+    checkpointDurationUs: 4 * SECOND,
     deadlineUs: 900 * SECOND,
-    needs: ['run-4'],
+    dependsOn: ['run-4'],
   };
   assert.deepEqual(request, { kind: 'submit', id: 'run-412', spec, problem: null });
 });
@@ -124,22 +124,22 @@
   ],
 };
 const live = (index: number, state: 'fetching' | 'waiting' | 'running' | 'saving') =>
-  ({ job: 'run-1', index, attempt: 50 + index, state, cause: null, saved: false }) as const;
+  ({ job: 'run-1', index, attempt: 50 + index, state, cause: null, checkpointed: false }) as const;
 const exited = (
   index: number,
   cause: 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'noRoom' | 'busy' | 'unknown',
-  saved = false,
-) => ({ job: 'run-1', index, attempt: 50 + index, state: 'exited', cause, saved }) as const;
-const REPORT: Report = {
+  checkpointed = false,
+) => ({ job: 'run-1', index, attempt: 50 + index, state: 'exited', cause, checkpointed }) as const;
+const REPORT: Heartbeat = {
   machine: 'm-1',
   address: '10.1.0.7:90',
   type: 'g8',
   zone: 'a',
   spot: true,
-  session: 2,
-  seq: 17,
-  token: 3_145_729,
-  noticeUs: 12_500_000,
+  agentEpoch: 2,
+  sequence: 17,
+  fencingToken: 3_145_729,
+  terminationNoticeUs: 12_500_000,
   tasks: [
     live(0, 'fetching'),
     live(1, 'waiting'),
@@ -158,7 +158,10 @@
 
 test("a worker's report, as it comes by itself and in answer to orders", () => {
   assert.deepEqual(decodeReport(REPORT_BODY), REPORT);
-  assert.deepEqual(decodeReport({ ...REPORT_BODY, recall_s: null }), { ...REPORT, noticeUs: null });
+  assert.deepEqual(decodeReport({ ...REPORT_BODY, recall_s: null }), {
+    ...REPORT,
+    terminationNoticeUs: null,
+  });
   assert.deepEqual(decodeOrdersReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', report: REPORT });
   assert.deepEqual(decodeOrdersReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', report: REPORT });
   assert.deepEqual(decodeOrdersReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', report: null });
@@ -190,7 +193,7 @@
 });
 
 test('requests to the key-value store', () => {
-  const requests: [StateOp, string, string, unknown][] = [
+  const requests: [StoreOperation, string, string, unknown][] = [
     [{ kind: 'get', key: 'j/run-1' }, 'GET', '/kv/j/run-1', null],
     [{ kind: 'list', prefix: 'j/', limit: 500 }, 'GET', '/kv?under=j%2F&page=500', null],
     [
@@ -244,7 +247,7 @@
   const watch = { kind: 'watch', prefix: 'k', after: 0, waitMs: 1 } as const;
   const row = { key: 'k', data: 7, stamp: 3, permit: null };
   const item = { key: 'k', value: 7, version: 3, lease: null };
-  const answers: [StateOp, number, unknown, unknown][] = [
+  const answers: [StoreOperation, number, unknown, unknown][] = [
     [get, 200, row, { kind: 'item', item }],
     [get, 404, { ledger: 9 }, { kind: 'missing', revision: 9 }],
     [
@@ -320,8 +323,8 @@
         cores: 32,
         gpus: 8,
         memoryGb: 256,
-        cacheGb: 100,
-        fetchGbPerS: 0.5,
+        imageCacheGb: 100,
+        imagePullGbPerS: 0.5,
         price: 12.5,
         spotPrice: 4.25,
         bootUs: 45 * SECOND,
@@ -369,7 +372,7 @@
     kind: 'progress',
     member: 'dock-0',
     term: 3,
-    notes: [{ id: 'run-7', done: 3, running: 4 }],
+    jobs: [{ id: 'run-7', done: 3, running: 4 }],
   } as const;
   const progressBytes = Buffer.from('0c646f636b2d300602' + '0a72756e2d37' + '060800', 'hex');
   assert.deepEqual(encodePeer(progress), { path: '/peer/v1', body: progressBytes });
@@ -378,12 +381,12 @@
     kind: 'beat',
     member: 'dock-0',
     incarnation: 9,
-    seq: 5,
+    sequence: 5,
     term: 3,
-    stateAgeUs: null,
-    lateUs: 100,
-    workers: 7,
-    others: [{ member: 'dock-1', incarnation: 8, ageUs: 50, suspected: true }],
+    storeAnswerAgeUs: null,
+    timerDelayUs: 100,
+    workerCount: 7,
+    peers: [{ member: 'dock-1', incarnation: 8, ageUs: 50, suspected: true }],
   } as const;
   const beatBytes = Buffer.from(
     '0c646f636b2d30' +
