--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { typeAllowed } from '@shaleyoke/core/domain/resources';
-import type { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
+import type { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { WHOLE } from './books.js';
 import { portion, rateOf, type Money } from './money.js';
 
@@ -31,7 +31,7 @@
 export const probableCost = (
   spec: JobSpec,
   types: ReadonlyMap<string, MachineType>,
-  timings: Timings,
+  timings: RuntimeEstimates,
   quantile: number,
 ): Money => {
   let least: Money | null = null;
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -5,7 +5,7 @@
 import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
-import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
+import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { probableCost } from './estimate.js';
 import { spentOf, tooDear, type Standing } from './limits.js';
 import { formatMoney, type Money } from './money.js';
@@ -91,8 +91,8 @@
     (decodeMachineTypes(facts.types?.value) ?? []).map((t) => [t.name, t]),
   );
   if (types.size === 0) return [`${id}: the machine types are not on record yet; ask again later`];
-  const timings = new Timings();
-  timings.seed(facts.timings?.value);
+  const timings = new RuntimeEstimates();
+  timings.load(facts.timings?.value);
   const chain = new Set([id]);
   const next = [id];
   for (let x = next.pop(); x !== undefined; x = next.pop())
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,11 +1,11 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
-import type { ActiveJob, Attempt, Hold, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, TaskAttempt, AdmissionHold, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Feature, FeatureTerm, Links } from '@shaleyoke/core/ports';
-import type { Term } from '@shaleyoke/core/leadership/leader-term';
+import type { Feature, FeatureTerm, DependencyLinks } from '@shaleyoke/core/ports';
+import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { ALL, Books, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
 import { probableCost, weightOf } from './estimate.js';
@@ -68,18 +68,18 @@
   private complainedAt = -Infinity;
 
   constructor(
-    private readonly term: Term,
-    links: Links,
+    private readonly term: LeaderTerm,
+    links: DependencyLinks,
     private readonly settings: BudgetSettings,
   ) {
     const calendars = new Map([...settings.owners].map(([name, o]) => [name, o.calendar]));
     this.books = new Books(calendars);
-    const { estate } = term;
+    const { cluster: estate } = term;
     this.limits = new Limits(settings, this.books, {
       job: (id) => estate.jobs.get(id),
       jobs: () => estate.jobs.values(),
       links,
-      estimate: (job) => probableCost(job.spec, term.ctx.types, estate.timings, settings.quantile),
+      estimate: (job) => probableCost(job.spec, term.ctx.types, estate.runtimeEstimates, settings.quantile),
       monthBefore: (owner, month) => this.calendar(owner).before(month),
     });
     this.store = new Store(
@@ -96,7 +96,7 @@
 
   /** The leader's term, by its number. */
   get termNo(): number {
-    return this.term.no;
+    return this.term.number;
   }
 
   private calendar(owner: string): Calendar {
@@ -112,7 +112,7 @@
   ready(): void {
     this.coreReady = true;
     this.roster = new Set(
-      [...this.term.estate.machines.values()].filter((m) => m.recorded === 'yes').map((m) => m.name),
+      [...this.term.cluster.machines.values()].filter((m) => m.recorded === 'yes').map((m) => m.name),
     );
     this.enter();
   }
@@ -121,7 +121,7 @@
     const { found, books } = this;
     if (!this.coreReady || found === null || this.entered || this.store.blind !== null) return;
     this.entered = true;
-    const { estate, ctx } = this.term;
+    const { cluster: estate, ctx } = this.term;
     books.at(this.wall);
     // Long without books, because nobody had them switched on: that time is on no record.
     const gap = this.wall - (found.w ?? -Infinity) > LONGEST_GAP;
@@ -139,7 +139,7 @@
     }
     this.early = [];
     for (const job of estate.jobs.values())
-      for (const a of job.live.values()) if (a.proven && a.runningAt !== null) this.running(a);
+      for (const a of job.liveAttempts.values()) if (a.confirmed && a.runningAt !== null) this.running(a);
     for (const id of books.jobs.keys()) if (!estate.jobs.has(id)) this.endedBefore.push(id);
     // A month may have been closed while some of its rows were not in the journal yet.
     for (const [owner, month] of books.closed) books.closeMonth(owner, month);
@@ -149,7 +149,7 @@
       openPages: this.store.lastJournalPage,
       firstTime: found.w === null,
     });
-    this.term.planSoon();
+    this.term.schedulePass();
   }
 
   private takeLimits(items: readonly StoredItem[]): void {
@@ -183,37 +183,37 @@
    * books' cost was twice the cloud's bill (found on loopback). One that reports after all counts from then.
    */
   private ghost(m: Machine): boolean {
-    return this.roster.has(m.name) && m.session === 0 && !m.unresolved;
+    return this.roster.has(m.name) && m.agentEpoch === 0 && !m.awaitingReconciliation;
   }
 
   /** Accounts for a machine from when it was rented, but never for time before the books went on. */
   private see(m: Machine, holding: boolean): void {
     const rate = this.rate(m);
     if (rate === null || this.books.has(m.name) || this.ghost(m)) return;
-    const from = holding ? this.since : Math.max(this.since, m.rentedAt + this.term.ctx.wallOffset);
+    const from = holding ? this.since : Math.max(this.since, m.provisionedAt + this.term.ctx.wallOffset);
     this.books.machine(m.name, rate, from, holding);
     if (!holding && m.up) this.books.update(m.name, rate, true);
   }
 
-  running(a: Attempt): void {
+  running(a: TaskAttempt): void {
     if (!this.entered) return;
     this.books.at(this.wall);
     this.see(a.machine, false);
     const type = this.term.ctx.types.get(a.machine.type);
     if (type === undefined) return;
     this.books.update(a.machine.name, this.rate(a.machine)!, true);
-    this.books.run(a.machine.name, this.jobOf(a.job), a.index, a.no, weightOf(a.job.spec, type));
+    this.books.run(a.machine.name, this.jobOf(a.job), a.index, a.number, weightOf(a.job.spec, type));
   }
 
-  ended(a: Attempt, exit: ReportedTask | null): void {
+  ended(a: TaskAttempt, exit: ReportedTask | null): void {
     if (!this.entered) {
-      this.noteEarly(a.job.id, a.index, a.no, exit);
+      this.noteEarly(a.job.id, a.index, a.number, exit);
       return;
     }
     this.books.at(this.wall);
-    const ran = this.books.ranFor(a.job.id, a.index, a.no);
-    if (exit?.cause === 'done') this.keep(a.job.id, a.index, a.no);
-    this.books.end(a.job.id, a.index, a.no, outcomeOf(a, exit, ran, this.unseenUs(a)));
+    const ran = this.books.ranFor(a.job.id, a.index, a.number);
+    if (exit?.cause === 'done') this.keep(a.job.id, a.index, a.number);
+    this.books.end(a.job.id, a.index, a.number, outcomeOf(a, exit, ran, this.unseenUs(a)));
   }
 
   /**
@@ -221,7 +221,7 @@
    * costing its owner (found by generated histories). What lies beyond the usual time between two reports is not
    * the owner's.
    */
-  private unseenUs(a: Attempt): Micros {
+  private unseenUs(a: TaskAttempt): Micros {
     const { now, settings } = this.term.ctx;
     const last = Math.max(this.heard.get(a.machine.name) ?? 0, a.runningAt ?? 0);
     return Math.max(0, Math.round(now - last - LATE * settings.heartbeatIntervalUs));
@@ -248,9 +248,9 @@
   }
 
   keeps(exit: ReportedTask): boolean {
-    const { ctx, office } = this.term;
+    const { ctx, lease: office } = this.term;
     if (this.store.blind !== null) return false;
-    if (!this.entered) return ctx.now - office.since < READING;
+    if (!this.entered) return ctx.now - office.heldSince < READING;
     const since = this.unwritten.get(keptKey(exit.job, exit.index, exit.attempt));
     return since !== undefined && ctx.now - since < LONGEST_KEPT;
   }
@@ -264,7 +264,7 @@
   gone(m: Machine): void {
     if (!this.entered) return;
     this.books.at(this.wall);
-    if (m.session === 0 && this.roster.has(m.name)) this.books.vanish(m.name);
+    if (m.agentEpoch === 0 && this.roster.has(m.name)) this.books.vanish(m.name);
     this.books.gone(m.name);
     this.heard.delete(m.name);
   }
@@ -276,22 +276,22 @@
   }
 
   /** Money holds back only what has not begun; while the books can't be read, nothing for long. */
-  holds(job: ActiveJob): Hold | null {
+  holds(job: ActiveJob): AdmissionHold | null {
     if (this.store.blind !== null) return null;
     if (!this.entered)
-      return this.term.ctx.now - this.term.office.since < READING
-        ? { reason: 'budgets are being read', passing: true }
+      return this.term.ctx.now - this.term.lease.heldSince < READING
+        ? { reason: 'budgets are being read', transient: true }
         : null;
     // Without prices nothing can be said about what it costs; nothing can be placed then either.
-    if (this.term.ctx.types.size === 0) return { reason: 'prices are not known yet', passing: true };
+    if (this.term.ctx.types.size === 0) return { reason: 'prices are not known yet', transient: true };
     const reason = this.limits.holds(job);
-    return reason === null ? null : { reason, passing: false };
+    return reason === null ? null : { reason, transient: false };
   }
 
   // ---- the sweep ---------------------------------------------------------------------------------
 
   sweep(entitled: boolean): void {
-    const { ctx, estate, office } = this.term;
+    const { ctx, cluster: estate, lease: office } = this.term;
     if (this.store.blind !== null) {
       this.complain();
       this.giveUp();
@@ -304,11 +304,11 @@
       const rate = this.rate(m);
       if (rate !== null) books.update(m.name, rate, m.up);
       if (this.ghost(m)) books.vanish(m.name);
-      else if (!m.unresolved) books.resolve(m.name);
-      this.heard.set(m.name, m.leaseFrom);
+      else if (!m.awaitingReconciliation) books.resolve(m.name);
+      this.heard.set(m.name, m.leaseRenewedAt);
     }
     for (const name of [...books.names()]) if (!estate.machines.has(name)) books.gone(name);
-    if (this.unseen && !books.holding && ctx.now > office.since + 2 * ctx.settings.heartbeatIntervalUs) {
+    if (this.unseen && !books.holding && ctx.now > office.heldSince + 2 * ctx.settings.heartbeatIntervalUs) {
       // All machines have told what runs there: what nobody reports is nowhere.
       this.unseen = false;
       books.forsakeUnseen();
@@ -433,7 +433,7 @@
 
   constructor(private readonly settings: BudgetSettings) {}
 
-  begin(term: Term, links: Links): FeatureTerm {
+  begin(term: LeaderTerm, links: DependencyLinks): FeatureTerm {
     this.current = new BudgetTerm(term, links, this.settings);
     return this.current;
   }
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -1,6 +1,6 @@
 /** Limits and commitments: which jobs may begin. Decides only; what was spent is in the books. */
 import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
-import type { Links } from '@shaleyoke/core/ports';
+import type { DependencyLinks } from '@shaleyoke/core/ports';
 import type { Books } from './books.js';
 import { formatMoney, type Money } from './money.js';
 import type { LimitRecord } from './records.js';
@@ -42,7 +42,7 @@
 export interface LimitsHost {
   job(id: string): ActiveJob | undefined;
   jobs(): Iterable<ActiveJob>;
-  links: Links;
+  links: DependencyLinks;
   estimate(job: ActiveJob): Money;
   monthBefore(owner: string, month: string): string;
 }
@@ -143,7 +143,7 @@
 
   /** Whether it, or a job that it needs, has begun or ended: then its chain is under way, whatever it costs. */
   private underWay(job: ActiveJob): boolean {
-    return job.begun || job.spec.dependsOn.some((n) => this.host.job(n) === undefined);
+    return job.hasStarted || job.spec.dependsOn.some((n) => this.host.job(n) === undefined);
   }
 
   private committed(job: ActiveJob): boolean {
@@ -153,7 +153,7 @@
   /** Jobs that have begun count with what they will probably cost, also if a crash lost the commitment. */
   commitBegun(): void {
     for (const job of this.host.jobs())
-      if (job.phase === 'active' && job.begun && (this.books.jobs.get(job.id)?.commit ?? null) === null)
+      if (job.phase === 'active' && job.hasStarted && (this.books.jobs.get(job.id)?.commit ?? null) === null)
         this.commit(job, this.host.estimate(job));
   }
 
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -1,11 +1,11 @@
 /** Who pays for what an attempt ran, by how it ended (docs/budgets.md). */
-import type { ActiveJob, Attempt } from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { ALL, type Outcome } from './books.js';
 
 /** As the core counts it: on three machines, and nothing of it was ever done. */
-const failsEverywhere = (job: ActiveJob): boolean => job.failedOn.size >= 3 && job.done.count === 0;
+const failsEverywhere = (job: ActiveJob): boolean => job.failuresByMachine.size >= 3 && job.done.count === 0;
 
 /**
  * `ranUs`: how long the attempt ran, as far as anybody could tell; `unseenUs`: the last part of that, in which its
@@ -13,7 +13,7 @@
  * nobody tells how it ended.
  */
 export const outcomeOf = (
-  a: Attempt,
+  a: TaskAttempt,
   exit: ReportedTask | null,
   ranUs: Micros,
   unseenUs: Micros,
@@ -23,17 +23,17 @@
   return unseenUs > 0 && o.keptUs > seen ? { keptUs: seen, rest: o === ALL ? 'unseen' : o.rest } : o;
 };
 
-const byEnd = (a: Attempt, exit: ReportedTask | null, ranUs: Micros): Outcome => {
+const byEnd = (a: TaskAttempt, exit: ReportedTask | null, ranUs: Micros): Outcome => {
   const { job } = a;
   const { spec } = job;
   if (spec.shape === 'service' || exit?.cause === 'done' || exit?.checkpointed === true) return ALL;
   // Its user withdrew it: what ran until then was asked for.
-  if (job.phase === 'ended' && job.cancelled && !job.doomed) return ALL;
+  if (job.phase === 'ended' && job.cancelled && !job.dependencyFailed) return ALL;
   if (exit?.cause === 'error') return failsEverywhere(job) ? ALL : { keptUs: 0, rest: 'lost' };
   const rest = a.stopping !== null ? 'stopped' : 'lost';
   if (spec.checkpointIntervalUs <= 0) return { keptUs: 0, rest };
   // Checkpoints are at multiples of the job's progress, whoever made it.
-  const before = job.credit.get(spec.shape === 'gang' ? -1 : a.index) ?? 0;
+  const before = job.checkpointedProgress.get(spec.shape === 'gang' ? -1 : a.index) ?? 0;
   const safe = Math.floor((before + ranUs) / spec.checkpointIntervalUs) * spec.checkpointIntervalUs - before;
   return { keptUs: Math.max(0, Math.min(ranUs, safe)), rest };
 };
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -9,7 +9,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
-import type { Term } from '@shaleyoke/core/leadership/leader-term';
+import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { Accounts, type Marks } from './accounts.js';
 import { addCharge, noCharge, OpenJob, type Books } from './books.js';
 import { attemptsOf, Packing, type Packed } from './packing.js';
@@ -69,7 +69,7 @@
   private readonly extra: { owner: string; write: StoreWrite; done: () => void }[] = [];
 
   constructor(
-    private readonly term: Term,
+    private readonly term: LeaderTerm,
     private readonly books: Books,
     marks: Marks,
     private readonly changesPerS: number,
@@ -422,9 +422,9 @@
 
   /** Tried with the same values until it is surely written: what comes after it rests on that. */
   private send(writes: readonly StoreWrite[], what: 'head' | 'open', then: () => void): void {
-    const { ctx, office, leadership } = this.term;
+    const { ctx, lease: office, election: leadership } = this.term;
     const conditions: VersionCondition[] = [
-      { key: LEAD, version: office.version },
+      { key: LEAD, version: office.keyVersion },
       ...writes.map((x) => ({ key: x.key, version: this.versions.get(x.key) ?? 0 })),
     ];
     ctx.state({ kind: 'txn', conditions, writes }, 2, (r) => {
@@ -432,7 +432,7 @@
       if (r.kind === 'ok') {
         for (const x of writes) this.versions.set(x.key, r.revision);
         then();
-      } else if (r.kind === 'conflict' && r.failed.includes(LEAD)) leadership.lose('fenced');
+      } else if (r.kind === 'conflict' && r.failed.includes(LEAD)) leadership.stepDown('fenced');
       else if (r.kind === 'conflict') {
         // An earlier try was executed after all, or came late: nobody else writes these keys.
         this.reread([...writes.map((x) => x.key)], () => {
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -7,10 +7,10 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { type World } from '@shaleyoke/emulator/cluster-simulation';
+import { type ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { play, view } from './played.js';
 
-const stages = (w: World, ids: readonly string[]): (string | undefined)[] => {
+const stages = (w: ClusterSimulation, ids: readonly string[]): (string | undefined)[] => {
   for (const id of ids) w.poll(id);
   w.runFor(2 * SECOND);
   return ids.map((id) => w.stageOf(id));
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -5,7 +5,7 @@
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { Random } from '@shaleyoke/emulator/random';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 export const teams = (names: readonly string[]): Team[] =>
   names.map((name) => ({ name, guaranteedCores: 0, maxCores: 0, guaranteedGpus: 0, maxGpus: 0 }));
@@ -14,7 +14,7 @@
   parseBudgets(`version: 1\ncurrency: EUR\nzone: Europe/Warsaw\n${limits}`, of, 'budgets');
 
 export interface Played {
-  readonly w: World;
+  readonly w: ClusterSimulation;
   /** The books of whoever leads, or led last. */
   readonly books: () => import('@shaleyoke/budgets/books').Books | undefined;
 }
@@ -28,7 +28,7 @@
   of = TEAMS,
 ): Played => {
   const all: Budgets[] = [];
-  const w = new World(
+  const w = new ClusterSimulation(
     r,
     3,
     of.map((t) => `[[cluster.teams]]\nname = "${t.name}"\n`).join(''),
@@ -53,7 +53,7 @@
   };
 };
 
-export const view = (w: World): BooksView =>
+export const view = (w: ClusterSimulation): BooksView =>
   viewBooks(
     w.keys('b/').map((key) => ({ key, value: structuredClone(w.value(key)), version: 1, lease: null })),
   );
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,5 +1,5 @@
 /** What the platform's settings say against each other: each with its field and what to do. */
-import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
+import { maxCancellationAge, LEAST_MAX_AGE } from '@shaleyoke/core/leadership/cancellation-freshness';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
@@ -14,9 +14,9 @@
 const seconds = (us: number): string => (us / SECOND).toFixed(1);
 
 const cancellation = (s: Settings): Contradiction[] => {
-  const bound = freshnessBound(s);
-  if (bound >= LEAST_BOUND) return [];
-  const least = s.cancellationDeadlineUs + LEAST_BOUND - bound;
+  const bound = maxCancellationAge(s);
+  if (bound >= LEAST_MAX_AGE) return [];
+  const least = s.cancellationDeadlineUs + LEAST_MAX_AGE - bound;
   return [
     {
       level: 'error',
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { freshnessBound, LEAST_BOUND } from '@shaleyoke/core/leadership/cancellation-freshness';
+import { maxCancellationAge, LEAST_MAX_AGE } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { settingsFor } from '@shaleyoke/emulator/site';
@@ -85,7 +85,7 @@
     assert.deepEqual(contradictions({ ...bad, cancellationDeadlineUs: least }), []);
     assert.equal(contradictions({ ...bad, cancellationDeadlineUs: least - SECOND / 2 }).length, 1);
   }
-  assert.ok(freshnessBound(good) > LEAST_BOUND);
+  assert.ok(maxCancellationAge(good) > LEAST_MAX_AGE);
 });
 
 test('limits below guarantees and a node among its own peers are warned of', () => {
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -2,7 +2,7 @@
  * The users' desk, the same on every node: accepts and cancels by compare-and-set on the job's record
  * and answers only after the write; answers polls from records validated in the state service.
  */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import { activeKey, endedKey, idOfActive } from '../codecs/keys.js';
 import type { ExtraWrites, InternalResponse, ClientResponse, ClientRequest } from '../domain/client-api.js';
 import type { JobSpec, JobView, JobStage } from '../domain/job.js';
@@ -41,7 +41,7 @@
   readonly request: number;
 }
 
-export class Desk {
+export class JobService {
   private readonly cache = new Map<string, Known>();
   private readonly progress = new Map<string, { done: number; running: number }>();
   private waiting = new Map<string, Waiter[]>();
@@ -59,12 +59,12 @@
   private readonly gatherUs: Micros;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     /** Whether the state service answers another node while it does not answer this one. */
     private readonly servedElsewhere: () => boolean = () => false,
   ) {
     this.gatherUs = Math.max(GATHER_US, Math.round(SECOND / (POLL_SHARE * ctx.settings.storeRequestsPerS)));
-    ctx.linkLost.push(() => {
+    ctx.onStoreLost.push(() => {
       // Who waits for the next comparison is told now: a user's poll gives up after two seconds.
       for (const waiters of this.waiting.values()) this.fail(waiters);
       this.waiting.clear();
@@ -76,7 +76,7 @@
    * silent state service had their requests time out, 143 to 187 of them on a day of one cut.
    */
   private get cutOff(): boolean {
-    return this.ctx.link.downSince !== null;
+    return this.ctx.storeConnection.downSince !== null;
   }
 
   handle(request: number, body: ClientRequest): void {
@@ -124,7 +124,7 @@
   }
 
   /** Display counts from the leader. */
-  noteProgress(m: ProgressUpdate): void {
+  recordProgress(m: ProgressUpdate): void {
     for (const n of m.jobs) {
       this.progress.delete(n.id);
       this.progress.set(n.id, { done: n.done, running: n.running });
@@ -133,7 +133,7 @@
   }
 
   /** The leader learns of ends from its own writes and its watch. */
-  noteEnded(id: string, stage: 'done' | 'cancelled', done: number, service = false): void {
+  recordTerminalState(id: string, stage: 'done' | 'cancelled', done: number, service = false): void {
     this.remember(id, { kind: 'ended', stage, done, service });
   }
 
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,5 +1,5 @@
 /** Jobs that have not ended, machines and their sessions, and the attempts that join them. */
-import type { Slot } from './machine-slot.js';
+import type { MachineSlot } from './machine-slot.js';
 import type { WorkerCommand, Heartbeat } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
@@ -18,83 +18,83 @@
   | 'running'
   | 'saving';
 
-export interface Attempt {
+export interface TaskAttempt {
   readonly job: ActiveJob;
   readonly index: number;
-  readonly no: number;
+  readonly number: number;
   readonly machine: Machine;
-  readonly session: number;
+  readonly agentEpoch: number;
   state: AttemptState;
   /** Token under which the start was sent. */
-  token: number;
-  readonly orderedAt: Micros;
+  fencingToken: number;
+  readonly commandedAt: Micros;
   runningAt: Micros | null;
   /** False for an adopted attempt: when it began is not known. */
-  readonly timed: boolean;
+  readonly startTimeKnown: boolean;
   /**
    * This leader's own, or seen in a report with a token of this term. Else only an older report told of it, which may be a
    * late copy: then it may be anywhere, and nothing rests on its being here.
    */
-  proven: boolean;
+  confirmed: boolean;
   stopping: { readonly since: Micros; readonly graceUs: Micros } | null;
 }
 
 export const attemptKey = (job: string, index: number): string => `${job}/${index}`;
 
 /** The tightest way from a job to one with a deadline that needs it: what lies between takes `tail`. */
-export interface Chain {
+export interface DeadlineChain {
   readonly last: ActiveJob;
   readonly tail: Micros;
 }
 
 /** Time of day by which the job has to be done, by the deadline of the last one, times `times`. */
-export const dueOf = ({ last, tail }: Chain, times = 1): Micros =>
-  last.at + (last.spec.deadlineUs ?? 0) * times - tail;
+export const latestFinish = ({ last, tail }: DeadlineChain, times = 1): Micros =>
+  last.acceptedAt + (last.spec.deadlineUs ?? 0) * times - tail;
 
 /** Why a job may not begin now; `passing` where that is over in a moment, and nobody need be told. */
-export interface Hold {
+export interface AdmissionHold {
   readonly reason: string;
-  readonly passing: boolean;
+  readonly transient: boolean;
 }
 
 /** The leader's picture of a job. Compact: one bit a task, records only for live ones. */
 export class ActiveJob {
   readonly done: TaskBitset;
   /** The done tasks that are known to be written. */
-  readonly durable: TaskBitset;
-  readonly live = new Map<number, Attempt>();
+  readonly durablyDone: TaskBitset;
+  readonly liveAttempts = new Map<number, TaskAttempt>();
   /** Machines on record as possibly holding tasks of this job: written before the first start there. */
-  placedOn = new Set<string>();
+  recordedMachines = new Set<string>();
   /** Machines that may still hold tasks from before this term, until they prove otherwise. */
-  readonly unresolved = new Set<string>();
+  readonly unreconciledMachines = new Set<string>();
   /** Progress that is safe outside the machines: by task, or for the whole gang under -1. */
-  readonly credit = new Map<number, Micros>();
+  readonly checkpointedProgress = new Map<number, Micros>();
   /** Machines on which tasks of this job failed. */
-  readonly failedOn = new Map<string, number>();
-  failuresInRow = 0;
-  notBefore: Micros = 0;
+  readonly failuresByMachine = new Map<string, number>();
+  consecutiveFailures = 0;
+  retryNotBefore: Micros = 0;
   phase: 'active' | 'finishing' | 'ended' = 'active';
   cancelled = false;
   /** A member of the gang's attempt is lost: the others are being stopped. */
-  broken = false;
-  dirty = false;
+  gangBroken = false;
+  progressDirty = false;
   /** Its record of places can't be read: none of its tasks may be started. */
-  unreadable = false;
-  startedOnce = false;
+  progressUnreadable = false;
+  startedBefore = false;
   /** Room is being made for it until then. */
-  promisedUntil: Micros = 0;
+  reservedUntil: Micros = 0;
   /** Where that is; the plan looks nowhere else meanwhile. */
-  promisedOn: ReadonlySet<string> | null = null;
+  reservedMachines: ReadonlySet<string> | null = null;
   /** Waits for other jobs: nothing of it may be started, and it counts towards nothing. */
-  held = false;
+  blockedOnDependencies = false;
   /** Why a feature holds it back; only before any task of it has begun. Counts as `held` does. */
-  barred: Hold | null = null;
+  admissionHold: AdmissionHold | null = null;
   /** A job that it needs is cancelled: it can never run. */
-  doomed = false;
+  dependencyFailed = false;
   /** Time of day at which the last job that it needs was done; null for a job that needs none. */
-  releasedAt: Micros | null = null;
+  dependenciesMetAt: Micros | null = null;
   /** The tightest deadline among the jobs that need it. */
-  chain: Chain | null = null;
+  deadlineChain: DeadlineChain | null = null;
   private cursor = 0;
   private effectivePriority: Priority;
 
@@ -102,12 +102,12 @@
     readonly spec: JobSpec,
     readonly version: number,
     /** Time of day of acceptance: the order of jobs within a team. */
-    readonly at: Micros,
+    readonly acceptedAt: Micros,
     /** When this leader learned of it. */
-    readonly seen: Micros,
+    readonly discoveredAt: Micros,
   ) {
     this.done = new TaskBitset(spec.tasks);
-    this.durable = new TaskBitset(spec.tasks);
+    this.durablyDone = new TaskBitset(spec.tasks);
     this.effectivePriority = spec.priority;
   }
 
@@ -119,34 +119,34 @@
   set priority(value: Priority) {
     if (value === this.effectivePriority) return;
     this.effectivePriority = value;
-    for (const attempt of this.live.values()) attempt.machine.notifyObserver();
+    for (const attempt of this.liveAttempts.values()) attempt.machine.notifyObserver();
   }
 
   /** Whether any task of it was ever started, by this leader or an earlier one: then it goes on to its end. */
-  get begun(): boolean {
-    return this.startedOnce || this.live.size > 0 || this.done.count > 0;
+  get hasStarted(): boolean {
+    return this.startedBefore || this.liveAttempts.size > 0 || this.done.count > 0;
   }
 
   /** Time of day from which its waiting counts. */
-  get since(): Micros {
-    return this.releasedAt ?? this.at;
+  get waitingSince(): Micros {
+    return this.dependenciesMetAt ?? this.acceptedAt;
   }
 
   get id(): string {
     return this.spec.id;
   }
 
-  get waiting(): number {
-    return this.spec.tasks - this.done.count - this.live.size;
+  get waitingCount(): number {
+    return this.spec.tasks - this.done.count - this.liveAttempts.size;
   }
 
-  get complete(): boolean {
+  get isComplete(): boolean {
     return this.spec.shape !== 'service' && this.done.count >= this.spec.tasks;
   }
 
-  running(): number {
+  runningCount(): number {
     let n = 0;
-    for (const a of this.live.values()) if (a.state === 'running') n++;
+    for (const a of this.liveAttempts.values()) if (a.state === 'running') n++;
     return n;
   }
 
@@ -155,7 +155,7 @@
     const out: number[] = [];
     let first: number | null = null;
     for (let i = this.cursor; i < this.spec.tasks && out.length < n; i++) {
-      if (this.done.has(i) || this.live.has(i)) continue;
+      if (this.done.has(i) || this.liveAttempts.has(i)) continue;
       first ??= i;
       out.push(i);
     }
@@ -164,20 +164,20 @@
   }
 
   /** A task waits again. */
-  reopen(index: number): void {
+  requeue(index: number): void {
     this.cursor = Math.min(this.cursor, index);
   }
 
-  zones(): Map<string, number> {
+  tasksByZone(): Map<string, number> {
     const z = new Map<string, number>();
-    for (const a of this.live.values()) z.set(a.machine.zone, (z.get(a.machine.zone) ?? 0) + 1);
+    for (const a of this.liveAttempts.values()) z.set(a.machine.zone, (z.get(a.machine.zone) ?? 0) + 1);
     return z;
   }
 
   /** Whether one more task may begin in the zone, given where the job's other tasks are. */
   zoneAllows(zone: string): boolean {
     if (!this.spec.sameZone && !this.spec.spreadAcrossZones) return true;
-    const z = this.zones();
+    const z = this.tasksByZone();
     if (this.spec.sameZone) for (const other of z.keys()) if (other !== zone) return false;
     return !this.spec.spreadAcrossZones || (z.get(zone) ?? 0) < spreadLimit(this.spec);
   }
@@ -193,34 +193,34 @@
   address: string;
   /** Whether the machine is on record: nothing is started on one that is not. */
   recorded: 'no' | 'writing' | 'yes' = 'no';
-  session = 0;
-  seq = -1;
+  agentEpoch = 0;
+  lastSequence = -1;
   /** Highest token that the worker said it has seen. */
-  seenToken = 0;
+  acknowledgedToken = 0;
   /** Raised to fence late orders; added to the term's first token. */
-  fence = 0;
+  fencingCounter = 0;
   /** Token under which starts were last sent: a late copy of them is executed until the worker has seen a higher one. */
-  startedUnder = 0;
+  lastStartToken = 0;
   /** Tasks that ended on it since the token was last raised. */
-  readonly endedUnder = new Set<string>();
+  readonly endedSinceFencing = new Set<string>();
   /** When the last report was taken that was answered with 200, or may have been by an older leader. */
-  leaseFrom: Micros;
-  lastReport: Micros = 0;
+  leaseRenewedAt: Micros;
+  lastHeartbeatAt: Micros = 0;
   upSince: Micros = 0;
-  notice: Micros | null = null;
-  readonly attempts = new Map<string, Attempt>();
-  readonly images = new Map<string, Micros>();
-  outbox: WorkerCommand[] = [];
-  calling = false;
+  terminationAt: Micros | null = null;
+  readonly attempts = new Map<string, TaskAttempt>();
+  readonly cachedImages = new Map<string, Micros>();
+  queuedCommands: WorkerCommand[] = [];
+  commandInFlight = false;
   idleSince: Micros;
-  errorsInRow = 0;
-  readonly errorJobs = new Set<string>();
-  firstListed: Micros | null = null;
-  lastListed: Micros | null = null;
-  rentedAt: Micros;
-  deleting = false;
+  consecutiveErrors = 0;
+  readonly failedJobs = new Set<string>();
+  firstListedAt: Micros | null = null;
+  lastListedAt: Micros | null = null;
+  provisionedAt: Micros;
+  deletionRequested = false;
   /** Counts what changes its place in the picture; the slot made of it is kept until then. */
-  changes = 0;
+  revision = 0;
   private isUp = false;
   private isStanding = false;
   private retiringFor: string | null = null;
@@ -228,7 +228,7 @@
   private unknownTasks = 0;
   private observer: MachineObserver | null = null;
   private freed: { changes: number; total: Readonly<Amounts>; free: Amounts } | null = null;
-  pictured: { readonly changes: number; readonly at: Micros; readonly slot: Slot } | null = null;
+  cachedSlot: { readonly changes: number; readonly at: Micros; readonly slot: MachineSlot } | null = null;
 
   constructor(
     readonly name: string,
@@ -239,9 +239,9 @@
     now: Micros,
   ) {
     this.address = address;
-    this.leaseFrom = now;
+    this.leaseRenewedAt = now;
     this.idleSince = now;
-    this.rentedAt = now;
+    this.provisionedAt = now;
   }
 
   /** Is told from now on of each change that counts; null: nobody is. */
@@ -254,8 +254,8 @@
   }
 
   /** Its attempts, images or session changed: what was derived from them is derived anew. */
-  touch(): void {
-    this.changes++;
+  markChanged(): void {
+    this.revision++;
     this.notifyObserver();
   }
 
@@ -270,59 +270,61 @@
   }
 
   /** Was there before this service rented anything: kept when idle. */
-  get standing(): boolean {
+  get preprovisioned(): boolean {
     return this.isStanding;
   }
 
-  set standing(value: boolean) {
+  set preprovisioned(value: boolean) {
     if (value === this.isStanding) return;
     this.isStanding = value;
     this.notifyObserver();
   }
 
   /** Why it is being returned: nothing is started on it any more; null: it is not. */
-  get retiring(): string | null {
+  get retirementReason(): string | null {
     return this.retiringFor;
   }
 
-  set retiring(value: string | null) {
+  set retirementReason(value: string | null) {
     if (value === this.retiringFor) return;
     this.retiringFor = value;
     this.notifyObserver();
   }
 
   /** May hold tasks from before this term that nobody has told us about yet. */
-  get unresolved(): boolean {
+  get awaitingReconciliation(): boolean {
     return this.isUnresolved;
   }
 
-  set unresolved(value: boolean) {
+  set awaitingReconciliation(value: boolean) {
     if (value === this.isUnresolved) return;
     this.isUnresolved = value;
     this.notifyObserver();
   }
 
   /** Tasks on it that this leader can't account for. */
-  get strangers(): number {
+  get unknownTaskCount(): number {
     return this.unknownTasks;
   }
 
-  set strangers(value: number) {
+  set unknownTaskCount(value: number) {
     if (value === this.unknownTasks) return;
     this.unknownTasks = value;
     this.notifyObserver();
   }
 
   /** Whether a report is newer than everything known of the machine. */
-  isNewer(r: Heartbeat): boolean {
-    return r.agentEpoch > this.session || (r.agentEpoch === this.session && r.sequence > this.seq);
+  isNewerHeartbeat(r: Heartbeat): boolean {
+    return (
+      r.agentEpoch > this.agentEpoch || (r.agentEpoch === this.agentEpoch && r.sequence > this.lastSequence)
+    );
   }
 
   /** Room left beside what is surely there: as much as others may have put there meanwhile. */
-  openTo(total: Readonly<Amounts>): Amounts {
+  freeBesideConfirmed(total: Readonly<Amounts>): Amounts {
     const open = this.freeOf(total);
     for (const a of this.attempts.values()) {
-      if (a.proven) continue;
+      if (a.confirmed) continue;
       open.cores += a.job.spec.cores;
       open.gpus += a.job.spec.gpus;
       open.memoryGb += a.job.spec.memoryGb;
@@ -332,8 +334,8 @@
 
   /** Room left when everything counts that is or may be there. */
   freeOf(total: Readonly<Amounts>): Amounts {
-    if (this.freed?.changes !== this.changes || this.freed.total !== total)
-      this.freed = { changes: this.changes, total, free: this.countFree(total) };
+    if (this.freed?.changes !== this.revision || this.freed.total !== total)
+      this.freed = { changes: this.revision, total, free: this.countFree(total) };
     const { cores, gpus, memoryGb } = this.freed.free;
     return { cores, gpus, memoryGb };
   }
@@ -348,14 +350,14 @@
     return free;
   }
 
-  usable(): boolean {
+  isUsable(): boolean {
     return (
       this.up &&
       this.recorded === 'yes' &&
-      this.retiring === null &&
-      this.notice === null &&
-      !this.unresolved &&
-      this.strangers === 0
+      this.retirementReason === null &&
+      this.terminationAt === null &&
+      !this.awaitingReconciliation &&
+      this.unknownTaskCount === 0
     );
   }
 }
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -4,7 +4,7 @@
 import type { MachineType } from '../domain/machine.js';
 import type { Team } from '../domain/settings.js';
 
-export class Usage {
+export class QuotaUsage {
   private readonly cores = new Map<string, number>();
   private readonly gpus = new Map<string, number>();
   /** What any team may use beside what is known of it. */
@@ -16,7 +16,7 @@
    * only an older report tells of counts as anybody's: a late copy of one team's tasks once hid another's (`quota`).
    */
   doubt(type: MachineType | null, m: Machine): void {
-    const free = type === null ? { cores: Infinity, gpus: Infinity } : m.openTo(type);
+    const free = type === null ? { cores: Infinity, gpus: Infinity } : m.freeBesideConfirmed(type);
     this.doubted.cores += Math.max(0, free.cores);
     this.doubted.gpus += Math.max(0, free.gpus);
   }
@@ -50,8 +50,8 @@
   const inside = new Set<ActiveJob>();
   const taken = new Map<string, { cores: number; gpus: number }>();
   const byAge = jobs
-    .filter((j) => j.phase === 'active' && !j.held && j.barred === null)
-    .sort((a, b) => a.at - b.at);
+    .filter((j) => j.phase === 'active' && !j.blockedOnDependencies && j.admissionHold === null)
+    .sort((a, b) => a.acceptedAt - b.acceptedAt);
   for (const job of byAge) {
     const { team: name, tasks, cores, gpus } = job.spec;
     const team = teams.find((t) => t.name === name);
@@ -69,9 +69,9 @@
  * Jobs in the order of turns: inside their team's guarantee first, for they need not wait on other
  * teams' borrowing; then by priority; then, in rounds, each team's oldest.
  */
-export const turnOrder = (jobs: readonly ActiveJob[], teams: readonly Team[]): ActiveJob[] => {
+export const fairShareOrder = (jobs: readonly ActiveJob[], teams: readonly Team[]): ActiveJob[] => {
   const inside = guaranteedJobs(jobs, teams);
-  const byAge = [...jobs].sort((a, b) => a.at - b.at || (a.id < b.id ? -1 : 1));
+  const byAge = [...jobs].sort((a, b) => a.acceptedAt - b.acceptedAt || (a.id < b.id ? -1 : 1));
   const rounds = new Map<string, number>();
   const rows = byAge.map((job) => {
     const key = `${job.priority}|${job.spec.team}`;
@@ -84,7 +84,7 @@
       Number(b.within) - Number(a.within) ||
       b.job.priority - a.job.priority ||
       a.round - b.round ||
-      a.job.at - b.job.at,
+      a.job.acceptedAt - b.job.acceptedAt,
   );
   return rows.map((r) => r.job);
 };
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -2,7 +2,7 @@
  * Which waiting job can still meet which aim. Between turns the order of jobs is discretionary (paper,
  * 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they can meet.
  */
-import { dueOf, type ActiveJob } from './cluster-model.js';
+import { latestFinish, type ActiveJob } from './cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ServiceLevelObjective } from '../domain/settings.js';
 import { SECOND, type Micros } from '../domain/time.js';
@@ -19,19 +19,19 @@
   run: Micros,
   setup: Micros,
 ): Micros | null => {
-  const age = Math.max(0, now - job.since);
+  const age = Math.max(0, now - job.waitingSince);
   let best: Micros | null = null;
   const aim = (left: Micros): void => {
     if (left >= 0 && (best === null || left < best)) best = left;
   };
   for (const o of objectives) {
-    if (job.chain !== null && o.kind === 'deadline' && o.class === job.chain.last.spec.class)
-      aim(dueOf(job.chain, o.deadlineFactor) - now - setup - run);
+    if (job.deadlineChain !== null && o.kind === 'deadline' && o.class === job.deadlineChain.last.spec.class)
+      aim(latestFinish(job.deadlineChain, o.deadlineFactor) - now - setup - run);
     if (o.class !== job.spec.class) continue;
-    if (o.kind === 'wait' && o.withinUs !== null && !job.startedOnce) aim(o.withinUs - age - setup);
+    if (o.kind === 'wait' && o.withinUs !== null && !job.startedBefore) aim(o.withinUs - age - setup);
     else if (o.kind === 'finished' && o.withinUs !== null) aim(o.withinUs - age - setup - run);
     else if (o.kind === 'deadline' && job.spec.deadlineUs !== null)
-      aim(job.at + job.spec.deadlineUs * o.deadlineFactor - now - setup - run);
+      aim(job.acceptedAt + job.spec.deadlineUs * o.deadlineFactor - now - setup - run);
   }
   return best;
 };
@@ -52,7 +52,7 @@
 export const mustStartAtOnce = (spec: JobSpec, objectives: readonly ServiceLevelObjective[]): boolean =>
   (allowedWait(spec.class, objectives) ?? Infinity) < AT_ONCE;
 
-export interface Contender {
+export interface ObjectiveCandidate {
   readonly job: ActiveJob;
   /** Microseconds from now; null: no aim can be met any more. */
   readonly latest: Micros | null;
@@ -60,21 +60,25 @@
   readonly amount: number;
 }
 
-export interface AimOrder {
-  readonly kept: readonly Contender[];
-  readonly back: readonly Contender[];
+export interface ObjectiveOrder {
+  readonly kept: readonly ObjectiveCandidate[];
+  readonly back: readonly ObjectiveCandidate[];
 }
 
 /**
  * Moore and Hodgson's rule on a pool that frees `rate` of its unit a microsecond and has `free` now: by
  * latest start, and whenever one would come too late, the largest so far goes to the back.
  */
-export const orderByAims = (contenders: readonly Contender[], free: number, rate: number): AimOrder => {
+export const orderByObjectives = (
+  contenders: readonly ObjectiveCandidate[],
+  free: number,
+  rate: number,
+): ObjectiveOrder => {
   const byLatest = contenders
     .filter((c) => c.latest !== null)
-    .sort((a, b) => a.latest! - b.latest! || a.job.at - b.job.at);
-  const kept: Contender[] = [];
-  const back: Contender[] = contenders.filter((c) => c.latest === null);
+    .sort((a, b) => a.latest! - b.latest! || a.job.acceptedAt - b.job.acceptedAt);
+  const kept: ObjectiveCandidate[] = [];
+  const back: ObjectiveCandidate[] = contenders.filter((c) => c.latest === null);
   let sum = 0;
   for (const c of byLatest) {
     kept.push(c);
@@ -89,7 +93,9 @@
   }
   back.sort(
     (a, b) =>
-      Number(a.latest === null) - Number(b.latest === null) || a.amount - b.amount || a.job.at - b.job.at,
+      Number(a.latest === null) - Number(b.latest === null) ||
+      a.amount - b.amount ||
+      a.job.acceptedAt - b.job.acceptedAt,
   );
   return { kept, back };
 };
@@ -98,14 +104,16 @@
  * One order of several pools that share machines: what can still meet its aim by latest start, whatever
  * its pool, for work without GPUs runs on GPU machines too; then the rest, each pool's own order kept.
  */
-export const mergeOrders = (orders: readonly AimOrder[]): ActiveJob[] => {
-  const kept = orders.flatMap((o) => o.kept).sort((a, b) => a.latest! - b.latest! || a.job.at - b.job.at);
+export const mergeOrders = (orders: readonly ObjectiveOrder[]): ActiveJob[] => {
+  const kept = orders
+    .flatMap((o) => o.kept)
+    .sort((a, b) => a.latest! - b.latest! || a.job.acceptedAt - b.job.acceptedAt);
   const backs = orders.map((o) => [...o.back]);
-  const back: Contender[] = [];
+  const back: ObjectiveCandidate[] = [];
   for (;;) {
     const heads = backs.filter((b) => b.length > 0);
     if (heads.length === 0) break;
-    back.push(heads.reduce((x, y) => (y[0]!.job.at < x[0]!.job.at ? y : x)).shift()!);
+    back.push(heads.reduce((x, y) => (y[0]!.job.acceptedAt < x[0]!.job.acceptedAt ? y : x)).shift()!);
   }
   return [...kept, ...back].map((c) => c.job);
 };
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -49,12 +49,12 @@
   return steps;
 };
 
-export class Timings {
+export class RuntimeEstimates {
   private readonly groups = new Map<string, Sample[]>();
   private readonly cache = new Map<string, Step[]>();
 
   /** `ran` counts progress saved by earlier attempts too. */
-  note(cls: string, type: string, estimate: Micros, ran: Micros, completed: boolean): void {
+  recordRun(cls: string, type: string, estimate: Micros, ran: Micros, completed: boolean): void {
     const ratio = ran / Math.max(estimate, SECOND);
     if (!completed && ratio < 0.05) return;
     for (const key of [`${cls}|${type}`, cls, '']) {
@@ -128,7 +128,7 @@
     return out;
   }
 
-  seed(value: unknown): void {
+  load(value: unknown): void {
     if (typeof value !== 'object' || value === null) return;
     for (const [key, rows] of Object.entries(value)) {
       if (!Array.isArray(rows)) continue;
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -5,8 +5,8 @@
 import type { Machine, MachineObserver } from './cluster-model.js';
 import type { Priority } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import type { TeamUse } from './preemption-policy.js';
-import { Usage } from './fair-share.js';
+import type { TeamUsage } from './preemption-policy.js';
+import { QuotaUsage } from './fair-share.js';
 
 /** Amounts are decimals; sums are kept in whole millionths, so that what is added and taken off again leaves nothing. */
 const UNIT = 1_000_000;
@@ -71,7 +71,7 @@
 
 const teamsOn = (machine: Machine): Map<string, TeamSums> => {
   const teams = new Map<string, TeamSums>();
-  for (const { job, proven } of machine.attempts.values()) {
+  for (const { job, confirmed: proven } of machine.attempts.values()) {
     const { team, cores, gpus } = job.spec;
     const sums = teams.get(team) ?? noTeamSums();
     teams.set(team, sums);
@@ -92,7 +92,7 @@
   return `${machine.type}|${machine.up ? 'up' : 'down'}|${levels.join('|')}`;
 };
 
-export class ClusterTotals implements MachineObserver {
+export class UsageTotals implements MachineObserver {
   private readonly changedMachines = new Set<Machine>();
   private readonly counted = new Map<Machine, Contribution>();
   private readonly teams = new Map<string, TeamSums>();
@@ -113,9 +113,9 @@
   }
 
   /** In use by team, for a plan that goes on counting; what is not known counts as anybody's. */
-  usage(): Usage {
+  usage(): QuotaUsage {
     this.refresh();
-    const usage = new Usage();
+    const usage = new QuotaUsage();
     for (const [team, sums] of this.teams)
       usage.addAmounts(team, sums.provenCores / UNIT, sums.provenGpus / UNIT);
     for (const machine of this.doubtful) usage.doubt(this.types().get(machine.type) ?? null, machine);
@@ -123,9 +123,9 @@
   }
 
   /** In use by team, whatever it is known by. */
-  teamUse(): ReadonlyMap<string, TeamUse> {
+  teamUsage(): ReadonlyMap<string, TeamUsage> {
     this.refresh();
-    const use = new Map<string, TeamUse>();
+    const use = new Map<string, TeamUsage>();
     for (const [team, { cores, gpus }] of this.teams)
       use.set(team, { cores: cores / UNIT, gpus: gpus / UNIT });
     return use;
@@ -137,7 +137,7 @@
     return PRIORITIES.find((priority) => this.running[priority]! > 0) ?? 3;
   }
 
-  get anyStanding(): boolean {
+  get anyPreprovisioned(): boolean {
     this.refresh();
     return this.standing > 0;
   }
@@ -173,10 +173,10 @@
 
   private add(machine: Machine): void {
     const held = heldOn(machine);
-    const key = machine.retiring === null ? profileKey(machine, held) : null;
+    const key = machine.retirementReason === null ? profileKey(machine, held) : null;
     const running = PRIORITIES.map(() => 0);
     let unproven = false;
-    for (const { job, proven } of machine.attempts.values()) {
+    for (const { job, confirmed: proven } of machine.attempts.values()) {
       running[job.priority]!++;
       unproven ||= !proven;
     }
@@ -184,8 +184,8 @@
       teams: teamsOn(machine),
       running,
       profile: key,
-      doubtful: machine.unresolved || machine.strangers > 0 || unproven,
-      standing: machine.standing,
+      doubtful: machine.awaitingReconciliation || machine.unknownTaskCount > 0 || unproven,
+      standing: machine.preprovisioned,
     };
     this.counted.set(machine, contribution);
     this.sum(contribution, 1);
--- a/packages/core/src/codecs/job-codec.ts
+++ b/packages/core/src/codecs/job-codec.ts
@@ -33,7 +33,7 @@
 /** A job that has not ended, and when it was accepted (time of day). */
 export interface ActiveJobRecord {
   readonly spec: JobSpec;
-  readonly at: Micros;
+  readonly acceptedAt: Micros;
 }
 
 /** How a job ended. */
@@ -42,7 +42,7 @@
   readonly done: number;
   readonly shape: JobShape;
   /** Time of day of the end; null in records of the version before. */
-  readonly at: Micros | null;
+  readonly endedAt: Micros | null;
 }
 
 const encodeSpec = (spec: JobSpec): StoredJobSpec => ({
@@ -138,7 +138,7 @@
   const needs = isStoredMap(inner) ? unpackIds(inner['needs']) : [];
   const { spec, at } = record;
   if (needs === null || !isStoredSpec(spec) || typeof at !== 'number') return null;
-  return { spec: decodeSpec(spec, needs), at };
+  return { spec: decodeSpec(spec, needs), acceptedAt: at };
 };
 
 /**
@@ -166,6 +166,6 @@
     stage,
     done: typeof done === 'number' ? done : 0,
     shape: spec.shape,
-    at: typeof at === 'number' ? at : null,
+    endedAt: typeof at === 'number' ? at : null,
   };
 };
--- a/packages/core/src/codecs/machine-codec.ts
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -10,7 +10,7 @@
   /** Set before the machine is returned: nothing may be started on it any more. */
   readonly retiring: boolean;
   /** Was there before this service rented anything. */
-  readonly standing: boolean;
+  readonly preprovisioned: boolean;
 }
 
 const LONGEST_ADDRESS = '255.255.255.255:65535';
@@ -22,7 +22,7 @@
   zone: record.zone,
   ...(record.spot ? { spot: true } : {}),
   ...(record.retiring ? { retiring: true } : {}),
-  ...(record.standing ? { standing: true } : {}),
+  ...(record.preprovisioned ? { standing: true } : {}),
 });
 
 /** Null for what can't be read. */
@@ -36,7 +36,7 @@
     zone,
     spot: spot === true,
     retiring: retiring === true,
-    standing: standing === true,
+    preprovisioned: standing === true,
   };
 };
 
@@ -52,6 +52,6 @@
       zone,
       spot: true,
       retiring: true,
-      standing: true,
+      preprovisioned: true,
     }),
   });
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,9 +1,9 @@
 /** One node as a state machine: `step` takes an input at a time and returns what to do. */
-import { Context } from './node/node-context.js';
-import { Desk } from './api/job-service.js';
+import { NodeContext } from './node/node-context.js';
+import { JobService } from './api/job-service.js';
 import { TYPES } from './codecs/keys.js';
-import { Beats } from './membership/peer-heartbeats.js';
-import { Leadership } from './leadership/leader-election.js';
+import { PeerHeartbeats } from './membership/peer-heartbeats.js';
+import { LeaderElection } from './leadership/leader-election.js';
 import type { CoreEffect, Input } from './domain/effects.js';
 import type { Heartbeat, HeartbeatResponse } from './domain/heartbeat.js';
 import type { MachineType } from './domain/machine.js';
@@ -12,18 +12,18 @@
 import type { Micros } from './domain/time.js';
 import { MILLI, SECOND } from './domain/time.js';
 import { decodeMachineTypes } from './codecs/machine-type-codec.js';
-import type { Feature, NodePart } from './ports.js';
+import type { Feature, FeatureEndpoint } from './ports.js';
 import { Scheduler } from './leader/scheduler.js';
 
 export class Core {
-  private readonly ctx: Context;
-  private readonly desk: Desk;
-  private readonly leadership: Leadership;
+  private readonly ctx: NodeContext;
+  private readonly desk: JobService;
+  private readonly leadership: LeaderElection;
   /** Null: switched off. */
-  private readonly beats: Beats | null;
-  private scheduler: Scheduler | null = null;
+  private readonly beats: PeerHeartbeats | null;
+  private currentScheduler: Scheduler | null = null;
   private savedTypes = false;
-  private readonly parts = new Map<string, NodePart>();
+  private readonly parts = new Map<string, FeatureEndpoint>();
 
   constructor(
     settings: Settings,
@@ -32,8 +32,8 @@
     /** What is switched on. */
     features: readonly Feature[] = [],
   ) {
-    this.ctx = new Context(settings, stopwatch, verbose);
-    this.desk = new Desk(this.ctx, () => this.beats?.servedElsewhere() ?? false);
+    this.ctx = new NodeContext(settings, stopwatch, verbose);
+    this.desk = new JobService(this.ctx, () => this.beats?.isStoreServingPeers() ?? false);
     for (const f of features) {
       const part = f.serve?.({
         ctx: this.ctx,
@@ -43,23 +43,23 @@
       });
       if (part !== undefined) this.parts.set(f.name, part);
     }
-    this.leadership = new Leadership(
+    this.leadership = new LeaderElection(
       this.ctx,
       (office) => {
-        this.scheduler = new Scheduler(this.ctx, office, this.leadership, this.desk, features);
-        this.scheduler.start();
+        this.currentScheduler = new Scheduler(this.ctx, office, this.leadership, this.desk, features);
+        this.currentScheduler.start();
         this.saveTypes();
       },
       () => {
-        this.scheduler?.stop();
-        this.scheduler = null;
+        this.currentScheduler?.stop();
+        this.currentScheduler = null;
       },
     );
     this.beats =
       settings.membership === null || settings.peers.length === 0
         ? null
-        : new Beats(this.ctx, settings.membership, () =>
-            this.leadership.hasRight() ? (this.leadership.office?.term ?? null) : null,
+        : new PeerHeartbeats(this.ctx, settings.membership, () =>
+            this.leadership.canActAsLeader() ? (this.leadership.lease?.term ?? null) : null,
           );
   }
 
@@ -78,9 +78,14 @@
     return this.ctx.out;
   }
 
-  /** Whether this node holds the office and may act. */
+  /** Of the term that this node leads; null while another one does. */
+  get scheduler(): Scheduler | null {
+    return this.currentScheduler;
+  }
+
+  /** Whether this node leads and may act. */
   leads(): boolean {
-    return this.leadership.hasRight();
+    return this.leadership.canActAsLeader();
   }
 
   private take(input: Input): void {
@@ -107,7 +112,7 @@
         this.desk.handle(input.request, input.body);
         return;
       case 'report':
-        this.beats?.came(input.report.machine);
+        this.beats?.recordWorkerContact(input.report.machine);
         this.ctx.emit({
           kind: 'answerWorker',
           request: input.request,
@@ -125,16 +130,17 @@
   }
 
   private hear(m: PeerMessage): void {
-    const newest = m.term !== null && this.leadership.heard(m.member, m.term);
-    if (m.kind === 'beat') this.beats?.take(m);
+    const newest = m.term !== null && this.leadership.recordPeerClaim(m.member, m.term);
+    if (m.kind === 'beat') this.beats?.receive(m);
     // Counts of an office that is over are older than those of the next.
-    else if (newest) this.desk.noteProgress(m);
+    else if (newest) this.desk.recordProgress(m);
   }
 
   private answerReport(r: Heartbeat): HeartbeatResponse {
-    if (this.scheduler !== null && this.leadership.hasRight()) return this.scheduler.onReport(r);
-    if (this.scheduler !== null) {
-      this.scheduler.heard(r);
+    if (this.currentScheduler !== null && this.leadership.canActAsLeader())
+      return this.currentScheduler.onReport(r);
+    if (this.currentScheduler !== null) {
+      this.currentScheduler.heard(r);
       return { kind: 'unavailable' };
     }
     const { leader } = this.leadership;
@@ -169,12 +175,12 @@
   private haveTypes(types: readonly MachineType[]): void {
     this.ctx.types = new Map(types.map((t) => [t.name, t]));
     this.ctx.info('types.known', { types: types.map((t) => t.name) });
-    this.scheduler?.changed();
+    this.currentScheduler?.changed();
   }
 
   private saveTypes(): void {
-    if (this.scheduler === null || this.savedTypes || this.ctx.types.size === 0) return;
+    if (this.currentScheduler === null || this.savedTypes || this.ctx.types.size === 0) return;
     this.savedTypes = true;
-    this.scheduler.saveTypes([...this.ctx.types.values()]);
+    this.currentScheduler.saveTypes([...this.ctx.types.values()]);
   }
 }
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -6,16 +6,16 @@
  * There are no cycles: a job names only jobs that were accepted before it, never itself, and what it names
  * never changes. So the versions of the jobs' records, which are those of their acceptance, order the graph.
  */
-import { dueOf, type ActiveJob } from '../cluster/cluster-model.js';
+import { latestFinish, type ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 
-export interface End {
+export interface JobOutcome {
   readonly stage: 'done' | 'cancelled';
   /** Time of day; null where the record doesn't say. */
   readonly at: Micros | null;
 }
 
-export interface DependencyHost {
+export interface DependencyEvents {
   /** A job that has not ended as far as the leader knows. */
   job(id: string): ActiveJob | undefined;
   /** Reads the record of an ended job; answers by `ended`, in time. */
@@ -28,18 +28,18 @@
   readonly wallNow: Micros;
 }
 
-export class Dependencies {
+export class DependencyGraph {
   /** Jobs that have not ended, by the job that they need. */
   private readonly dependents = new Map<string, Set<ActiveJob>>();
   private readonly unmet = new Map<ActiveJob, Set<string>>();
   /** Ends of needed jobs, as their records say, while anything still depends on them. */
-  private readonly ends = new Map<string, End>();
+  private readonly ends = new Map<string, JobOutcome>();
   private stale = false;
 
-  constructor(private readonly host: DependencyHost) {}
+  constructor(private readonly host: DependencyEvents) {}
 
   /** How many jobs are held. */
-  get heldCount(): number {
+  get blockedCount(): number {
     return this.unmet.size;
   }
 
@@ -73,25 +73,28 @@
       this.dependents.set(n, others.add(job));
       const end = this.ends.get(n);
       if (end?.stage === 'done') {
-        job.releasedAt = Math.max(job.releasedAt ?? job.at, end.at ?? this.host.wallNow);
+        job.dependenciesMetAt = Math.max(
+          job.dependenciesMetAt ?? job.acceptedAt,
+          end.at ?? this.host.wallNow,
+        );
         continue;
       }
       unmet.add(n);
       const needed = this.host.job(n);
-      if (end?.stage === 'cancelled' || needed?.doomed === true) cause = n;
+      if (end?.stage === 'cancelled' || needed?.dependencyFailed === true) cause = n;
       else if (needed === undefined || needed.phase === 'ended') this.host.resolve(n);
     }
     if (unmet.size === 0) {
       this.host.released(job);
       return;
     }
-    job.held = true;
+    job.blockedOnDependencies = true;
     this.unmet.set(job, unmet);
     if (cause !== null) this.doom([job], cause);
   }
 
   /** The record of a job says how it ended. */
-  ended(id: string, end: End): void {
+  ended(id: string, end: JobOutcome): void {
     const dependents = this.dependents.get(id);
     if (dependents === undefined || this.ends.has(id)) return;
     this.ends.set(id, end);
@@ -104,10 +107,10 @@
       const unmet = this.unmet.get(job);
       if (unmet?.delete(id) !== true) continue;
       // The other times of a job count from the moment when the last that it needs is done.
-      job.releasedAt = Math.max(job.releasedAt ?? job.at, end.at ?? this.host.wallNow);
+      job.dependenciesMetAt = Math.max(job.dependenciesMetAt ?? job.acceptedAt, end.at ?? this.host.wallNow);
       if (unmet.size > 0) continue;
       this.unmet.delete(job);
-      job.held = false;
+      job.blockedOnDependencies = false;
       this.host.released(job);
     }
   }
@@ -117,8 +120,8 @@
     const found: ActiveJob[] = [];
     const next = [...first];
     for (let job = next.pop(); job !== undefined; job = next.pop()) {
-      if (job.doomed || job.phase === 'ended') continue;
-      job.doomed = true;
+      if (job.dependencyFailed || job.phase === 'ended') continue;
+      job.dependencyFailed = true;
       found.push(job);
       next.push(...(this.dependents.get(job.id) ?? []));
     }
@@ -153,12 +156,12 @@
     }
     for (const job of linked) {
       job.priority = job.spec.priority;
-      job.chain = null;
+      job.deadlineChain = null;
     }
     for (const job of [...linked].sort((a, b) => b.version - a.version)) {
-      const { chain } = job;
-      const due = chain === null ? Infinity : dueOf(chain);
-      const own = job.spec.deadlineUs === null ? Infinity : job.at + job.spec.deadlineUs;
+      const { deadlineChain: chain } = job;
+      const due = chain === null ? Infinity : latestFinish(chain);
+      const own = job.spec.deadlineUs === null ? Infinity : job.acceptedAt + job.spec.deadlineUs;
       const last = own <= due ? job : chain?.last;
       for (const n of job.spec.dependsOn) {
         const needed = this.host.job(n);
@@ -167,7 +170,8 @@
         if (last === undefined || last.spec.deadlineUs === null) continue;
         const tail = (own <= due ? 0 : (chain?.tail ?? 0)) + this.host.expected(job);
         const link = { last, tail };
-        if (needed.chain === null || dueOf(link) < dueOf(needed.chain)) needed.chain = link;
+        if (needed.deadlineChain === null || latestFinish(link) < latestFinish(needed.deadlineChain))
+          needed.deadlineChain = link;
       }
     }
   }
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -3,14 +3,14 @@
  * all of them queued at once, so that a chain takes no round trip a level. What a crash leaves undone the
  * next leader finds anew, since it is told by the records alone.
  */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import type { VersionCondition, StoreWrite } from '../domain/key-value-store.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { encodeEndedJob } from '../codecs/job-codec.js';
 
-export interface CascadeHost {
+export interface PropagationEvents {
   readonly leadVersion: number;
   active(): boolean;
   fenced(): void;
@@ -19,14 +19,14 @@
   moved(job: ActiveJob): void;
 }
 
-export class Cascade {
+export class DependencyFailurePropagation {
   private queue: ActiveJob[] = [];
   private busy = false;
   private most: number;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly host: CascadeHost,
+    private readonly ctx: NodeContext,
+    private readonly host: PropagationEvents,
   ) {
     this.most = Math.max(1, Math.floor(ctx.settings.maxTransactionOperations / 2));
   }
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,23 +1,23 @@
 /** Reads how jobs ended, a few at a time: after taking over, every job that something still waits for. */
-import type { Context } from '../node/node-context.js';
-import type { End } from './dependencies.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { JobOutcome } from './dependencies.js';
 import { endedKey } from '../codecs/keys.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { decodeEndedJob } from '../codecs/job-codec.js';
 
 const AT_ONCE = 6;
 
-export class Endings {
+export class DependencyOutcomeResolver {
   private readonly asked = new Set<string>();
   private readonly queue: string[] = [];
   private under = 0;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     private readonly active: () => boolean,
     /** Whether somebody still waits for it, and it has left the jobs that have not ended. */
     private readonly open: (id: string) => boolean,
-    private readonly found: (id: string, end: End) => void,
+    private readonly found: (id: string, end: JobOutcome) => void,
   ) {}
 
   ask(id: string): void {
@@ -42,7 +42,7 @@
       this.under--;
       this.asked.delete(id);
       const rec = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
-      if (rec !== null) this.found(id, { stage: rec.stage, at: rec.at });
+      if (rec !== null) this.found(id, { stage: rec.stage, at: rec.endedAt });
       else {
         if (r.kind === 'item') this.ctx.error('job.unreadable', { job: id });
         // Not there: it has not ended yet, and this leader is still to hear that it was accepted.
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,27 +1,27 @@
 /** How jobs end: results counted, the record moved from `j/` to `t/`, and what others had to hear of it. */
-import type { ActiveJob, Attempt } from '../cluster/cluster-model.js';
-import type { End } from './dependencies.js';
+import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
+import type { JobOutcome } from './dependencies.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { encodeEndedJob, decodeEndedJob } from '../codecs/job-codec.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
-export interface CompletionHost {
+export interface CompletionEvents {
   /** Polls on this node are answered from now on by how the job ended. */
   told(id: string, stage: 'done' | 'cancelled', done: number): void;
   /** It waits for nothing any more, and its end is known, or to be read from its record. */
-  ended(job: ActiveJob, end: End | null): void;
-  stop(a: Attempt): void;
+  ended(job: ActiveJob, end: JobOutcome | null): void;
+  stop(a: TaskAttempt): void;
   /** Its progress need not be kept any more. */
   dropProgress(job: ActiveJob): void;
   /** Nothing of it is left anywhere. */
   forget(job: ActiveJob): void;
 }
 
-export class Completion {
+export class JobCompletion {
   constructor(
-    private readonly term: Term,
-    private readonly host: CompletionHost,
+    private readonly term: LeaderTerm,
+    private readonly host: CompletionEvents,
   ) {}
 
   markDone(job: ActiveJob, index: number): void {
@@ -32,11 +32,11 @@
       for (let i = 0; i < job.spec.tasks; i++) added = job.done.add(i) || added;
     } else added = job.done.add(index);
     if (!added) return;
-    job.failuresInRow = 0;
-    job.dirty = true;
+    job.consecutiveFailures = 0;
+    job.progressDirty = true;
     this.term.ctx.debug('task.done', { job: job.id, task: index, done: job.done.count });
-    if (job.complete) this.finish(job);
-    this.term.planSoon();
+    if (job.isComplete) this.finish(job);
+    this.term.schedulePass();
   }
 
   /**
@@ -48,29 +48,29 @@
     const { ctx } = this.term;
     job.phase = 'ended';
     job.cancelled = stage !== 'done';
-    ctx.info('job.withdrawn', { job: job.id, live: job.live.size, doomed: job.doomed });
+    ctx.info('job.withdrawn', { job: job.id, live: job.liveAttempts.size, doomed: job.dependencyFailed });
     this.host.ended(job, stage === null ? null : { stage, at: ctx.wallNow });
-    for (const a of [...job.live.values()]) this.host.stop(a);
+    for (const a of [...job.liveAttempts.values()]) this.host.stop(a);
     this.host.dropProgress(job);
     this.dropIfEmpty(job);
-    this.term.planSoon();
+    this.term.schedulePass();
   }
 
   dropIfEmpty(job: ActiveJob): void {
-    if (job.phase === 'ended' && job.live.size === 0) this.host.forget(job);
+    if (job.phase === 'ended' && job.liveAttempts.size === 0) this.host.forget(job);
   }
 
   /** Written at once, not gathered: a poll three seconds later must see it. */
   finish(job: ActiveJob): void {
     if (job.phase !== 'active' || this.term.stopped) return;
-    const { ctx, office, leadership } = this.term;
+    const { ctx, lease: office, election: leadership } = this.term;
     job.phase = 'finishing';
     const at = ctx.wallNow;
     ctx.state(
       {
         kind: 'txn',
         conditions: [
-          { key: LEAD, version: office.version },
+          { key: LEAD, version: office.keyVersion },
           { key: activeKey(job.id), version: job.version },
         ],
         writes: [
@@ -88,14 +88,14 @@
         if (r.kind === 'ok') {
           job.phase = 'ended';
           this.host.told(job.id, 'done', job.spec.tasks);
-          ctx.info('job.done', { job: job.id, afterS: (ctx.wallNow - job.at) / SECOND });
+          ctx.info('job.done', { job: job.id, afterS: (ctx.wallNow - job.acceptedAt) / SECOND });
           this.host.dropProgress(job);
           this.host.ended(job, { stage: 'done', at });
           this.dropIfEmpty(job);
           return;
         }
         if (r.kind === 'conflict' && r.failed.includes(LEAD)) {
-          leadership.lose('fenced');
+          leadership.stepDown('fenced');
           return;
         }
         if (r.kind === 'conflict') {
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -1,5 +1,5 @@
 /** For operators, in the log: where room is, and who waits for it. */
-import type { Term } from '../leadership/leader-term.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 interface PoolSummary {
   up: number;
@@ -10,7 +10,7 @@
   tasks: number;
 }
 
-const poolsOf = ({ ctx, estate }: Term): Record<string, PoolSummary> => {
+const poolsOf = ({ ctx, cluster: estate }: LeaderTerm): Record<string, PoolSummary> => {
   const pools: Record<string, PoolSummary> = {};
   for (const machine of estate.machines.values()) {
     const key = `${machine.type}/${machine.zone}${machine.spot ? '/spot' : ''}`;
@@ -30,18 +30,18 @@
   return pools;
 };
 
-const waitingOf = ({ estate }: Term): Record<string, { jobs: number; tasks: number }> => {
+const waitingOf = ({ cluster: estate }: LeaderTerm): Record<string, { jobs: number; tasks: number }> => {
   const waiting: Record<string, { jobs: number; tasks: number }> = {};
   for (const job of estate.jobs.values()) {
-    if (job.phase !== 'active' || job.held || job.waiting <= 0) continue;
+    if (job.phase !== 'active' || job.blockedOnDependencies || job.waitingCount <= 0) continue;
     const sums = (waiting[job.spec.class] ??= { jobs: 0, tasks: 0 });
     sums.jobs++;
-    sums.tasks += job.waiting;
+    sums.tasks += job.waitingCount;
   }
   return waiting;
 };
 
-export const logClusterSummary = (term: Term): void => {
+export const logClusterSummary = (term: LeaderTerm): void => {
   if (!term.ctx.verbose) return;
   term.ctx.debug('summary', { fleet: poolsOf(term), waiting: waitingOf(term) });
 };
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -13,13 +13,13 @@
 const TIMES = 3;
 const WINDOW: Micros = 20 * SECOND;
 
-export class Fitness {
+export class LeaderHealth {
   private late: Micros[] = [];
   private last: Micros = 0;
   private renewedAt: Micros | null = null;
 
   /** A timer that was due then fires now. `counts`: not where everybody would be late, as while workers turn to a new leader. */
-  fired(now: Micros, due: Micros, counts = true): void {
+  recordTimer(now: Micros, due: Micros, counts = true): void {
     this.last = now - due;
     this.late = this.late.filter((at) => at > now - WINDOW);
     if (counts && now - due > LATE) this.late.push(now);
@@ -30,18 +30,18 @@
    * that those between came too late, though the service serves this node. Timers alone don't tell: they come before
    * whatever waits in sockets.
    */
-  renewed(now: Micros, counts = true): void {
+  recordRenewal(now: Micros, counts = true): void {
     const gap = this.renewedAt === null ? 0 : now - this.renewedAt;
     this.renewedAt = now;
     if (counts && gap > APART) this.late.push(now);
   }
 
   /** What came first is not done yet: whoever waits for an answer had better not wait for more. */
-  get behind(): boolean {
+  get isLagging(): boolean {
     return this.last > LATE;
   }
 
-  get unfit(): boolean {
+  get isOverloaded(): boolean {
     return this.late.length >= TIMES;
   }
 }
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,28 +1,28 @@
 /** Carries out what a plan decided: checked once more against what is known now, then begun. */
-import type { Attempts } from '../tasks/attempt-lifecycle.js';
+import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import { fits, placeAllowed, spreadLimit, takeFrom, type Amounts } from '../domain/resources.js';
-import type { Step } from '../scheduling/plan-input.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { PlanStep } from '../scheduling/plan-input.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
-import type { Usage } from '../cluster/fair-share.js';
+import type { QuotaUsage } from '../cluster/fair-share.js';
 
 /** Steps by job, in their order. */
-export type StepsByJob = ReadonlyMap<ActiveJob, readonly Step[]>;
+export type StepsByJob = ReadonlyMap<ActiveJob, readonly PlanStep[]>;
 
 export class PlacementCommit {
   constructor(
-    private readonly term: Term,
-    private readonly attempts: Pick<Attempts, 'begin'>,
+    private readonly term: LeaderTerm,
+    private readonly attempts: Pick<AttemptLifecycle, 'begin'>,
   ) {}
 
   /** Starts what begins now. A plan in several parts is older than what is known: nothing rests on its picture alone. */
   startAll(stepsByJob: StepsByJob, planNow: number): void {
-    const usage = this.term.estate.usage();
+    const usage = this.term.cluster.usage();
     for (const [job, steps] of stepsByJob) this.start(job, steps, planNow, usage);
   }
 
-  private start(job: ActiveJob, steps: readonly Step[], planNow: number, usage: Usage): void {
-    if (!this.term.estate.startable(job)) return;
+  private start(job: ActiveJob, steps: readonly PlanStep[], planNow: number, usage: QuotaUsage): void {
+    if (!this.term.cluster.isStartable(job)) return;
     const startsNow = steps.filter((step) => step.start <= planNow && step.slot.machine !== null);
     if (startsNow.length === 0) return;
     if (job.spec.shape === 'gang' && startsNow.length !== steps.length) return;
@@ -39,19 +39,19 @@
   }
 
   /** Where the tasks still have room, zone and kind allowed, one entry a task. */
-  private machinesFor(job: ActiveJob, steps: readonly Step[]): Machine[] {
+  private machinesFor(job: ActiveJob, steps: readonly PlanStep[]): Machine[] {
     const { spec } = job;
     const chosen: Machine[] = [];
     const free = new Map<Machine, Amounts>();
-    const zones = job.zones();
+    const zones = job.tasksByZone();
     const zoneAllows = (zone: string): boolean => {
       if (spec.sameZone && [...zones.keys()].some((other) => other !== zone)) return false;
       return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < spreadLimit(spec);
     };
     for (const step of steps) {
-      const machine = this.term.estate.machines.get(step.slot.machine!);
+      const machine = this.term.cluster.machines.get(step.slot.machine!);
       const type = this.term.ctx.types.get(step.slot.type.name);
-      if (machine === undefined || type === undefined || !machine.usable()) continue;
+      if (machine === undefined || type === undefined || !machine.isUsable()) continue;
       if (!placeAllowed(spec, machine.type, machine.zone, machine.spot)) continue;
       const room = free.get(machine) ?? machine.freeOf(type);
       free.set(machine, room);
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,6 +1,6 @@
 /** One plan from its picture to its last step, in slices: between two of them the node gets to its other work. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import type { Step } from '../scheduling/plan-input.js';
+import type { PlanStep } from '../scheduling/plan-input.js';
 import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
 import { MILLI, type Micros } from '../domain/time.js';
 import type { StepsByJob } from './placement-commit.js';
@@ -37,7 +37,7 @@
 }
 
 export class PlanRun {
-  private readonly stepsByJob = new Map<ActiveJob, Step[]>();
+  private readonly stepsByJob = new Map<ActiveJob, PlanStep[]>();
   private readonly iterator: Generator<void>;
   private committed = 0;
   slices = 0;
@@ -77,7 +77,7 @@
   /** Steps that were decided since this was last asked for. */
   takeSteps(): StepsByJob {
     const { steps } = this.search;
-    const taken = new Map<ActiveJob, Step[]>();
+    const taken = new Map<ActiveJob, PlanStep[]>();
     for (; this.committed < steps.length; this.committed++) {
       const step = steps[this.committed]!;
       const job = this.waiting.jobOf(step.group);
@@ -102,7 +102,7 @@
   }
 }
 
-const append = (steps: Map<ActiveJob, Step[]>, job: ActiveJob, step: Step): void => {
+const append = (steps: Map<ActiveJob, PlanStep[]>, job: ActiveJob, step: PlanStep): void => {
   const list = steps.get(job);
   if (list === undefined) steps.set(job, [step]);
   else list.push(step);
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -1,13 +1,13 @@
 /** Plans: which waiting work begins where now, by a search over the newest picture; only that is done. */
-import type { Attempts } from '../tasks/attempt-lifecycle.js';
-import type { Clearing } from '../scheduling/preemption-planner.js';
-import type { Imaging } from '../scheduling/snapshot-builder.js';
-import type { Ordering } from '../scheduling/queue-order.js';
+import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
+import type { PreemptionPlanner } from '../scheduling/preemption-planner.js';
+import type { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
+import type { QueueOrder } from '../scheduling/queue-order.js';
 import { PlacementSearch } from '../scheduling/placement-search.js';
-import type { Dependencies } from '../jobs/dependencies.js';
-import type { Fleet } from '../machines/autoscaler.js';
+import type { DependencyGraph } from '../jobs/dependencies.js';
+import type { Autoscaler } from '../machines/autoscaler.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 import { PlacementCommit } from './placement-commit.js';
 import { PlanClock, PlanRun } from './plan-run.js';
 import { WaitingGroups } from './waiting-groups.js';
@@ -31,12 +31,12 @@
 const SLICE_PAUSE = MILLI;
 
 export interface PlannerParts {
-  readonly ordering: Ordering;
-  readonly imaging: Imaging;
-  readonly clearing: Clearing;
-  readonly attempts: Attempts;
-  readonly deps: Dependencies;
-  readonly fleet: Fleet;
+  readonly ordering: QueueOrder;
+  readonly imaging: SnapshotBuilder;
+  readonly clearing: PreemptionPlanner;
+  readonly attempts: AttemptLifecycle;
+  readonly deps: DependencyGraph;
+  readonly fleet: Autoscaler;
   /** Whether this node is late with its work. */
   behind(): boolean;
 }
@@ -61,7 +61,7 @@
   private chainsAt: Micros = 0;
 
   constructor(
-    private readonly term: Term,
+    private readonly term: LeaderTerm,
     private readonly parts: PlannerParts,
   ) {
     this.waitingGroups = new WaitingGroups(term, parts);
@@ -69,7 +69,7 @@
   }
 
   /** A change came while a plan was under way, or none could be made yet. */
-  get owes(): boolean {
+  get passPending(): boolean {
     return this.again;
   }
 
@@ -108,7 +108,7 @@
       return;
     }
     this.urgentPassScheduled = false;
-    if (this.term.ready && this.term.mayStart() && this.term.ctx.types.size > 0) this.begin(true, null);
+    if (this.term.ready && this.term.canDispatch() && this.term.ctx.types.size > 0) this.begin(true, null);
   }
 
   /**
@@ -116,14 +116,14 @@
    * would rent for all that waits beside them, and did so at each change of leader, the dearest types too.
    */
   private rebuilding(): boolean {
-    const { estate } = this.term;
-    if (!this.term.accounting) return false;
+    const { cluster: estate } = this.term;
+    if (!this.term.inFailoverGracePeriod) return false;
     let all = 0;
     let unknown = 0;
     for (const machine of estate.machines.values()) {
-      if (machine.recorded !== 'yes' || machine.retiring !== null) continue;
+      if (machine.recorded !== 'yes' || machine.retirementReason !== null) continue;
       all++;
-      if (machine.unresolved) unknown++;
+      if (machine.awaitingReconciliation) unknown++;
     }
     return unknown > REBUILD_SHARE * all;
   }
@@ -141,7 +141,7 @@
     // So do they later: each plan brings starts and their reports with it, and a node that is behind loses its workers.
     const behind = this.parts.behind() && ctx.now < this.lastWhole + BEHIND_AT_MOST;
     const urgentOnly = this.rebuilding() || behind;
-    if (!this.term.mayStart() || (urgentOnly && !this.urgentWaits())) {
+    if (!this.term.canDispatch() || (urgentOnly && !this.urgentWaits())) {
       this.again = true;
       return;
     }
@@ -156,15 +156,15 @@
 
   /** Whether any work could begin if there were room, or is about to. */
   private anyWaits(): boolean {
-    if (this.parts.deps.heldCount > 0) return true;
-    for (const job of this.term.estate.jobs.values()) if (this.term.estate.startable(job)) return true;
+    if (this.parts.deps.blockedCount > 0) return true;
+    for (const job of this.term.cluster.jobs.values()) if (this.term.cluster.isStartable(job)) return true;
     return false;
   }
 
   private urgentWaits(): boolean {
-    const { estate } = this.term;
+    const { cluster: estate } = this.term;
     for (const job of estate.jobs.values())
-      if (this.parts.fleet.mustStartAtOnce(job.spec) && estate.startable(job)) return true;
+      if (this.parts.fleet.mustStartAtOnce(job.spec) && estate.isStartable(job)) return true;
     return false;
   }
 
@@ -202,7 +202,7 @@
 
   /** A slice of a plan: what it decided is carried out at once, and the rest is gone on with a little later. */
   private advance(run: PlanRun, finished: ((run: PlanRun) => void) | null): void {
-    if (!this.term.mayStart()) {
+    if (!this.term.canDispatch()) {
       // The right or the state service is lost: what is decided by now is carried out by then, and no more of it.
       this.abandon(run);
       return;
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,7 +1,7 @@
 /** Counts of done and running tasks for display, to the other controllers and to this one's users. */
 import type { JobProgress } from '../domain/peer.js';
-import type { Term } from '../leadership/leader-term.js';
-import type { Desk } from '../api/job-service.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { JobService } from '../api/job-service.js';
 
 /** Jobs that one message tells of; the others follow with the next. */
 const MAX_NOTES = 1_000;
@@ -11,8 +11,8 @@
   private readonly published = new Map<string, string>();
 
   constructor(
-    private readonly term: Term,
-    private readonly desk: Pick<Desk, 'noteProgress'>,
+    private readonly term: LeaderTerm,
+    private readonly desk: Pick<JobService, 'recordProgress'>,
   ) {}
 
   /** The job is over: nothing more is published of it. */
@@ -23,24 +23,24 @@
   /** Publishes what changed since the last time. `all`: what did not change too, for those who missed it. */
   publish(all: boolean): void {
     // Who was deposed and doesn't know it would else be taken for the leader by those who know less.
-    if (!this.term.entitled()) return;
+    if (!this.term.canActAsLeader()) return;
     const { ctx } = this.term;
     // Sent without counts too: it tells the others who leads, also those who can't ask the state service.
     const message = {
       kind: 'progress',
       member: ctx.settings.member,
-      term: this.term.no,
+      term: this.term.number,
       jobs: this.notes(all),
     } as const;
-    this.desk.noteProgress(message);
+    this.desk.recordProgress(message);
     for (const peer of ctx.settings.peers) ctx.emit({ kind: 'peer', member: peer.member, message });
   }
 
   private notes(all: boolean): JobProgress[] {
     const notes: JobProgress[] = [];
-    for (const job of this.term.estate.jobs.values()) {
-      if (job.phase === 'ended' || job.held) continue;
-      const note = { id: job.id, done: job.done.count, running: job.running() };
+    for (const job of this.term.cluster.jobs.values()) {
+      if (job.phase === 'ended' || job.blockedOnDependencies) continue;
+      const note = { id: job.id, done: job.done.count, running: job.runningCount() };
       const text = `${note.done}/${note.running}`;
       if (this.published.get(job.id) === text && !all) continue;
       this.published.set(job.id, text);
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -2,44 +2,44 @@
  * What the leader does in one term: joins the parts that know, decide and write, and looks after them twice a
  * second. A new leader makes a new scheduler.
  */
-import { Attempts } from '../tasks/attempt-lifecycle.js';
-import { Cascade } from '../jobs/dependency-failure-propagation.js';
-import { Clearing } from '../scheduling/preemption-planner.js';
-import { ActiveJob, type Attempt, type Machine } from '../cluster/cluster-model.js';
-import { Completion } from '../jobs/job-completion.js';
-import { Consolidation } from '../scheduling/defragmentation.js';
-import type { Context } from '../node/node-context.js';
-import { Dependencies, type DependencyHost } from '../jobs/dependencies.js';
-import type { Desk } from '../api/job-service.js';
-import { Endings } from '../jobs/dependency-outcome-resolver.js';
-import { Fleet } from '../machines/autoscaler.js';
-import { Imaging } from '../scheduling/snapshot-builder.js';
+import { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
+import { DependencyFailurePropagation } from '../jobs/dependency-failure-propagation.js';
+import { PreemptionPlanner } from '../scheduling/preemption-planner.js';
+import { ActiveJob, type TaskAttempt, type Machine } from '../cluster/cluster-model.js';
+import { JobCompletion } from '../jobs/job-completion.js';
+import { Defragmentation } from '../scheduling/defragmentation.js';
+import type { NodeContext } from '../node/node-context.js';
+import { DependencyGraph, type DependencyEvents } from '../jobs/dependencies.js';
+import type { JobService } from '../api/job-service.js';
+import { DependencyOutcomeResolver } from '../jobs/dependency-outcome-resolver.js';
+import { Autoscaler } from '../machines/autoscaler.js';
+import { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
 import { idOfActive, JOBS, MACHINES, PLACES, PROGRESS, ROSTER, TIMINGS, TYPES } from '../codecs/keys.js';
-import type { Leadership, Office } from '../leadership/leader-election.js';
+import type { LeaderElection, LeaderLease } from '../leadership/leader-election.js';
 import type { Heartbeat, HeartbeatResponse } from '../domain/heartbeat.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { Ordering } from '../scheduling/queue-order.js';
+import { QueueOrder } from '../scheduling/queue-order.js';
 import { pageRoom } from '../storage/packed-pages.js';
-import { Park } from '../machines/machine-lifecycle.js';
+import { MachineLifecycle } from '../machines/machine-lifecycle.js';
 import { logClusterSummary } from './cluster-summary.js';
 import { Planner } from './planner.js';
 import { ProgressPublisher } from './progress-publisher.js';
 import { Features, type Feature } from '../ports.js';
-import { Fitness } from './leader-health.js';
-import { ProgressBook } from '../storage/progress-store.js';
+import { LeaderHealth } from './leader-health.js';
+import { ProgressStore } from '../storage/progress-store.js';
 import { decodeActiveJob } from '../codecs/job-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
 import { encodeMachineTypes } from '../codecs/machine-type-codec.js';
-import { Reports } from '../tasks/heartbeat-handler.js';
-import { Roster } from '../storage/machine-store.js';
-import { Silence } from '../machines/machine-failure-detector.js';
-import { Standing } from '../machines/preprovisioned-machines.js';
-import { Takeover } from '../leadership/failover.js';
-import { Term } from '../leadership/leader-term.js';
-import { Writer } from '../storage/fenced-writer.js';
+import { HeartbeatHandler } from '../tasks/heartbeat-handler.js';
+import { MachineStore } from '../storage/machine-store.js';
+import { MachineFailureDetector } from '../machines/machine-failure-detector.js';
+import { PreprovisionedMachines } from '../machines/preprovisioned-machines.js';
+import { Failover } from '../leadership/failover.js';
+import { LeaderTerm } from '../leadership/leader-term.js';
+import { FencedWriter } from '../storage/fenced-writer.js';
 
 const SWEEP = 500 * MILLI;
 /** Who gave the office up for slowness does not stand for it again so soon. */
@@ -48,64 +48,64 @@
 const FRESH = 5 * SECOND;
 
 export class Scheduler {
-  private readonly term: Term;
-  private readonly writer: Writer;
-  private readonly attempts: Attempts;
-  private readonly reports: Reports;
-  private readonly park: Park;
-  private readonly completion: Completion;
+  readonly term: LeaderTerm;
+  private readonly writer: FencedWriter;
+  private readonly attempts: AttemptLifecycle;
+  private readonly reports: HeartbeatHandler;
+  private readonly park: MachineLifecycle;
+  private readonly completion: JobCompletion;
   private readonly planner: Planner;
-  private readonly silence: Silence;
-  private readonly consolidation: Consolidation;
-  private readonly fleet: Fleet;
-  private readonly progress: ProgressBook;
-  private readonly roster: Roster;
-  private readonly deps: Dependencies;
-  private readonly cascade: Cascade;
-  private readonly endings: Endings;
+  private readonly silence: MachineFailureDetector;
+  private readonly consolidation: Defragmentation;
+  private readonly fleet: Autoscaler;
+  private readonly progress: ProgressStore;
+  private readonly roster: MachineStore;
+  private readonly deps: DependencyGraph;
+  private readonly cascade: DependencyFailurePropagation;
+  private readonly endings: DependencyOutcomeResolver;
   private readonly features: Features;
   private readonly progressPublisher: ProgressPublisher;
-  private readonly fitness = new Fitness();
+  private readonly fitness = new LeaderHealth();
   private sweeps = 0;
   private lastFlush: Micros = 0;
-  private takeover: Takeover | null = null;
+  private takeover: Failover | null = null;
 
   constructor(
-    private readonly ctx: Context,
-    office: Office,
-    private readonly leadership: Leadership,
-    private readonly desk: Desk,
+    private readonly ctx: NodeContext,
+    office: LeaderLease,
+    private readonly leadership: LeaderElection,
+    private readonly desk: JobService,
     features: readonly Feature[],
   ) {
-    const term = new Term(ctx, office, leadership, () => {
+    const term = new LeaderTerm(ctx, office, leadership, () => {
       this.planner.schedulePass();
     });
     this.term = term;
-    const { estate } = term;
+    const { cluster: estate } = term;
     const fenced = (): void => {
-      leadership.lose('fenced');
+      leadership.stepDown('fenced');
     };
     const find = (name: string): Machine | undefined => estate.machines.get(name);
-    const end = (a: Attempt): void => {
+    const end = (a: TaskAttempt): void => {
       this.attempts.end(a, null);
     };
-    const stop = (a: Attempt, graceUs: Micros): void => {
+    const stop = (a: TaskAttempt, graceUs: Micros): void => {
       this.attempts.stop(a, graceUs);
     };
     const retireWhenEmpty = (m: Machine, reason: string, latest: Micros): void => {
       this.park.retireWhenEmpty(m, reason, latest);
     };
-    this.writer = new Writer(ctx, office.version, fenced);
-    this.progress = new ProgressBook(ctx, this.writer, (id) => estate.jobs.get(id), find);
-    this.roster = new Roster(this.writer, pageRoom(ctx.settings.maxValueBytes), find, (key) => {
+    this.writer = new FencedWriter(ctx, office.keyVersion, fenced);
+    this.progress = new ProgressStore(ctx, this.writer, (id) => estate.jobs.get(id), find);
+    this.roster = new MachineStore(this.writer, pageRoom(ctx.settings.maxValueBytes), find, (key) => {
       ctx.error('roster.unreadable', { key });
     });
-    this.attempts = new Attempts(term, {
+    this.attempts = new AttemptLifecycle(term, {
       place: (job, then, refused) => {
-        this.progress.place(job, then, refused);
+        this.progress.recordPlacement(job, then, refused);
       },
       report: (m, r) => {
-        this.reports.take(m, r);
+        this.reports.apply(m, r);
       },
       released: (job) => {
         this.completion.dropIfEmpty(job);
@@ -117,7 +117,7 @@
       },
       retireWhenEmpty,
     });
-    this.park = new Park(term, this.roster, {
+    this.park = new MachineLifecycle(term, this.roster, {
       remove: (name) => {
         this.fleet.remove(name);
       },
@@ -128,32 +128,32 @@
         });
       },
     });
-    this.fleet = new Fleet(ctx, {
-      term: term.no,
-      standing: new Standing(term, this.roster, this.writer, term.planSoon),
+    this.fleet = new Autoscaler(ctx, {
+      term: term.number,
+      standing: new PreprovisionedMachines(term, this.roster, this.writer, term.schedulePass),
       machines: () => estate.machines.values(),
       find,
       rented: (...a) => {
-        this.park.rented(...a);
+        this.park.recordProvisioned(...a);
       },
       listed: (...a) => {
-        this.park.listed(...a);
+        this.park.recordListed(...a);
       },
       gone: (...a) => {
-        this.park.gone(...a);
+        this.park.remove(...a);
       },
       retire: (...a) => {
         this.park.retire(...a);
       },
-      changed: term.planSoon,
+      changed: term.schedulePass,
       active: () => !term.stopped,
-      entitled: () => term.entitled(),
-      thrifty: () => estate.thrifty(),
+      entitled: () => term.canActAsLeader(),
+      thrifty: () => estate.isCostSensitive(),
     });
-    this.silence = new Silence(term, this.park, end);
-    this.consolidation = new Consolidation(estate, stop, retireWhenEmpty);
-    this.deps = new Dependencies(this.dependencyHost());
-    this.endings = new Endings(
+    this.silence = new MachineFailureDetector(term, this.park, end);
+    this.consolidation = new Defragmentation(estate, stop, retireWhenEmpty);
+    this.deps = new DependencyGraph(this.dependencyHost());
+    this.endings = new DependencyOutcomeResolver(
       ctx,
       () => !term.stopped,
       (id) => this.deps.open(id) && (estate.jobs.get(id)?.phase ?? 'ended') === 'ended',
@@ -161,9 +161,9 @@
         this.deps.ended(id, how);
       },
     );
-    this.completion = new Completion(term, {
+    this.completion = new JobCompletion(term, {
       told: (id, stage, done) => {
-        desk.noteEnded(id, stage, done);
+        desk.recordTerminalState(id, stage, done);
       },
       ended: (job, how) => {
         this.deps.remove(job);
@@ -185,7 +185,7 @@
         });
       },
     });
-    this.reports = new Reports(term, this.park, this.attempts, {
+    this.reports = new HeartbeatHandler(term, this.park, this.attempts, {
       markDone: (job, index) => {
         this.completion.markDone(job, index);
       },
@@ -201,12 +201,12 @@
       },
       keeps: (exit) => !this.features.none && this.features.keeps(exit),
     });
-    this.cascade = new Cascade(ctx, {
-      leadVersion: office.version,
+    this.cascade = new DependencyFailurePropagation(ctx, {
+      leadVersion: office.keyVersion,
       active: () => !term.stopped,
       fenced,
       withdrawn: (job) => {
-        desk.noteEnded(job.id, 'cancelled', 0, job.spec.shape === 'service');
+        desk.recordTerminalState(job.id, 'cancelled', 0, job.spec.shape === 'service');
         this.completion.ended(job, 'cancelled');
       },
       moved: (job) => {
@@ -215,20 +215,20 @@
     });
     this.progressPublisher = new ProgressPublisher(term, desk);
     this.planner = new Planner(term, {
-      ordering: new Ordering(estate),
-      imaging: new Imaging(estate),
-      clearing: new Clearing(estate, stop),
+      ordering: new QueueOrder(estate),
+      imaging: new SnapshotBuilder(estate),
+      clearing: new PreemptionPlanner(estate, stop),
       attempts: this.attempts,
       deps: this.deps,
       fleet: this.fleet,
-      behind: () => this.fitness.behind,
+      behind: () => this.fitness.isLagging,
     });
     this.features = new Features(term, features, this.deps);
   }
 
-  private dependencyHost(): DependencyHost {
+  private dependencyHost(): DependencyEvents {
     const { ctx, term } = this;
-    const { estate } = term;
+    const { cluster: estate } = term;
     return {
       get wallNow(): Micros {
         return ctx.wallNow;
@@ -243,41 +243,41 @@
       released: (job) => {
         this.holdOne(job);
         if (!term.ready) return;
-        ctx.info('job.released', { job: job.id, heldS: (job.since - job.at) / SECOND });
+        ctx.info('job.released', { job: job.id, heldS: (job.waitingSince - job.acceptedAt) / SECOND });
         // What was released long ago is no arrival of now.
-        if (ctx.wallNow - job.since < FRESH) this.fleet.noteArrival(job.spec);
-        term.planSoon();
+        if (ctx.wallNow - job.waitingSince < FRESH) this.fleet.noteArrival(job.spec);
+        term.schedulePass();
       },
       doomed: (jobs, cause) => {
         ctx.info('jobs.doomed', { cause, jobs: jobs.map((j) => j.id) });
         this.cascade.add(jobs);
       },
-      expected: (job) => estate.expectedOf(job),
+      expected: (job) => estate.expectedDuration(job),
     };
   }
 
   start(): void {
-    this.takeover = new Takeover(this.term, this.term.office.freshness, {
-      rebuild: (read, timings) => {
+    this.takeover = new Failover(this.term, this.term.lease.freshness, {
+      restore: (read, timings) => {
         this.rebuild(read, timings);
       },
-      appeared: (id, value, version) => {
+      jobPut: (id, value, version) => {
         this.addJob(id, value, version, true);
       },
-      vanished: (id, version) => {
-        const job = this.term.estate.jobs.get(id);
+      jobDeleted: (id, version) => {
+        const job = this.term.cluster.jobs.get(id);
         if (job !== undefined && job.phase === 'active' && job.version < version)
           this.completion.ended(job, null);
       },
-      present: (ids, revision) => {
-        for (const job of [...this.term.estate.jobs.values()])
+      jobsListed: (ids, revision) => {
+        for (const job of [...this.term.cluster.jobs.values()])
           if (!ids.has(job.id) && job.phase === 'active' && job.version <= revision)
             this.completion.ended(job, null);
       },
     });
     this.takeover.start();
     this.leadership.onRenewed = () => {
-      this.fitness.renewed(this.ctx.now, !this.term.accounting);
+      this.fitness.recordRenewal(this.ctx.now, !this.term.inFailoverGracePeriod);
     };
     this.progressPublisher.publish(true);
     this.sweepLater();
@@ -298,55 +298,55 @@
   }
 
   onReport(r: Heartbeat): HeartbeatResponse {
-    return this.reports.answer(r);
+    return this.reports.respond(r);
   }
 
   /** A report that could not be answered with 200 still shows that its sender is there. */
   heard(r: Heartbeat): void {
-    this.reports.heard(r);
+    this.reports.recordLiveness(r);
   }
 
   // ---- taking over -------------------------------------------------------------------------------
 
   private rebuild(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void {
-    const { machines, jobs } = this.term.estate;
+    const { machines, jobs } = this.term.cluster;
     if (timings !== null) {
-      this.term.estate.timings.seed(timings.value);
-      this.writer.know(TIMINGS, timings.version);
+      this.term.cluster.runtimeEstimates.load(timings.value);
+      this.writer.rememberVersion(TIMINGS, timings.version);
     }
     for (const [name, rec] of this.roster.load(read(ROSTER), read(MACHINES))) {
       const m = machines.get(name) ?? this.park.add(name, rec);
       m.recorded = 'yes';
-      m.standing = rec.standing;
+      m.preprovisioned = rec.preprovisioned;
       // An older leader may have renewed its lease, and put tasks on it, until our office began.
-      m.leaseFrom = Math.max(m.leaseFrom, this.term.office.since);
-      m.unresolved = true;
+      m.leaseRenewedAt = Math.max(m.leaseRenewedAt, this.term.lease.heldSince);
+      m.awaitingReconciliation = true;
       if (rec.retiring) this.park.retire(m, 'was retiring');
     }
     this.roster.adopt(read(MACHINES), (name) => machines.get(name));
     for (const it of read(JOBS)) this.addJob(idOfActive(it.key), it.value, it.version, false);
     for (const job of jobs.values()) this.deps.add(job);
-    this.progress.load(read(PLACES), read(PROGRESS), jobs.values(), this.roster.whole);
+    this.progress.load(read(PLACES), read(PROGRESS), jobs.values(), this.roster.isComplete);
     this.term.ready = true;
-    this.reports.takeEarly();
-    for (const m of machines.values()) if (m.up) this.park.record(m);
+    this.reports.replayEarlyHeartbeats();
+    for (const m of machines.values()) if (m.up) this.park.persist(m);
     this.features.tell((f) => {
       f.ready();
     });
     this.hold();
     this.ctx.info('leader.ready', {
-      term: this.term.no,
+      term: this.term.number,
       jobs: jobs.size,
-      held: this.deps.heldCount,
+      held: this.deps.blockedCount,
       machines: machines.size,
     });
-    for (const job of jobs.values()) if (job.complete) this.completion.finish(job);
+    for (const job of jobs.values()) if (job.isComplete) this.completion.finish(job);
     this.fleet.start();
     this.planner.schedulePass();
   }
 
   private addJob(id: string, value: unknown, version: number, fresh: boolean): void {
-    const { jobs } = this.term.estate;
+    const { jobs } = this.term.cluster;
     if (jobs.has(id)) return;
     const rec = decodeActiveJob(value);
     if (rec === null) {
@@ -356,13 +356,14 @@
     // A list of several pages may show a job whose end this leader has written since. One that waits for others may be
     // told as cancelled though its own record has yet to say so.
     if (rec.spec.dependsOn.length === 0 && this.desk.hasEnded(id)) return;
-    const job = new ActiveJob(rec.spec, version, rec.at, this.ctx.now);
+    const job = new ActiveJob(rec.spec, version, rec.acceptedAt, this.ctx.now);
     jobs.set(id, job);
     if (fresh) {
       this.deps.add(job);
       this.holdOne(job);
-      if (job.held) this.ctx.info('job.held', { job: id, for: this.deps.waitsFor(job) });
-      else if (rec.spec.dependsOn.length === 0 && job.barred === null) this.fleet.noteArrival(rec.spec);
+      if (job.blockedOnDependencies) this.ctx.info('job.held', { job: id, for: this.deps.waitsFor(job) });
+      else if (rec.spec.dependsOn.length === 0 && job.admissionHold === null)
+        this.fleet.noteArrival(rec.spec);
       this.ctx.debug('job.seen', { job: id, class: rec.spec.class });
       if (this.fleet.mustStartAtOnce(rec.spec)) this.planner.scheduleUrgentPass();
     }
@@ -374,25 +375,26 @@
   /** Jobs that have not begun are asked for again and again: what holds them back may have passed. */
   private hold(): void {
     if (this.features.none) return;
-    for (const job of [...this.term.estate.jobs.values()].sort((a, b) => a.at - b.at)) this.holdOne(job);
+    for (const job of [...this.term.cluster.jobs.values()].sort((a, b) => a.acceptedAt - b.acceptedAt))
+      this.holdOne(job);
   }
 
   private holdOne(job: ActiveJob): void {
     if (this.features.none || job.phase !== 'active') return;
     // What has begun goes on to its end; what waits for other jobs is asked for once it need not.
-    const hold = job.begun || job.held ? null : this.features.holds(job);
-    const before = job.barred;
+    const hold = job.hasStarted || job.blockedOnDependencies ? null : this.features.holds(job);
+    const before = job.admissionHold;
     if (hold === null ? before === null : hold.reason === before?.reason) return;
     // What passes with a change of leader was once told for every job that had not begun, each time.
-    const known = before !== null && !before.passing;
-    if (hold !== null && !hold.passing && !known)
+    const known = before !== null && !before.transient;
+    if (hold !== null && !hold.transient && !known)
       this.ctx.info('job.barred', { job: job.id, reason: hold.reason });
     if (hold === null) {
       if (known) this.ctx.info('job.let_go', { job: job.id, after: before.reason });
       // What came long ago is no arrival of now.
-      if (this.ctx.wallNow - job.at < FRESH) this.fleet.noteArrival(job.spec);
+      if (this.ctx.wallNow - job.acceptedAt < FRESH) this.fleet.noteArrival(job.spec);
     }
-    job.barred = hold;
+    job.admissionHold = hold;
     this.planner.schedulePass();
   }
 
@@ -401,7 +403,7 @@
   private sweepLater(): void {
     const due = this.ctx.now + SWEEP;
     this.term.after(SWEEP, () => {
-      this.fitness.fired(this.ctx.now, due, !this.term.accounting);
+      this.fitness.recordTimer(this.ctx.now, due, !this.term.inFailoverGracePeriod);
       this.sweep();
       this.sweepLater();
     });
@@ -409,18 +411,18 @@
 
   private sweep(): void {
     const { settings } = this.ctx;
-    const { estate } = this.term;
+    const { cluster: estate } = this.term;
     this.sweeps++;
-    this.takeover?.keepFresh();
-    const entitled = this.term.entitled();
-    this.silence.noteRight(entitled);
+    this.takeover?.probeIfStale();
+    const entitled = this.term.canActAsLeader();
+    this.silence.recordLeaseState(entitled);
     if (this.sweeps % 2 === 0) this.progressPublisher.publish(this.sweeps % 10 === 0);
-    if (this.leadership.blind && this.mayResign()) {
+    if (this.leadership.missesCancellations && this.mayResign()) {
       this.leadership.resign(HOLD_OFF, 'hears nothing of cancellations');
       return;
     }
     if (!this.term.ready) return;
-    if (entitled && this.fitness.unfit && this.mayResign()) {
+    if (entitled && this.fitness.isOverloaded && this.mayResign()) {
       this.leadership.resign(HOLD_OFF, 'too slow to lead');
       return;
     }
@@ -429,9 +431,9 @@
     // rented 56 machines. If the right comes back nobody else has led, and everything is looked at then.
     if (entitled) {
       this.silence.expireLeases();
-      this.silence.check();
+      this.silence.retireSilentMachines();
       this.fleet.sweep(this.planner.needed);
-      for (const m of estate.machines.values()) if (m.outbox.length > 0) this.attempts.pump(m);
+      for (const m of estate.machines.values()) if (m.queuedCommands.length > 0) this.attempts.pump(m);
       this.attempts.checkGangs();
     }
     if (this.ctx.now - this.lastFlush >= settings.tuning.progressIntervalUs) {
@@ -443,16 +445,16 @@
     });
     if (this.sweeps % 2 === 0) this.hold();
     if (this.sweeps % 60 === 0) this.saveTimings();
-    if (this.sweeps % 4 === 0 || this.planner.owes) this.planner.schedulePass();
-    if (this.sweeps % 6 === 0 && entitled && estate.thrifty()) this.consolidation.consolidate();
+    if (this.sweeps % 4 === 0 || this.planner.passPending) this.planner.schedulePass();
+    if (this.sweeps % 6 === 0 && entitled && estate.isCostSensitive()) this.consolidation.consolidate();
     // Pages of the version before, or too large, are taken apart while nothing else waits to be written.
     if (this.writer.backlog < settings.maxTransactionOperations) {
-      this.roster.settle();
-      this.progress.settle(estate.jobs.values());
+      this.roster.compact();
+      this.progress.compact(estate.jobs.values());
     }
     if (this.sweeps % 40 === 0) {
-      this.roster.tidy();
-      this.progress.tidy();
+      this.roster.rewriteStalePages();
+      this.progress.rewriteStalePages();
     }
     if (this.sweeps % 20 === 0) logClusterSummary(this.term);
   }
@@ -464,14 +466,14 @@
   private mayResign(): boolean {
     const { now, settings } = this.ctx;
     const { resignedAt } = this.leadership;
-    if (settings.peers.length === 0 || this.term.accounting) return false;
+    if (settings.peers.length === 0 || this.term.inFailoverGracePeriod) return false;
     return resignedAt === null || now - resignedAt > 4 * settings.workerLeaseUs;
   }
 
   private saveTimings(): void {
     if (this.attempts.noted === 0) return;
     this.attempts.noted = 0;
-    const value = this.term.estate.timings.summary(pageRoom(this.ctx.settings.maxValueBytes));
+    const value = this.term.cluster.runtimeEstimates.summary(pageRoom(this.ctx.settings.maxValueBytes));
     this.writer.put(
       TIMINGS,
       () => value,
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -3,8 +3,8 @@
 import type { StoredItem, StoreEvent } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import type { Freshness } from './cancellation-freshness.js';
-import type { Term } from './leader-term.js';
+import type { CancellationFreshness } from './cancellation-freshness.js';
+import type { LeaderTerm } from './leader-term.js';
 
 const PAGE = 500;
 const WATCH_MS = 8_000;
@@ -13,15 +13,15 @@
 /** How often what is known is asked for by itself once the watch is late. */
 const PROBE_EVERY: Micros = SECOND;
 
-export interface TakeoverHost {
+export interface FailoverEvents {
   /** All that was read; `read` gives the items under a prefix. `timings`: the stored summary, or null. */
-  rebuild(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
+  restore(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
   /** A job's record is there: as read anew, or as the watch tells. */
-  appeared(id: string, value: unknown, version: number): void;
+  jobPut(id: string, value: unknown, version: number): void;
   /** A job's record is gone, by a change of this version or a later one. */
-  vanished(id: string, version: number): void;
+  jobDeleted(id: string, version: number): void;
   /** All jobs there were at a revision: those not among them are gone. */
-  present(ids: ReadonlySet<string>, revision: number): void;
+  jobsListed(ids: ReadonlySet<string>, revision: number): void;
 }
 
 interface Listed {
@@ -32,7 +32,7 @@
   readonly sent: Micros;
 }
 
-export class Takeover {
+export class Failover {
   /**
    * All changes of jobs up to this revision are in the picture. What tells of them again changes nothing: a watch that
    * had hung once told of a job's beginning after a list had shown its end.
@@ -41,9 +41,9 @@
   private probing = false;
 
   constructor(
-    private readonly term: Term,
-    private readonly freshness: Freshness,
-    private readonly host: TakeoverHost,
+    private readonly term: LeaderTerm,
+    private readonly freshness: CancellationFreshness,
+    private readonly host: FailoverEvents,
   ) {}
 
   /** Six reads at any size: the records come in pages. The jobs come first: workers are answered from then on. */
@@ -56,8 +56,8 @@
         this.listAll(prefix, ({ items, revision, sent }) => {
           if (prefix === JOBS) {
             this.cursor = revision;
-            this.term.listed = new Set(items.map((it) => idOfActive(it.key)));
-            this.freshness.proved(sent);
+            this.term.unendedJobs = new Set(items.map((it) => idOfActive(it.key)));
+            this.freshness.confirmUpTo(sent);
           }
           lists.set(prefix, items);
           next(i + 1);
@@ -66,7 +66,7 @@
       }
       this.term.ctx.state({ kind: 'get', key: TIMINGS }, 2, (t) => {
         if (this.term.stopped) return;
-        this.host.rebuild((p) => lists.get(p) ?? [], t.kind === 'item' ? t.item : null);
+        this.host.restore((p) => lists.get(p) ?? [], t.kind === 'item' ? t.item : null);
         // What changed while the rest was read is asked for at once.
         this.watch(0);
       });
@@ -107,7 +107,7 @@
   }
 
   private get watchMs(): number {
-    return Math.min(WATCH_MS, Math.max(100, Math.floor((this.freshness.bound * WATCH_PART) / MILLI)));
+    return Math.min(WATCH_MS, Math.max(100, Math.floor((this.freshness.maxAgeUs * WATCH_PART) / MILLI)));
   }
 
   private watch(waitMs = this.watchMs): void {
@@ -132,7 +132,7 @@
       if (r.kind === 'events' && r.revision >= after) {
         for (const e of r.events) if (e.version > this.cursor) this.onJobEvent(e);
         this.cursor = Math.max(this.cursor, r.revision);
-        this.freshness.proved(sent);
+        this.freshness.confirmUpTo(sent);
         then(true);
       } else if (r.kind === 'tooOld') {
         this.readJobs(() => {
@@ -146,9 +146,9 @@
   }
 
   /** To be called often: asks beside a watch that isn't answered, and reads the jobs anew if that isn't either. */
-  keepFresh(): void {
+  probeIfStale(): void {
     const { now } = this.term.ctx;
-    if (this.probing || !this.term.ready || !this.freshness.due(now)) return;
+    if (this.probing || !this.term.ready || !this.freshness.isProbeDue(now)) return;
     this.probing = true;
     const rest = (): void => {
       this.later(PROBE_EVERY, () => {
@@ -165,17 +165,17 @@
     this.listAll(JOBS, ({ items, revision, sent }) => {
       const present = new Set(items.map((it) => idOfActive(it.key)));
       for (const it of items)
-        if (it.version > this.cursor) this.host.appeared(idOfActive(it.key), it.value, it.version);
-      this.host.present(present, revision);
+        if (it.version > this.cursor) this.host.jobPut(idOfActive(it.key), it.value, it.version);
+      this.host.jobsListed(present, revision);
       this.cursor = Math.max(this.cursor, revision);
-      this.freshness.proved(sent);
+      this.freshness.confirmUpTo(sent);
       then();
     });
   }
 
   private onJobEvent(e: StoreEvent): void {
     const id = idOfActive(e.key);
-    if (e.kind === 'put') this.host.appeared(id, e.value, e.version);
-    else this.host.vanished(id, e.version);
+    if (e.kind === 'put') this.host.jobPut(id, e.value, e.version);
+    else this.host.jobDeleted(id, e.version);
   }
 }
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -2,7 +2,7 @@
  * One leader with a lease and a term in the state service. The leader's right ends by its own steady
  * clock, counted from when the last successful renewal was sent, less what clocks may drift.
  */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import { LEAD, TERM } from '../codecs/keys.js';
 import {
   decodeLeader,
@@ -15,7 +15,7 @@
 import type { StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { DRIFT, Freshness } from './cancellation-freshness.js';
+import { CLOCK_DRIFT, CancellationFreshness } from './cancellation-freshness.js';
 
 /** Of the lease's length: how long one look at the leader's key lasts, so that a lost link shows soon. */
 const WATCH_PART = 0.5;
@@ -25,29 +25,29 @@
   readonly at: Micros;
 }
 
-export interface Office {
+export interface LeaderLease {
   readonly term: number;
   /** Version of the leader's key: the condition that fences every write of the leader. */
-  readonly version: number;
-  readonly lease: number;
+  readonly keyVersion: number;
+  readonly leaseId: number;
   /** When the key was surely ours. */
-  readonly since: Micros;
+  readonly heldSince: Micros;
   /** Nothing was ever rented, and which machines stood ready before is not on record yet: part of the term's record. */
-  readonly first: boolean;
+  readonly firstTerm: boolean;
   /** What its holder knows of cancellations, and since when. */
-  readonly freshness: Freshness;
+  readonly freshness: CancellationFreshness;
 }
 
 /** Where no term's record is there: nobody ever led. */
 const NO_TERM: TermRecord = { number: 0, first: true };
 
-export class Leadership {
-  office: Office | null = null;
+export class LeaderElection {
+  lease: LeaderLease | null = null;
   /** Who was last known to lead; null when that office is known to have ended. */
-  private seen: Seen | null = null;
+  private lastKnownLeader: Seen | null = null;
   /** The highest term that this node has heard of. */
   private lastTerm = 0;
-  private rightEnds: Micros = 0;
+  private leaseValidUntil: Micros = 0;
   /** When this process last gave an office up on purpose. */
   resignedAt: Micros | null = null;
   /** Told of each renewal that was answered. */
@@ -59,8 +59,8 @@
   private suspended = false;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly onWon: (office: Office) => void,
+    private readonly ctx: NodeContext,
+    private readonly onWon: (office: LeaderLease) => void,
     private readonly onLost: () => void,
   ) {}
 
@@ -73,15 +73,19 @@
    * lease that is renewed shows only the first: where only answers were lost, or a watch hung, renewals went on while
    * others were told of cancellations (ran_cancelled, in generated histories).
    */
-  hasRight(): boolean {
+  canActAsLeader(): boolean {
     const { now } = this.ctx;
-    return this.office !== null && now < this.rightEnds && this.office.freshness.holds(now);
+    return this.lease !== null && now < this.leaseValidUntil && this.lease.freshness.isFresh(now);
   }
 
   /** The office is held, but for long nothing was learned of what others were told: watches and lists fail here. */
-  get blind(): boolean {
+  get missesCancellations(): boolean {
     const { now } = this.ctx;
-    return this.office !== null && now < this.rightEnds && this.office.freshness.lost(now, this.office.since);
+    return (
+      this.lease !== null &&
+      now < this.leaseValidUntil &&
+      this.lease.freshness.isLost(now, this.lease.heldSince)
+    );
   }
 
   /**
@@ -90,28 +94,30 @@
    * came to the one that led, and all leases ran out.
    */
   get leader(): string | null {
-    if (this.office !== null) return this.ctx.settings.member;
-    return this.seen !== null && this.ctx.now < this.seen.at + this.ttl ? this.seen.member : null;
+    if (this.lease !== null) return this.ctx.settings.member;
+    return this.lastKnownLeader !== null && this.ctx.now < this.lastKnownLeader.at + this.ttl
+      ? this.lastKnownLeader.member
+      : null;
   }
 
   /**
    * Word of a leader itself, by the peers' address. A higher term is proof that all earlier offices have ended, ours
    * too: it is only written when nobody holds the leader's key. Returns whether the word is of the newest office known.
    */
-  heard(member: string, term: number): boolean {
+  recordPeerClaim(member: string, term: number): boolean {
     if (!this.ctx.settings.peers.some((p) => p.member === member)) return false;
-    if (this.office !== null && term > this.office.term) this.lose('succeeded');
+    if (this.lease !== null && term > this.lease.term) this.stepDown('succeeded');
     // What was held back on its way may be of an office that is over.
-    if (this.office !== null || term < this.lastTerm) return false;
-    if (term === this.lastTerm && this.seen?.member !== member) return false;
-    if (this.seen?.member !== member) this.ctx.info('leader.heard', { member, term });
-    this.note(member, term);
+    if (this.lease !== null || term < this.lastTerm) return false;
+    if (term === this.lastTerm && this.lastKnownLeader?.member !== member) return false;
+    if (this.lastKnownLeader?.member !== member) this.ctx.info('leader.heard', { member, term });
+    this.recordLeader(member, term);
     return true;
   }
 
-  private note(member: string, term: number): void {
+  private recordLeader(member: string, term: number): void {
     this.lastTerm = Math.max(this.lastTerm, term);
-    this.seen = { member, term, at: this.ctx.now };
+    this.lastKnownLeader = { member, term, at: this.ctx.now };
   }
 
   start(): void {
@@ -120,24 +126,24 @@
 
   /** Gives the office up on purpose, so that a node that reaches the workers can take it. */
   resign(holdOff: Micros, reason: string): void {
-    const office = this.office;
+    const office = this.lease;
     if (office === null) return;
     this.ctx.info('leader.resign', { term: office.term, reason });
     this.resignedAt = this.ctx.now;
     this.holdOffUntil = this.ctx.now + holdOff;
-    this.rightEnds = 0;
-    this.ctx.state({ kind: 'revoke', lease: office.lease }, 0, () => {
-      this.lose('resigned');
+    this.leaseValidUntil = 0;
+    this.ctx.state({ kind: 'revoke', lease: office.leaseId }, 0, () => {
+      this.stepDown('resigned');
     });
   }
 
-  lose(reason: string): void {
-    if (this.office === null) return;
-    this.ctx.info('leader.lost', { term: this.office.term, reason });
-    this.office = null;
-    this.rightEnds = 0;
+  stepDown(reason: string): void {
+    if (this.lease === null) return;
+    this.ctx.info('leader.lost', { term: this.lease.term, reason });
+    this.lease = null;
+    this.leaseValidUntil = 0;
     this.suspended = false;
-    this.seen = null;
+    this.lastKnownLeader = null;
     this.ctx.emit({ kind: 'role', leader: false });
     this.onLost();
     this.look();
@@ -151,7 +157,7 @@
   }
 
   private look(): void {
-    if (this.looking || this.acquiring || this.office !== null) return;
+    if (this.looking || this.acquiring || this.lease !== null) return;
     this.looking = true;
     this.ctx.state({ kind: 'get', key: LEAD }, 0, (r) => {
       if (r.kind === 'item') {
@@ -166,10 +172,10 @@
           return;
         }
         // An answer that was long on its way may be older than what a peer has told.
-        if (lead !== null && lead.term >= this.lastTerm) this.note(lead.member, lead.term);
+        if (lead !== null && lead.term >= this.lastTerm) this.recordLeader(lead.member, lead.term);
         this.watch(r.item.version);
       } else if (r.kind === 'missing') {
-        this.seen = null;
+        this.lastKnownLeader = null;
         this.looking = false;
         this.acquire();
       } else {
@@ -179,7 +185,7 @@
   }
 
   private watch(after: number): void {
-    const of = this.seen;
+    const of = this.lastKnownLeader;
     const waitMs = Math.floor((this.ttl * WATCH_PART) / MILLI);
     this.ctx.state({ kind: 'watch', prefix: LEAD, after, waitMs }, 0, (r) => {
       if (r.kind === 'events') {
@@ -188,7 +194,8 @@
           return;
         }
         // Nothing has changed: the same office is still held.
-        if (of !== null && of.term === this.lastTerm && this.seen !== null) this.note(of.member, of.term);
+        if (of !== null && of.term === this.lastTerm && this.lastKnownLeader !== null)
+          this.recordLeader(of.member, of.term);
         this.watch(Math.max(after, r.revision));
       } else {
         this.again(r.kind === 'tooOld' ? 0 : 500 * MILLI);
@@ -197,7 +204,7 @@
   }
 
   private acquire(): void {
-    if (this.acquiring || this.office !== null) return;
+    if (this.acquiring || this.lease !== null) return;
     if (this.ctx.now < this.holdOffUntil) {
       this.again(500 * MILLI);
       return;
@@ -246,20 +253,20 @@
           return;
         }
         this.acquiring = false;
-        this.note(member, term);
-        this.office = {
+        this.recordLeader(member, term);
+        this.lease = {
           term,
-          version: r.revision,
-          lease,
-          since: this.ctx.now,
-          first,
-          freshness: new Freshness(this.ctx.settings),
+          keyVersion: r.revision,
+          leaseId: lease,
+          heldSince: this.ctx.now,
+          firstTerm: first,
+          freshness: new CancellationFreshness(this.ctx.settings),
         };
         this.extend(sent);
         this.ctx.emit({ kind: 'role', leader: true });
         this.ctx.info('leader.won', { term });
-        this.renewLater(this.office);
-        this.onWon(this.office);
+        this.renewLater(this.lease);
+        this.onWon(this.lease);
       },
     );
   }
@@ -271,26 +278,29 @@
   }
 
   private extend(sent: Micros): void {
-    this.rightEnds = Math.max(this.rightEnds, sent + Math.floor(this.ttl * (1 - DRIFT)) - 20 * MILLI);
+    this.leaseValidUntil = Math.max(
+      this.leaseValidUntil,
+      sent + Math.floor(this.ttl * (1 - CLOCK_DRIFT)) - 20 * MILLI,
+    );
   }
 
-  private renewLater(office: Office): void {
+  private renewLater(office: LeaderLease): void {
     const seq = ++this.renewSeq;
     this.ctx.after(Math.floor(this.ttl / 5), () => {
       this.renew(office, seq);
     });
   }
 
-  private renew(office: Office, seq: number): void {
-    if (this.office !== office || seq !== this.renewSeq) return;
+  private renew(office: LeaderLease, seq: number): void {
+    if (this.lease !== office || seq !== this.renewSeq) return;
     const sent = this.ctx.now;
-    this.ctx.state({ kind: 'renew', lease: office.lease }, 0, (r) => {
-      if (this.office !== office) return;
+    this.ctx.state({ kind: 'renew', lease: office.leaseId }, 0, (r) => {
+      if (this.lease !== office) return;
       if (r.kind === 'ok') {
         this.onRenewed?.();
         if (this.holdOffUntil <= this.ctx.now) this.extend(sent);
       } else if (r.kind === 'noLease') {
-        this.lose('lease ended');
+        this.stepDown('lease ended');
         return;
       }
       this.noteRight(office);
@@ -298,11 +308,11 @@
     });
   }
 
-  private noteRight(office: Office): void {
+  private noteRight(office: LeaderLease): void {
     const before = this.suspended;
-    this.suspended = !this.hasRight();
+    this.suspended = !this.canActAsLeader();
     // The office is held, but what others were told is not known.
-    const behind = this.suspended && this.ctx.now < this.rightEnds;
+    const behind = this.suspended && this.ctx.now < this.leaseValidUntil;
     if (this.suspended)
       this.ctx.info('leader.suspended', { term: office.term, ...(behind ? { behind } : {}) });
     else if (before) this.ctx.info('leader.resumed', { term: office.term });
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -1,8 +1,8 @@
 /** What the parts of one leader's term share: the office, what is known, and whether it is still on. */
 import type { Machine } from '../cluster/cluster-model.js';
-import type { Context } from '../node/node-context.js';
-import { Estate } from '../cluster/cluster-state.js';
-import type { Leadership, Office } from './leader-election.js';
+import type { NodeContext } from '../node/node-context.js';
+import { ClusterState } from '../cluster/cluster-state.js';
+import type { LeaderElection, LeaderLease } from './leader-election.js';
 import type { Micros } from '../domain/time.js';
 
 /** Room for raising the token and numbering attempts within a term; products stay below 2^53. */
@@ -11,40 +11,40 @@
 /** Report intervals in which workers turn to a new leader. */
 const ACCOUNTING_REPORTS = 3;
 
-export class Term {
-  readonly no: number;
-  readonly estate: Estate;
+export class LeaderTerm {
+  readonly number: number;
+  readonly cluster: ClusterState;
   /** The records of earlier leaders are read. */
   ready = false;
   /** Before that: the jobs that had not ended when they were listed, which comes first of all; null: not yet listed. */
-  listed: ReadonlySet<string> | null = null;
+  unendedJobs: ReadonlySet<string> | null = null;
   /** The office is lost: whatever still comes back is for nobody. */
   stopped = false;
   /** Silence is counted from here: from the term's begin or the last return of the right. */
-  entitledSince: Micros;
+  leaseHeldSince: Micros;
   private lastAttempt: number;
 
   constructor(
-    readonly ctx: Context,
-    readonly office: Office,
-    readonly leadership: Leadership,
+    readonly ctx: NodeContext,
+    readonly lease: LeaderLease,
+    readonly election: LeaderElection,
     /** Something changed that a plan may answer to. */
-    readonly planSoon: () => void,
+    readonly schedulePass: () => void,
   ) {
-    this.no = office.term;
-    this.estate = new Estate(ctx);
-    this.entitledSince = ctx.now;
-    this.lastAttempt = office.term * ATTEMPTS_PER_TERM;
+    this.number = lease.term;
+    this.cluster = new ClusterState(ctx);
+    this.leaseHeldSince = ctx.now;
+    this.lastAttempt = lease.term * ATTEMPTS_PER_TERM;
   }
 
   /** Whether orders and answers may be given now. */
-  entitled(): boolean {
-    return this.leadership.hasRight();
+  canActAsLeader(): boolean {
+    return this.election.canActAsLeader();
   }
 
   /** Workers still turn to this new leader. */
-  get accounting(): boolean {
-    return this.ctx.now <= this.office.since + ACCOUNTING_REPORTS * this.ctx.settings.heartbeatIntervalUs;
+  get inFailoverGracePeriod(): boolean {
+    return this.ctx.now <= this.lease.heldSince + ACCOUNTING_REPORTS * this.ctx.settings.heartbeatIntervalUs;
   }
 
   /**
@@ -52,20 +52,20 @@
    * are told of cancellations, after which nothing of the job may be started. In an outage of all that costs little, for the
    * right ends soon.
    */
-  mayStart(): boolean {
-    return this.entitled() && this.ctx.link.downSince === null;
+  canDispatch(): boolean {
+    return this.canActAsLeader() && this.ctx.storeConnection.downSince === null;
   }
 
   /** Every token of this term exceeds all of earlier ones. */
-  get firstToken(): number {
-    return this.no * TOKENS_PER_TERM;
+  get firstFencingToken(): number {
+    return this.number * TOKENS_PER_TERM;
   }
 
-  tokenOf(m: Machine): number {
-    return this.firstToken + m.fence;
+  fencingTokenOf(m: Machine): number {
+    return this.firstFencingToken + m.fencingCounter;
   }
 
-  nextAttempt(): number {
+  nextAttemptNumber(): number {
     return ++this.lastAttempt;
   }
 
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -1,16 +1,16 @@
 /** Renting and returning machines. What to rent comes from the same play-out that places tasks. */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import type { Machine } from '../cluster/cluster-model.js';
 import type { CloudReply } from '../domain/cloud.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ListedMachine } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
-import type { Group, Rentable } from '../scheduling/plan-input.js';
+import type { TaskGroup, CapacityOffer } from '../scheduling/plan-input.js';
 import type { Decision } from '../scheduling/placement-search.js';
 import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
 import { typeAllowed } from '../domain/resources.js';
-import type { Standing } from './preprovisioned-machines.js';
+import type { PreprovisionedMachines } from './preprovisioned-machines.js';
 
 interface Offer {
   refusedUntil: Micros;
@@ -29,9 +29,9 @@
 }
 
 /** What the fleet needs of the scheduler. */
-export interface FleetHost {
+export interface AutoscalerHost {
   readonly term: number;
-  readonly standing: Pick<Standing, 'open' | 'settled' | 'settle'>;
+  readonly standing: Pick<PreprovisionedMachines, 'isOpen' | 'canProvision' | 'recordFirstList'>;
   machines(): Iterable<Machine>;
   find(name: string): Machine | undefined;
   rented(name: string, type: string, zone: string, spot: boolean, since: Micros): void;
@@ -59,7 +59,7 @@
 
 const offerKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot ? 's' : 'o'}`;
 
-export class Fleet {
+export class Autoscaler {
   private readonly offers = new Map<string, Offer>();
   private readonly arrivals = new Map<string, Arrivals>();
   private bookings = 0;
@@ -69,8 +69,8 @@
   private deleting = false;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly host: FleetHost,
+    private readonly ctx: NodeContext,
+    private readonly host: AutoscalerHost,
   ) {}
 
   start(): void {
@@ -98,8 +98,8 @@
   }
 
   /** What can be rented now, by type, zone and kind. */
-  rentable(): Rentable[] {
-    const out: Rentable[] = [];
+  rentable(): CapacityOffer[] {
+    const out: CapacityOffer[] = [];
     for (const type of this.ctx.types.values())
       for (const zone of type.zones)
         for (const spot of [false, true]) {
@@ -114,8 +114,8 @@
    * Room kept for arrivals of classes that must start sooner than a machine boots: the spread of the
    * difference between arrivals and completions while one boots.
    */
-  headroom(): Group[] {
-    const out: Group[] = [];
+  headroom(): TaskGroup[] {
+    const out: TaskGroup[] = [];
     for (const [cls, a] of this.arrivals) {
       const within = allowedWait(cls, this.ctx.settings.objectives);
       if (within === null || a.spec.shape === 'service' || this.mustStartAtOnce(a.spec)) continue;
@@ -144,8 +144,8 @@
    * all the time, so the largest job that came lately is enough, or as many as come within the time they may wait. Without it such a service trickled in: a third of those
    * that came to full machines had tasks waiting for longer than their aim (adresy-pomorze steady).
    */
-  kept(): Group[] {
-    const out: Group[] = [];
+  kept(): TaskGroup[] {
+    const out: TaskGroup[] = [];
     for (const a of this.arrivals.values()) {
       if ((a.at.at(-1) ?? -Infinity) < this.ctx.now - WINDOW || !this.mustStartAtOnce(a.spec)) continue;
       out.push({ ...this.roomFor(a.spec, this.tasksToKeepRoomFor(a)), kept: true });
@@ -166,20 +166,20 @@
     return mustStartAtOnce(spec, this.ctx.settings.objectives);
   }
 
-  private roomFor(spec: JobSpec, count: number): Group {
+  private roomFor(spec: JobSpec, count: number): TaskGroup {
     return {
       spec,
       count,
       zones: new Map(),
       avoid: new Set(),
-      credit: 0,
-      margin: this.host.thrifty() ? 60 * SECOND : 0,
-      patience: 60 * SECOND,
-      only: null,
+      checkpointedProgress: 0,
+      scaleOutThreshold: this.host.thrifty() ? 60 * SECOND : 0,
+      allowedDelay: 60 * SECOND,
+      allowedMachines: null,
       reserve: false,
-      phantom: true,
-      runs: new Map(),
-      dear: new Map(),
+      hypothetical: true,
+      runTimes: new Map(),
+      costPenalties: new Map(),
     };
   }
 
@@ -188,8 +188,8 @@
     // First see what is there, and put it on record: what stands ready before any renting is never returned.
     if (this.firstList && this.ctx.now < this.began + FIRST_LIST_WAIT) return;
     const { standing } = this.host;
-    if (standing.open && d.picture.rented.size > 0) standing.settle([]);
-    if (!standing.settled) return;
+    if (standing.isOpen && d.picture.rented.size > 0) standing.recordFirstList([]);
+    if (!standing.canProvision) return;
     for (const [r, count] of d.picture.rented) {
       if (count <= 0) continue;
       const key = offerKey(r.type.name, r.zone, r.spot);
@@ -200,7 +200,7 @@
     }
   }
 
-  private rent(r: Rentable, count: number, offer: Offer): void {
+  private rent(r: CapacityOffer, count: number, offer: Offer): void {
     offer.inFlight = true;
     // The term is held by one process only, so the name is never used again, not even by another node.
     const request = `r-${this.host.term}-${this.bookings++}`;
@@ -209,7 +209,7 @@
 
   private book(
     request: string,
-    r: Rentable,
+    r: CapacityOffer,
     count: number,
     offer: Offer,
     since: Micros,
@@ -343,8 +343,8 @@
       this.host.listed(l);
       const m = this.host.find(l.name);
       if (m === undefined) continue;
-      m.firstListed ??= this.ctx.now;
-      m.lastListed = this.ctx.now;
+      m.firstListedAt ??= this.ctx.now;
+      m.lastListedAt = this.ctx.now;
       if (l.state === 'failed') {
         // A failed machine stopped by itself; it stays listed until it is deleted.
         this.host.gone(m, 'failed');
@@ -353,11 +353,11 @@
     }
     this.firstList = false;
     const { standing } = this.host;
-    if (standing.open) standing.settle([...this.host.machines()].filter((m) => names.has(m.name)));
+    if (standing.isOpen) standing.recordFirstList([...this.host.machines()].filter((m) => names.has(m.name)));
     // A list is at most two lags old. It shows every machine that was listed before that and still exists.
     const lag = this.ctx.settings.cloudListLagUs * 2 + SECOND;
     for (const m of [...this.host.machines()])
-      if (!names.has(m.name) && m.firstListed !== null && m.firstListed < began - lag)
+      if (!names.has(m.name) && m.firstListedAt !== null && m.firstListedAt < began - lag)
         this.host.gone(m, 'unlisted');
   }
 
@@ -366,14 +366,19 @@
     const { now } = this.ctx;
     const thrifty = this.host.thrifty();
     for (const m of this.host.machines()) {
-      if (m.retiring !== null) continue;
+      if (m.retirementReason !== null) continue;
       const type = this.ctx.types.get(m.type);
       if (type === undefined) continue;
-      if (!m.up && m.session === 0 && !m.unresolved && now - m.rentedAt > 3 * type.bootUs + 15 * SECOND) {
+      if (
+        !m.up &&
+        m.agentEpoch === 0 &&
+        !m.awaitingReconciliation &&
+        now - m.provisionedAt > 3 * type.bootUs + 15 * SECOND
+      ) {
         this.host.retire(m, 'never came up');
         continue;
       }
-      if (!m.usable() || m.standing || m.attempts.size > 0 || needed.has(m.name)) continue;
+      if (!m.isUsable() || m.preprovisioned || m.attempts.size > 0 || needed.has(m.name)) continue;
       const patience = this.ctx.settings.tuning.idleScaleInUs * (thrifty ? 1 : UNTHRIFTY_PATIENCE);
       if (now - m.idleSince > patience) this.host.retire(m, 'idle');
     }
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,58 +1,58 @@
 /** Who does not report: leases that ran out, machines to be deleted, and when the network is at fault. */
-import type { Attempt, Machine } from '../cluster/cluster-model.js';
-import { DRIFT } from '../leadership/cancellation-freshness.js';
+import type { TaskAttempt, Machine } from '../cluster/cluster-model.js';
+import { CLOCK_DRIFT } from '../leadership/cancellation-freshness.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import type { Park } from './machine-lifecycle.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { MachineLifecycle } from './machine-lifecycle.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 interface Count {
   all: number;
   overdue: number;
 }
 
-export class Silence {
+export class MachineFailureDetector {
   private hadRight = true;
 
   constructor(
-    private readonly term: Term,
-    private readonly park: Park,
-    private readonly end: (a: Attempt) => void,
+    private readonly term: LeaderTerm,
+    private readonly park: MachineLifecycle,
+    private readonly end: (a: TaskAttempt) => void,
   ) {}
 
   /** Silence counts anew from when the right came back: meanwhile nobody was answered. */
-  noteRight(entitled: boolean): void {
-    if (entitled && !this.hadRight) this.term.entitledSince = this.term.ctx.now;
+  recordLeaseState(entitled: boolean): void {
+    if (entitled && !this.hadRight) this.term.leaseHeldSince = this.term.ctx.now;
     this.hadRight = entitled;
   }
 
   /** A worker that was not answered for its lease, drift and all, has dropped its tasks. */
   expireLeases(): void {
-    const { ctx, estate } = this.term;
-    const length = Math.ceil(ctx.settings.workerLeaseUs * (1 + 2 * DRIFT)) + 300 * MILLI;
+    const { ctx, cluster: estate } = this.term;
+    const length = Math.ceil(ctx.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT)) + 300 * MILLI;
     for (const m of estate.machines.values()) {
-      if (ctx.now <= m.leaseFrom + length) continue;
-      if (!m.up && !m.unresolved) continue;
+      if (ctx.now <= m.leaseRenewedAt + length) continue;
+      if (!m.up && !m.awaitingReconciliation) continue;
       ctx.info('machine.lease_ended', { machine: m.name, tasks: m.attempts.size });
       m.up = false;
-      m.unresolved = false;
-      m.strangers = 0;
+      m.awaitingReconciliation = false;
+      m.unknownTaskCount = 0;
       // Later reports of the ended session, should any still arrive, tell nothing new.
-      m.seq = Number.MAX_SAFE_INTEGER;
+      m.lastSequence = Number.MAX_SAFE_INTEGER;
       for (const a of [...m.attempts.values()]) this.end(a);
-      this.term.planSoon();
+      this.term.schedulePass();
     }
   }
 
   private silentFor(m: Machine): Micros {
-    return this.term.ctx.now - Math.max(m.lastReport, this.term.entitledSince);
+    return this.term.ctx.now - Math.max(m.lastHeartbeatAt, this.term.leaseHeldSince);
   }
 
   /**
    * A silent machine is deleted: the cloud's answer proves that everything on it is gone, much sooner
    * than its lease. Not so when much is silent at once: then the network is at fault, or this node.
    */
-  check(): void {
-    const { ctx, estate, leadership } = this.term;
+  retireSilentMachines(): void {
+    const { ctx, cluster: estate, election: leadership } = this.term;
     // Two reports may be late or lost before a machine is suspected.
     const { heartbeatIntervalUs: reportUs } = ctx.settings;
     const silentUs = Math.max(ctx.settings.tuning.machineSuspicionUs, 2.5 * reportUs);
@@ -63,7 +63,7 @@
     let up = 0;
     let quiet = 0;
     for (const m of estate.machines.values()) {
-      if (!m.up && !m.unresolved) continue;
+      if (!m.up && !m.awaitingReconciliation) continue;
       const z = zones.get(m.zone) ?? { ordinary: { all: 0, overdue: 0 }, any: { all: 0, overdue: 0 } };
       zones.set(m.zone, z);
       const silent = this.silentFor(m);
@@ -83,7 +83,12 @@
       return;
     }
     for (const m of [...estate.machines.values()]) {
-      if ((!m.up && !m.unresolved) || m.retiring !== null || this.silentFor(m) <= silentUs) continue;
+      if (
+        (!m.up && !m.awaitingReconciliation) ||
+        m.retirementReason !== null ||
+        this.silentFor(m) <= silentUs
+      )
+        continue;
       // Spot machines are taken in waves; the ordinary ones of a zone tell better whether it is cut off.
       const z = zones.get(m.zone)!;
       const c = z.ordinary.all >= 3 ? z.ordinary : z.any;
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,35 +1,35 @@
 /** The machines of a term: known from the records, the cloud or their own reports, until they are gone. */
-import { Machine, type Attempt } from '../cluster/cluster-model.js';
+import { Machine, type TaskAttempt } from '../cluster/cluster-model.js';
 import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI } from '../domain/time.js';
-import type { Roster } from '../storage/machine-store.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { MachineStore } from '../storage/machine-store.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 
 /** Names of machines that are gone are kept for so many of them: lists and reports may be older. */
 const BURIED = 2_000;
 
-export interface ParkHost {
+export interface MachineEvents {
   /** Deletes a machine that is on record as retiring. */
   remove(name: string): void;
   /** The attempt is surely not there any more. */
-  end(a: Attempt): void;
+  end(a: TaskAttempt): void;
   gone(m: Machine): void;
 }
 
-export class Park {
+export class MachineLifecycle {
   /** Machines that are gone for good: lists older than that still name them. */
   private readonly buried = new Map<string, Micros>();
 
   constructor(
-    private readonly term: Term,
-    private readonly roster: Roster,
-    private readonly host: ParkHost,
+    private readonly term: LeaderTerm,
+    private readonly roster: MachineStore,
+    private readonly host: MachineEvents,
   ) {}
 
   private get machines(): Map<string, Machine> {
-    return this.term.estate.machines;
+    return this.term.cluster.machines;
   }
 
   add(name: string, d: { address: string; type: string; zone: string; spot: boolean }): Machine {
@@ -39,7 +39,7 @@
   }
 
   /** The machine that a report comes from; null if it is gone for good. */
-  reporting(r: Heartbeat): Machine | null {
+  registerHeartbeat(r: Heartbeat): Machine | null {
     const m = this.machines.get(r.machine);
     if (m !== undefined) return m;
     if (this.buried.has(r.machine)) return null;
@@ -55,7 +55,7 @@
    * machine for one that is there, with tasks that ran elsewhere by then, until a lease had passed.
    */
   private isGhost(r: Heartbeat): boolean {
-    if (r.tasks.length === 0 || !this.roster.whole) return false;
+    if (r.tasks.length === 0 || !this.roster.isComplete) return false;
     this.term.ctx.info('report.of_gone', {
       machine: r.machine,
       session: r.agentEpoch,
@@ -65,28 +65,28 @@
   }
 
   /** Whether what came before the records were read is of a machine that is on none: then it is let go. */
-  letGoGhost(m: Machine, r: Heartbeat): boolean {
+  removeStaleMachine(m: Machine, r: Heartbeat): boolean {
     if (m.recorded !== 'no' || !this.isGhost(r)) return false;
     this.machines.delete(m.name);
     return true;
   }
 
-  record(m: Machine): void {
+  persist(m: Machine): void {
     // Before the roster is read, its pages would be overwritten.
     if (m.recorded !== 'no' || !this.term.ready) return;
     m.recorded = 'writing';
     this.roster.put(m, () => {
       m.recorded = 'yes';
-      this.term.planSoon();
+      this.term.schedulePass();
     });
   }
 
-  rented(name: string, type: string, zone: string, spot: boolean, since: Micros): void {
+  recordProvisioned(name: string, type: string, zone: string, spot: boolean, since: Micros): void {
     const m = this.machines.get(name) ?? this.add(name, { address: '', type, zone, spot });
-    m.rentedAt = since;
+    m.provisionedAt = since;
   }
 
-  listed(l: ListedMachine): void {
+  recordListed(l: ListedMachine): void {
     let m = this.machines.get(l.name);
     if (m === undefined) {
       if (this.buried.has(l.name)) return;
@@ -95,33 +95,33 @@
         return;
       }
       m = this.add(l.name, l);
-      m.rentedAt = this.term.ctx.now - l.ageUs;
+      m.provisionedAt = this.term.ctx.now - l.ageUs;
       this.term.ctx.info('machine.listed', { machine: l.name, type: l.type, zone: l.zone });
     }
     if (m.address === '') m.address = l.address;
   }
 
   /** The machine and everything on it are gone for sure. */
-  gone(m: Machine, reason: string): void {
+  remove(m: Machine, reason: string): void {
     if (!this.machines.has(m.name)) return;
     this.term.ctx.info('machine.gone', { machine: m.name, reason, tasks: m.attempts.size });
     this.machines.delete(m.name);
     this.buried.set(m.name, this.term.ctx.now);
     if (this.buried.size > BURIED) this.buried.delete(this.buried.keys().next().value!);
     m.up = false;
-    m.unresolved = false;
-    m.retiring ??= reason;
+    m.awaitingReconciliation = false;
+    m.retirementReason ??= reason;
     for (const a of [...m.attempts.values()]) this.host.end(a);
     this.host.gone(m);
     this.roster.drop(m);
-    this.term.planSoon();
+    this.term.schedulePass();
   }
 
   /** Takes a machine out of use for good. Put on record first: a late deletion must not hit a new use. */
   retire(m: Machine, reason: string): void {
-    if (m.deleting) return;
-    m.deleting = true;
-    m.retiring ??= reason;
+    if (m.deletionRequested) return;
+    m.deletionRequested = true;
+    m.retirementReason ??= reason;
     this.term.ctx.info('machine.retire', { machine: m.name, reason, tasks: m.attempts.size });
     m.recorded = 'writing';
     this.roster.put(m, () => {
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -7,45 +7,45 @@
 import { TERM } from '../codecs/keys.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import { encodeTerm } from '../codecs/leadership-codec.js';
-import type { Term } from '../leadership/leader-term.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Machine } from '../cluster/cluster-model.js';
-import type { Roster } from '../storage/machine-store.js';
-import type { Writer } from '../storage/fenced-writer.js';
+import type { MachineStore } from '../storage/machine-store.js';
+import type { FencedWriter } from '../storage/fenced-writer.js';
 
 /** A record that is not confirmed by then is left to the machine's next one: renting can't wait for it for ever. */
 const CONFIRMED: Micros = 10 * SECOND;
 
-export class Standing {
+export class PreprovisionedMachines {
   private state: 'open' | 'recording' | 'closing' | 'closed';
 
   constructor(
-    private readonly term: Term,
-    private readonly roster: Roster,
-    private readonly writer: Writer,
+    private readonly term: LeaderTerm,
+    private readonly roster: MachineStore,
+    private readonly writer: FencedWriter,
     private readonly closed: () => void,
   ) {
-    this.state = term.office.first ? 'open' : 'closed';
+    this.state = term.lease.firstTerm ? 'open' : 'closed';
     // The same transaction wrote both keys.
-    writer.know(TERM, term.office.version);
+    writer.rememberVersion(TERM, term.lease.keyVersion);
   }
 
   /** A list that comes now shows what stood ready. */
-  get open(): boolean {
+  get isOpen(): boolean {
     return this.state === 'open';
   }
 
   /** Anything may be rented. */
-  get settled(): boolean {
+  get canProvision(): boolean {
     return this.state === 'closed';
   }
 
   /** The machines of the first list; none where it did not come in time. */
-  settle(machines: readonly Machine[]): void {
+  recordFirstList(machines: readonly Machine[]): void {
     if (this.state !== 'open') return;
     this.state = 'recording';
     const open = new Set(machines);
     for (const m of machines) {
-      m.standing = true;
+      m.preprovisioned = true;
       this.roster.put(m, () => {
         if (m.recorded === 'no') m.recorded = 'yes';
         open.delete(m);
@@ -64,11 +64,11 @@
     this.state = 'closing';
     this.writer.put(
       TERM,
-      () => encodeTerm({ number: this.term.no, first: false }),
+      () => encodeTerm({ number: this.term.number, first: false }),
       () => {
         this.state = 'closed';
         this.term.ctx.info('fleet.standing', {
-          machines: [...this.term.estate.machines.values()].filter((m) => m.standing).length,
+          machines: [...this.term.cluster.machines.values()].filter((m) => m.preprovisioned).length,
         });
         this.closed();
       },
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -15,11 +15,11 @@
 /** However late this node itself is, it waits no longer than so many times as long. */
 const MOST_PATIENCE = 4;
 
-export type Level = 'unknown' | 'alive' | 'suspected';
+export type PeerState = 'unknown' | 'alive' | 'suspected';
 
-export interface Member {
+export interface Peer {
   readonly name: string;
-  level: Level;
+  level: PeerState;
   /** Number of its process: a restarted one has a higher one. */
   incarnation: number;
   /** When a beat of it came last, here. */
@@ -33,13 +33,13 @@
   stray: { incarnation: number; at: Micros; count: number } | null;
 }
 
-export type Change =
+export type PeerChange =
   | { readonly kind: 'suspected'; readonly member: string; readonly silent: Micros; readonly limit: Micros }
   | { readonly kind: 'heard'; readonly member: string; readonly after: Micros | null }
   | { readonly kind: 'restarted'; readonly member: string; readonly incarnation: number };
 
-export class Members {
-  readonly all = new Map<string, Member>();
+export class PeerFailureDetector {
+  readonly all = new Map<string, Peer>();
   private seq = 0;
 
   constructor(
@@ -61,7 +61,7 @@
   }
 
   /** A beat came. What it changes, for the log; null for one that tells nothing new, or comes from nobody we know. */
-  take(b: PeerHeartbeat): Change | null {
+  receive(b: PeerHeartbeat): PeerChange | null {
     const m = this.all.get(b.member);
     if (m === undefined) return null;
     const now = this.now();
@@ -92,7 +92,7 @@
    * What was held back comes all at once. An older incarnation that goes on coming a beat at a time, while the newer one is
    * silent, is a process whose clock is behind that of the one before: never to hear it would be worse.
    */
-  private staysOlder(m: Member, incarnation: number, now: Micros): boolean {
+  private staysOlder(m: Peer, incarnation: number, now: Micros): boolean {
     if (m.level !== 'suspected' || m.stray?.incarnation !== incarnation) {
       m.stray = { incarnation, at: now, count: 1 };
       return false;
@@ -106,9 +106,9 @@
    * Who has been silent for too long, given how evenly its beats came. `lateUs`: how late this node's own timers fire: who is
    * late itself, or stood still, doubts itself first.
    */
-  check(lateUs: Micros): Change[] {
+  suspectSilentPeers(lateUs: Micros): PeerChange[] {
     const now = this.now();
-    const out: Change[] = [];
+    const out: PeerChange[] = [];
     for (const m of this.all.values()) {
       if (m.level !== 'alive') continue;
       const limit = this.limitOf(m, lateUs);
@@ -120,7 +120,7 @@
     return out;
   }
 
-  private limitOf(m: Member, lateUs: Micros): Micros {
+  private limitOf(m: Peer, lateUs: Micros): Micros {
     const { heartbeatIntervalUs: beatUs, suspectAfterMissed: suspectBeats } = this.settings;
     const least = beatUs * suspectBeats;
     let wide = 0;
@@ -134,18 +134,18 @@
   }
 
   /** A peer that the state service gave a good answer after that moment, by its own word; null: none is known. */
-  reachesState(after: Micros): string | null {
+  peerWithStoreAnswerAfter(after: Micros): string | null {
     for (const m of this.all.values())
       if (m.level === 'alive' && m.stateGoodAt !== null && m.stateGoodAt > after) return m.name;
     return null;
   }
 
-  levelOf(member: string): Level {
+  levelOf(member: string): PeerState {
     return this.all.get(member)?.level ?? 'unknown';
   }
 
   /** The next beat of this node. */
-  compose(own: PeerStatus): PeerHeartbeat {
+  composeHeartbeat(own: PeerStatus): PeerHeartbeat {
     const now = this.now();
     return {
       ...own,
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,10 +1,10 @@
 /** Sends this node's beats, takes those of the others, and logs what that changes. */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import type { PeerHeartbeat } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { Members, type Change } from './peer-failure-detector.js';
+import { PeerFailureDetector, type PeerChange } from './peer-failure-detector.js';
 
 /** A peer's word counts for an interruption of this node's own link only if it got an answer so long after that began. */
 const AFTER: Micros = 500 * MILLI;
@@ -13,8 +13,8 @@
 /** A worker that has not come for so many of its intervals is none that reaches this node. */
 const REPORTS = 2.5;
 
-export class Beats {
-  readonly members: Members;
+export class PeerHeartbeats {
+  readonly members: PeerFailureDetector;
   /** Workers that came, and when they last did. */
   private readonly workers = new Map<string, Micros>();
   private incarnation = 0;
@@ -25,12 +25,12 @@
   private elsewhereAt: Micros | null = null;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     private readonly settings: MembershipSettings,
     /** The term of the office that is held with right now; null: none. */
     private readonly term: () => number | null,
   ) {
-    this.members = new Members(
+    this.members = new PeerFailureDetector(
       settings,
       ctx.settings.peers.map((p) => p.member),
       () => ctx.now,
@@ -45,11 +45,12 @@
     this.tick();
   }
 
-  take(b: PeerHeartbeat): void {
+  receive(b: PeerHeartbeat): void {
     this.outbid(b);
-    this.tell(this.members.take(b));
-    const since = this.ctx.link.downSince;
-    if (since === null || this.members.reachesState(since + AFTER) === null) this.elsewhereAt = null;
+    this.tell(this.members.receive(b));
+    const since = this.ctx.storeConnection.downSince;
+    if (since === null || this.members.peerWithStoreAnswerAfter(since + AFTER) === null)
+      this.elsewhereAt = null;
     else this.elsewhereAt ??= this.ctx.now;
   }
 
@@ -67,7 +68,7 @@
   }
 
   /** A worker reported to this node, whatever it was answered. */
-  came(machine: string): void {
+  recordWorkerContact(machine: string): void {
     this.workers.set(machine, this.ctx.now);
   }
 
@@ -76,24 +77,27 @@
    * off elsewhere. At the end of an outage some node is always answered first: so it takes a call of this node that was
    * sent after that and failed as well.
    */
-  servedElsewhere(): boolean {
-    const { link, now } = this.ctx;
+  isStoreServingPeers(): boolean {
+    const { storeConnection: link, now } = this.ctx;
     if (link.downSince === null || this.elsewhereAt === null) return false;
-    return link.lastBadSent > this.elsewhereAt && this.members.reachesState(now - STALE) !== null;
+    return (
+      link.lastFailureSentAt > this.elsewhereAt && this.members.peerWithStoreAnswerAfter(now - STALE) !== null
+    );
   }
 
   private tick(): void {
     const { ctx } = this;
     // What was late once is doubted for a while: the next beats of others may still be on their way in.
     this.lateUs = Math.max(ctx.now - this.dueAt, Math.floor(this.lateUs / 2));
-    for (const c of this.members.check(this.lateUs)) this.tell(c);
+    for (const c of this.members.suspectSilentPeers(this.lateUs)) this.tell(c);
     const oldest = ctx.now - REPORTS * ctx.settings.heartbeatIntervalUs;
     for (const [machine, at] of this.workers) if (at < oldest) this.workers.delete(machine);
-    const message = this.members.compose({
+    const message = this.members.composeHeartbeat({
       member: ctx.settings.member,
       incarnation: this.incarnation,
       term: this.term(),
-      storeAnswerAgeUs: ctx.link.lastGood === 0 ? null : ctx.now - ctx.link.lastGood,
+      storeAnswerAgeUs:
+        ctx.storeConnection.lastSuccessAt === 0 ? null : ctx.now - ctx.storeConnection.lastSuccessAt,
       timerDelayUs: this.lateUs,
       workerCount: this.workers.size,
     });
@@ -104,7 +108,7 @@
     });
   }
 
-  private tell(c: Change | null): void {
+  private tell(c: PeerChange | null): void {
     if (c === null) return;
     const { ctx } = this;
     if (c.kind === 'suspected') {
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,6 +1,6 @@
 /** What every part of the core shares within one node: the present time, pending calls, timers. */
 import { TERM } from '../codecs/keys.js';
-import { Link } from './store-connection.js';
+import { StoreConnection } from './store-connection.js';
 import type { CloudOperation, CloudReply } from '../domain/cloud.js';
 import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
 import type { WorkerCommand, CommandReply } from '../domain/heartbeat.js';
@@ -19,7 +19,7 @@
   readonly run: () => void;
 }
 
-export class Context {
+export class NodeContext {
   now: Micros = 0;
   /** Time of day minus steady time, from the newest input that carried both. */
   wallOffset: Micros = 0;
@@ -32,9 +32,9 @@
   private timerOrder = 0;
   private timers: Timer[] = [];
   /** The link to the state service. */
-  readonly link = new Link();
+  readonly storeConnection = new StoreConnection();
   /** Who wants to know when it is lost. */
-  readonly linkLost: (() => void)[] = [];
+  readonly onStoreLost: (() => void)[] = [];
   private probing = false;
   private readonly stateCalls = new Map<number, { sent: Micros; then: (r: StoreReply) => void }>();
   private readonly cloudCalls = new Map<number, (r: CloudReply) => void>();
@@ -118,25 +118,25 @@
     this.stateCalls.delete(call);
     if (waiting === undefined) return;
     if (r.kind !== 'failed') this.linkGood();
-    else if (this.link.bad(r.cause, waiting.sent)) this.linkBad(r.cause);
+    else if (this.storeConnection.recordFailure(r.cause, waiting.sent)) this.linkBad(r.cause);
     waiting.then(r);
   }
 
   private linkGood(): void {
-    const since = this.link.downSince;
-    if (this.link.good(this.now) && since !== null)
+    const since = this.storeConnection.downSince;
+    if (this.storeConnection.recordSuccess(this.now) && since !== null)
       this.info('state.back', { afterS: (this.now - since) / SECOND });
   }
 
   private linkBad(cause: StoreFailureCause): void {
     this.info('state.lost', { cause });
-    for (const tell of this.linkLost) tell();
+    for (const tell of this.onStoreLost) tell();
     if (!this.probing) this.probe();
   }
 
   /** While it is lost nobody else need ask: users are answered without. */
   private probe(): void {
-    this.probing = this.link.downSince !== null;
+    this.probing = this.storeConnection.downSince !== null;
     if (!this.probing) return;
     this.state({ kind: 'get', key: TERM }, 0, () => {
       this.after(PROBE_EVERY, () => {
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -3,11 +3,11 @@
  * on, and each is told what happens in a leader's term. Nothing here may keep a rule from being kept: a feature
  * can hold back a job that has not begun, and that is all.
  */
-import type { ActiveJob, Attempt, Hold, Machine } from './cluster/cluster-model.js';
-import type { Context } from './node/node-context.js';
+import type { ActiveJob, TaskAttempt, AdmissionHold, Machine } from './cluster/cluster-model.js';
+import type { NodeContext } from './node/node-context.js';
 import type { InternalResponse, ClientRequest } from './domain/client-api.js';
 import type { ReportedTask } from './domain/heartbeat.js';
-import type { Term } from './leadership/leader-term.js';
+import type { LeaderTerm } from './leadership/leader-term.js';
 
 /** A feature within one term. All calls are synchronous; none may throw for what the outside did. */
 export interface FeatureTerm {
@@ -16,9 +16,9 @@
   /** Twice a second, once ready; `entitled`: whether orders may be given now. */
   sweep(entitled: boolean): void;
   /** A task runs, as its machine says. `a.timed` is false where an earlier leader started it. */
-  running(a: Attempt): void;
+  running(a: TaskAttempt): void;
   /** An attempt is surely not on its machine any more; `exit` is null where nobody tells how it ended. */
-  ended(a: Attempt, exit: ReportedTask | null): void;
+  ended(a: TaskAttempt, exit: ReportedTask | null): void;
   /** A machine reports the end of an attempt that this leader never knew to run. */
   exited(job: string, exit: ReportedTask): void;
   /** Whether a worker is to keep for now that this attempt was done, though the core has put it on record. */
@@ -28,26 +28,26 @@
   /** No task of the job is anywhere any more, and its record says how it ended. */
   closed(job: ActiveJob): void;
   /** Why a job that has not begun may not begin now; null if it may. */
-  holds(job: ActiveJob): Hold | null;
+  holds(job: ActiveJob): AdmissionHold | null;
   /** The office is lost; nothing more is told. */
   stop(): void;
 }
 
 /** How jobs wait for each other, as far as the leader knows. */
-export interface Links {
+export interface DependencyLinks {
   /** Jobs that directly need this one and have not ended. */
   needing(id: string): Iterable<ActiveJob>;
 }
 
 /** What a feature may do on any node, whoever leads. */
-export interface NodeLinks {
-  readonly ctx: Context;
+export interface NodeServices {
+  readonly ctx: NodeContext;
   /** As a user of this node would ask, on the same path. */
   ask(body: ClientRequest, then: (answer: InternalResponse) => void): void;
 }
 
 /** A feature's part on a node, for clients of its own. */
-export interface NodePart {
+export interface FeatureEndpoint {
   /** `request` is answered by `answerAsked`. */
   asked(request: number, body: unknown): void;
 }
@@ -62,9 +62,9 @@
 export interface Feature {
   readonly name: string;
   /** Called once for a process, before anything else. */
-  serve?(links: NodeLinks): NodePart;
+  serve?(links: NodeServices): FeatureEndpoint;
   /** A new term; called before anything of it is known. */
-  begin(term: Term, links: Links): FeatureTerm;
+  begin(term: LeaderTerm, links: DependencyLinks): FeatureTerm;
 }
 
 /** Tells all features; a mistake in one of them is logged and keeps neither the others nor the core. */
@@ -72,9 +72,9 @@
   private readonly on: readonly { readonly name: string; readonly term: FeatureTerm }[];
 
   constructor(
-    private readonly term: Term,
+    private readonly term: LeaderTerm,
     features: readonly Feature[],
-    links: Links,
+    links: DependencyLinks,
   ) {
     this.on = features.map((f) => ({ name: f.name, term: f.begin(term, links) }));
   }
@@ -87,8 +87,8 @@
   }
 
   /** The first reason why a job may not begin now. Who fails to answer holds nothing back. */
-  holds(job: ActiveJob): Hold | null {
-    let hold: Hold | null = null;
+  holds(job: ActiveJob): AdmissionHold | null {
+    let hold: AdmissionHold | null = null;
     for (const f of this.on)
       this.term.ctx.guard(f.name, () => {
         hold ??= f.term.holds(job);
--- a/packages/core/src/scheduling/backfill.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -5,14 +5,14 @@
  */
 import { beginsNow } from './initial-placement.js';
 import { bestOptions, placeGroup, zoneChoices, zoneRoom } from './group-placement.js';
-import { taskKind, type Group, type Option, type Step } from './plan-input.js';
+import { taskKind, type TaskGroup, type PlacementOption, type PlanStep } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 
-const isUnbound = ({ spec, zones, only }: Group): boolean =>
+const isUnbound = ({ spec, zones, allowedMachines: only }: TaskGroup): boolean =>
   only === null && (zones.size === 0 || !(spec.sameZone || spec.spreadAcrossZones));
 
 /** The zone with the most room now, for a group whose tasks have to be in one; null: any zone. */
-const zoneFor = (simulation: PlacementSimulation, group: Group): string | null => {
+const zoneFor = (simulation: PlacementSimulation, group: TaskGroup): string | null => {
   let best: { zone: string | null; room: number } | null = null;
   for (const zone of zoneChoices(simulation, group)) {
     const room = simulation.roomNow(group, zone, group.count);
@@ -22,13 +22,13 @@
 };
 
 /** As many of a group's tasks as can begin now, where they finish first. */
-export const placeAtOnce = (simulation: PlacementSimulation, group: Group): Step[] => {
+export const placeAtOnce = (simulation: PlacementSimulation, group: TaskGroup): PlanStep[] => {
   const { now } = simulation.picture;
   const zone = zoneFor(simulation, group);
   const used = new Map<string, number>();
   const allowed = (z: string): boolean => (zone === null || z === zone) && zoneRoom(group, used, z) >= 1;
-  const startsNow = (option: Option): boolean => option.start <= now && option.rentable === null;
-  const steps: Step[] = [];
+  const startsNow = (option: PlacementOption): boolean => option.start <= now && option.rentable === null;
+  const steps: PlanStep[] = [];
   let left = group.count;
   while (left > 0) {
     const options = bestOptions(simulation, group, allowed, left, startsNow);
@@ -40,7 +40,7 @@
       const count = Math.min(left, most, zoneRoom(group, used, slot.zone));
       simulation.occupy(seat, group, count, start, finish);
       used.set(slot.zone, (used.get(slot.zone) ?? 0) + count);
-      steps.push({ group, seat, slot, count, start, finish });
+      steps.push({ group, placement: seat, slot, count, start, finish });
       left -= count;
     }
   }
@@ -48,7 +48,7 @@
 };
 
 /** A gang begins whole or not at all. */
-const placeNow = (simulation: PlacementSimulation, group: Group): Step[] => {
+const placeNow = (simulation: PlacementSimulation, group: TaskGroup): PlanStep[] => {
   if (!beginsNow(simulation, group)) return [];
   if (group.spec.shape !== 'gang') return placeAtOnce(simulation, group);
   const mark = simulation.mark();
@@ -58,7 +58,7 @@
   return [];
 };
 
-export interface OverflowTime {
+export interface BackfillBudget {
   /** Whether there is time to look for room now. */
   readonly forStarts: () => boolean;
   /** Whether there is time to look for what to rent. */
@@ -72,19 +72,19 @@
  * What can't begin now is placed later, on machines that boot or that would be rented: else nothing beyond the groups that
  * are compared would ever be rented for. Nothing is started by that.
  */
-const placeLater = (simulation: PlacementSimulation, group: Group, count: number): void => {
+const placeLater = (simulation: PlacementSimulation, group: TaskGroup, count: number): void => {
   if (group.spec.shape === 'gang') placeGroup(simulation, group);
   else placeGroup(simulation, { ...group, count: Math.min(count, MAX_RENTED_FOR) });
 };
 
-const countOf = (steps: readonly Step[]): number => steps.reduce((sum, step) => sum + step.count, 0);
+const countOf = (steps: readonly PlanStep[]): number => steps.reduce((sum, step) => sum + step.count, 0);
 
 /** The steps of each group that begins now, in the given order, for as long as there is time. */
-export function* placeOverflow(
+export function* placeBackfill(
   simulation: PlacementSimulation,
-  groups: Iterable<Group>,
-  time: OverflowTime,
-): Generator<readonly Step[]> {
+  groups: Iterable<TaskGroup>,
+  time: BackfillBudget,
+): Generator<readonly PlanStep[]> {
   /** The fewest tasks at once for which a kind found no room. */
   const noRoomFor = new Map<string, number>();
   for (const group of groups) {
--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -2,21 +2,21 @@
 import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { fits } from '../domain/resources.js';
-import type { Change, Slot } from '../cluster/machine-slot.js';
+import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 
 /** Services never finish: for the play-out they hold their room this long. */
 export const FOREVER: Micros = 1e13;
 
 /** The first time from which `need` fits for all of `length`; the room then is left in `room`. */
 export const earliest = (
-  s: Slot,
+  s: MachineSlot,
   need: Amounts,
   length: Micros,
   room: Amounts,
   from: Micros = 0,
 ): Micros | null => {
   const { changes } = s;
-  const ready = Math.max(s.ready, from);
+  const ready = Math.max(s.readyAt, from);
   let { cores, gpus, memoryGb } = s.free;
   // Room at a start time is that of all changes up to it; then the least over the length must fit.
   for (let first = -1; first < changes.length; first++) {
@@ -56,7 +56,7 @@
   return null;
 };
 
-export const negative = (at: Micros, n: Readonly<Amounts>): Change => ({
+export const negative = (at: Micros, n: Readonly<Amounts>): CapacityChange => ({
   at,
   cores: -n.cores,
   gpus: -n.gpus,
@@ -64,7 +64,7 @@
 });
 
 /** Slots' amounts and changes are never altered in place: what is taken back is put back whole. */
-export const insert = (s: Slot, ...added: readonly Change[]): void => {
+export const insert = (s: MachineSlot, ...added: readonly CapacityChange[]): void => {
   const changes = s.changes.slice();
   for (const c of added) {
     let i = changes.length;
@@ -75,10 +75,10 @@
 };
 
 /** When the least need first fits, however briefly; the slot's own word if it never does. */
-export const firstFit = (s: Slot, least: Amounts | null): Micros => {
+export const firstFit = (s: MachineSlot, least: Amounts | null): Micros => {
   if (least === null) return FOREVER;
   let { cores, gpus, memoryGb } = s.free;
-  let t = s.ready;
+  let t = s.readyAt;
   for (let i = 0; ; i++) {
     const c = s.changes[i];
     if (
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -1,16 +1,16 @@
 /** Emptying rented machines that hold little, so that they can be returned. */
-import type { Attempt, Machine } from '../cluster/cluster-model.js';
-import type { Context } from '../node/node-context.js';
-import type { Estate } from '../cluster/cluster-state.js';
+import type { TaskAttempt, Machine } from '../cluster/cluster-model.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { ClusterState } from '../cluster/cluster-state.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import { fits, placeAllowed } from '../domain/resources.js';
 
-export class Consolidation {
-  private readonly ctx: Context;
+export class Defragmentation {
+  private readonly ctx: NodeContext;
 
   constructor(
-    private readonly estate: Estate,
-    private readonly stopAttempt: (a: Attempt, graceUs: Micros) => void,
+    private readonly estate: ClusterState,
+    private readonly stopAttempt: (a: TaskAttempt, graceUs: Micros) => void,
     private readonly retireWhenEmpty: (m: Machine, reason: string, latest: Micros) => void,
   ) {
     this.ctx = estate.ctx;
@@ -22,12 +22,12 @@
    */
   consolidate(): void {
     const { now } = this.ctx;
-    for (const j of this.estate.jobs.values()) if (this.estate.startable(j)) return;
-    for (const m of this.estate.machines.values()) if (m.retiring === 'consolidated') return;
+    for (const j of this.estate.jobs.values()) if (this.estate.isStartable(j)) return;
+    for (const m of this.estate.machines.values()) if (m.retirementReason === 'consolidated') return;
     let best: { m: Machine; share: number } | null = null;
     for (const m of this.estate.machines.values()) {
       const type = this.ctx.types.get(m.type);
-      if (type === undefined || m.standing || !m.usable() || m.attempts.size === 0) continue;
+      if (type === undefined || m.preprovisioned || !m.isUsable() || m.attempts.size === 0) continue;
       const free = m.freeOf(type);
       const share = 1 - (type.gpus > 0 ? free.gpus / type.gpus : free.cores / type.cores);
       if (share > 0.5 || (best !== null && share >= best.share)) continue;
@@ -40,13 +40,13 @@
           a.job.spec.shape === 'array' &&
           a.job.spec.checkpointIntervalUs > 0,
       );
-      const longest = Math.max(...[...m.attempts.values()].map((a) => this.estate.remaining(a)));
+      const longest = Math.max(...[...m.attempts.values()].map((a) => this.estate.remainingRunTime(a)));
       if (movable && longest > 30 * SECOND && this.fitsElsewhere(m)) best = { m, share };
     }
     if (best === null) return;
     const { m } = best;
     this.ctx.info('machine.consolidate', { machine: m.name, tasks: m.attempts.size });
-    m.retiring = 'consolidated';
+    m.retirementReason = 'consolidated';
     for (const a of [...m.attempts.values()]) this.stopAttempt(a, a.job.spec.checkpointDurationUs + SECOND);
     this.retireWhenEmpty(m, 'consolidated', now + 20 * SECOND);
   }
@@ -56,7 +56,7 @@
     const rooms: { machine: Machine; free: ReturnType<Machine['freeOf']> }[] = [];
     for (const o of this.estate.machines.values()) {
       const type = this.ctx.types.get(o.type);
-      if (o === m || type === undefined || !o.usable() || o.attempts.size < m.attempts.size) continue;
+      if (o === m || type === undefined || !o.isUsable() || o.attempts.size < m.attempts.size) continue;
       rooms.push({ machine: o, free: o.freeOf(type) });
     }
     for (const a of m.attempts.values()) {
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -1,23 +1,26 @@
 /** Places one group of waiting tasks in a simulation, where they finish first. */
 import { spreadLimit } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
-import type { Group, Option, Step } from './plan-input.js';
+import type { TaskGroup, PlacementOption, PlanStep } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 
 /** Zones a job may still use: one already taken binds a job that must stay in one zone. */
-export const zoneChoices = (simulation: PlacementSimulation, group: Group): readonly (string | null)[] => {
+export const zoneChoices = (
+  simulation: PlacementSimulation,
+  group: TaskGroup,
+): readonly (string | null)[] => {
   if (!group.spec.sameZone) return [null];
   const taken = [...group.zones].filter(([, n]) => n > 0).map(([z]) => z);
   return taken.length > 0 ? taken.slice(0, 1) : simulation.zones;
 };
 
-export const zoneRoom = (group: Group, used: ReadonlyMap<string, number>, zone: string): number =>
+export const zoneRoom = (group: TaskGroup, used: ReadonlyMap<string, number>, zone: string): number =>
   group.spec.spreadAcrossZones
     ? spreadLimit(group.spec) - (group.zones.get(zone) ?? 0) - (used.get(zone) ?? 0)
     : Infinity;
 
 /** Inserts by rank, earlier ones first among equals. */
-const insertOption = (list: Option[], o: Option): void => {
+const insertOption = (list: PlacementOption[], o: PlacementOption): void => {
   let i = list.length;
   while (i > 0 && list[i - 1]!.rank > o.rank) i--;
   list.splice(i, 0, o);
@@ -28,12 +31,12 @@
 /** The best places that together hold `wanted` tasks, best first; fewer where there are not as many. */
 export const bestOptions = (
   simulation: PlacementSimulation,
-  group: Group,
+  group: TaskGroup,
   zoneAllowed: (zone: string) => boolean,
   wanted: number,
-  suits: (o: Option) => boolean,
-): Option[] => {
-  const best: Option[] = [];
+  suits: (o: PlacementOption) => boolean,
+): PlacementOption[] => {
+  const best: PlacementOption[] = [];
   let total = 0;
   let bound = Infinity;
   simulation.eachOption(group, zoneAllowed, wanted, (o) => {
@@ -50,22 +53,22 @@
 /** Places tasks a chunk at a time where they finish first. Null: some can be placed nowhere. */
 const placeTasks = (
   simulation: PlacementSimulation,
-  group: Group,
+  group: TaskGroup,
   zone: string | null,
-  first: Option | null,
+  first: PlacementOption | null,
   /** Null: any place. */
-  suits: ((o: Option) => boolean) | null = null,
-): Step[] | null => {
-  const steps: Step[] = [];
+  suits: ((o: PlacementOption) => boolean) | null = null,
+): PlanStep[] | null => {
+  const steps: PlanStep[] = [];
   const used = new Map<string, number>();
   const allowed = (z: string): boolean => (zone === null || z === zone) && zoneRoom(group, used, z) >= 1;
   let left = group.count;
-  let list: Option[] = [];
+  let list: PlacementOption[] = [];
   let forced = first;
   while (left > 0) {
     if (forced === null && list.length === 0)
       list = bestOptions(simulation, group, allowed, left, suits ?? any);
-    const o: Option | undefined = forced ?? list.shift();
+    const o: PlacementOption | undefined = forced ?? list.shift();
     forced = null;
     if (o === undefined) return null;
     const { seat } = o;
@@ -77,7 +80,7 @@
     used.set(seat.slot.zone, (used.get(seat.slot.zone) ?? 0) + count);
     steps.push({
       group,
-      seat,
+      placement: seat,
       slot: seat.slot,
       count,
       start: o.start,
@@ -87,7 +90,7 @@
     if (left <= 0 || list.length === 0) continue;
     // What the same place, or another one rented like it, offers next takes part again.
     const bound = list[list.length - 1]!.rank;
-    const again = group.only !== null || seat.slot.machine !== null || o.rentable !== null;
+    const again = group.allowedMachines !== null || seat.slot.machine !== null || o.rentable !== null;
     const next = again ? simulation.offer(group, seat, null, bound) : null;
     if (next !== null && (suits ?? any)(next)) insertOption(list, next);
     if (o.rentable !== null && suits === null) {
@@ -99,18 +102,18 @@
 };
 
 /** All members begin together: the start is that of the last one, the finish that of the slowest. */
-const asGang = (simulation: PlacementSimulation, steps: readonly Step[]): Step[] => {
+const asGang = (simulation: PlacementSimulation, steps: readonly PlanStep[]): PlanStep[] => {
   const start = Math.max(...steps.map((s) => s.start));
   const length = Math.max(...steps.map((s) => s.finish - s.start));
   for (const s of steps) {
     // The room stays taken from the member's own start until the gang's end.
     if (s.start !== start && start + length > s.finish)
-      simulation.prolong(s.seat, s.group, s.count, s.finish, start + length);
+      simulation.prolong(s.placement, s.group, s.count, s.finish, start + length);
   }
   return steps.map((s) => ({ ...s, start, finish: start + length }));
 };
 
-const lastFinish = (steps: readonly Step[]): Micros => Math.max(...steps.map((s) => s.finish));
+const lastFinish = (steps: readonly PlanStep[]): Micros => Math.max(...steps.map((s) => s.finish));
 
 /**
  * Each member where it ranks first may mean that all wait for the last one, though there is room for all now
@@ -120,14 +123,14 @@
  */
 const placeGang = (
   simulation: PlacementSimulation,
-  group: Group,
+  group: TaskGroup,
   zone: string | null,
-  first: Option | null,
-): Step[] | null => {
+  first: PlacementOption | null,
+): PlanStep[] | null => {
   const { now } = simulation.picture;
   const mark = simulation.mark();
   const roomNow = simulation.hasRoomNow(group, zone, group.count);
-  const free = (): Step[] | null => {
+  const free = (): PlanStep[] | null => {
     const raw = placeTasks(simulation, group, zone, first);
     return raw === null ? null : asGang(simulation, raw);
   };
@@ -136,7 +139,7 @@
   const finish = lastFinish(steps);
   simulation.rollback(mark);
   // Dear machines are left out: gangs on them keep their GPUs from work that needs them.
-  const suits = (o: Option): boolean => o.start <= now && !o.dear;
+  const suits = (o: PlacementOption): boolean => o.start <= now && !o.dear;
   const raw = placeTasks(simulation, group, zone, first !== null && suits(first) ? first : null, suits);
   if (raw !== null) {
     const atOnce = asGang(simulation, raw);
@@ -149,11 +152,11 @@
 /** Places one group under earliest predicted finish. Null, and no trace, if it fits nowhere, now or later. */
 export const placeGroup = (
   simulation: PlacementSimulation,
-  group: Group,
-  first: Option | null = null,
-): Step[] | null => {
+  group: TaskGroup,
+  first: PlacementOption | null = null,
+): PlanStep[] | null => {
   const mark = simulation.mark();
-  const place = (zone: string | null): Step[] | null => {
+  const place = (zone: string | null): PlanStep[] | null => {
     const steps =
       group.spec.shape === 'gang'
         ? placeGang(simulation, group, zone, first)
--- a/packages/core/src/scheduling/initial-placement.ts
+++ b/packages/core/src/scheduling/initial-placement.ts
@@ -1,10 +1,10 @@
 /** Where a group's first tasks could begin at this moment. */
 import { zoneChoices } from './group-placement.js';
-import type { Group, Option } from './plan-input.js';
+import type { TaskGroup, PlacementOption } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 
 /** Whether the group can begin at this moment: a gang needs room for all its members. */
-export const beginsNow = (simulation: PlacementSimulation, group: Group): boolean => {
+export const beginsNow = (simulation: PlacementSimulation, group: TaskGroup): boolean => {
   const wanted = group.spec.shape === 'gang' ? group.count : 1;
   return zoneChoices(simulation, group).some((z) => simulation.hasRoomNow(group, z, wanted));
 };
@@ -13,13 +13,13 @@
  * For one group: the best place whose image is there and the best whose is not, or that boots. None if
  * the group can't begin now: a gang needs room for all its members.
  */
-export const firstOptions = (simulation: PlacementSimulation, group: Group): Option[] => {
-  const out: Option[] = [];
+export const firstOptions = (simulation: PlacementSimulation, group: TaskGroup): PlacementOption[] => {
+  const out: PlacementOption[] = [];
   const { now } = simulation.picture;
   const wanted = group.spec.shape === 'gang' ? group.count : 1;
   for (const z of zoneChoices(simulation, group)) {
     if (!simulation.hasRoomNow(group, z, wanted)) continue;
-    const found: { warm: Option | null; cold: Option | null; room: number } = {
+    const found: { warm: PlacementOption | null; cold: PlacementOption | null; room: number } = {
       warm: null,
       cold: null,
       room: 0,
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -5,10 +5,16 @@
  * alternatives for the first step. A search can be left between two of its steps and gone on with later.
  */
 import { beginsNow, firstOptions } from './initial-placement.js';
-import { placeOverflow } from './backfill.js';
+import { placeBackfill } from './backfill.js';
 import { placeGroup } from './group-placement.js';
-import { gpuKind, type Group, type Option, type Picture, type Step } from './plan-input.js';
-import { better, playOut, type Score } from './rollout.js';
+import {
+  gpuKind,
+  type TaskGroup,
+  type PlacementOption,
+  type ClusterSnapshot,
+  type PlanStep,
+} from './plan-input.js';
+import { isBetter, simulateCompletion, type Score } from './rollout.js';
 import { allBeginNow } from './uncontended-placement.js';
 import { PlacementSimulation } from './placement-simulation.js';
 import type { JobSpec } from '../domain/job.js';
@@ -31,8 +37,8 @@
 }
 
 export interface Decision {
-  readonly steps: readonly Step[];
-  readonly picture: Picture;
+  readonly steps: readonly PlanStep[];
+  readonly picture: ClusterSnapshot;
   readonly searched: number;
   readonly fellBack: boolean;
   /** Places looked at: what the plan cost, whatever the machine. */
@@ -42,7 +48,7 @@
 }
 
 /** What of a job's room is kept in each of so many zones, so that it finds enough wherever it may go. */
-const shareOf = ({ spec, count }: Group, zones: number): number => {
+const shareOf = ({ spec, count }: TaskGroup, zones: number): number => {
   if (spec.sameZone) return count;
   return spec.spreadAcrossZones
     ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
@@ -50,22 +56,22 @@
 };
 
 /** Work behind the groups that are compared. */
-export interface Overflow {
+export interface BackfillWork {
   /** One description of each kind of task in it. */
   readonly kinds: readonly JobSpec[];
-  readonly groups: Iterable<Group>;
+  readonly groups: Iterable<TaskGroup>;
 }
 
-export const NO_OVERFLOW: Overflow = { kinds: [], groups: [] };
+export const NO_BACKFILL: BackfillWork = { kinds: [], groups: [] };
 
 interface Candidate {
-  readonly group: Group;
-  readonly option: Option;
+  readonly group: TaskGroup;
+  readonly option: PlacementOption;
 }
 
 export class PlacementSearch {
   /** Decided so far. */
-  readonly steps: Step[] = [];
+  readonly steps: PlanStep[] = [];
   private readonly simulation: PlacementSimulation;
   private searched = 0;
   private fellBack = false;
@@ -79,9 +85,9 @@
    * `elapsed` tells the processor time that the search has had so far.
    */
   constructor(
-    private readonly picture: Picture,
-    private readonly groups: readonly Group[],
-    private readonly overflow: Overflow,
+    private readonly picture: ClusterSnapshot,
+    private readonly groups: readonly TaskGroup[],
+    private readonly overflow: BackfillWork,
     private readonly limits: SearchLimits,
     private readonly elapsed: () => Micros,
   ) {
@@ -93,7 +99,7 @@
    * values that it yields the picture holds nothing but what was decided.
    */
   *run(): Generator<void> {
-    const real = this.groups.filter((g) => !g.phantom);
+    const real = this.groups.filter((g) => !g.hypothetical);
     const kept = this.groups.filter((g) => g.kept === true);
     const reserved = yield* this.settleReserved(real);
     const left = real.filter((g) => !reserved.has(g));
@@ -105,7 +111,7 @@
       this.keepRoom(kept);
       yield* this.place(left.filter((g) => g.spec.priority < urgent));
     }
-    const overflow = placeOverflow(this.simulation, this.overflow.groups, {
+    const overflow = placeBackfill(this.simulation, this.overflow.groups, {
       forStarts: this.timeFor(2 * PLACING),
       forRenting: this.timeFor(RENTING),
     });
@@ -115,7 +121,7 @@
       yield;
     }
     for (const phantom of this.groups)
-      if (phantom.phantom && phantom.kept !== true) placeGroup(this.simulation, phantom);
+      if (phantom.hypothetical && phantom.kept !== true) placeGroup(this.simulation, phantom);
   }
 
   decision(): Decision {
@@ -139,7 +145,7 @@
     return () => this.elapsed() <= this.limits.budgetUs + beyondBudget;
   }
 
-  private settle(group: Group, first: Option | null): void {
+  private settle(group: TaskGroup, first: PlacementOption | null): void {
     const made = placeGroup(this.simulation, group, first);
     if (made !== null) this.steps.push(...made);
   }
@@ -148,7 +154,7 @@
    * What can't begin now, nor have machines rented for it, only holds room for later: of that as many are
    * placed as a candidate is played out with, in the order of turns. The others wait for the next plan.
    */
-  private tooLate(group: Group): boolean {
+  private tooLate(group: TaskGroup): boolean {
     const kind = gpuKind(group.spec);
     if (this.held[kind]! >= this.limits.depth && !this.simulation.mayRent(group)) return true;
     this.held[kind]!++;
@@ -159,8 +165,8 @@
    * Else the first actions of others, which are all that is compared later, would take the room that is being made for
    * these, a task at a time, for ever.
    */
-  private *settleReserved(groups: readonly Group[]): Generator<void, ReadonlySet<Group>> {
-    const settled = new Set<Group>();
+  private *settleReserved(groups: readonly TaskGroup[]): Generator<void, ReadonlySet<TaskGroup>> {
+    const settled = new Set<TaskGroup>();
     for (const group of groups) {
       if (!group.reserve || beginsNow(this.simulation, group)) continue;
       // Else each place that becomes free would go to smaller work of lower priority, for as long as more
@@ -173,13 +179,13 @@
     return settled;
   }
 
-  private keepRoom(kept: readonly Group[]): void {
+  private keepRoom(kept: readonly TaskGroup[]): void {
     const { zones } = this.simulation;
     for (const group of kept)
       for (const zone of zones) this.simulation.keepRoom(group, zone, shareOf(group, zones.length));
   }
 
-  private *place(groups: readonly Group[]): Generator<void> {
+  private *place(groups: readonly TaskGroup[]): Generator<void> {
     const compares = this.limits.skipWhenPlenty !== true || !allBeginNow(this.simulation, groups);
     let left = groups;
     while (compares && left.length > 0) {
@@ -200,7 +206,7 @@
     }
   }
 
-  private candidates(represented: readonly Group[]): Candidate[] {
+  private candidates(represented: readonly TaskGroup[]): Candidate[] {
     const candidates: Candidate[] = [];
     let listed = 0;
     for (const group of represented) {
@@ -214,7 +220,7 @@
 
   /** The best first action of several; null: there was nothing to compare, or no time for it. */
   private *choose(
-    represented: readonly Group[],
+    represented: readonly TaskGroup[],
     candidates: readonly Candidate[],
   ): Generator<void, Candidate | null> {
     if (represented.length === 1) return candidates.reduce((x, y) => (y.option.rank < x.option.rank ? y : x));
@@ -226,21 +232,21 @@
         return null;
       }
       const score = this.score(candidate, represented);
-      if (score !== null && (best === null || better(score, best.score, this.limits.toleranceUs)))
+      if (score !== null && (best === null || isBetter(score, best.score, this.limits.toleranceUs)))
         best = { candidate, score };
       yield;
     }
     return best?.candidate ?? null;
   }
 
-  private score({ group, option }: Candidate, represented: readonly Group[]): Score | null {
+  private score({ group, option }: Candidate, represented: readonly TaskGroup[]): Score | null {
     const mark = this.simulation.mark();
     const opening = placeGroup(this.simulation, group, option);
     let score: Score | null = null;
     if (opening !== null) {
       this.searched++;
       const others = represented.filter((g) => g !== group);
-      score = playOut(this.simulation, others, opening);
+      score = simulateCompletion(this.simulation, others, opening);
     }
     this.simulation.rollback(mark);
     return score;
@@ -249,11 +255,11 @@
 
 /** A search in one go. The picture is changed. */
 export const search = (
-  picture: Picture,
-  groups: readonly Group[],
+  picture: ClusterSnapshot,
+  groups: readonly TaskGroup[],
   limits: SearchLimits,
   stopwatch: () => Micros,
-  overflow: Overflow = NO_OVERFLOW,
+  overflow: BackfillWork = NO_BACKFILL,
 ): Decision => {
   const began = stopwatch();
   const run = new PlacementSearch(picture, groups, overflow, limits, () => stopwatch() - began);
