--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -8,8 +8,15 @@
 import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { addTo, fits, placeAllowed, timesFits } from '../domain/resources.js';
-import type { Change, Slot } from '../cluster/machine-slot.js';
-import { gpuKind, type Group, type Option, type Picture, type Rentable, type Seat } from './plan-input.js';
+import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
+import {
+  gpuKind,
+  type TaskGroup,
+  type PlacementOption,
+  type ClusterSnapshot,
+  type CapacityOffer,
+  type Placement,
+} from './plan-input.js';
 import {
   DEAR_MACHINE,
   DEAR_WEIGHT,
@@ -27,8 +34,8 @@
   readonly zone: string;
   readonly spot: boolean;
   /** By the first floor that the seats had, for each need of GPUs. */
-  readonly byFloor: [Seat[], Seat[]];
-  readonly seats: Seat[];
+  readonly byFloor: [Placement[], Placement[]];
+  readonly seats: Placement[];
   /** The floors that the seats were sorted by. */
   readonly sorted: [Micros[], Micros[]];
   /** The least that any group of the plan needs here, by need of GPUs. Null: none may come here. */
@@ -39,28 +46,28 @@
 
 type Undo =
   | {
-      readonly seat: Seat;
+      readonly seat: Placement;
       readonly free: Readonly<Amounts>;
-      readonly changes: readonly Change[];
+      readonly changes: readonly CapacityChange[];
       readonly images: ReadonlySet<string>;
       readonly used: boolean;
       readonly alike: number;
       readonly floor0: Micros;
       readonly floor1: Micros;
     }
-  | { readonly seat: null; readonly rentable: Rentable; readonly pool: Pool };
+  | { readonly seat: null; readonly rentable: CapacityOffer; readonly pool: Pool };
 
 /** Stands for the floor of a rented machine, which is added behind the sorted ones. */
 const UNSORTED = -1;
 
 /** Of a machine on which nothing runs, all that decides what it can offer beside when it is ready. */
-const likenessOf = ({ type, zone, spot, sunk, free, images }: Slot): string =>
+const likenessOf = ({ type, zone, spot, sunkCost: sunk, free, images }: MachineSlot): string =>
   `${type.name}|${sunk ? 'sunk' : ''}|${zone}|${spot ? 's' : 'o'}|${free.cores}|${free.gpus}|${free.memoryGb}|${[...images].join()}`;
 
 export class PlacementSimulation {
   readonly zones: readonly string[];
   private readonly pools = new Map<string, Pool>();
-  private readonly seatByMachine = new Map<string, Seat>();
+  private readonly seatByMachine = new Map<string, Placement>();
   private readonly alikes = new Map<string, number>();
   private undo: Undo[] = [];
   private virtual = 0;
@@ -71,8 +78,8 @@
   private readonly larger = new Map<JobSpec, readonly JobSpec[]>();
 
   constructor(
-    readonly picture: Picture,
-    groups: readonly Group[],
+    readonly picture: ClusterSnapshot,
+    groups: readonly TaskGroup[],
     /** Kinds of tasks that may be placed beside the groups. */
     furtherKinds: readonly JobSpec[] = [],
   ) {
@@ -84,7 +91,7 @@
     this.kinds = [...kinds.values()];
     const zones = new Set<string>();
     for (const s of picture.slots) {
-      const seat: Seat = { slot: s, floor: [0, 0], alike: this.alikeOf(s) };
+      const seat: Placement = { slot: s, floor: [0, 0], alike: this.alikeOf(s) };
       this.poolOf(s.type, s.zone, s.spot).seats.push(seat);
       if (s.machine !== null) this.seatByMachine.set(s.machine, seat);
       zones.add(s.zone);
@@ -133,11 +140,12 @@
   }
 
   /** Idle machines that differ in nothing that counts need be looked at once. */
-  private alikeOf(slot: Slot): number {
+  private alikeOf(slot: MachineSlot): number {
     if (slot.changes.length > 0) return -1;
-    slot.likeness ??= likenessOf(slot);
+    slot.equivalenceKey ??= likenessOf(slot);
     // Machines that are up are all ready at once; the text itself is then the key, and is hashed once for many plans.
-    const key = slot.ready <= this.picture.now ? slot.likeness : `${slot.ready}|${slot.likeness}`;
+    const key =
+      slot.readyAt <= this.picture.now ? slot.equivalenceKey : `${slot.readyAt}|${slot.equivalenceKey}`;
     let number = this.alikes.get(key);
     if (number === undefined) this.alikes.set(key, (number = this.alikes.size));
     return number;
@@ -184,7 +192,7 @@
     }
   }
 
-  private note(seat: Seat): void {
+  private note(seat: Placement): void {
     const s = seat.slot;
     this.undo.push({
       seat,
@@ -198,7 +206,7 @@
     });
   }
 
-  private refit(seat: Seat): void {
+  private refit(seat: Placement): void {
     const { slot } = seat;
     const p = this.poolOf(slot.type, slot.zone, slot.spot);
     seat.alike = -1;
@@ -206,7 +214,7 @@
     seat.floor[1] = firstFit(slot, p.least[1]);
   }
 
-  occupy(seat: Seat, g: Group, count: number, start: Micros, finish: Micros): void {
+  occupy(seat: Placement, g: TaskGroup, count: number, start: Micros, finish: Micros): void {
     this.note(seat);
     const s = seat.slot;
     const { spec } = g;
@@ -215,7 +223,7 @@
       gpus: spec.gpus * count,
       memoryGb: spec.memoryGb * count,
     };
-    if (start <= s.ready) {
+    if (start <= s.readyAt) {
       s.free = {
         cores: s.free.cores - n.cores,
         gpus: s.free.gpus - n.gpus,
@@ -229,7 +237,7 @@
   }
 
   /** The room that ends at `from` stays taken until `until`. */
-  prolong(seat: Seat, g: Group, count: number, from: Micros, until: Micros): void {
+  prolong(seat: Placement, g: TaskGroup, count: number, from: Micros, until: Micros): void {
     this.note(seat);
     const { spec } = g;
     const n: Amounts = {
@@ -242,7 +250,7 @@
   }
 
   /** Makes a chosen place part of the picture: one that would be rented is counted. */
-  realise(o: Option): void {
+  realise(o: PlacementOption): void {
     const r = o.rentable;
     if (r === null) return;
     const { picture } = this;
@@ -258,7 +266,7 @@
     this.undo.push({ seat: null, rentable: r, pool });
   }
 
-  private virtualSeat(r: Rentable): Seat {
+  private virtualSeat(r: CapacityOffer): Placement {
     const ready = this.picture.now + r.type.bootUs;
     return {
       slot: {
@@ -266,9 +274,9 @@
         type: r.type,
         zone: r.zone,
         spot: r.spot,
-        sunk: false,
+        sunkCost: false,
         machine: null,
-        ready,
+        readyAt: ready,
         free: { cores: r.type.cores, gpus: r.type.gpus, memoryGb: r.type.memoryGb },
         changes: [],
         images: new Set(),
@@ -279,12 +287,12 @@
     };
   }
 
-  private duration(g: Group, s: { type: MachineType }): Micros {
+  private duration(g: TaskGroup, s: { type: MachineType }): Micros {
     if (g.spec.shape === 'service') return FOREVER;
-    let run = g.runs.get(s.type.name);
+    let run = g.runTimes.get(s.type.name);
     if (run === undefined) {
-      run = this.picture.predictor.runTime(g.spec, s.type, g.credit);
-      g.runs.set(s.type.name, run);
+      run = this.picture.predictor.runTime(g.spec, s.type, g.checkpointedProgress);
+      g.runTimes.set(s.type.name, run);
     }
     return run;
   }
@@ -322,15 +330,22 @@
   }
 
   /** The place that a seat offers to the group's next tasks, if its rank is below the bound. */
-  offer(g: Group, seat: Seat, rentable: Rentable | null, bound: Micros): Option | null {
+  offer(
+    g: TaskGroup,
+    seat: Placement,
+    rentable: CapacityOffer | null,
+    bound: Micros,
+  ): PlacementOption | null {
     this.looks++;
     const { spec } = g;
     const s = seat.slot;
     const extra =
-      rentable === null ? 0 : Math.round(g.margin * Math.max(1, dearness(this.picture, g, s.type, s.spot)));
+      rentable === null
+        ? 0
+        : Math.round(g.scaleOutThreshold * Math.max(1, dearness(this.picture, g, s.type, s.spot)));
     const fetch = fetchTime(spec, s);
     const length = fetch + this.duration(g, s);
-    if (s.ready + length + extra >= bound) return null;
+    if (s.readyAt + length + extra >= bound) return null;
     const start = earliest(s, spec, length, this.room, g.notBefore);
     if (start === null) return null;
     const avoid = s.machine !== null && g.avoid.has(s.machine) ? 60_000_000 : 0;
@@ -338,18 +353,18 @@
     // Where a small task takes no place from a large one, and the machine is busy for as long anyway, it
     // costs nothing, however dear the machine.
     const gap = this.gapFor(spec, s.type);
-    const inGap = gap !== null && gap > 0 && finish <= (s.changes.at(-1)?.at ?? s.ready);
-    const blocks = gap === 0 ? Math.min(g.patience, BLOCK_WEIGHT) : 0;
+    const inGap = gap !== null && gap > 0 && finish <= (s.changes.at(-1)?.at ?? s.readyAt);
+    const blocks = gap === 0 ? Math.min(g.allowedDelay, BLOCK_WEIGHT) : 0;
     // On a machine that could be returned, work that needs little of what is dear about it blocks the rest.
     const dear =
-      s.sunk || inGap
+      s.sunkCost || inGap
         ? 0
         : Math.min(
-            g.patience,
+            g.allowedDelay,
             Math.round(DEAR_WEIGHT * Math.max(0, dearness(this.picture, g, s.type, s.spot) - 1)),
           );
-    const price = s.sunk ? 1 : priceOf(this.picture, g, s.type, s.spot);
-    const wasted = inGap ? 0 : waste(spec, s, finish, price, g.patience);
+    const price = s.sunkCost ? 1 : priceOf(this.picture, g, s.type, s.spot);
+    const wasted = inGap ? 0 : waste(spec, s, finish, price, g.allowedDelay);
     const rank = finish + wasted + blocks + dear + extra + avoid;
     if (rank >= bound) return null;
     const fit = Math.max(1, timesFits(spec, this.room));
@@ -361,7 +376,7 @@
       finish,
       count,
       rank,
-      dear: price >= DEAR_MACHINE || (s.sunk && spec.gpus === 0 && s.type.gpus > 0),
+      dear: price >= DEAR_MACHINE || (s.sunkCost && spec.gpus === 0 && s.type.gpus > 0),
       warm: fetch === 0,
     };
   }
@@ -371,16 +386,16 @@
    * the bound that its last call returned. `enough` alike places are visited, no more.
    */
   eachOption(
-    g: Group,
+    g: TaskGroup,
     zoneAllowed: (zone: string) => boolean,
     enough: number,
-    visit: (o: Option) => Micros,
+    visit: (o: PlacementOption) => Micros,
   ): void {
     const { spec } = g;
     const k = gpuKind(spec);
     let bound = Infinity;
-    if (g.only !== null) {
-      for (const name of g.only) {
+    if (g.allowedMachines !== null) {
+      for (const name of g.allowedMachines) {
         const seat = this.seatByMachine.get(name);
         if (seat === undefined) continue;
         const { slot: s } = seat;
@@ -436,7 +451,7 @@
    * Keeps room that is free now from all that is placed after this: up to `count` tasks of the group in a zone. What is not
    * free is not waited for; the next plan keeps what came free by then, before it starts anything else there.
    */
-  keepRoom(g: Group, zone: string, count: number): void {
+  keepRoom(g: TaskGroup, zone: string, count: number): void {
     const { now } = this.picture;
     const k = gpuKind(g.spec);
     let left = count;
@@ -459,7 +474,7 @@
   }
 
   /** Keeps the machines that a group could use from all work of lower priority. */
-  keepFor(g: Group): void {
+  keepFor(g: TaskGroup): void {
     for (const p of this.pools.values())
       if (placeAllowed(g.spec, p.type.name, p.zone, p.spot) && fits(g.spec, p.type))
         p.keptFor = Math.max(p.keptFor, g.spec.priority);
@@ -472,19 +487,20 @@
   }
 
   /** Whether `wanted` tasks of the group have room at this moment. Looks only where there may be any. */
-  hasRoomNow(group: Group, zone: string | null, wanted: number): boolean {
+  hasRoomNow(group: TaskGroup, zone: string | null, wanted: number): boolean {
     return this.roomNow(group, zone, wanted) >= wanted;
   }
 
   /** How many of the group's tasks have room at this moment; counts up to `most`. */
-  roomNow(group: Group, zone: string | null, most: number): number {
+  roomNow(group: TaskGroup, zone: string | null, most: number): number {
     const { spec } = group;
     let room = 0;
     for (const pool of this.pools.values()) {
       if (room >= most) break;
       if (!this.open(pool, spec) || (zone !== null && pool.zone !== zone)) continue;
       this.visitFree(pool, gpuKind(spec), (slot) => {
-        if (group.only === null || group.only.has(slot.machine!)) room += timesFits(spec, slot.free);
+        if (group.allowedMachines === null || group.allowedMachines.has(slot.machine!))
+          room += timesFits(spec, slot.free);
         return room < most;
       });
     }
@@ -492,7 +508,7 @@
   }
 
   /** All that is free at this moment on machines that the group may use. */
-  freeNow(group: Group): Amounts {
+  freeNow(group: TaskGroup): Amounts {
     const free = { cores: 0, gpus: 0, memoryGb: 0 };
     for (const pool of this.pools.values())
       if (this.open(pool, group.spec))
@@ -504,7 +520,7 @@
   }
 
   /** Machines of the pool on which some work of the plan has room now, for as long as `visit` wants more. */
-  private visitFree(pool: Pool, kind: 0 | 1, visit: (slot: Slot) => boolean): void {
+  private visitFree(pool: Pool, kind: 0 | 1, visit: (slot: MachineSlot) => boolean): void {
     const { now } = this.picture;
     const seats = pool.byFloor[kind];
     const sorted = pool.sorted[kind];
@@ -515,7 +531,7 @@
   }
 
   /** Whether a machine could be rented for the group. */
-  mayRent(g: Group): boolean {
+  mayRent(g: TaskGroup): boolean {
     const { spec } = g;
     return this.picture.rentable.some(
       (r) =>
@@ -525,7 +541,7 @@
     );
   }
 
-  offerRented(g: Group, r: Rentable, bound: Micros): Option | null {
+  offerRented(g: TaskGroup, r: CapacityOffer, bound: Micros): PlacementOption | null {
     if ((this.picture.rented.get(r) ?? 0) >= r.limit) return null;
     return this.offer(g, this.virtualSeat(r), r, bound);
   }
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -2,10 +2,10 @@
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
-import type { Slot } from '../cluster/machine-slot.js';
+import type { MachineSlot } from '../cluster/machine-slot.js';
 
 /** A kind of machine that may be rented. */
-export interface Rentable {
+export interface CapacityOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
@@ -13,7 +13,7 @@
 }
 
 /** Identical waiting tasks of one job. */
-export interface Group {
+export interface TaskGroup {
   readonly spec: JobSpec;
   readonly count: number;
   /** Tasks of the job in each zone already. */
@@ -21,35 +21,35 @@
   /** Machines that these tasks had better avoid. */
   readonly avoid: ReadonlySet<string>;
   /** Progress that a restart continues from. */
-  readonly credit: Micros;
+  readonly checkpointedProgress: Micros;
   /** Weight of the wait for a rented machine, 1 where the job has no tight aim. */
-  readonly margin: Micros;
+  readonly scaleOutThreshold: Micros;
   /** How long it may wait for a cheaper place without risk to its next aim. */
-  readonly patience: Micros;
+  readonly allowedDelay: Micros;
   /** The only machines to look at, where room is being made for the group. */
-  readonly only: ReadonlySet<string> | null;
+  readonly allowedMachines: ReadonlySet<string> | null;
   /**
    * Its turn, its promise or its priority protects it: if it can't begin now, what it will need is kept
    * from the groups behind it.
    */
   readonly reserve: boolean;
   /** No real work: room kept for arrivals, or for stages to come. */
-  readonly phantom: boolean;
+  readonly hypothetical: boolean;
   /** Phantom: room that is free now is kept for it. */
   readonly kept?: boolean;
   /** It can't begin before. */
   readonly notBefore?: Micros;
   /** Relative prices by type and kind, filled in as they are asked for. */
-  readonly dear: Map<string, number>;
+  readonly costPenalties: Map<string, number>;
   /** Predicted run times by type, filled in as they are asked for. */
-  readonly runs: Map<string, Micros>;
+  readonly runTimes: Map<string, Micros>;
 }
 
 /** `count` tasks of a group begin on a slot at a time. */
-export interface Step {
-  readonly group: Group;
-  readonly seat: Seat;
-  readonly slot: Slot;
+export interface PlanStep {
+  readonly group: TaskGroup;
+  readonly placement: Placement;
+  readonly slot: MachineSlot;
   readonly count: number;
   readonly start: Micros;
   readonly finish: Micros;
@@ -59,20 +59,20 @@
   runTime(spec: JobSpec, type: MachineType, credit: Micros): Micros;
 }
 
-export interface Picture {
+export interface ClusterSnapshot {
   readonly now: Micros;
-  slots: Slot[];
-  readonly rentable: readonly Rentable[];
-  rented: Map<Rentable, number>;
+  slots: MachineSlot[];
+  readonly rentable: readonly CapacityOffer[];
+  rented: Map<CapacityOffer, number>;
   readonly predictor: Predictor;
   readonly types: Iterable<MachineType>;
   /** Tasks that come again and again: small ones had better leave whole places for the large ones among them. */
   readonly kinds?: readonly JobSpec[];
 }
 
-export interface Option {
-  readonly seat: Seat;
-  readonly rentable: Rentable | null;
+export interface PlacementOption {
+  readonly seat: Placement;
+  readonly rentable: CapacityOffer | null;
   readonly start: Micros;
   readonly finish: Micros;
   readonly count: number;
@@ -83,8 +83,8 @@
 }
 
 /** A slot with what is known of when it may have room. */
-export interface Seat {
-  readonly slot: Slot;
+export interface Placement {
+  readonly slot: MachineSlot;
   /** No work of the plan fits before that, by need of GPUs (0 without, 1 with). Never later than the truth. */
   readonly floor: [Micros, Micros];
   /** Idle seats with the same number are alike; -1: like no other. */
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -1,8 +1,8 @@
 /** Stopping some work for other work: which waiting jobs have a right to that, when, and what it costs. */
-import type { Step } from './plan-input.js';
-import type { Attempt, ActiveJob } from '../cluster/cluster-model.js';
-import type { Context } from '../node/node-context.js';
-import type { Estate } from '../cluster/cluster-state.js';
+import type { PlanStep } from './plan-input.js';
+import type { TaskAttempt, ActiveJob } from '../cluster/cluster-model.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { ClusterState } from '../cluster/cluster-state.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import { Clearings, SETTLED } from './preemption.js';
 
@@ -18,40 +18,40 @@
 /** Attempts that one plan stops for others, about. */
 const MAX_VICTIMS = 60;
 
-export class Clearing {
-  private readonly ctx: Context;
+export class PreemptionPlanner {
+  private readonly ctx: NodeContext;
 
   constructor(
-    private readonly estate: Estate,
-    private readonly stopAttempt: (a: Attempt, graceUs: Micros) => void,
+    private readonly estate: ClusterState,
+    private readonly stopAttempt: (a: TaskAttempt, graceUs: Micros) => void,
   ) {
     this.ctx = estate.ctx;
   }
 
   /** Stops what work of higher priority, or a guarantee, has a right to, if it would wait much longer. */
-  preempt(byJob: ReadonlyMap<ActiveJob, readonly Step[]>): void {
+  preempt(byJob: ReadonlyMap<ActiveJob, readonly PlanStep[]>): void {
     // Looking for victims goes through all machines: only where there may be some, and a few times a plan.
     const { teams } = this.ctx.settings;
     const guarantees = teams.length > 1 && teams.some((t) => t.guaranteedCores > 0 || t.guaranteedGpus > 0);
-    const lowest = this.estate.totals.lowestRunning();
+    const lowest = this.estate.usageTotals.lowestRunning();
     const { now } = this.ctx;
     let clearings: Clearings | null = null;
     let stopped = 0;
     for (const [job, steps] of byJob) {
       if (stopped >= MAX_VICTIMS) break;
-      if (job.live.size > 0 || job.phase !== 'active' || job.promisedUntil > now) continue;
+      if (job.liveAttempts.size > 0 || job.phase !== 'active' || job.reservedUntil > now) continue;
       if (!guarantees && job.priority <= lowest) continue;
       const start = Math.max(...steps.map((s) => s.start));
       if (start <= now + this.waitBeforeStopping(job)) continue;
       clearings ??= this.clearings();
-      const count = job.spec.shape === 'gang' ? job.spec.tasks : Math.min(job.waiting, 16);
+      const count = job.spec.shape === 'gang' ? job.spec.tasks : Math.min(job.waitingCount, 16);
       const clearing = clearings.take(job, count);
       if (clearing === null || clearing.victims.length === 0) continue;
       const { victims } = clearing;
-      job.promisedOn = clearing.machines;
+      job.reservedMachines = clearing.machines;
       stopped += victims.length;
       // What is being freed is for this job: others must not slip in before all of it is there.
-      job.promisedUntil =
+      job.reservedUntil =
         this.ctx.now + Math.max(...victims.map((v) => v.job.spec.checkpointDurationUs)) + 6 * SECOND;
       this.ctx.debug('preempt', () => ({
         job: job.id,
@@ -76,19 +76,25 @@
     // Room that is being made for one job is not made for another.
     const promised = new Set<string>();
     for (const j of this.estate.jobs.values())
-      if (j.promisedUntil > now) for (const name of j.promisedOn ?? []) promised.add(name);
+      if (j.reservedUntil > now) for (const name of j.reservedMachines ?? []) promised.add(name);
     // A start counts for an aim on waiting only if it is not stopped at once; where there is no such aim,
     // stopping costs what has not been saved yet, which is nothing, and the time to save.
     const awaited = new Set(settings.objectives.filter((o) => o.kind === 'wait').map((o) => o.class));
     // A stopped task waits about as long as others of its class wait now.
     const waits = new Map<string, { jobs: number; age: Micros }>();
     for (const j of this.estate.jobs.values()) {
-      if (j.spec.deadlineUs === null || j.phase !== 'active' || j.held || j.barred !== null || j.waiting <= 0)
+      if (
+        j.spec.deadlineUs === null ||
+        j.phase !== 'active' ||
+        j.blockedOnDependencies ||
+        j.admissionHold !== null ||
+        j.waitingCount <= 0
+      )
         continue;
       const w = waits.get(j.spec.class) ?? { jobs: 0, age: 0 };
       waits.set(j.spec.class, w);
       w.jobs++;
-      w.age += this.ctx.wallNow - j.at;
+      w.age += this.ctx.wallNow - j.acceptedAt;
     }
     const loss = (job: ActiveJob): Micros => {
       const w = waits.get(job.spec.class);
@@ -97,7 +103,7 @@
     return new Clearings(
       [...this.estate.machines.values()].filter((m) => !promised.has(m.name)),
       types,
-      this.estate.rights(),
+      this.estate.preemptionPolicy(),
       (a) => {
         const least = awaited.has(a.job.spec.class)
           ? SETTLED
@@ -108,10 +114,10 @@
   }
 
   /** Whether its job can still meet a deadline, but hardly so if it is stopped and has to wait again. */
-  private pressed(a: Attempt, loss: Micros): boolean {
-    const { spec, at } = a.job;
+  private pressed(a: TaskAttempt, loss: Micros): boolean {
+    const { spec, acceptedAt: at } = a.job;
     if (spec.deadlineUs === null) return false;
-    const left = this.estate.remaining(a);
+    const left = this.estate.remainingRunTime(a);
     for (const o of this.ctx.settings.objectives) {
       if (o.kind !== 'deadline' || o.class !== spec.class) continue;
       const slack = spec.deadlineUs * o.deadlineFactor - (this.ctx.wallNow - at) - left;
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -1,9 +1,9 @@
 /** Room for work of higher priority, or for a team's guarantee, from what may be stopped for it. */
-import type { Attempt, Machine, ActiveJob } from '../cluster/cluster-model.js';
+import type { TaskAttempt, Machine, ActiveJob } from '../cluster/cluster-model.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
-import { mayPreempt, type Rights } from '../cluster/preemption-policy.js';
+import { mayPreempt, type PreemptionPolicy } from '../cluster/preemption-policy.js';
 import { addTo, fits, placeAllowed, takeFrom } from '../domain/resources.js';
 
 /** A start followed by a stop within half a minute was worth nothing: younger attempts are left alone. */
@@ -11,14 +11,14 @@
 
 /** What to stop, and the machines on which all tasks then fit. */
 export interface Clearing {
-  readonly victims: readonly Attempt[];
+  readonly victims: readonly TaskAttempt[];
   readonly machines: ReadonlySet<string>;
 }
 
 interface Place {
   readonly machine: Machine;
   /** To stop for this place, beside what the machine's earlier places stop. */
-  readonly victims: readonly Attempt[];
+  readonly victims: readonly TaskAttempt[];
   /** Never less than that of the machine's earlier places, which it builds on. */
   readonly cost: number;
 }
@@ -35,12 +35,12 @@
   constructor(
     private readonly machines: readonly Machine[],
     private readonly types: ReadonlyMap<string, MachineType>,
-    private readonly rights: Rights,
+    private readonly rights: PreemptionPolicy,
     /** Whether stopping it costs nothing that its own aims need. */
-    private readonly spare: (a: Attempt) => boolean,
+    private readonly spare: (a: TaskAttempt) => boolean,
   ) {}
 
-  private stoppable(a: Attempt): boolean {
+  private stoppable(a: TaskAttempt): boolean {
     return (
       a.stopping === null &&
       a.state === 'running' &&
@@ -72,7 +72,7 @@
     this.lists.set(key, byZone);
     for (const m of this.machines) {
       const type = this.types.get(m.type);
-      if (type === undefined || !m.usable() || !placeAllowed(spec, m.type, m.zone, m.spot)) continue;
+      if (type === undefined || !m.isUsable() || !placeAllowed(spec, m.type, m.zone, m.spot)) continue;
       if (!fits(spec, type)) continue;
       const free = m.freeOf(type);
       for (const a of m.attempts.values()) if (a.stopping !== null) addTo(free, a.job.spec);
@@ -84,7 +84,7 @@
       byZone.set(zone, list);
       let cost = 0;
       for (;;) {
-        const victims: Attempt[] = [];
+        const victims: TaskAttempt[] = [];
         while (!fits(spec, free) && open.length > 0) {
           const v = open.shift()!;
           victims.push(v);
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -2,24 +2,24 @@
 import {
   mergeOrders,
   mustStartAtOnce,
-  orderByAims,
-  type AimOrder,
-  type Contender,
+  orderByObjectives,
+  type ObjectiveOrder,
+  type ObjectiveCandidate,
 } from '../cluster/objectives.js';
-import type { Context } from '../node/node-context.js';
-import type { Estate } from '../cluster/cluster-state.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { ClusterState } from '../cluster/cluster-state.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Priority } from '../domain/job.js';
 import { SECOND, type Micros } from '../domain/time.js';
-import { turnOrder } from '../cluster/fair-share.js';
+import { fairShareOrder } from '../cluster/fair-share.js';
 
-export class Ordering {
+export class QueueOrder {
   /** Team's turns: since when its oldest job has been at the head, and when the next turn is due. */
   private readonly turns = new Map<string, { job: ActiveJob | null; since: Micros; next: Micros }>();
 
-  private readonly ctx: Context;
+  private readonly ctx: NodeContext;
 
-  constructor(private readonly estate: Estate) {
+  constructor(private readonly estate: ClusterState) {
     this.ctx = estate.ctx;
   }
 
@@ -30,8 +30,8 @@
 
   /** Jobs whose turn it is first, then by priority and by the aims that can still be met. */
   inOrder(): ActiveJob[] {
-    const waiting = turnOrder(
-      [...this.estate.jobs.values()].filter((j) => this.estate.startable(j)),
+    const waiting = fairShareOrder(
+      [...this.estate.jobs.values()].filter((j) => this.estate.isStartable(j)),
       this.ctx.settings.teams,
     );
     const first = this.aheadOfAims(waiting);
@@ -60,7 +60,7 @@
     // With hundreds of teams there is always a turn due: what can't wait for it comes before all of them.
     const first = new Set(waiting.filter((job) => mustStartAtOnce(job.spec, objectives)));
     for (const job of this.dueTurns(waiting)) first.add(job);
-    for (const job of waiting) if (job.promisedUntil > this.ctx.now) first.add(job);
+    for (const job of waiting) if (job.reservedUntil > this.ctx.now) first.add(job);
     return first;
   }
 
@@ -71,7 +71,11 @@
     for (const j of waiting) {
       const o = oldest.get(j.spec.team);
       // Of the highest priority that waits: a turn must not put low work ahead of what may preempt it.
-      if (o === undefined || j.priority > o.priority || (j.priority === o.priority && j.at < o.at))
+      if (
+        o === undefined ||
+        j.priority > o.priority ||
+        (j.priority === o.priority && j.acceptedAt < o.acceptedAt)
+      )
         oldest.set(j.spec.team, j);
     }
     const out: ActiveJob[] = [];
@@ -98,27 +102,27 @@
     return out;
   }
 
-  private byAims(jobs: readonly ActiveJob[], gpu: boolean, priority: Priority): AimOrder {
+  private byAims(jobs: readonly ActiveJob[], gpu: boolean, priority: Priority): ObjectiveOrder {
     let work = 0;
     let amounts = 0;
     let cores = 0;
-    const contenders = jobs.map((job): Contender => {
+    const contenders = jobs.map((job): ObjectiveCandidate => {
       const { spec } = job;
-      const credit = job.credit.get(-1) ?? 0;
-      const run = this.estate.timings.remaining(
+      const credit = job.checkpointedProgress.get(-1) ?? 0;
+      const run = this.estate.runtimeEstimates.remaining(
         spec.class,
         spec.machineTypes?.[0] ?? '',
         spec.estimatedRunUs,
         credit,
       );
-      const amount = job.waiting * (gpu ? spec.gpus : spec.cores);
+      const amount = job.waitingCount * (gpu ? spec.gpus : spec.cores);
       work += run * amount;
       amounts += amount;
-      cores += job.waiting * spec.cores;
+      cores += job.waitingCount * spec.cores;
       return { job, amount, latest: this.estate.slackOf(job) };
     });
     const mean = amounts > 0 ? work / amounts : SECOND;
-    const room = this.estate.totals.room(gpu, priority, gpu && amounts > 0 ? cores / amounts : 1);
-    return orderByAims(contenders, room.free, room.total / Math.max(mean, SECOND));
+    const room = this.estate.usageTotals.room(gpu, priority, gpu && amounts > 0 ? cores / amounts : 1);
+    return orderByObjectives(contenders, room.free, room.total / Math.max(mean, SECOND));
   }
 }
--- a/packages/core/src/scheduling/rollout.ts
+++ b/packages/core/src/scheduling/rollout.ts
@@ -1,7 +1,7 @@
 /** Plays waiting work out to completion in a simulation, and scores what comes of it. */
 import type { Micros } from '../domain/time.js';
 import { placeGroup } from './group-placement.js';
-import type { Group, Step } from './plan-input.js';
+import type { TaskGroup, PlanStep } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 
 export interface Score {
@@ -12,16 +12,16 @@
 }
 
 /** Plays `groups` out to completion and adds what `opening` already decided. */
-export const playOut = (
+export const simulateCompletion = (
   simulation: PlacementSimulation,
-  groups: readonly Group[],
-  opening: readonly Step[],
+  groups: readonly TaskGroup[],
+  opening: readonly PlanStep[],
 ): Score => {
   const p = simulation.picture;
   let makespan = 0;
   let sum = 0;
   let unplaced = 0;
-  const add = (steps: readonly Step[]): void => {
+  const add = (steps: readonly PlanStep[]): void => {
     for (const s of steps) {
       if (s.group.spec.shape === 'service') {
         sum += (s.start - p.now) * s.count;
@@ -41,7 +41,7 @@
   return { makespan, sum, unplaced };
 };
 
-export const better = (one: Score, other: Score, tolerance: Micros): boolean => {
+export const isBetter = (one: Score, other: Score, tolerance: Micros): boolean => {
   if (one.unplaced !== other.unplaced) return one.unplaced < other.unplaced;
   if (Math.abs(one.makespan - other.makespan) > tolerance) return one.makespan < other.makespan;
   return one.sum < other.sum;
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -4,19 +4,19 @@
  * in flight at a time, and each value is put on condition of the version that it replaces: a write that
  * the network held back can't put an older value over a newer one.
  */
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import { LEAD } from '../codecs/keys.js';
 import type { VersionCondition, StoreWrite } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { bytesOf } from '../codecs/value-size.js';
 
 /** Whether something waits for the write, or it may come when there is nothing more important. */
-export type Urgent = 'now' | 'later';
+export type WriteUrgency = 'now' | 'later';
 
-export interface PutOptions {
+export interface WriteOptions {
   /** Whether the version that it replaces is a condition. */
   readonly checked?: boolean;
-  readonly urgent?: Urgent;
+  readonly urgent?: WriteUrgency;
   /** The state service refused the value as it is: it is not tried again. */
   readonly refused?: (bytes: number) => void;
 }
@@ -25,7 +25,7 @@
   readonly key: string;
   readonly make: () => StoreWrite;
   readonly checked: boolean;
-  readonly urgent: Urgent;
+  readonly urgent: WriteUrgency;
   readonly done: ((w: StoreWrite) => void)[];
   readonly refused: ((bytes: number) => void)[];
 }
@@ -38,7 +38,7 @@
 /** After a refusal of several writes at once, fewer are sent together; more again after this time. */
 const CAUTION = 30 * SECOND;
 
-export class Writer {
+export class FencedWriter {
   private readonly pending = new Map<string, Entry>();
   private readonly versions = new Map<string, number>();
   private busy = false;
@@ -48,7 +48,7 @@
   private cautiousUntil = 0;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     private readonly leadVersion: number,
     private readonly onFenced: () => void,
   ) {
@@ -60,12 +60,12 @@
   }
 
   /** The version of a key as it was read. */
-  know(key: string, version: number): void {
+  rememberVersion(key: string, version: number): void {
     this.versions.set(key, version);
   }
 
   /** Something is waiting that was not sent yet. */
-  waits(key: string): boolean {
+  isPending(key: string): boolean {
     return this.pending.has(key);
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Puts what `make` gives when its turn comes. `done` follows once that is surely written. */
-  put(key: string, make: () => unknown, done: (value: unknown) => void, options: PutOptions = {}): void {
+  put(key: string, make: () => unknown, done: (value: unknown) => void, options: WriteOptions = {}): void {
     const entry = this.pending.get(key);
     const then = (w: StoreWrite): void => {
       done(w.kind === 'put' ? w.value : null);
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -9,7 +9,7 @@
 import { progressKey } from '../codecs/keys.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
 import type { TaskBitset } from '../domain/task-bitset.js';
-import type { Urgent, Writer } from './fenced-writer.js';
+import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
 const FRAME = 160;
@@ -17,9 +17,9 @@
 export interface LargeJob {
   readonly id: string;
   readonly done: TaskBitset;
-  readonly durable: TaskBitset;
-  placedOn: Set<string>;
-  dirty: boolean;
+  readonly durablyDone: TaskBitset;
+  recordedMachines: Set<string>;
+  progressDirty: boolean;
 }
 
 interface Part {
@@ -41,7 +41,7 @@
   private reshaping: (() => void)[] | null = null;
 
   constructor(
-    private readonly writer: Writer,
+    private readonly writer: FencedWriter,
     private readonly job: LargeJob,
     private readonly limit: number,
     private readonly nameLength: number,
@@ -117,7 +117,7 @@
   }
 
   /** Writes what changed, and calls back once all of it is on record. */
-  write(urgent: Urgent, then: () => void, refused: () => void): void {
+  write(urgent: WriteUrgency, then: () => void, refused: () => void): void {
     if (this.reshaping !== null) {
       this.reshaping.push(() => {
         this.write(urgent, then, refused);
@@ -132,12 +132,12 @@
     const parts = new Set(this.changed);
     // Sent already but not confirmed: the caller waits for that too.
     this.parts.forEach((p, k) => {
-      for (const n of p.names) if (!this.job.placedOn.has(n)) parts.add(k);
+      for (const n of p.names) if (!this.job.recordedMachines.has(n)) parts.add(k);
     });
     this.put([...parts], urgent, then, refused);
   }
 
-  private put(parts: readonly number[], urgent: Urgent, then: () => void, refused: () => void): void {
+  private put(parts: readonly number[], urgent: WriteUrgency, then: () => void, refused: () => void): void {
     let left = parts.length;
     let failed = false;
     if (left === 0) then();
@@ -148,8 +148,8 @@
         (value) => {
           const rec = decodeProgress(value);
           if (rec !== null) {
-            this.job.durable.merge(rec.from ?? 0, rec.bits);
-            for (const n of rec.machines) this.job.placedOn.add(n);
+            this.job.durablyDone.merge(rec.from ?? 0, rec.bits);
+            for (const n of rec.machines) this.job.recordedMachines.add(n);
           }
           if (--left === 0 && !failed) then();
         },
@@ -166,12 +166,12 @@
   }
 
   private make(k: number): unknown {
-    this.job.dirty = false;
+    this.job.progressDirty = false;
     this.assign();
     const p = this.part(k);
     // Whoever is left out counts as not on record from now on: the write may be executed at any moment.
     const all = new Set(this.parts.flatMap((x) => [...x.names]));
-    for (const n of [...this.job.placedOn]) if (!all.has(n)) this.job.placedOn.delete(n);
+    for (const n of [...this.job.recordedMachines]) if (!all.has(n)) this.job.recordedMachines.delete(n);
     p.bits = this.bitsOf(k);
     this.changed.delete(k);
     return encodeProgress({ machines: [...p.names], bits: p.bits, from: k * this.share });
@@ -182,7 +182,7 @@
    * then part 0, which may hold less from then on; what is left over goes last. A crash in between leaves
    * everything on record somewhere.
    */
-  private reshape(urgent: Urgent, then: () => void, refused: () => void): void {
+  private reshape(urgent: WriteUrgency, then: () => void, refused: () => void): void {
     this.reshaping = [];
     const old = new Map(this.foreign);
     this.parts.forEach((_, k) => {
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -2,36 +2,36 @@
 import type { Machine } from '../cluster/cluster-model.js';
 import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
-import { Pages, readPage } from './packed-pages.js';
+import { PackedPages, readPage } from './packed-pages.js';
 import {
   decodeMachine,
   encodeMachine,
   largestMachineRecord,
   type MachineRecord,
 } from '../codecs/machine-codec.js';
-import type { Urgent, Writer } from './fenced-writer.js';
+import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
 
 const recordOf = (machine: Machine): MachineRecord => ({
   address: machine.address,
   type: machine.type,
   zone: machine.zone,
   spot: machine.spot,
-  retiring: machine.retiring !== null,
-  standing: machine.standing,
+  retiring: machine.retirementReason !== null,
+  preprovisioned: machine.preprovisioned,
 });
 
-export class Roster {
-  private readonly pages: Pages;
+export class MachineStore {
+  private readonly pages: PackedPages;
   /** Whether all that was on record could be read. */
-  whole = true;
+  isComplete = true;
 
   constructor(
-    private readonly writer: Writer,
+    private readonly writer: FencedWriter,
     limit: number,
     find: (name: string) => Machine | undefined,
     private readonly onUnreadable: (key: string) => void,
   ) {
-    this.pages = new Pages(writer, ROSTER, limit, {
+    this.pages = new PackedPages(writer, ROSTER, limit, {
       describe: (name) => {
         const m = find(name);
         return m === undefined ? null : encodeMachine(recordOf(m));
@@ -70,7 +70,7 @@
       found.set(name, {
         ...rec,
         retiring: rec.retiring || other?.retiring === true,
-        standing: rec.standing || other?.standing === true,
+        preprovisioned: rec.preprovisioned || other?.preprovisioned === true,
       });
     };
     for (const it of own) take(it.key.slice(MACHINES.length), it.value);
@@ -99,7 +99,7 @@
   }
 
   private unreadable(key: string): void {
-    this.whole = false;
+    this.isComplete = false;
     this.onUnreadable(key);
   }
 
@@ -107,20 +107,20 @@
     this.write(m, 'now', done);
   }
 
-  private write(m: Machine, urgent: Urgent, done: () => void, refused?: () => void): void {
+  private write(m: Machine, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
     this.pages.put(m.name, largestMachineRecord(m.name, m), urgent, done, refused);
   }
 
   /** Moves on with taking apart what is too large or of the version before. */
-  settle(): void {
-    this.pages.settle();
+  compact(): void {
+    this.pages.compact();
   }
 
   drop(m: Machine): void {
     this.pages.drop(m.name);
   }
 
-  tidy(): void {
-    this.pages.tidy();
+  rewriteStalePages(): void {
+    this.pages.rewriteStalePages();
   }
 }
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -12,7 +12,7 @@
  */
 import type { StoredItem } from '../domain/key-value-store.js';
 import { bytesOf } from '../codecs/value-size.js';
-import type { Urgent, Writer } from './fenced-writer.js';
+import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
 
 interface Page {
   readonly key: string;
@@ -41,7 +41,7 @@
 const OWN = 's';
 const MOST_PAGES = 100_000;
 
-export interface Records {
+export interface PackedRecordSource {
   /** The record as it is now; null if it is not needed any more. */
   readonly describe: (id: string) => unknown;
   /** A record is surely written as told. */
@@ -50,7 +50,7 @@
   readonly move: (id: string, then: (ok: boolean) => void) => void;
 }
 
-export class Pages {
+export class PackedPages {
   private readonly pages: Page[] = [];
   private readonly pageOf = new Map<string, Page>();
   /** Further pages of ours on which a record stands, from a move that a crash cut short. */
@@ -60,10 +60,10 @@
   private moving = false;
 
   constructor(
-    private readonly writer: Writer,
+    private readonly writer: FencedWriter,
     private readonly prefix: string,
     private limit: number,
-    private readonly records: Records,
+    private readonly records: PackedRecordSource,
   ) {}
 
   /** The largest record that may be kept here: several must fit into a page. */
@@ -96,7 +96,7 @@
   load(item: StoredItem, keep: (id: string) => number | null): void {
     const name = item.key.slice(this.prefix.length);
     const entries = readPage(item.value);
-    this.writer.know(item.key, item.version);
+    this.writer.rememberVersion(item.key, item.version);
     if (!name.startsWith(OWN)) {
       // Of the version before, whatever its size.
       const ids = Object.keys(entries ?? {});
@@ -142,7 +142,7 @@
   }
 
   /** Writes a record. `room`: the largest that it can become, in characters of JSON with its key. */
-  put(id: string, room: number, urgent: Urgent, done: () => void, refused?: () => void): void {
+  put(id: string, room: number, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
     if (!this.pageOf.has(id)) this.assign(this.free(room), id, room);
     this.write(this.pageOf.get(id)!, urgent, done, refused);
   }
@@ -160,12 +160,12 @@
   }
 
   /** Writes pages that still hold records that were dropped. */
-  tidy(): void {
+  rewriteStalePages(): void {
     for (const p of this.pages) if (p.stale && !p.closed) this.write(p, 'later', () => undefined);
   }
 
   /** Takes the next page apart, one at a time: called again and again, cheap when there is nothing to do. */
-  settle(): void {
+  compact(): void {
     if (this.moving) return;
     for (const [id, pages] of this.copies) {
       if (!this.pageOf.has(id)) {
@@ -229,7 +229,7 @@
     );
   }
 
-  private write(page: Page, urgent: Urgent, done: () => void, refused?: () => void): void {
+  private write(page: Page, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
     this.writer.put(
       page.key,
       () => {
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -3,30 +3,30 @@
  * pages; one with very many tasks has keys of its own.
  */
 import type { Machine, ActiveJob } from '../cluster/cluster-model.js';
-import type { Context } from '../node/node-context.js';
+import type { NodeContext } from '../node/node-context.js';
 import { PLACES, PROGRESS, partOf } from '../codecs/keys.js';
 import { LargeProgress } from './large-progress.js';
 import type { StoredItem } from '../domain/key-value-store.js';
-import { pageRoom, Pages, readPage } from './packed-pages.js';
+import { pageRoom, PackedPages, readPage } from './packed-pages.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
-import type { Urgent, Writer } from './fenced-writer.js';
+import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
 
 const nothing = (): void => undefined;
 
-export class ProgressBook {
-  private readonly pages: Pages;
+export class ProgressStore {
+  private readonly pages: PackedPages;
   private readonly large = new Map<string, LargeProgress>();
   /** The longest name of a machine so far: room for names is set aside by it. */
   private nameLength = 12;
 
   constructor(
-    private readonly ctx: Context,
-    private readonly writer: Writer,
+    private readonly ctx: NodeContext,
+    private readonly writer: FencedWriter,
     private readonly job: (id: string) => ActiveJob | undefined,
     private readonly machine: (name: string) => Machine | undefined,
   ) {
-    this.pages = new Pages(writer, PLACES, pageRoom(ctx.settings.maxValueBytes), {
+    this.pages = new PackedPages(writer, PLACES, pageRoom(ctx.settings.maxValueBytes), {
       describe: (id) => this.describe(id),
       written: (id, value) => {
         this.written(id, decodeProgress(value));
@@ -79,7 +79,7 @@
       });
     }
     // Any job of that time may have been in a page that can't be read.
-    if (!whole) for (const job of jobs) if (!told.has(job)) job.unreadable = true;
+    if (!whole) for (const job of jobs) if (!told.has(job)) job.progressUnreadable = true;
     // What has keys of its own but would have room on a page goes there: earlier versions had no pages.
     for (const [id, large] of this.large) {
       const job = this.job(id);
@@ -98,7 +98,7 @@
       this.writer.remove(it.key);
       return;
     }
-    this.writer.know(it.key, it.version);
+    this.writer.rememberVersion(it.key, it.version);
     const part = partOf(Number(number ?? 0));
     const rec = decodeProgress(it.value);
     merge(id!, rec?.from ?? this.placeOf(Number(number ?? 0)), it.value);
@@ -130,21 +130,21 @@
     if (rec === null) {
       // Never taken for absence: where its tasks are can't be known, so none is started by this leader.
       this.ctx.error('progress.unreadable', { job: job.id });
-      job.unreadable = true;
+      job.progressUnreadable = true;
       return;
     }
     if (from !== null) {
       job.done.merge(from, rec.bits);
-      job.durable.merge(from, rec.bits);
+      job.durablyDone.merge(from, rec.bits);
     }
     for (const name of rec.machines) {
-      job.placedOn.add(name);
+      job.recordedMachines.add(name);
       this.nameLength = Math.max(this.nameLength, name.length);
       const m = this.machine(name);
-      if (m?.unresolved === true) job.unresolved.add(name);
-      if (m === undefined && !rosterWhole) job.unreadable = true;
+      if (m?.awaitingReconciliation === true) job.unreconciledMachines.add(name);
+      if (m === undefined && !rosterWhole) job.progressUnreadable = true;
     }
-    if (rec.machines.length > 0 || job.done.count > 0) job.startedOnce = true;
+    if (rec.machines.length > 0 || job.done.count > 0) job.startedBefore = true;
   }
 
   /** The largest that the job's record can become. */
@@ -159,50 +159,52 @@
   /** Machines that hold or may hold tasks of the job. What was proven gone need not be named any more. */
   private names(job: ActiveJob): string[] {
     const names = new Set<string>();
-    for (const a of job.live.values()) names.add(a.machine.name);
-    for (const n of job.unresolved) if (this.machine(n)?.unresolved === true) names.add(n);
-    for (const n of job.placedOn) if ((this.machine(n)?.strangers ?? 0) > 0) names.add(n);
+    for (const a of job.liveAttempts.values()) names.add(a.machine.name);
+    for (const n of job.unreconciledMachines)
+      if (this.machine(n)?.awaitingReconciliation === true) names.add(n);
+    for (const n of job.recordedMachines) if ((this.machine(n)?.unknownTaskCount ?? 0) > 0) names.add(n);
     return [...names];
   }
 
   private describe(id: string): unknown {
     const job = this.job(id);
     if (job === undefined) return null;
-    job.dirty = false;
+    job.progressDirty = false;
     const machines = this.names(job);
     // Whoever is left out counts as not on record from now on, not from the confirmation: a start there in
     // between would else be on no record, and be started again elsewhere by the next leader.
     const named = new Set(machines);
-    for (const n of [...job.placedOn]) if (!named.has(n)) job.placedOn.delete(n);
+    for (const n of [...job.recordedMachines]) if (!named.has(n)) job.recordedMachines.delete(n);
     return encodeProgress({ machines, bits: job.done.encode(0, job.done.bytes.length), from: null });
   }
 
   private written(id: string, rec: ProgressRecord | null): void {
     const job = this.job(id);
     if (job === undefined || rec === null) return;
-    for (const n of rec.machines) job.placedOn.add(n);
-    if (job.durable.count < job.done.count) job.durable.merge(0, rec.bits);
+    for (const n of rec.machines) job.recordedMachines.add(n);
+    if (job.durablyDone.count < job.done.count) job.durablyDone.merge(0, rec.bits);
   }
 
   /** Writes where the job's tasks are, and calls back once that is on record, or can't be. */
-  place(job: ActiveJob, then: () => void, refused: () => void = nothing): void {
+  recordPlacement(job: ActiveJob, then: () => void, refused: () => void = nothing): void {
     this.write(job, 'now', then, refused);
   }
 
-  private write(job: ActiveJob, urgent: Urgent, then: () => void, refused: () => void): void {
-    for (const a of job.live.values()) this.nameLength = Math.max(this.nameLength, a.machine.name.length);
+  private write(job: ActiveJob, urgent: WriteUrgency, then: () => void, refused: () => void): void {
+    for (const a of job.liveAttempts.values())
+      this.nameLength = Math.max(this.nameLength, a.machine.name.length);
     if (this.large.has(job.id) || this.isLarge(job)) this.largeOf(job).write(urgent, then, refused);
     else this.writePage(job, urgent, then, refused);
   }
 
-  private writePage(job: ActiveJob, urgent: Urgent, then: () => void, refused?: () => void): void {
+  private writePage(job: ActiveJob, urgent: WriteUrgency, then: () => void, refused?: () => void): void {
     this.pages.put(job.id, this.roomOf(job), urgent, then, refused);
   }
 
   /** Writes what was counted since the last time. */
   flush(jobs: Iterable<ActiveJob>): void {
     for (const job of jobs)
-      if (job.dirty && job.phase === 'active') this.write(job, 'later', nothing, nothing);
+      if (job.progressDirty && job.phase === 'active') this.write(job, 'later', nothing, nothing);
   }
 
   drop(job: ActiveJob): void {
@@ -212,13 +214,13 @@
     for (const key of large?.keys() ?? []) this.writer.remove(key);
   }
 
-  tidy(): void {
-    this.pages.tidy();
+  rewriteStalePages(): void {
+    this.pages.rewriteStalePages();
   }
 
   /** Moves on with taking apart what is too large or of the version before. */
-  settle(jobs: Iterable<ActiveJob>): void {
-    this.pages.settle();
+  compact(jobs: Iterable<ActiveJob>): void {
+    this.pages.compact();
     for (const job of jobs) {
       const large = this.large.get(job.id);
       if (large?.unsettled !== true || job.phase !== 'active') continue;
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -1,24 +1,27 @@
 /** Work beyond what a plan compares, and plans that compare nothing because there is room for everything. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Group, Rentable } from '@shaleyoke/core/scheduling/plan-input';
+import type { TaskGroup, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
 import {
-  NO_OVERFLOW,
+  NO_BACKFILL,
   PlacementSearch,
   search,
-  type Overflow,
+  type BackfillWork,
 } from '@shaleyoke/core/scheduling/placement-search';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { groupOf, pictureOf, slotOf, typeOf } from './cluster-fixtures.js';
 
 const LIMITS = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
 const still = (): number => 0;
-const overflowOf = (groups: readonly Group[]): Overflow => ({ kinds: groups.map((g) => g.spec), groups });
+const overflowOf = (groups: readonly TaskGroup[]): BackfillWork => ({
+  kinds: groups.map((g) => g.spec),
+  groups,
+});
 const box = typeOf('box', { cores: 4 });
-const boxes = (count: number): Slot[] => Array.from({ length: count }, (_, i) => slotOf(`m${i}`, box));
+const boxes = (count: number): MachineSlot[] => Array.from({ length: count }, (_, i) => slotOf(`m${i}`, box));
 
 test('work behind all that is compared begins where there is room now', () => {
   // Three cores of each machine are taken for a long time: what is compared has to wait for them.
@@ -93,7 +96,7 @@
 });
 
 test('machines are rented for work beyond the compared groups, within the limit of a call', () => {
-  const rent: Rentable = { type: box, zone: 'a', spot: false, limit: 50 };
+  const rent: CapacityOffer = { type: box, zone: 'a', spot: false, limit: 50 };
   const tail = Array.from({ length: 100 }, (_, i) => groupOf(specOf(`run-${i}`, { tasks: 4, cores: 4 })));
   const d = search(pictureOf([], { box: 500 }, [rent]), [], LIMITS, still, overflowOf(tail));
   assert.equal(d.picture.rented.get(rent), 50);
@@ -103,7 +106,7 @@
 test('where there is room for everything, comparing nothing starts the same tasks as comparing', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = new Random(seed);
-    const groups = (): Group[] => {
+    const groups = (): TaskGroup[] => {
       const same = new Random(seed);
       return Array.from({ length: 3 + same.below(6) }, (_, i) =>
         groupOf(
@@ -149,8 +152,8 @@
   );
   const whole = search(pictureOf(boxes(8), { box: 5 }), groups, LIMITS, still);
   const picture = pictureOf(boxes(8), { box: 5 });
-  const before = JSON.stringify(picture.slots.map((s) => ({ ...s, likeness: undefined })));
-  const parts = new PlacementSearch(picture, groups, NO_OVERFLOW, LIMITS, still);
+  const before = JSON.stringify(picture.slots.map((s) => ({ ...s, equivalenceKey: undefined })));
+  const parts = new PlacementSearch(picture, groups, NO_BACKFILL, LIMITS, still);
   let pauses = 0;
   let seen = 0;
   for (const pause of parts.run()) {
@@ -164,5 +167,5 @@
     steps.map((s) => [s.group.spec.id, s.slot.key, s.count, s.start]);
   assert.deepEqual(plain(parts.steps), plain(whole.steps));
   parts.release();
-  assert.equal(JSON.stringify(picture.slots.map((s) => ({ ...s, likeness: undefined }))), before);
+  assert.equal(JSON.stringify(picture.slots.map((s) => ({ ...s, equivalenceKey: undefined }))), before);
 });
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -8,14 +8,14 @@
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import {
   FIRST_BOUNDS,
-  FIRST_LIST,
+  BASIC_SCENARIOS,
   play,
   SECOND_BOUNDS,
-  SECOND_LIST,
+  EXTENDED_SCENARIOS,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
 import { checkOutcome } from './scenario-assertions.js';
 
 /** Longer than a slice, so that each decision ends one; the whole plan still has time for some. */
@@ -31,8 +31,8 @@
 /** Below what the machines have, so that the quota is reached in the middle of a plan. */
 const QUOTA = 140;
 
-const worldOf = (seed: number, coreOptions: CoreOptions = sliced()): World => {
-  const world = new World(
+const worldOf = (seed: number, coreOptions: CoreOptions = sliced()): ClusterSimulation => {
+  const world = new ClusterSimulation(
     new Random(seed),
     3,
     `[[cluster.teams]]\nname = "t"\ncpus_max = ${QUOTA}.0\n`,
@@ -59,12 +59,12 @@
   ),
 ];
 
-const submitAll = (world: World): void => {
+const submitAll = (world: ClusterSimulation): void => {
   for (const job of JOBS) world.submit(job);
 };
 
 /** Plays until everything has ended, or for five minutes. */
-const playToEnd = (world: World, what: string, cancelled: readonly string[] = []): void => {
+const playToEnd = (world: ClusterSimulation, what: string, cancelled: readonly string[] = []): void => {
   for (let t = 0; t < 60; t++) {
     world.runFor(5 * SECOND);
     for (const { id } of JOBS) world.poll(id);
@@ -78,7 +78,7 @@
 };
 
 /** Told of each step of the node that leads, in order. */
-const countSteps = (world: World, leader: string, onStep: (count: number) => void): void => {
+const countSteps = (world: ClusterSimulation, leader: string, onStep: (count: number) => void): void => {
   let count = 0;
   world.meter = {
     stopwatch: () => 0,
@@ -122,7 +122,7 @@
   }
 });
 
-const FAULTS: Readonly<Record<string, (world: World, random: Random) => readonly string[]>> = {
+const FAULTS: Readonly<Record<string, (world: ClusterSimulation, random: Random) => readonly string[]>> = {
   'writes are refused': (world) => {
     world.refuse(world.nodes[world.leader()]!.name, 8 * SECOND);
     return [];
@@ -200,8 +200,8 @@
 });
 
 const MEETINGS = [
-  ...Object.entries(FIRST_LIST).map(([name, meeting]) => ({ name, meeting, bounds: FIRST_BOUNDS })),
-  ...Object.entries(SECOND_LIST).map(([name, meeting]) => ({ name, meeting, bounds: SECOND_BOUNDS })),
+  ...Object.entries(BASIC_SCENARIOS).map(([name, meeting]) => ({ name, meeting, bounds: FIRST_BOUNDS })),
+  ...Object.entries(EXTENDED_SCENARIOS).map(([name, meeting]) => ({ name, meeting, bounds: SECOND_BOUNDS })),
 ];
 
 test('the meetings of troubles hold with plans in slices', () => {
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -10,7 +10,7 @@
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const CANCEL = 40 * SECOND;
 const LONG = 3_600 * SECOND;
@@ -22,14 +22,14 @@
 };
 
 interface Played {
-  readonly w: World;
+  readonly w: ClusterSimulation;
   readonly ids: string[];
   readonly leader: () => string | null;
 }
 
 /** Controllers, and jobs that all run. */
 const running = (seed: number, jobs: number, nodes = 3): Played => {
-  const w = new World(
+  const w = new ClusterSimulation(
     new Random(seed * 7_919 + 3),
     nodes,
     '[[cluster.teams]]\nname = "t"\ncpus_max = 60.0\n',
@@ -49,7 +49,7 @@
 };
 
 /** How many jobs still had tasks after their users were told, and the longest that any had. */
-const seen = (w: World): { jobs: number; longest: number } => {
+const seen = (w: ClusterSimulation): { jobs: number; longest: number } => {
   const late = [...w.machines.lastSeen].map(([id, at]) => at - w.users.cancelledAt.get(id)!);
   return { jobs: late.length, longest: Math.max(0, ...late) };
 };
@@ -179,14 +179,10 @@
   assert.ok(seen(w).longest < 25 * SECOND, `gone after ${seen(w).longest / SECOND} s`);
 });
 
-interface Inside {
-  readonly scheduler: { onReport(r: Heartbeat): HeartbeatResponse };
-}
-
 /** What the leader answers to this report. */
-const answerOf = (w: World, r: Heartbeat): HeartbeatResponse => {
-  const core = w.nodes.find((n) => n.core?.leads() === true)!.core as unknown as Inside;
-  return core.scheduler.onReport(r);
+const answerOf = (w: ClusterSimulation, r: Heartbeat): HeartbeatResponse => {
+  const core = w.nodes.find((n) => n.core?.leads() === true)!.core!;
+  return core.scheduler!.onReport(r);
 };
 
 test('a report that was overtaken is answered with the stops of what is over, or not with 200', () => {
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,15 +1,15 @@
 /** Small pictures for tests of plans: machines, groups of waiting tasks, and what tasks are predicted to take. */
-import type { Group, Picture, Rentable } from '@shaleyoke/core/scheduling/plan-input';
+import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
 import {
   attemptKey,
   type ActiveJob,
-  type Attempt,
+  type TaskAttempt,
   type Machine,
 } from '@shaleyoke/core/cluster/cluster-model';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { TYPE } from '@shaleyoke/emulator/site';
 
 export const typeOf = (name: string, more: Partial<MachineType> = {}): MachineType => ({
@@ -18,14 +18,14 @@
   ...more,
 });
 
-export const slotOf = (key: string, type: MachineType, more: Partial<Slot> = {}): Slot => ({
+export const slotOf = (key: string, type: MachineType, more: Partial<MachineSlot> = {}): MachineSlot => ({
   key,
   type,
   zone: 'a',
   spot: false,
-  sunk: true,
+  sunkCost: true,
   machine: key,
-  ready: 0,
+  readyAt: 0,
   free: { cores: type.cores, gpus: type.gpus, memoryGb: type.memoryGb },
   changes: [],
   images: new Set(),
@@ -33,28 +33,28 @@
   ...more,
 });
 
-export const groupOf = (spec: JobSpec, more: Partial<Group> = {}): Group => ({
+export const groupOf = (spec: JobSpec, more: Partial<TaskGroup> = {}): TaskGroup => ({
   spec,
   count: spec.tasks,
   zones: new Map(),
   avoid: new Set(),
-  credit: 0,
-  margin: 0,
-  patience: 0,
-  only: null,
+  checkpointedProgress: 0,
+  scaleOutThreshold: 0,
+  allowedDelay: 0,
+  allowedMachines: null,
   reserve: false,
-  phantom: false,
-  runs: new Map(),
-  dear: new Map(),
+  hypothetical: false,
+  runTimes: new Map(),
+  costPenalties: new Map(),
   ...more,
 });
 
 /** Run times by machine type, in seconds. */
 export const pictureOf = (
-  slots: Slot[],
+  slots: MachineSlot[],
   run: Record<string, number>,
-  rentable: Rentable[] = [],
-): Picture => ({
+  rentable: CapacityOffer[] = [],
+): ClusterSnapshot => ({
   now: 0,
   slots,
   rentable,
@@ -65,21 +65,21 @@
 
 /** A task of the job runs on the machine from now on. */
 export const runTask = (job: ActiveJob, index: number, machine: Machine, proven = true): void => {
-  const attempt: Attempt = {
+  const attempt: TaskAttempt = {
     job,
     index,
-    no: 1,
+    number: 1,
     machine,
-    session: 1,
+    agentEpoch: 1,
     state: 'running',
-    token: 0,
-    orderedAt: 0,
+    fencingToken: 0,
+    commandedAt: 0,
     runningAt: 0,
-    timed: true,
-    proven,
+    startTimeKnown: true,
+    confirmed: proven,
     stopping: null,
   };
-  job.live.set(index, attempt);
+  job.liveAttempts.set(index, attempt);
   machine.attempts.set(attemptKey(job.id, index), attempt);
-  machine.touch();
+  machine.markChanged();
 };
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -4,33 +4,26 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import type { Worker } from '@shaleyoke/emulator/workers-model';
 
 const TEAM = (cores: number): string => `[[cluster.teams]]\nname = "t"\ncpus_max = ${cores}.0\n`;
 const TWO_TEAMS = `[[cluster.teams]]\nname = "t"\ncpus_max = 8.0\n\n[[cluster.teams]]\nname = "u"\ncpus_max = 8.0\n`;
 
-interface Inside {
-  readonly scheduler: {
-    onReport(r: Heartbeat): HeartbeatResponse;
-    readonly term: { readonly ready: boolean; readonly firstToken: number };
-  } | null;
-}
-
 const running = (x: Worker): string[] =>
   x.tasks.filter((t) => t.state === 'running').map((t) => `${t.job}/${t.index}`);
-const holders = (w: World, task: string): Worker[] =>
+const holders = (w: ClusterSimulation, task: string): Worker[] =>
   [...w.workers.values()].filter((x) => x.alive && running(x).includes(task));
 
 /**
  * A leader ends; the next one has just read the records, and no worker has come to it but the copies given by `old`. Reports
  * of workers are held back meanwhile.
  */
-const nextLeader = (w: World, old: readonly Heartbeat[]): void => {
+const nextLeader = (w: ClusterSimulation, old: readonly Heartbeat[]): void => {
   const won = w.nodes.map(() => false);
   w.onLog = (n, event) => {
     if (event === 'leader.ready') won[w.nodes.findIndex((x) => x.name === n)] = true;
@@ -39,7 +32,7 @@
   w.crash(w.leader(), 30 * SECOND);
   for (let i = 0; i < 1_000 && !won.includes(true); i++) w.runFor(25 * MILLI);
   assert.ok(won.includes(true), 'a new leader is ready');
-  const { scheduler } = w.nodes[w.leader()]!.core as unknown as Inside;
+  const { scheduler } = w.nodes[w.leader()]!.core!;
   for (const r of old) assert.equal(scheduler!.onReport(r).kind, 'accepted');
   for (const x of w.workers.values()) {
     x.muteUntil = 0;
@@ -53,8 +46,8 @@
 const moved = (
   seed: number,
   shape: 'array' | 'gang',
-): { w: World; old: Heartbeat; from: Worker; task: string } => {
-  const w = new World(new Random(seed * 37 + 5), 3, TEAM(40), 40, 5);
+): { w: ClusterSimulation; old: Heartbeat; from: Worker; task: string } => {
+  const w = new ClusterSimulation(new Random(seed * 37 + 5), 3, TEAM(40), 40, 5);
   w.stand(8);
   w.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++)
@@ -97,9 +90,9 @@
     const { w, old, from, task } = moved(seed, 'array');
     const [place] = holders(w, task) as [Worker];
     nextLeader(w, [old]);
-    const { scheduler } = w.nodes[w.leader()]!.core as unknown as Inside;
+    const { scheduler } = w.nodes[w.leader()]!.core!;
     // It has heard of the new leader: by an order, or an answer before the records were read.
-    w.machines.orders(place.name, scheduler!.term.firstToken, place.session, []);
+    w.machines.orders(place.name, scheduler!.term.firstFencingToken, place.session, []);
     assert.equal(scheduler!.onReport(w.machines.reportOf(place)).kind, 'accepted');
     place.deafUntil = w.now + 12 * SECOND;
     for (const x of w.workers.values()) if (x !== place) x.nextReport = w.now;
@@ -111,7 +104,7 @@
 
 test("a late copy of one team's tasks does not hide another team's from its limit", () => {
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new World(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
+    const w = new ClusterSimulation(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
     w.stand(2);
     w.runFor(3 * SECOND);
     w.submit(
@@ -133,7 +126,7 @@
     w.cloud.perZone = 4;
     w.cloud.bootUs = () => 800 * MILLI;
     nextLeader(w, []);
-    const { scheduler } = w.nodes[w.leader()]!.core as unknown as Inside;
+    const { scheduler } = w.nodes[w.leader()]!.core!;
     for (const copies of old) {
       for (const r of copies) scheduler!.onReport(r);
       w.runFor(2 * SECOND);
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,8 +1,8 @@
 /** Jobs that wait for others: held, released, withdrawn, and what they lend to those before them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Dependencies } from '@shaleyoke/core/jobs/dependencies';
-import { ActiveJob, dueOf } from '@shaleyoke/core/cluster/cluster-model';
+import { DependencyGraph } from '@shaleyoke/core/jobs/dependencies';
+import { ActiveJob, latestFinish } from '@shaleyoke/core/cluster/cluster-model';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import {
@@ -14,7 +14,7 @@
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** A graph grown at random: each job needs some of those before it. */
 const grown = (r: Random, count: number, id: (i: number) => string): JobSpec[] => {
@@ -40,7 +40,7 @@
   for (let seed = 1; seed <= 10; seed++) {
     const r = new Random(seed * 104_729);
     const next = seed % 2 === 0 ? 'value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0' : '';
-    const w = new World(r, 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 10.0\n', 10, 4, next);
+    const w = new ClusterSimulation(r, 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 10.0\n', 10, 4, next);
     w.runFor(2 * SECOND);
     const specs = grown(r, 16, (i) => `run-${seed}${String(i).padStart(3, '0')}`);
     let submitted = 0;
@@ -76,7 +76,7 @@
 });
 
 test('what is cancelled takes all after it along, in a few seconds and through a crash of all controllers', () => {
-  const w = new World(new Random(5));
+  const w = new ClusterSimulation(new Random(5));
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 12 }, (_, i) => `run-${i}`);
   ids.forEach((id, i) => {
@@ -100,7 +100,7 @@
 test('a job that names one cancelled long ago is called cancelled from the first answer on', () => {
   // Found by a generated history: `queued`, by a node that knew the named job from before its cancellation.
   for (let seed = 1; seed <= 6; seed++) {
-    const w = new World(new Random(seed));
+    const w = new ClusterSimulation(new Random(seed));
     w.runFor(3 * SECOND);
     w.submit(specOf('run-0', { estimatedRunUs: 300 * SECOND }));
     w.runFor(SECOND);
@@ -118,7 +118,7 @@
 });
 
 test('while nobody leads, every node still tells that a job after a cancelled one is cancelled', () => {
-  const w = new World(new Random(8));
+  const w = new ClusterSimulation(new Random(8));
   w.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++) {
     w.submit(
@@ -139,7 +139,7 @@
 });
 
 test('a job never accepted is refused, and so is a service; wide fan-in is accepted and runs', () => {
-  const w = new World(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
+  const w = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   w.runFor(3 * SECOND);
   const wide = Array.from({ length: 70 }, (_, i) => `run-${100 + i}`);
   for (const id of wide) w.submit(specOf(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
@@ -162,7 +162,7 @@
     const r = new Random(seed);
     const specs = grown(r, 25, (i) => `run-${i}`);
     const jobs = new Map(specs.map((s, i) => [s.id, new ActiveJob(s, i + 1, i * SECOND, 0)]));
-    const deps = new Dependencies({
+    const deps = new DependencyGraph({
       wallNow: 0,
       job: (id) => jobs.get(id),
       resolve: () => assert.fail('all are there'),
@@ -179,14 +179,18 @@
       Math.min(
         ...after(j.id).map(
           (d) =>
-            Math.min(latest(d), d.spec.deadlineUs === null ? Infinity : d.at + d.spec.deadlineUs) -
+            Math.min(latest(d), d.spec.deadlineUs === null ? Infinity : d.acceptedAt + d.spec.deadlineUs) -
             d.spec.estimatedRunUs,
         ),
       );
     for (const j of jobs.values()) {
       assert.equal(j.priority, priority(j), `seed ${seed} ${j.id}`);
-      assert.equal(j.chain === null ? Infinity : dueOf(j.chain), latest(j), `seed ${seed} ${j.id}`);
-      assert.equal(j.held, j.spec.dependsOn.length > 0);
+      assert.equal(
+        j.deadlineChain === null ? Infinity : latestFinish(j.deadlineChain),
+        latest(j),
+        `seed ${seed} ${j.id}`,
+      );
+      assert.equal(j.blockedOnDependencies, j.spec.dependsOn.length > 0);
     }
   }
 });
@@ -195,18 +199,39 @@
   const needs = Array.from({ length: 150 }, (_, i) => `run-${400_000 + i * 7}`);
   const spec = specOf('run-7', { dependsOn: needs });
   const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
-  assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, at: 5 });
+  assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, acceptedAt: 5 });
   assert.ok(bytesOf(record) < 2_048 - 128, `${bytesOf(record)} bytes`);
   assert.equal(record['spec'], undefined, 'the version before would start it too early');
   // As that version writes them: no field `needs`, nothing that came later.
-  const { dependsOn: _, ...old } = specOf('run-8');
-  assert.deepEqual(decodeActiveJob({ spec: old, at: 9 }), { spec: specOf('run-8'), at: 9 });
+  const old = {
+    id: 'run-8',
+    class: 'c',
+    team: 't',
+    shape: 'array',
+    priority: 1,
+    tasks: 2,
+    cores: 1,
+    gpus: 0,
+    memoryGb: 1,
+    image: 'img',
+    imageGb: 1,
+    types: null,
+    zone: null,
+    sameZone: false,
+    spread: false,
+    spot: false,
+    estimateUs: 10_000_000,
+    checkpointUs: 0,
+    saveUs: 0,
+    deadlineUs: null,
+  };
+  assert.deepEqual(decodeActiveJob({ spec: old, at: 9 }), { spec: specOf('run-8'), acceptedAt: 9 });
   assert.deepEqual(encodeActiveJob(specOf('run-8'), 9), { spec: old, at: 9 });
   assert.deepEqual(decodeEndedJob({ stage: 'done', done: 2, spec: old }), {
     stage: 'done',
     done: 2,
     shape: 'array',
-    at: null,
+    endedAt: null,
   });
   // However long its description: a job accepted under larger limits can be ended under smaller ones.
   const long = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -4,9 +4,9 @@
 import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
-import { Freshness } from '@shaleyoke/core/leadership/cancellation-freshness';
-import { Takeover } from '@shaleyoke/core/leadership/failover';
-import type { Term } from '@shaleyoke/core/leadership/leader-term';
+import { CancellationFreshness } from '@shaleyoke/core/leadership/cancellation-freshness';
+import { Failover } from '@shaleyoke/core/leadership/failover';
+import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { Random } from '@shaleyoke/emulator/random';
 
 interface Call {
@@ -21,9 +21,12 @@
   later: { at: number; run: () => void }[] = [];
   readonly logged: string[] = [];
   readonly jobs = new Map<string, number>();
-  readonly freshness = new Freshness({ cancellationDeadlineUs: 40 * SECOND, workerLeaseUs: 20 * SECOND });
-  readonly takeover: Takeover;
-  private readonly term: { ready: boolean; listed: ReadonlySet<string> | null };
+  readonly freshness = new CancellationFreshness({
+    cancellationDeadlineUs: 40 * SECOND,
+    workerLeaseUs: 20 * SECOND,
+  });
+  readonly takeover: Failover;
+  private readonly term: { ready: boolean; unendedJobs: ReadonlySet<string> | null };
 
   constructor() {
     const ctx = {
@@ -39,31 +42,31 @@
       ctx,
       stopped: false,
       ready: false,
-      listed: null,
+      unendedJobs: null,
       after: (delay: number, run: () => void) => {
         this.later.push({ at: this.now + delay, run });
       },
     };
     this.term = term;
-    this.takeover = new Takeover(term as unknown as Term, this.freshness, {
-      rebuild: (read) => {
+    this.takeover = new Failover(term as unknown as LeaderTerm, this.freshness, {
+      restore: (read) => {
         for (const it of read(JOBS)) this.jobs.set(it.key.slice(JOBS.length), it.version);
         term.ready = true;
       },
-      appeared: (id, _value, version) => {
+      jobPut: (id, _value, version) => {
         this.jobs.set(id, version);
       },
-      vanished: (id, version) => {
+      jobDeleted: (id, version) => {
         if ((this.jobs.get(id) ?? Infinity) < version) this.jobs.delete(id);
       },
-      present: (ids, revision) => {
+      jobsListed: (ids, revision) => {
         for (const [id, version] of this.jobs) if (!ids.has(id) && version <= revision) this.jobs.delete(id);
       },
     });
   }
 
   get listed(): ReadonlySet<string> | null {
-    return this.term.listed;
+    return this.term.unendedJobs;
   }
 
   /** Takes the oldest call of this kind. */
@@ -111,13 +114,13 @@
 test('knowledge is as old as the request whose answer showed it, however long that took', () => {
   const s = new Stage();
   s.start(['a'], 50);
-  const { bound } = s.freshness;
-  assert.ok(s.freshness.holds(s.now + bound - 1) && !s.freshness.holds(s.now + bound));
+  const { maxAgeUs: bound } = s.freshness;
+  assert.ok(s.freshness.isFresh(s.now + bound - 1) && !s.freshness.isFresh(s.now + bound));
   const sent = s.now;
   const watch = s.take('watch');
   s.pass(9 * SECOND);
   watch.then(events([], 60));
-  assert.ok(s.freshness.holds(sent + bound - 1) && !s.freshness.holds(sent + bound));
+  assert.ok(s.freshness.isFresh(sent + bound - 1) && !s.freshness.isFresh(sent + bound));
 });
 
 test('of a list in pages the first one counts', () => {
@@ -131,8 +134,8 @@
   s.pass(12 * SECOND);
   s.take('list').then(items(['b'], 70));
   assert.deepEqual([...s.listed!], ['a', 'b']);
-  const { bound } = s.freshness;
-  assert.ok(s.freshness.holds(sent + bound - 1) && !s.freshness.holds(sent + bound));
+  const { maxAgeUs: bound } = s.freshness;
+  assert.ok(s.freshness.isFresh(sent + bound - 1) && !s.freshness.isFresh(sent + bound));
   // What came or went between the pages is asked for from the first one on.
   for (let i = 0; i < 4; i++) s.take('list').then(items([], 80));
   s.take('get').then({ kind: 'missing', revision: 80 });
@@ -145,7 +148,7 @@
   s.start(['a'], 50);
   const hung = s.take('watch');
   s.pass(11 * SECOND);
-  s.takeover.keepFresh();
+  s.takeover.probeIfStale();
   s.take('watch').then({ kind: 'failed', executed: null, cause: 'silent', reason: '' });
   // Nothing is told that way either, so that the jobs are listed: b came and went unseen, c came.
   s.take('list').then(items(['a', 'c'], 90));
@@ -164,7 +167,7 @@
   s.pass(SECOND);
   s.take('watch').then(events([gone('a', 49)], 49));
   assert.deepEqual([[...s.jobs.keys()], s.logged], [['a'], ['watch.went_back']]);
-  assert.ok(!s.freshness.holds(sent + s.freshness.bound));
+  assert.ok(!s.freshness.isFresh(sent + s.freshness.maxAgeUs));
 });
 
 test('in whatever order lists and watches are answered, the picture never falls behind what it has shown', () => {
@@ -236,7 +239,7 @@
           }
       }
       s.pass(r.below(2_000) * 1_000);
-      s.takeover.keepFresh();
+      s.takeover.probeIfStale();
     }
     // Once all is answered nothing is missing and nothing too much.
     for (let i = 0; i < 8; i++) {
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -5,20 +5,20 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  FIRST_LIST,
+  BASIC_SCENARIOS,
   play,
   SECOND_BOUNDS,
-  SECOND_LIST,
+  EXTENDED_SCENARIOS,
   type Outcome,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { checkOutcome } from './scenario-assertions.js';
 
-const NAMES = Object.keys(SECOND_LIST);
-const ALL = { ...FIRST_LIST, ...SECOND_LIST };
+const NAMES = Object.keys(EXTENDED_SCENARIOS);
+const ALL = { ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS };
 const every = Object.keys(ALL);
 
 /** More by hand: `SECOND_SEEDS=1-100 node --import tsx --test packages/core/test/second-meetings.test.ts`. */
@@ -84,7 +84,7 @@
   test(`${name}: no rule breaks, all work ends, nothing is forgotten`, () => {
     const sum = new Map<string, number>();
     for (let seed = from; seed <= to; seed++) {
-      const o = play(seed, [SECOND_LIST[name]!], 3, SECOND_BOUNDS);
+      const o = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
       checkOutcome(o, `seed ${seed}`);
       counted(sum, o);
     }
@@ -96,7 +96,13 @@
   let called = 0;
   let before = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const w = new World(new Random(seed * 113), 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n', 16, 4);
+    const w = new ClusterSimulation(
+      new Random(seed * 113),
+      3,
+      '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n',
+      16,
+      4,
+    );
     w.stand(4);
     w.runFor(3 * SECOND);
     // Short tasks: something is started all the time, on machines that are on record for the job.
@@ -125,7 +131,7 @@
   let won = 0;
   for (let seed = 1; seed <= 12; seed++) {
     const r = new Random(seed * 2_027);
-    const w = new World(r, 3, undefined, undefined, 4);
+    const w = new ClusterSimulation(r, 3, undefined, undefined, 4);
     w.onLog = (_n, event) => {
       if (event === 'leader.won') won++;
     };
@@ -150,7 +156,7 @@
   const all = { done: 0, late: 0, cancelled: 0, slow: 0 };
   for (let seed = 1; seed <= 2; seed++) {
     const r = new Random(seed * 521);
-    const w = new World(r, 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 40.0\n', 40, 6);
+    const w = new ClusterSimulation(r, 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 40.0\n', 40, 6);
     w.stand(10);
     w.runFor(3 * SECOND);
     w.state.writesPerSecond = 25;
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -4,15 +4,15 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
+import type { Core } from '@shaleyoke/core/core';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/fault-scenarios';
+import { FIRST_BOUNDS, BASIC_SCENARIOS, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { checkOutcome } from './scenario-assertions.js';
 
-const NAMES = Object.keys(FIRST_LIST);
+const NAMES = Object.keys(BASIC_SCENARIOS);
 const TEAM = (cores: number): string => `[[cluster.teams]]\nname = "t"\ncpus_max = ${cores}.0\n`;
 
 /** More by hand: `MEETING_SEEDS=1-100 node --import tsx --test packages/core/test/meetings.test.ts`. */
@@ -22,7 +22,7 @@
   test(`${name}: no rule breaks, all work ends, nothing is forgotten`, () => {
     const sum = { orders: 0, late: 0, stale: 0, won: 0, cuts: 0, ends: 0, unreached: 0 };
     for (let seed = from; seed <= to; seed++) {
-      const o = play(seed, [FIRST_LIST[name]!], 4, FIRST_BOUNDS);
+      const o = play(seed, [BASIC_SCENARIOS[name]!], 4, FIRST_BOUNDS);
       checkOutcome(o, `seed ${seed}`);
       sum.orders += o.w.lateOrders;
       sum.late += o.w.lateWritten.all;
@@ -48,7 +48,7 @@
     for (let seed = 1; seed <= 6; seed++) {
       const r = new Random(seed * 131 + changes);
       // One core at a time: each task begins when the one before has ended.
-      const w = new World(r, 3, TEAM(1), 1, 4);
+      const w = new ClusterSimulation(r, 3, TEAM(1), 1, 4);
       w.stand(2);
       w.repeats = seed % 2 === 0 ? 0.3 : 0;
       w.runFor(3 * SECOND);
@@ -75,19 +75,9 @@
     }
 });
 
-interface Inside {
-  readonly scheduler: {
-    onReport(r: Heartbeat): HeartbeatResponse;
-    readonly term: {
-      readonly ready: boolean;
-      readonly estate: { readonly machines: ReadonlyMap<string, unknown> };
-    };
-  };
-}
-
 test('late copies of reports do not make a machine seem well that hangs', () => {
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new World(new Random(seed * 77), 3, TEAM(16), 16, 4);
+    const w = new ClusterSimulation(new Random(seed * 77), 3, TEAM(16), 16, 4);
     const missed = new Map<string, number>();
     w.onLog = (_n, event, f) => {
       if (event === 'machine.retire' && f['reason'] === 'silent') missed.set(String(f['machine']), w.now);
@@ -99,13 +89,13 @@
     const x = [...w.workers.values()].find((y) => y.alive && y.tasks.length > 0)!;
     // What it has sent so far comes again, one after the other, for longer than its lease.
     const sent = Array.from({ length: 12 }, () => w.machines.reportOf(x));
-    const lead = (): Inside => w.nodes.find((n) => n.core?.leads() === true)!.core as unknown as Inside;
-    for (const r of sent) lead().scheduler.onReport(r);
+    const lead = (): Core => w.nodes.find((n) => n.core?.leads() === true)!.core!;
+    for (const r of sent) lead().scheduler!.onReport(r);
     x.cutUntil = w.now + 1_000 * SECOND;
     const from = w.now;
     for (const r of sent) {
       w.runFor(4 * SECOND);
-      lead().scheduler.onReport(r);
+      lead().scheduler!.onReport(r);
     }
     const at = missed.get(x.name);
     assert.ok(at !== undefined, `seed ${seed}: ${x.name} is never missed`);
@@ -117,7 +107,7 @@
 test('a late report of a machine that an earlier leader saw end brings nothing back', () => {
   let ghosts = 0;
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new World(new Random(seed * 91), 3, TEAM(16), 16, 4);
+    const w = new ClusterSimulation(new Random(seed * 91), 3, TEAM(16), 16, 4);
     w.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++)
       w.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
@@ -133,17 +123,16 @@
       w.nodes.findIndex((n) => n.core?.leads() === true),
       SECOND,
     );
-    const reading = (): Inside | undefined =>
-      w.nodes.map((n) => n.core as unknown as Inside | null).find((c) => (c?.scheduler ?? null) !== null) ??
-      undefined;
+    const reading = (): Core | undefined =>
+      w.nodes.map((n) => n.core).find((c) => (c?.scheduler ?? null) !== null) ?? undefined;
     for (let i = 0; i < 40 && reading() === undefined; i++) w.runFor(250 * MILLI);
-    const { scheduler } = reading()!;
+    const scheduler = reading()!.scheduler!;
     assert.equal(scheduler.term.ready, false);
     scheduler.onReport(old);
-    assert.ok(scheduler.term.estate.machines.has(x.name), 'taken for one that may be there');
+    assert.ok(scheduler.term.cluster.machines.has(x.name), 'taken for one that may be there');
     w.runFor(6 * SECOND);
     assert.equal(scheduler.term.ready, true);
-    assert.ok(!scheduler.term.estate.machines.has(x.name), 'let go once the records were read');
+    assert.ok(!scheduler.term.cluster.machines.has(x.name), 'let go once the records were read');
     assert.equal(scheduler.onReport(old).kind, 'unavailable', `seed ${seed}`);
     ghosts += tasks.length;
     w.runFor(30 * SECOND);
@@ -161,7 +150,7 @@
     const r = new Random(seed * 811);
     const a = NAMES[r.below(NAMES.length)]!;
     const b = NAMES[r.below(NAMES.length)]!;
-    const o = play(1_000 + seed, [FIRST_LIST[a]!, FIRST_LIST[b]!], 3, FIRST_BOUNDS);
+    const o = play(1_000 + seed, [BASIC_SCENARIOS[a]!, BASIC_SCENARIOS[b]!], 3, FIRST_BOUNDS);
     checkOutcome(o, `seed ${seed}: ${a}; ${b}`);
     won += o.won;
   }
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -8,10 +8,10 @@
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 test('a repeated submission of a job that the node knows costs no writes', () => {
-  const w = new World(new Random(5), 3, undefined, undefined, 4);
+  const w = new ClusterSimulation(new Random(5), 3, undefined, undefined, 4);
   w.runFor(3 * SECOND);
   const spec = specOf('run-1', { estimatedRunUs: 300 * SECOND });
   w.submit(spec);
@@ -30,7 +30,7 @@
 });
 
 test('a record that can not be read holds up nobody else', () => {
-  const w = new World(new Random(11), 1, '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n', 4, 2);
+  const w = new ClusterSimulation(new Random(11), 1, '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n', 4, 2);
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 40 }, (_, i) => `run-${100 + i}`);
   for (const id of ids) w.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
@@ -56,7 +56,7 @@
 });
 
 test('polls by thousands after an outage are all answered within seconds', () => {
-  const w = new World(new Random(13), 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n', 4, 2);
+  const w = new ClusterSimulation(new Random(13), 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n', 4, 2);
   w.runFor(3 * SECOND);
   const ids = Array.from({ length: 1_500 }, (_, i) => `run-${10_000 + i}`);
   for (const id of ids) {
@@ -80,7 +80,13 @@
 test('a known job is never refused, whatever limits and machine types have become, or the body says', () => {
   let refused = 0;
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new World(new Random(seed * 17), 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 8.0\n', 8, 2);
+    const w = new ClusterSimulation(
+      new Random(seed * 17),
+      3,
+      '[[cluster.teams]]\nname = "t"\ncpus_max = 8.0\n',
+      8,
+      2,
+    );
     w.runFor(3 * SECOND);
     const ids = Array.from({ length: 4 }, (_, i) => `run-${seed}${i}`);
     const specs = ids.map((id, i) =>
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -1,47 +1,50 @@
 /** A leader that has become too slow gives the office up; one that stood still once does not, nor do all in turn. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Fitness } from '@shaleyoke/core/leader/leader-health';
+import { LeaderHealth } from '@shaleyoke/core/leader/leader-health';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 test('late three times within twenty seconds is unfit, late once for long is not', () => {
-  const f = new Fitness();
-  f.fired(30 * SECOND, 10 * SECOND);
-  assert.equal(f.unfit, false);
-  for (let t = 31; t < 61; t++) f.fired(t * SECOND, t * SECOND - 900 * MILLI);
-  assert.equal(f.unfit, false);
-  f.fired(62 * SECOND, 60 * SECOND);
-  f.fired(64 * SECOND, 62 * SECOND);
-  assert.equal(f.unfit, false);
-  f.fired(66 * SECOND, 64 * SECOND);
-  assert.equal(f.unfit, true);
-  assert.equal(f.behind, true);
-  f.fired(81 * SECOND, 81 * SECOND);
-  assert.equal(f.behind, false);
-  assert.equal(f.unfit, true);
-  f.fired(83 * SECOND, 83 * SECOND);
-  assert.equal(f.unfit, false);
-  for (let t = 90; t < 100; t += 2) f.fired(t * SECOND, (t - 2) * SECOND, false);
-  assert.equal(f.unfit, false);
-  assert.equal(f.behind, true);
+  const f = new LeaderHealth();
+  f.recordTimer(30 * SECOND, 10 * SECOND);
+  assert.equal(f.isOverloaded, false);
+  for (let t = 31; t < 61; t++) f.recordTimer(t * SECOND, t * SECOND - 900 * MILLI);
+  assert.equal(f.isOverloaded, false);
+  f.recordTimer(62 * SECOND, 60 * SECOND);
+  f.recordTimer(64 * SECOND, 62 * SECOND);
+  assert.equal(f.isOverloaded, false);
+  f.recordTimer(66 * SECOND, 64 * SECOND);
+  assert.equal(f.isOverloaded, true);
+  assert.equal(f.isLagging, true);
+  f.recordTimer(81 * SECOND, 81 * SECOND);
+  assert.equal(f.isLagging, false);
+  assert.equal(f.isOverloaded, true);
+  f.recordTimer(83 * SECOND, 83 * SECOND);
+  assert.equal(f.isOverloaded, false);
+  for (let t = 90; t < 100; t += 2) f.recordTimer(t * SECOND, (t - 2) * SECOND, false);
+  assert.equal(f.isOverloaded, false);
+  assert.equal(f.isLagging, true);
 });
 
 test('answers to renewals far apart count as well', () => {
-  const f = new Fitness();
-  for (let t = 1; t < 30; t += 1.2) f.renewed(t * SECOND);
-  for (const t of [33, 36]) f.renewed(t * SECOND);
-  assert.equal(f.unfit, false);
-  f.renewed(40 * SECOND, false);
-  assert.equal(f.unfit, false);
-  f.renewed(44 * SECOND);
-  assert.equal(f.unfit, true);
+  const f = new LeaderHealth();
+  for (let t = 1; t < 30; t += 1.2) f.recordRenewal(t * SECOND);
+  for (const t of [33, 36]) f.recordRenewal(t * SECOND);
+  assert.equal(f.isOverloaded, false);
+  f.recordRenewal(40 * SECOND, false);
+  assert.equal(f.isOverloaded, false);
+  f.recordRenewal(44 * SECOND);
+  assert.equal(f.isOverloaded, true);
 });
 
-const world = (seed: number, nodes: number): { w: World; leader: () => string; log: string[] } => {
-  const w = new World(new Random(seed), nodes, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
+const world = (
+  seed: number,
+  nodes: number,
+): { w: ClusterSimulation; leader: () => string; log: string[] } => {
+  const w = new ClusterSimulation(new Random(seed), nodes, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   w.runFor(3 * SECOND);
   for (let i = 0; i < 8; i++) w.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 200 * SECOND }));
   w.runFor(40 * SECOND);
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -1,14 +1,14 @@
 /** Controllers notice one another: suspicion, what refutes it, and what is done upon it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Members, type Change } from '@shaleyoke/core/membership/peer-failure-detector';
+import { PeerFailureDetector, type PeerChange } from '@shaleyoke/core/membership/peer-failure-detector';
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { beatOf } from '@shaleyoke/emulator/beats';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const ON: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
@@ -16,8 +16,8 @@
 /** One watcher of one peer, with time in hand. */
 class Watch {
   now: Micros = 0;
-  readonly members = new Members(ON, ['p'], () => this.now);
-  readonly changes: Change[] = [];
+  readonly members = new PeerFailureDetector(ON, ['p'], () => this.now);
+  readonly changes: PeerChange[] = [];
   private readonly inbox: { at: Micros; beat: PeerHeartbeat }[] = [];
   private checked: Micros = 0;
 
@@ -35,12 +35,12 @@
       if (next !== undefined && next.at <= Math.min(look, end)) {
         this.now = Math.max(this.now, next.at);
         this.inbox.shift();
-        const c = this.members.take(next.beat);
+        const c = this.members.receive(next.beat);
         if (c !== null) this.changes.push(c);
       } else if (look <= end) {
         this.now = look;
         this.checked = look;
-        this.changes.push(...this.members.check(late));
+        this.changes.push(...this.members.suspectSilentPeers(late));
       } else this.now = end;
     }
   }
@@ -97,37 +97,37 @@
   w.to(20 * SECOND);
   // Stood still for 9 s; the peer's beats wait in the socket and are read after the timers.
   w.now = 29 * SECOND;
-  assert.deepEqual(w.members.check(9 * SECOND), []);
-  assert.equal(w.members.check(0).length, 1, 'which a node that is in time would not wait for');
+  assert.deepEqual(w.members.suspectSilentPeers(9 * SECOND), []);
+  assert.equal(w.members.suspectSilentPeers(0).length, 1, 'which a node that is in time would not wait for');
 });
 
 test('beats that were held back, or of a process that was replaced, tell nothing', () => {
   const w = new Watch();
-  assert.equal(w.members.take(beatOf('p', 5))?.kind, 'heard');
-  assert.equal(w.members.take(beatOf('p', 4)), null);
-  assert.equal(w.members.take(beatOf('p', 5)), null);
-  assert.equal(w.members.take(beatOf('stranger', 9)), null);
-  assert.equal(w.members.take(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
+  assert.equal(w.members.receive(beatOf('p', 5))?.kind, 'heard');
+  assert.equal(w.members.receive(beatOf('p', 4)), null);
+  assert.equal(w.members.receive(beatOf('p', 5)), null);
+  assert.equal(w.members.receive(beatOf('stranger', 9)), null);
+  assert.equal(w.members.receive(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
   w.now = 4 * SECOND;
-  assert.equal(w.members.check(0).length, 1);
-  assert.equal(w.members.take(beatOf('p', 6)), null);
+  assert.equal(w.members.suspectSilentPeers(0).length, 1);
+  assert.equal(w.members.receive(beatOf('p', 6)), null);
   assert.equal(w.members.levelOf('p'), 'suspected', 'a late beat refutes nothing');
-  assert.equal(w.members.take(beatOf('p', 2, { incarnation: 2 }))?.kind, 'heard');
+  assert.equal(w.members.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'heard');
 });
 
 test('a process whose clock is behind that of the one before is heard all the same, a burst of old beats is not', () => {
   const w = new Watch();
-  w.members.take(beatOf('p', 1, { incarnation: 9 }));
+  w.members.receive(beatOf('p', 1, { incarnation: 9 }));
   w.now = 4 * SECOND;
-  assert.equal(w.members.check(0).length, 1);
+  assert.equal(w.members.suspectSilentPeers(0).length, 1);
   for (let i = 1; i < 9; i++) {
     w.now += 10 * MILLI;
-    assert.equal(w.members.take(beatOf('p', i, { incarnation: 3 })), null, 'all at once: held back');
+    assert.equal(w.members.receive(beatOf('p', i, { incarnation: 3 })), null, 'all at once: held back');
   }
-  const changes: (Change | null)[] = [];
+  const changes: (PeerChange | null)[] = [];
   for (let i = 9; i < 12; i++) {
     w.now += SECOND;
-    changes.push(w.members.take(beatOf('p', i, { incarnation: 3 })));
+    changes.push(w.members.receive(beatOf('p', i, { incarnation: 3 })));
   }
   assert.deepEqual(
     changes.map((c) => c?.kind),
@@ -139,24 +139,24 @@
 test('what a peer reaches is known as of its own word', () => {
   const w = new Watch();
   w.now = 10 * SECOND;
-  w.members.take(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
-  assert.equal(w.members.reachesState(7 * SECOND), 'p');
-  assert.equal(w.members.reachesState(8 * SECOND), null);
-  w.members.take(beatOf('p', 2, { storeAnswerAgeUs: null }));
-  assert.equal(w.members.reachesState(0), null);
+  w.members.receive(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
+  assert.equal(w.members.peerWithStoreAnswerAfter(7 * SECOND), 'p');
+  assert.equal(w.members.peerWithStoreAnswerAfter(8 * SECOND), null);
+  w.members.receive(beatOf('p', 2, { storeAnswerAgeUs: null }));
+  assert.equal(w.members.peerWithStoreAnswerAfter(0), null);
 });
 
 // ---- whole services ------------------------------------------------------------------------------
 
-const healthy = (w: World, node: number): string => {
+const healthy = (w: ClusterSimulation, node: number): string => {
   let kind = 'none';
   w.users.host.ask(node, { kind: 'health' }, (a) => (kind = a?.kind ?? 'none'));
   return kind;
 };
 
-const world = (seed: number): { w: World; log: string[] } => {
+const world = (seed: number): { w: ClusterSimulation; log: string[] } => {
   const teams = '[[cluster.teams]]\nname = "t"\n';
-  const w = new World(new Random(seed), 3, teams, 1e9, 12, '', () => [], 0, ON);
+  const w = new ClusterSimulation(new Random(seed), 3, teams, 1e9, 12, '', () => [], 0, ON);
   const log: string[] = [];
   w.onLog = (node, event, f) => log.push(`${node} ${event} ${String(f['of'] ?? '')}`);
   w.runFor(3 * SECOND);
@@ -235,7 +235,7 @@
 test('a process that is back at once is heard at once, whatever the time of day did meanwhile', () => {
   // Its number came from the time of day alone: up to 100 ms behind, it was dropped until it had been suspected.
   for (const [seed, back] of [0, 40, 100, 3_000].entries()) {
-    const w = new World(new Random(seed), 5, '[[cluster.teams]]\nname = "t"\n');
+    const w = new ClusterSimulation(new Random(seed), 5, '[[cluster.teams]]\nname = "t"\n');
     w.wallStart = 60 * SECOND;
     w.membership = ON;
     for (let i = 0; i < 5; i++) w.crash(i, 1);
@@ -256,7 +256,7 @@
 });
 
 test('switched off, nothing is sent', () => {
-  const w = new World(new Random(1));
+  const w = new ClusterSimulation(new Random(1));
   const kinds = new Set<string>();
   for (const n of w.nodes) {
     const { core } = n;
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Machine, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
-import { Context } from '@shaleyoke/core/node/node-context';
+import { NodeContext } from '@shaleyoke/core/node/node-context';
 import { LEAD } from '@shaleyoke/core/codecs/keys';
 import type {
   StoredItem,
@@ -11,12 +11,12 @@
   StoreWrite,
 } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { Pages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
-import { ProgressBook } from '@shaleyoke/core/storage/progress-store';
+import { PackedPages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
+import { ProgressStore } from '@shaleyoke/core/storage/progress-store';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
-import { Roster } from '@shaleyoke/core/storage/machine-store';
-import { Writer } from '@shaleyoke/core/storage/fenced-writer';
+import { MachineStore } from '@shaleyoke/core/storage/machine-store';
+import { FencedWriter } from '@shaleyoke/core/storage/fenced-writer';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
@@ -37,7 +37,7 @@
   private late: { at: number; run: () => void }[] = [];
 
   constructor(
-    readonly ctx: Context,
+    readonly ctx: NodeContext,
     readonly random: Random,
     public trouble: number,
   ) {
@@ -113,9 +113,9 @@
 }
 
 const setUp = (seed: number, trouble: number, from = settings) => {
-  const ctx = new Context(from, () => 0);
+  const ctx = new NodeContext(from, () => 0);
   const store = new Store(ctx, new Random(seed), trouble);
-  const writer = new Writer(ctx, 1, () => assert.fail('fenced'));
+  const writer = new FencedWriter(ctx, 1, () => assert.fail('fenced'));
   return { ctx, store, writer };
 };
 
@@ -125,7 +125,7 @@
     const { store, writer } = setUp(seed, 0.4);
     const now = new Map<string, number>();
     const confirmed = new Map<string, number>();
-    const pages = new Pages(writer, 'q/', 2_000, {
+    const pages = new PackedPages(writer, 'q/', 2_000, {
       describe: (id) => ({ n: now.get(id) ?? -1, pad: 'x'.repeat(r.below(60)) }),
       move: () => assert.fail('nothing to take apart'),
     });
@@ -154,7 +154,7 @@
           assert.ok((stored(k) ?? -1) >= n, `seed ${seed} step ${step}: ${k} ${stored(k)} < ${n}`);
     }
     store.trouble = 0;
-    pages.tidy();
+    pages.rewriteStalePages();
     store.runFor(60 * SECOND);
     for (const [id, n] of now) assert.equal(stored(id), n);
     for (const it of store.under('q/'))
@@ -182,8 +182,10 @@
   const jobs = new Map<string, ActiveJob>();
   const job = (id: string): ActiveJob | undefined => jobs.get(id);
   const find = (n: string): Machine | undefined => machines.get(n);
-  const roster = new Roster(writer, pageRoom(settings.maxValueBytes), find, () => assert.fail('unreadable'));
-  const book = new ProgressBook(ctx, writer, job, find);
+  const roster = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+    assert.fail('unreadable'),
+  );
+  const book = new ProgressStore(ctx, writer, job, find);
   for (let i = 0; i < 1_000; i++) {
     const m = machine(i);
     machines.set(m.name, m);
@@ -197,23 +199,23 @@
     jobs.set(j.id, j);
     for (let k = 0; k < Math.min(tasks, 80); k++) {
       const m = all[(i * 7 + k) % all.length]!;
-      j.live.set(k, {
+      j.liveAttempts.set(k, {
         job: j,
         index: k,
-        no: 1,
+        number: 1,
         machine: m,
-        session: 1,
+        agentEpoch: 1,
         state: 'running',
-        token: 1,
-        orderedAt: 0,
+        fencingToken: 1,
+        commandedAt: 0,
         runningAt: 0,
-        timed: true,
-        proven: true,
+        startTimeKnown: true,
+        confirmed: true,
         stopping: null,
       });
     }
     for (let k = 0; k < tasks; k += 3) j.done.add(k);
-    book.place(j, () => placed++);
+    book.recordPlacement(j, () => placed++);
   }
   store.runFor(10 * SECOND);
   assert.equal(placed, 200);
@@ -221,13 +223,15 @@
   assert.ok(store.largest <= settings.maxValueBytes);
 
   const next = setUp(2, 0);
-  const found = new Roster(next.writer, pageRoom(settings.maxValueBytes), () => undefined, assert.fail).load(
-    store.under('r/'),
-    [],
-  );
+  const found = new MachineStore(
+    next.writer,
+    pageRoom(settings.maxValueBytes),
+    () => undefined,
+    assert.fail,
+  ).load(store.under('r/'), []);
   assert.equal(found.size, 1_000);
-  const again = new Map([...jobs.values()].map((j) => [j.id, new ActiveJob(j.spec, 1, j.at, 0)]));
-  new ProgressBook(next.ctx, next.writer, (id) => again.get(id), find).load(
+  const again = new Map([...jobs.values()].map((j) => [j.id, new ActiveJob(j.spec, 1, j.acceptedAt, 0)]));
+  new ProgressStore(next.ctx, next.writer, (id) => again.get(id), find).load(
     store.under('q/'),
     store.under('p/'),
     again.values(),
@@ -236,7 +240,7 @@
   for (const j of jobs.values()) {
     const a = again.get(j.id)!;
     assert.equal(a.done.count, j.done.count);
-    for (const x of j.live.values()) assert.ok(a.placedOn.has(x.machine.name));
+    for (const x of j.liveAttempts.values()) assert.ok(a.recordedMachines.has(x.machine.name));
   }
 });
 
@@ -251,23 +255,25 @@
   put('p/run-1', { machines: ['m-000001'], bits: bits.encode(0, 1) });
   put('q/3', 'torn');
   const m = machine(1);
-  m.retiring = 'was retiring';
-  m.unresolved = true;
+  m.retirementReason = 'was retiring';
+  m.awaitingReconciliation = true;
   const jobs = new Map(
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
   const find = (n: string): Machine | undefined => (n === m.name ? m : undefined);
-  const roster = new Roster(writer, pageRoom(settings.maxValueBytes), find, () => assert.fail('unreadable'));
+  const roster = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+    assert.fail('unreadable'),
+  );
   assert.equal(roster.load([], store.under('h/')).get(m.name)?.retiring, true);
   roster.adopt(store.under('h/'), find);
-  const book = new ProgressBook(ctx, writer, (id) => jobs.get(id), find);
+  const book = new ProgressStore(ctx, writer, (id) => jobs.get(id), find);
   book.load(store.under('q/'), store.under('p/'), jobs.values(), true);
   store.runFor(5 * SECOND);
   assert.deepEqual([...store.under('h/'), ...store.under('p/')], []);
   assert.equal(store.items.get('q/3')!.value, 'torn');
   const job = jobs.get('run-1')!;
-  assert.ok(job.done.has(2) && job.unresolved.has(m.name) && !job.unreadable);
-  assert.ok(jobs.get('run-2')!.unreadable, 'its place may have been on the page that is torn');
+  assert.ok(job.done.has(2) && job.unreconciledMachines.has(m.name) && !job.progressUnreadable);
+  assert.ok(jobs.get('run-2')!.progressUnreadable, 'its place may have been on the page that is torn');
   assert.deepEqual(
     (readPage(store.items.get('q/s0')!.value) as Record<string, { machines: string[] }>)['run-1']!.machines,
     [m.name],
@@ -347,32 +353,32 @@
       const own = new Map(
         machines.map((m) => [m.name, new Machine(m.name, m.address, 'box', 'a', false, 0)]),
       );
-      for (const m of own.values()) m.unresolved = true;
+      for (const m of own.values()) m.awaitingReconciliation = true;
       const find = (n: string): Machine | undefined => own.get(n);
       const jobs = new Map(
         [...want].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
       );
-      const roster = new Roster(writer, pageRoom(lower.maxValueBytes), find, assert.fail);
+      const roster = new MachineStore(writer, pageRoom(lower.maxValueBytes), find, assert.fail);
       const found = roster.load(at.under('r/'), at.under('h/'));
       assert.equal(found.size, 240);
       for (const [name, rec] of found) {
         const m = own.get(name)!;
-        m.standing = rec.standing;
-        m.retiring = rec.retiring ? 'was retiring' : null;
+        m.preprovisioned = rec.preprovisioned;
+        m.retirementReason = rec.retiring ? 'was retiring' : null;
         assert.equal(rec.retiring, Number(name.slice(2)) % 17 === 0, `dies ${dies}: ${name}`);
       }
-      const book = new ProgressBook(ctx, writer, (id) => jobs.get(id), find);
+      const book = new ProgressStore(ctx, writer, (id) => jobs.get(id), find);
       book.load(at.under('q/'), at.under('p/'), jobs.values(), true);
       for (const [id, w] of want) {
         const job = jobs.get(id)!;
         assert.equal(job.done.count, w.done.length, `dies ${dies} leader ${leader}: ${id}`);
         for (const d of w.done) assert.ok(job.done.has(d), `${id}/${d}`);
         for (const n of w.names)
-          assert.ok(job.unresolved.has(n), `dies ${dies} leader ${leader}: ${id} ${n}`);
+          assert.ok(job.unreconciledMachines.has(n), `dies ${dies} leader ${leader}: ${id} ${n}`);
       }
       for (let i = 0; i < 250; i++) {
-        roster.settle();
-        book.settle(jobs.values());
+        roster.compact();
+        book.compact(jobs.values());
         at.runFor(SECOND / 4);
       }
       if (leader === 0) continue;
@@ -405,7 +411,7 @@
   assert.equal(refused, 1);
   assert.deepEqual(done.length, 11);
   // Smaller limits than announced: pages are made smaller, and every record gets its place.
-  const pages: Pages = new Pages(writer, 'q/', pageRoom(settings.maxValueBytes), {
+  const pages: PackedPages = new PackedPages(writer, 'q/', pageRoom(settings.maxValueBytes), {
     describe: (id) => ({ id, pad: 'z'.repeat(60) }),
     move: (id, then) => {
       pages.put(
@@ -419,7 +425,7 @@
   });
   for (let i = 0; i < 40; i++) pages.put(`run-${i}`, 110, 'now', () => undefined);
   for (let i = 0; i < 200; i++) {
-    pages.settle();
+    pages.compact();
     store.runFor(SECOND / 2);
   }
   const stored = new Set(store.under('q/').flatMap((it) => Object.keys(readPage(it.value) ?? {})));
@@ -434,16 +440,16 @@
   const m = machine(1);
   const job = new ActiveJob(specOf('run-1'), 1, 0, 0);
   const find = (n: string): Machine | undefined => (n === m.name ? m : undefined);
-  const book = new ProgressBook(ctx, writer, (id) => (id === job.id ? job : undefined), find);
-  job.placedOn.add(m.name);
-  book.place(job, () => undefined);
+  const book = new ProgressStore(ctx, writer, (id) => (id === job.id ? job : undefined), find);
+  job.recordedMachines.add(m.name);
+  book.recordPlacement(job, () => undefined);
   ctx.now += SECOND;
   ctx.runDueTimers();
   assert.ok(
     ctx.out.some((e) => e.kind === 'state'),
     'on its way',
   );
-  assert.ok(!job.placedOn.has(m.name));
+  assert.ok(!job.recordedMachines.has(m.name));
   store.runFor(SECOND);
-  assert.ok(!job.placedOn.has(m.name));
+  assert.ok(!job.recordedMachines.has(m.name));
 });
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -5,7 +5,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(4);
@@ -16,7 +16,7 @@
 };
 
 /** One cut: of what from what, for how long, in one direction or both. */
-const cut = (w: World, r: Random): void => {
+const cut = (w: ClusterSimulation, r: Random): void => {
   const names = w.nodes.map((n) => n.name);
   const node = names[r.below(names.length)]!;
   const length = [2, 9, 20, 45][r.below(4)]! * SECOND;
@@ -42,7 +42,7 @@
 /** Plays one history; what was broken in it, and which jobs did not end. */
 const play = (seed: number, nodes: number): { broken: string[]; open: string[]; won: number } => {
   const r = new Random(seed * 104_729);
-  const w = new World(r, nodes, '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n', 16, 6);
+  const w = new ClusterSimulation(r, nodes, '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n', 16, 6);
   if (seed % 3 !== 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   let won = 0;
   w.onLog = (_node, event) => {
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -1,7 +1,7 @@
 /** Cuts that leave some links up: who leads, whom workers are sent to, and what a deposed leader does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Link } from '@shaleyoke/core/node/store-connection';
+import { StoreConnection } from '@shaleyoke/core/node/store-connection';
 import { Core } from '@shaleyoke/core/core';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
@@ -9,13 +9,13 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const NAMES = ['n0', 'n1', 'n2'];
 
 /** A loaded world, who leads in it, and what is logged from now on. */
-const loaded = (seed: number): { w: World; leader: string; others: string[]; log: string[] } => {
-  const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
+const loaded = (seed: number): { w: ClusterSimulation; leader: string; others: string[]; log: string[] } => {
+  const w = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
   w.runFor(3 * SECOND);
   for (let i = 0; i < 10; i++)
     w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
@@ -26,7 +26,8 @@
   return { w, leader, others: NAMES.filter((n) => n !== leader), log };
 };
 
-const sessions = (w: World): number => [...w.workers.values()].reduce((n, x) => n + x.session - 1, 0);
+const sessions = (w: ClusterSimulation): number =>
+  [...w.workers.values()].reduce((n, x) => n + x.session - 1, 0);
 
 test('two nodes lose the state service: workers come to the third, and no lease runs out', () => {
   // The circle, seen at fleet size: a node that could not read who leads sent workers back to the leader that had
@@ -154,7 +155,7 @@
 
 test('users of a node that lost the state service are answered at once, and again once it is back', () => {
   // Seen at fleet size: polls waited for one call after the other to a silent service, until their users gave up.
-  const w = new World(new Random(5), 1);
+  const w = new ClusterSimulation(new Random(5), 1);
   w.runFor(3 * SECOND);
   w.submit(specOf('run-1', { tasks: 2 }));
   w.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
@@ -198,15 +199,15 @@
 });
 
 test('one lost call among answered ones is no lost link', () => {
-  const link = new Link();
-  link.good(5);
-  assert.equal(link.bad('silent', 4), false);
-  assert.equal(link.bad('busy', 6), false);
-  assert.equal(link.bad('silent', 6), true);
+  const link = new StoreConnection();
+  link.recordSuccess(5);
+  assert.equal(link.recordFailure('silent', 4), false);
+  assert.equal(link.recordFailure('busy', 6), false);
+  assert.equal(link.recordFailure('silent', 6), true);
   assert.equal(link.downSince, 6);
-  assert.equal(link.bad('refused', 7), false, 'it is known already');
-  assert.equal(link.good(9), true);
-  assert.equal(link.good(10), false);
+  assert.equal(link.recordFailure('refused', 7), false, 'it is known already');
+  assert.equal(link.recordSuccess(9), true);
+  assert.equal(link.recordSuccess(10), false);
   assert.equal(link.downSince, null);
 });
 
@@ -214,7 +215,7 @@
   // Found by a generated history (ran_cancelled): only the answers of the state service were lost, so that the leader's
   // renewals went on being executed and its office never ended; back in its right it started a job cancelled 46 s before.
   for (let seed = 1; seed <= 6; seed++) {
-    const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
+    const w = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
       w.submit(
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -1,17 +1,17 @@
 /** Fixtures for the play-out and the search, some from the paper (10.2, 12.1). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { latestStart, mergeOrders, orderByAims } from '@shaleyoke/core/cluster/objectives';
-import { attemptKey, Machine, type Attempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { latestStart, mergeOrders, orderByObjectives } from '@shaleyoke/core/cluster/objectives';
+import { attemptKey, Machine, type TaskAttempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Group, Picture, Rentable } from '@shaleyoke/core/scheduling/plan-input';
-import type { Slot } from '@shaleyoke/core/cluster/machine-slot';
+import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
 import { Clearings } from '@shaleyoke/core/scheduling/preemption';
 import { placeGroup } from '@shaleyoke/core/scheduling/group-placement';
-import { playOut } from '@shaleyoke/core/scheduling/rollout';
+import { simulateCompletion } from '@shaleyoke/core/scheduling/rollout';
 import { search } from '@shaleyoke/core/scheduling/placement-search';
-import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
+import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import { groupOf, pictureOf, slotOf, typeOf } from './cluster-fixtures.js';
@@ -34,7 +34,7 @@
     free: { cores: 0, gpus: 0, memoryGb: 8 },
     changes: [{ at: 60 * SECOND, cores: 1, gpus: 0, memoryGb: 1 }],
   });
-  const rent: Rentable = { type, zone: 'a', spot: false, limit: 5 };
+  const rent: CapacityOffer = { type, zone: 'a', spot: false, limit: 5 };
   const d = search(
     pictureOf([busy], { cpu: 5 }, [rent]),
     [groupOf(specOf('run-1', { tasks: 1 }))],
@@ -53,12 +53,12 @@
 });
 
 test('work that can be placed nowhere never improves a score', () => {
-  const p = (): Picture => pictureOf([slotOf('m', typeOf('cpu'))], { cpu: 5 });
+  const p = (): ClusterSnapshot => pictureOf([slotOf('m', typeOf('cpu'))], { cpu: 5 });
   const ok = groupOf(specOf('run-1'));
   const never = groupOf(specOf('run-2', { cores: 99 }));
-  const all = playOut(new PlacementSimulation(p(), [ok, never]), [ok, never], []);
+  const all = simulateCompletion(new PlacementSimulation(p(), [ok, never]), [ok, never], []);
   assert.equal(all.unplaced, never.count);
-  assert.ok(all.makespan >= playOut(new PlacementSimulation(p(), [ok]), [ok], []).makespan);
+  assert.ok(all.makespan >= simulateCompletion(new PlacementSimulation(p(), [ok]), [ok], []).makespan);
 });
 
 test('the same picture gives the same choice', () => {
@@ -107,7 +107,7 @@
     new ActiveJob(specOf(id, { tasks }), 1, Number(id.slice(4)), 0);
   const c = (j: ActiveJob, latest: number | null) => ({ job: j, latest, amount: j.spec.tasks });
   const [a, b, d, late] = [job('run-1', 8), job('run-2', 1), job('run-3', 1), job('run-4', 1)];
-  const order = mergeOrders([orderByAims([c(a!, 5), c(b!, 6), c(d!, 7), c(late!, null)], 2, 0.1)]);
+  const order = mergeOrders([orderByObjectives([c(a!, 5), c(b!, 6), c(d!, 7), c(late!, null)], 2, 0.1)]);
   assert.deepEqual(
     order.map((j) => j.id),
     ['run-2', 'run-3', 'run-1', 'run-4'],
@@ -116,22 +116,22 @@
     { kind: 'wait', class: 'c', withinUs: 15 * SECOND, share: 0.9, deadlineFactor: 1 },
     { kind: 'finished', class: 'c', withinUs: 100 * SECOND, share: 0.9, deadlineFactor: 1 },
   ];
-  assert.equal(latestStart(b!, objectives, b!.at, 10 * SECOND, 0), 15 * SECOND);
-  assert.equal(latestStart(b!, objectives, b!.at + 20 * SECOND, 10 * SECOND, 0), 70 * SECOND);
-  assert.equal(latestStart(b!, objectives, b!.at + 95 * SECOND, 10 * SECOND, 0), null);
+  assert.equal(latestStart(b!, objectives, b!.acceptedAt, 10 * SECOND, 0), 15 * SECOND);
+  assert.equal(latestStart(b!, objectives, b!.acceptedAt + 20 * SECOND, 10 * SECOND, 0), 70 * SECOND);
+  assert.equal(latestStart(b!, objectives, b!.acceptedAt + 95 * SECOND, 10 * SECOND, 0), null);
 });
 
 test('stopped runs are censored, and thin groups borrow', () => {
-  const t = new Timings();
-  for (let i = 0; i < 20; i++) t.note('c', 'x', 10 * SECOND, 20 * SECOND, true);
+  const t = new RuntimeEstimates();
+  for (let i = 0; i < 20; i++) t.recordRun('c', 'x', 10 * SECOND, 20 * SECOND, true);
   const plain = t.remaining('c', 'x', 10 * SECOND, 0);
   assert.ok(Math.abs(plain - 20 * SECOND) < SECOND);
-  for (let i = 0; i < 10; i++) t.note('c', 'x', 10 * SECOND, 5 * SECOND, false);
+  for (let i = 0; i < 10; i++) t.recordRun('c', 'x', 10 * SECOND, 5 * SECOND, false);
   assert.ok(t.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND, 'a stopped run is not a short one');
   assert.ok(t.remaining('c', 'y', 10 * SECOND, 0) > 15 * SECOND, 'an unseen type borrows from its class');
   assert.ok(t.remaining('c', 'x', 10 * SECOND, 60 * SECOND) > 0);
-  const s = new Timings();
-  s.seed(JSON.parse(JSON.stringify(t.summary(16_000))));
+  const s = new RuntimeEstimates();
+  s.load(JSON.parse(JSON.stringify(t.summary(16_000))));
   assert.ok(s.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND);
 });
 
@@ -185,7 +185,7 @@
   const b = new PlacementSimulation(picture, groups);
   const before = JSON.stringify(picture.slots);
   const mark = b.mark();
-  playOut(b, groups, []);
+  simulateCompletion(b, groups, []);
   assert.notEqual(JSON.stringify(picture.slots), before);
   b.rollback(mark);
   assert.equal(JSON.stringify(picture.slots), before);
@@ -229,23 +229,23 @@
     m.up = true;
     m.recorded = 'yes';
     for (const k of [0, 1]) {
-      const a: Attempt = {
+      const a: TaskAttempt = {
         job: old,
         index: i * 2 + k,
-        no: 1,
+        number: 1,
         machine: m,
-        session: 1,
+        agentEpoch: 1,
         state: 'running',
-        token: 1,
-        orderedAt: 0,
+        fencingToken: 1,
+        commandedAt: 0,
         // On the last machine they began a moment ago.
         runningAt: i === 4 ? 99 * SECOND : 0,
-        timed: true,
-        proven: true,
+        startTimeKnown: true,
+        confirmed: true,
         stopping: null,
       };
       m.attempts.set(attemptKey('run-8', a.index), a);
-      m.changes++;
+      m.revision++;
     }
     return m;
   });
@@ -266,14 +266,14 @@
   const type = typeOf('node', { cores: 32, memoryGb: 128 });
   const big = specOf('run-9', { cores: 30, memoryGb: 50, shape: 'gang' });
   const beside = slotOf('beside', type, {
-    sunk: false,
+    sunkCost: false,
     free: { cores: 2, gpus: 0, memoryGb: 70 },
     changes: [{ at: 90 * SECOND, cores: 30, gpus: 0, memoryGb: 50 }],
   });
-  const empty = slotOf('empty', type, { sunk: false });
-  const other = slotOf('other', type, { sunk: false });
+  const empty = slotOf('empty', type, { sunkCost: false });
+  const other = slotOf('other', type, { sunkCost: false });
   const p = { ...pictureOf([empty, beside, other], { node: 20 }), kinds: [big] };
-  const small = groupOf(specOf('run-1', { tasks: 6, cores: 1 }), { patience: 30 * SECOND });
+  const small = groupOf(specOf('run-1', { tasks: 6, cores: 1 }), { allowedDelay: 30 * SECOND });
   const d = search(p, [small], limits, still);
   const at = new Map<string, number>();
   for (const s of d.steps) at.set(s.slot.key, (at.get(s.slot.key) ?? 0) + s.count);
@@ -287,17 +287,17 @@
 
 test('a stage to come is placed from its predicted release on, and has a machine rented only if it must', () => {
   const type = typeOf('cpu', { cores: 4, bootUs: 30 * SECOND });
-  const busy = (until: number): Slot =>
+  const busy = (until: number): MachineSlot =>
     slotOf('busy', type, {
       free: { cores: 0, gpus: 0, memoryGb: 8 },
       changes: [{ at: until * SECOND, cores: 4, gpus: 0, memoryGb: 8 }],
     });
-  const rent: Rentable = { type, zone: 'a', spot: false, limit: 5 };
-  const stage = (): Group =>
+  const rent: CapacityOffer = { type, zone: 'a', spot: false, limit: 5 };
+  const stage = (): TaskGroup =>
     groupOf(specOf('run-1', { tasks: 4 }), {
-      phantom: true,
+      hypothetical: true,
       notBefore: 40 * SECOND,
-      margin: 20 * SECOND,
+      scaleOutThreshold: 20 * SECOND,
     });
   const waits = search(pictureOf([busy(50)], { cpu: 5 }, [rent]), [stage()], limits, still);
   assert.equal(waits.picture.rented.get(rent) ?? 0, 0);
@@ -311,10 +311,10 @@
 test('a gang begins where all members have room now, if it is done sooner than by waiting for what each likes', () => {
   // Seen on a krakow day: each of ten gangs held some free places in the plan and waited for the rest.
   const type = typeOf('node', { cores: 4, memoryGb: 16, imagePullGbPerS: 0.2 });
-  const idle = ['a1', 'a2', 'a3'].map((k) => slotOf(k, type, { sunk: false }));
+  const idle = ['a1', 'a2', 'a3'].map((k) => slotOf(k, type, { sunkCost: false }));
   const warm = ['w1', 'w2', 'w3'].map((k) =>
     slotOf(k, type, {
-      sunk: false,
+      sunkCost: false,
       images: new Set(['img']),
       free: { cores: 0, gpus: 0, memoryGb: 16 },
       // Free soon, and busy for long: prolonging it costs nothing.
@@ -325,7 +325,7 @@
     }),
   );
   const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 3, cores: 4, imageGb: 1 }), {
-    patience: 60 * SECOND,
+    allowedDelay: 60 * SECOND,
   });
   const d = search(pictureOf([...idle, ...warm], { node: 100 }), [gang], limits, still);
   assert.deepEqual(
@@ -336,11 +336,11 @@
 
 test('room kept for services is not given to other work, nor kept from the services themselves', () => {
   const type = typeOf('cpu', { cores: 4, memoryGb: 100 });
-  const slots = (): Slot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
+  const slots = (): MachineSlot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
   const service = specOf('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
-  const kept = groupOf(service, { phantom: true, kept: true });
+  const kept = groupOf(service, { hypothetical: true, kept: true });
   const array = groupOf(specOf('run-2', { tasks: 30 }));
-  const startedNow = (groups: Group[], of: string): number =>
+  const startedNow = (groups: TaskGroup[], of: string): number =>
     search(pictureOf(slots(), { cpu: 60 }), groups, limits, still)
       .steps.filter((s) => s.group.spec.id === of && s.start === 0)
       .reduce((n, s) => n + s.count, 0);
@@ -349,10 +349,13 @@
   assert.equal(startedNow([array, kept], 'run-2'), 12);
   const alone = groupOf(
     { ...service, spreadAcrossZones: false, sameZone: true },
-    { phantom: true, kept: true },
+    { hypothetical: true, kept: true },
   );
   assert.equal(startedNow([array, alone], 'run-2'), 8);
-  const anywhere = groupOf({ ...service, spreadAcrossZones: false, tasks: 5 }, { phantom: true, kept: true });
+  const anywhere = groupOf(
+    { ...service, spreadAcrossZones: false, tasks: 5 },
+    { hypothetical: true, kept: true },
+  );
   assert.equal(startedNow([array, anywhere], 'run-2'), 10);
   const real = groupOf({ ...service, id: 'run-3' }, { reserve: true });
   assert.equal(startedNow([array, real, kept], 'run-3'), 4);
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -5,7 +5,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const shapes = (r: Random, id: string): JobSpec => {
   const pick = r.below(5);
@@ -18,7 +18,7 @@
 };
 
 test('a quiet service does what it is asked to', () => {
-  const w = new World(new Random(1));
+  const w = new ClusterSimulation(new Random(1));
   w.runFor(3 * SECOND);
   w.submit(specOf('run-1', { tasks: 5 }));
   w.submit(specOf('run-2', { shape: 'gang', tasks: 3, sameZone: true }));
@@ -37,7 +37,7 @@
 test('no rule breaks under crashes, outages, cuts and lost or late messages, and all work ends', () => {
   for (let seed = 1; seed <= 14; seed++) {
     const r = new Random(seed * 7919);
-    const w = new World(r);
+    const w = new ClusterSimulation(r);
     w.runFor(2 * SECOND);
     const ids: string[] = [];
     for (let step = 0; step < 30; step++) {
@@ -73,7 +73,7 @@
 });
 
 test('at hundreds of machines all controllers may crash, and a zone fall silent, without a broken rule', () => {
-  const w = new World(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 300);
+  const w = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 300);
   w.runFor(3 * SECOND);
   const ids: string[] = [];
   for (let i = 0; i < 24; i++) {
@@ -105,7 +105,7 @@
 test('a machine that reported twice while a new leader was reading is not taken for empty', () => {
   // Seen on a grown krakow day: six tasks were started again elsewhere (ran_twice).
   for (let seed = 1; seed <= 3; seed++) {
-    const w = new World(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 12);
+    const w = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 12);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 6; i++)
       w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 60 * SECOND }));
@@ -123,7 +123,7 @@
 
 test('when all machines die at once, some leader stays until that is proven, and work goes on', () => {
   // Found by a generated world: each leader resigned after ten seconds of silence, before the leases ran out.
-  const w = new World(new Random(2));
+  const w = new ClusterSimulation(new Random(2));
   w.runFor(3 * SECOND);
   for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 4, estimatedRunUs: 60 * SECOND }));
   w.runFor(25 * SECOND);
@@ -147,7 +147,7 @@
   // Found by a generated history (ran_twice): the right comes back after the workers' leases ran out, an order that
   // waited is refused by a worker in its next session, work is started there, and the old count then "ends" it.
   for (let offset = 0; offset < 24; offset++) {
-    const w = new World(new Random(offset + 1), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
+    const w = new ClusterSimulation(new Random(offset + 1), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 90 * SECOND }));
     w.runFor(30 * SECOND);
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -1,11 +1,11 @@
 /** The order of waiting jobs: what can still be in time, given the room that this work can really have. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Context } from '@shaleyoke/core/node/node-context';
-import { Ordering } from '@shaleyoke/core/scheduling/queue-order';
+import { NodeContext } from '@shaleyoke/core/node/node-context';
+import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
-import { Fleet, type FleetHost } from '@shaleyoke/core/machines/autoscaler';
-import { Estate } from '@shaleyoke/core/cluster/cluster-state';
+import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
+import { ClusterState } from '@shaleyoke/core/cluster/cluster-state';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -15,12 +15,12 @@
 
 const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
 
-const estateOf = (machines: number): Estate => {
+const estateOf = (machines: number): ClusterState => {
   const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
   const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, deadlineFactor: 1 }];
-  const ctx = new Context({ ...settings, objectives }, () => 0);
+  const ctx = new NodeContext({ ...settings, objectives }, () => 0);
   ctx.types = new Map([['gpu', GPU]]);
-  const estate = new Estate(ctx);
+  const estate = new ClusterState(ctx);
   for (let i = 0; i < machines; i++) {
     const m = new Machine(`m-${i}`, `m-${i}`, 'gpu', 'a', false, 0);
     m.up = true;
@@ -30,7 +30,7 @@
   return estate;
 };
 
-const add = (estate: Estate, id: string, more: Partial<JobSpec>): ActiveJob => {
+const add = (estate: ClusterState, id: string, more: Partial<JobSpec>): ActiveJob => {
   const job = new ActiveJob(specOf(id, { machineTypes: ['gpu'], ...more }), 1, 0, 0);
   estate.jobs.set(id, job);
   return job;
@@ -64,7 +64,7 @@
     }
     add(estate, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
     for (let i = 0; i < 3; i++) add(estate, `small-${i}`, { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
-    return new Ordering(estate).inOrder().map((j) => j.id);
+    return new QueueOrder(estate).inOrder().map((j) => j.id);
   };
   assert.equal(order(0)[0], 'large', 'with all GPUs there is room for all, the most urgent first');
   assert.equal(order(8)[3], 'large', 'on two machines the large one would only make all of them late');
@@ -79,7 +79,7 @@
   add(estate, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
   add(estate, 'small', { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
   assert.deepEqual(
-    new Ordering(estate).inOrder().map((j) => j.id),
+    new QueueOrder(estate).inOrder().map((j) => j.id),
     ['small', 'large'],
   );
 });
@@ -89,13 +89,13 @@
 
 test('urgent work of any shape comes before the turns of many teams', () => {
   const teams = TEAMS.map((name) => `[[cluster.teams]]\nname = "${name}"\n`).join('');
-  const ctx = new Context({ ...settingsFor('n0', ['n0'], teams), objectives: [URGENT] }, () => 0);
-  const estate = new Estate(ctx);
+  const ctx = new NodeContext({ ...settingsFor('n0', ['n0'], teams), objectives: [URGENT] }, () => 0);
+  const estate = new ClusterState(ctx);
   for (const team of TEAMS) add(estate, `old-${team}`, { team });
   const urgent = { class: 'urgent', team: TEAMS[7]!, priority: 1 } as const;
   add(estate, 'urgent-array', urgent);
   add(estate, 'urgent-gang', { ...urgent, shape: 'gang' });
-  const ordering = new Ordering(estate);
+  const ordering = new QueueOrder(estate);
   ordering.inOrder();
   // A turn is due for each team now.
   ctx.now += 13 * SECOND;
@@ -113,8 +113,8 @@
 
 test('room is kept for as much urgent work as comes within the time that it may wait', () => {
   const settings = settingsFor('n0', ['n0'], '');
-  const ctx = new Context({ ...settings, objectives: [URGENT] }, () => 0);
-  const fleet = new Fleet(ctx, { thrifty: () => false } as FleetHost);
+  const ctx = new NodeContext({ ...settings, objectives: [URGENT] }, () => 0);
+  const fleet = new Autoscaler(ctx, { thrifty: () => false } as AutoscalerHost);
   const spec = specOf('run-1', { class: 'urgent', tasks: 4 });
   fleet.noteArrival(spec);
   assert.equal(fleet.kept()[0]?.count, 4, 'one job: its own tasks');
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -8,7 +8,7 @@
 import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** After the last end somebody leads within a leader's lease and so much more, whoever was back how soon. */
 const ELECTION = 2 * SECOND;
@@ -23,7 +23,7 @@
 };
 
 /** Ends of processes that are back at once: one of them, the leader, or all; now, or again and again. */
-const ends = (w: World, r: Random): void => {
+const ends = (w: ClusterSimulation, r: Random): void => {
   const back = (): number => r.below(500) * MILLI;
   const leader = w.nodes.findIndex((n) => n.core?.leads());
   const what = r.below(5);
@@ -52,7 +52,7 @@
 const play = (seed: number, size: Size): { broken: string[]; open: string[]; late: boolean; won: number } => {
   const r = new Random(seed * 15_485_863);
   const teams = `[[cluster.teams]]\nname = "t"\ncpus_max = ${size.limitCores}.0\n`;
-  const w = new World(r, size.nodes, teams, size.limitCores, size.perZone);
+  const w = new ClusterSimulation(r, size.nodes, teams, size.limitCores, size.perZone);
   if (seed % 3 !== 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   w.stand(size.standing);
   let won = 0;
@@ -123,7 +123,7 @@
 
 test('a late copy of a start is refused once its worker has forgotten how it ended', () => {
   // Seen in a generated history: the copy of an answered call ran a task again that was elsewhere by then (quota, no room).
-  const w = new World(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
+  const w = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
   w.stand(2);
   w.runFor(3 * SECOND);
   w.submit(specOf('run-1', { tasks: 1, estimatedRunUs: 5 * SECOND }));
@@ -150,7 +150,7 @@
   // Only the first term's leader knew them: one that ended before they were on record left them to be returned as idle.
   for (let seed = 1; seed <= 10; seed++) {
     const r = new Random(seed * 7_368_787);
-    const w = new World(r, 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
+    const w = new ClusterSimulation(r, 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
     w.stand(12);
     const first = new Set(w.workers.keys());
     for (let k = 0; k < 4; k++) {
@@ -172,7 +172,13 @@
 test('teams with limits start work after a takeover although some machines have not been heard yet', () => {
   // One silent machine once held up all starts of such teams until its lease had run out.
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new World(new Random(seed), 5, '[[cluster.teams]]\nname = "t"\ncpus_max = 60.0\n', 60, 20);
+    const w = new ClusterSimulation(
+      new Random(seed),
+      5,
+      '[[cluster.teams]]\nname = "t"\ncpus_max = 60.0\n',
+      60,
+      20,
+    );
     w.stand(30);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++) w.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
@@ -202,7 +208,7 @@
 test('a service that must start at once does so while a new leader still accounts for machines', () => {
   const aim = '[[cluster.objectives]]\nkind = "wait"\nclass = "c"\nwithin_s = 1.0\n';
   for (const [seed, spread] of [true, false].entries()) {
-    const w = new World(new Random(seed), 5, `[[cluster.teams]]\nname = "t"\n${aim}`, 1e9, 20);
+    const w = new ClusterSimulation(new Random(seed), 5, `[[cluster.teams]]\nname = "t"\n${aim}`, 1e9, 20);
     w.stand(30);
     w.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -29,10 +29,10 @@
 import { decodeMachine, encodeMachine } from '@shaleyoke/core/codecs/machine-codec';
 import { decodeMachineTypes, encodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
 import { decodeProgress, encodeProgress } from '@shaleyoke/core/codecs/progress-codec';
-import { Timings } from '@shaleyoke/core/cluster/runtime-estimates';
+import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { readPage } from '@shaleyoke/core/storage/packed-pages';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
@@ -84,7 +84,7 @@
 test('a job that has not ended', () => {
   const record = { spec: STORED_SPEC, at: 1_796_126_400_000_000 };
   assert.deepEqual(stored(encodeActiveJob(SPEC, 1_796_126_400_000_000)), record);
-  assert.deepEqual(decodeActiveJob(record), { spec: SPEC, at: 1_796_126_400_000_000 });
+  assert.deepEqual(decodeActiveJob(record), { spec: SPEC, acceptedAt: 1_796_126_400_000_000 });
 });
 
 test('a job that waits for others', () => {
@@ -93,17 +93,17 @@
   };
   const waiting = { ...SPEC, dependsOn: ['run-40', 'run-411'] };
   assert.deepEqual(stored(encodeActiveJob(waiting, 5)), record);
-  assert.deepEqual(decodeActiveJob(record), { spec: waiting, at: 5 });
+  assert.deepEqual(decodeActiveJob(record), { spec: waiting, acceptedAt: 5 });
 });
 
 test('a job that has ended', () => {
   const spec = { id: 'run-412', shape: 'gang', tasks: 16, cores: 8 };
   const record = { stage: 'done', done: 16, spec, at: 7 };
   assert.deepEqual(stored(encodeEndedJob(SPEC, 'done', 16, 7)), record);
-  assert.deepEqual(decodeEndedJob(record), { stage: 'done', done: 16, shape: 'gang', at: 7 });
+  assert.deepEqual(decodeEndedJob(record), { stage: 'done', done: 16, shape: 'gang', endedAt: 7 });
   // The version before leaves the time of the end out.
   const former = { stage: 'cancelled', done: 0, spec };
-  assert.deepEqual(decodeEndedJob(former), { stage: 'cancelled', done: 0, shape: 'gang', at: null });
+  assert.deepEqual(decodeEndedJob(former), { stage: 'cancelled', done: 0, shape: 'gang', endedAt: null });
 });
 
 test('records of jobs that can not be read are null', () => {
@@ -124,11 +124,12 @@
 test('a machine, with and without marks', () => {
   const plain = { address: '10.1.0.7:90', type: 'g8', zone: 'a' };
   const marked = { ...plain, spot: true, retiring: true, standing: true };
-  const unset = { spot: false, retiring: false, standing: false };
+  const set = { ...plain, spot: true, retiring: true, preprovisioned: true };
+  const unset = { spot: false, retiring: false, preprovisioned: false };
   assert.deepEqual(stored(encodeMachine({ ...plain, ...unset })), plain);
-  assert.deepEqual(stored(encodeMachine(marked)), marked);
+  assert.deepEqual(stored(encodeMachine(set)), marked);
   assert.deepEqual(decodeMachine(plain), { ...plain, ...unset });
-  assert.deepEqual(decodeMachine(marked), marked);
+  assert.deepEqual(decodeMachine(marked), set);
   assert.equal(decodeMachine({ address: '10.1.0.7:90', type: 'g8' }), null);
 });
 
@@ -196,12 +197,12 @@
       [0.5, 1],
     ],
   };
-  const learned = new Timings();
-  learned.note('train', 'g8', 100 * SECOND, 110 * SECOND, true);
-  learned.note('train', 'g8', 100 * SECOND, 50 * SECOND, false);
+  const learned = new RuntimeEstimates();
+  learned.recordRun('train', 'g8', 100 * SECOND, 110 * SECOND, true);
+  learned.recordRun('train', 'g8', 100 * SECOND, 50 * SECOND, false);
   assert.deepEqual(stored(learned.summary(16_000)), record);
-  const read = new Timings();
-  read.seed(record);
+  const read = new RuntimeEstimates();
+  read.load(record);
   assert.deepEqual(stored(read.summary(16_000)), record);
 });
 
@@ -216,7 +217,7 @@
 });
 
 test('what a leader writes has these fields and no others', () => {
-  const world = new World(new Random(5), 3);
+  const world = new ClusterSimulation(new Random(5), 3);
   world.stand(2);
   world.runFor(3 * SECOND);
   world.submit(specOf('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -5,15 +5,14 @@
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
-import { ClusterTotals } from '@shaleyoke/core/cluster/usage-totals';
-import type { Estate } from '@shaleyoke/core/cluster/cluster-state';
+import { UsageTotals } from '@shaleyoke/core/cluster/usage-totals';
 import { MachineRegistry } from '@shaleyoke/core/cluster/machine-registry';
-import { Usage } from '@shaleyoke/core/cluster/fair-share';
-import { FIRST_BOUNDS, FIRST_LIST, play } from '@shaleyoke/emulator/fault-scenarios';
+import { QuotaUsage } from '@shaleyoke/core/cluster/fair-share';
+import { FIRST_BOUNDS, BASIC_SCENARIOS, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { TYPE } from '@shaleyoke/emulator/site';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { runTask } from './cluster-fixtures.js';
 
 const TYPES = new Map<string, MachineType>([
@@ -26,20 +25,20 @@
 /** All machines and attempts, one after the other, as plans once did. */
 const fullCount = (
   machines: Iterable<Machine>,
-): { usage: Usage; use: Map<string, number>; lowest: number } => {
-  const usage = new Usage();
+): { usage: QuotaUsage; use: Map<string, number>; lowest: number } => {
+  const usage = new QuotaUsage();
   const use = new Map<string, number>();
   let lowest = 3;
   for (const machine of machines) {
     let unproven = false;
-    for (const { job, proven } of machine.attempts.values()) {
+    for (const { job, confirmed: proven } of machine.attempts.values()) {
       const { team, cores } = job.spec;
       use.set(team, (use.get(team) ?? 0) + cores);
       lowest = Math.min(lowest, job.priority);
       if (proven) usage.add(job.spec, 1);
       else unproven = true;
     }
-    if (machine.unresolved || machine.strangers > 0 || unproven)
+    if (machine.awaitingReconciliation || machine.unknownTaskCount > 0 || unproven)
       usage.doubt(TYPES.get(machine.type) ?? null, machine);
   }
   return { usage, use, lowest };
@@ -56,7 +55,7 @@
   let free = 0;
   for (const machine of machines) {
     const type = TYPES.get(machine.type)!;
-    if (machine.retiring !== null || (gpu && type.gpus === 0)) continue;
+    if (machine.retirementReason !== null || (gpu && type.gpus === 0)) continue;
     const left = machine.freeOf(type);
     let [cores, gpus, lower] = [0, 0, 0];
     for (const { job } of machine.attempts.values()) {
@@ -77,7 +76,7 @@
   assert.ok(Math.abs(actual - expected) < 1e-6, `${what}: ${actual}, counted ${expected}`);
 };
 
-const compare = (totals: ClusterTotals, machines: ReadonlyMap<string, Machine>, what: string): void => {
+const compare = (totals: UsageTotals, machines: ReadonlyMap<string, Machine>, what: string): void => {
   const counted = fullCount(machines.values());
   const usage = totals.usage();
   const limit = { name: 't', guaranteedCores: 0, guaranteedGpus: 0, maxCores: 60, maxGpus: 30 };
@@ -87,13 +86,13 @@
       counted.usage.room(probe, limit),
       `${what}: room of ${probe.team}`,
     );
-  const use = totals.teamUse();
+  const use = totals.teamUsage();
   for (const team of TEAMS)
     near(use.get(team)?.cores ?? 0, counted.use.get(team) ?? 0, `${what}: cores of ${team}`);
   assert.equal(totals.lowestRunning(), counted.lowest, `${what}: lowest running`);
   assert.equal(
-    totals.anyStanding,
-    [...machines.values()].some((m) => m.standing),
+    totals.anyPreprovisioned,
+    [...machines.values()].some((m) => m.preprovisioned),
     `${what}: standing`,
   );
   for (const gpu of [false, true])
@@ -109,7 +108,7 @@
   for (let seed = 1; seed <= 20; seed++) {
     const random = new Random(seed);
     const machines = new MachineRegistry();
-    const totals = new ClusterTotals(machines, () => TYPES);
+    const totals = new UsageTotals(machines, () => TYPES);
     machines.observer = totals;
     const jobs = Array.from({ length: 8 }, (_, i) => {
       const spec: Partial<JobSpec> = {
@@ -129,21 +128,21 @@
       const first = [...machine.attempts][0];
       if (first === undefined) return;
       machine.attempts.delete(first[0]);
-      first[1].job.live.delete(first[1].index);
-      machine.touch();
+      first[1].job.liveAttempts.delete(first[1].index);
+      machine.markChanged();
     };
     const changes: ((machine: Machine) => void)[] = [
       begin,
       begin,
       end,
       (m) => (m.up = !m.up),
-      (m) => (m.unresolved = random.chance(0.3)),
-      (m) => (m.strangers = random.below(2)),
-      (m) => (m.standing = random.chance(0.5)),
-      (m) => (m.retiring = random.chance(0.2) ? 'idle' : null),
+      (m) => (m.awaitingReconciliation = random.chance(0.3)),
+      (m) => (m.unknownTaskCount = random.below(2)),
+      (m) => (m.preprovisioned = random.chance(0.5)),
+      (m) => (m.retirementReason = random.chance(0.2) ? 'idle' : null),
       () => (jobs[random.below(jobs.length)]!.priority = random.below(4) as Priority),
       (m) => {
-        for (const attempt of m.attempts.values()) attempt.proven = true;
+        for (const attempt of m.attempts.values()) attempt.confirmed = true;
         m.notifyObserver();
       },
       (m) => machines.delete(m.name),
@@ -161,26 +160,22 @@
   }
 });
 
-interface Inside {
-  readonly scheduler: { readonly term: { readonly estate: Estate } } | null;
-}
-
 /** Compares what the leader of a world keeps up with what it has. */
-const compareLeader = (world: World): boolean => {
-  const core = world.nodes[world.leader()]?.core as unknown as Inside | undefined;
-  const estate = core?.scheduler?.term.estate;
+const compareLeader = (world: ClusterSimulation): boolean => {
+  const core = world.nodes[world.leader()]?.core;
+  const estate = core?.scheduler?.term.cluster;
   if (estate === undefined) return false;
   const use = new Map<string, number>();
   for (const machine of estate.machines.values())
     for (const { job } of machine.attempts.values())
       use.set(job.spec.team, (use.get(job.spec.team) ?? 0) + job.spec.cores);
-  near(estate.totals.teamUse().get('t')?.cores ?? 0, use.get('t') ?? 0, `at ${world.now}`);
+  near(estate.usageTotals.teamUsage().get('t')?.cores ?? 0, use.get('t') ?? 0, `at ${world.now}`);
   return true;
 };
 
 test("a leader's sums equal a full count at every moment of meetings of troubles", () => {
   let looks = 0;
-  for (const [i, meeting] of Object.values(FIRST_LIST).entries())
+  for (const [i, meeting] of Object.values(BASIC_SCENARIOS).entries())
     play(
       300 + i,
       [
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -56,7 +56,7 @@
   readonly onEffect?: (node: string, effect: CoreEffect, now: Micros) => void;
 }
 
-export class World {
+export class ClusterSimulation {
   readonly broken: string[] = [];
   readonly nodes: SimNode[];
   readonly work = new Work();
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -7,19 +7,19 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/ports';
-import { FIRST_LIST, play, SECOND_LIST } from '../fault-scenarios.js';
+import { BASIC_SCENARIOS, play, EXTENDED_SCENARIOS } from '../fault-scenarios.js';
 import { Random } from '../random.js';
 import { specOf } from '../specs.js';
-import { World } from '../cluster-simulation.js';
+import { ClusterSimulation } from '../cluster-simulation.js';
 import { MessageDigest } from './message-digest.js';
 import type { FeatureAnswerEncoder } from './message-encoding.js';
 
 /** A client of a feature, which sends requests of its own between the steps of a history. */
 export interface FeatureClient {
   /** Called once, before the deployment has played. */
-  prepare(world: World): void;
+  prepare(world: ClusterSimulation): void;
   /** Called at each step. */
-  step(world: World, random: Random): void;
+  step(world: ClusterSimulation, random: Random): void;
 }
 
 /** What a history switches on beside the scheduler itself. */
@@ -96,7 +96,7 @@
 };
 
 /** Restarts, cuts, outages, lost and late answers, machines that end or are taken back. */
-const injectFaults = (world: World, random: Random): void => {
+const injectFaults = (world: ClusterSimulation, random: Random): void => {
   world.loss = random.chance(0.3) ? 0.15 : 0.02;
   world.repeats = random.chance(0.2) ? 0.2 : 0;
   world.lateWrites = random.chance(0.1) ? 0.3 : 0;
@@ -119,7 +119,7 @@
   }
 };
 
-const stopFaults = (world: World): void => {
+const stopFaults = (world: ClusterSimulation): void => {
   world.loss = 0;
   world.repeats = 0;
   world.lateWrites = 0;
@@ -135,7 +135,7 @@
   onEffect: EffectListener,
 ): void => {
   const random = new Random(plan.seed * 7_919 + 3);
-  const world = new World(
+  const world = new ClusterSimulation(
     random,
     NODES,
     TEAMS,
@@ -173,7 +173,7 @@
 
 /** Two of the scenarios in which faults meet, one after the other. */
 const playMeetings = (plan: HistoryPlan, onEffect: EffectListener): void => {
-  const meetings = Object.values({ ...FIRST_LIST, ...SECOND_LIST });
+  const meetings = Object.values({ ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS });
   const first = meetings[plan.seed % meetings.length]!;
   const second = meetings[(plan.seed * 7 + 3) % meetings.length]!;
   play(plan.seed, [first, second], 1, { calm: 20 * SECOND, last: 60 * SECOND }, { onEffect });
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -8,11 +8,11 @@
 import { Random } from './random.js';
 import { specOf } from './specs.js';
 import { LeftWaiting } from './waiting.js';
-import { World, type CoreOptions } from './cluster-simulation.js';
+import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
 
-export interface Scene {
-  readonly w: World;
+export interface ScenarioContext {
+  readonly w: ClusterSimulation;
   readonly r: Random;
   /** Jobs that were submitted. */
   readonly ids: string[];
@@ -20,9 +20,9 @@
   readonly count: (what: string, by?: number) => void;
 }
 
-export type Meeting = (s: Scene) => void;
+export type FaultScenario = (s: ScenarioContext) => void;
 
-const ends = ({ w, r, count }: Scene, delay: Micros = 0): void => {
+const ends = ({ w, r, count }: ScenarioContext, delay: Micros = 0): void => {
   w.later(delay, () => {
     const i = w.leader();
     if (i < 0) return;
@@ -31,11 +31,11 @@
   });
 };
 
-const busy = (w: World): Worker[] =>
+const busy = (w: ClusterSimulation): Worker[] =>
   [...w.workers.values()].filter((x) => x.alive && x.tasks.some((t) => t.state === 'running'));
 
 /** Some of those that have tasks: cut off or hanging, deaf or mute, for shorter and longer than a lease. */
-const disturb = ({ w, r, count }: Scene, share: number): void => {
+const disturb = ({ w, r, count }: ScenarioContext, share: number): void => {
   for (const x of busy(w)) {
     if (!r.chance(share)) continue;
     count('disturbed');
@@ -48,7 +48,7 @@
 };
 
 /** Cancels up to so many jobs that run, within a fifth of a second. */
-const callOff = ({ w, r, count }: Scene, most: number): void => {
+const callOff = ({ w, r, count }: ScenarioContext, most: number): void => {
   const running = new Set(busy(w).flatMap((x) => x.tasks.map((t) => t.job)));
   for (const id of [...running].slice(0, most)) {
     count('called off');
@@ -59,7 +59,7 @@
 };
 
 /** Ends the leader at one of its next writes: before it is carried out, or after. */
-const endAtWrite = (s: Scene, within: number): void => {
+const endAtWrite = (s: ScenarioContext, within: number): void => {
   const { w, r, count } = s;
   const i = w.leader();
   if (i < 0) return;
@@ -76,7 +76,7 @@
 };
 
 /** The first list of meetings. */
-export const FIRST_LIST: Readonly<Record<string, Meeting>> = {
+export const BASIC_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   'commands held up': ({ w, r }) => {
     w.ordersLate = { share: 0.5, most: (1 + r.below(12)) * SECOND };
     w.later(12 * SECOND, () => {
@@ -149,7 +149,7 @@
 };
 
 /** The operators' second list. */
-export const SECOND_LIST: Readonly<Record<string, Meeting>> = {
+export const EXTENDED_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   'close looks': (s) => {
     const { w, r } = s;
     w.users.closeLooks = 1;
@@ -412,7 +412,7 @@
 };
 
 export interface Outcome {
-  readonly w: World;
+  readonly w: ClusterSimulation;
   readonly broken: string[];
   /** Accepted and not ended, with how they were last told. */
   readonly open: string[];
@@ -445,13 +445,13 @@
 /** Plays these meetings one after the other, each begun while the last may still go on, and then a long calm. */
 export const play = (
   seed: number,
-  meetings: readonly Meeting[],
+  meetings: readonly FaultScenario[],
   rounds: number,
   bounds: Bounds,
   coreOptions: CoreOptions = {},
 ): Outcome => {
   const r = new Random(seed * 49_999 + 23);
-  const w = new World(
+  const w = new ClusterSimulation(
     r,
     seed % 4 === 0 ? 5 : 3,
     `[[cluster.teams]]\nname = "t"\ncpus_max = ${CORES}.0\n`,
@@ -480,7 +480,7 @@
     w.submit(more === undefined ? shapes(r, id) : specOf(id, more));
     return id;
   };
-  const scene: Scene = { w, r, ids, submit, count };
+  const scene: ScenarioContext = { w, r, ids, submit, count };
   for (let i = 0; i < 5; i++) submit();
   w.runFor(20 * SECOND);
   for (let round = 0; round < rounds; round++) {
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -3,7 +3,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '../random.js';
-import { World } from '../cluster-simulation.js';
+import { ClusterSimulation } from '../cluster-simulation.js';
 import { LeaderProbe, type PhaseReport } from './leader-probe.js';
 import { clusterSettings, isUrgent, LARGEST_GANG, mixedJobs, TEAMS } from './load.js';
 import { summarize, type Summary } from './statistics.js';
@@ -55,7 +55,7 @@
 }
 
 /** Plays until the condition holds, or the time is over: whether it held. */
-const playUntil = (world: World, most: Micros, condition: () => boolean): boolean => {
+const playUntil = (world: ClusterSimulation, most: Micros, condition: () => boolean): boolean => {
   const end = world.now + most;
   while (world.now < end) {
     if (condition()) return true;
@@ -66,7 +66,7 @@
 
 class SizeRun {
   private readonly probe = new LeaderProbe();
-  private readonly world: World;
+  private readonly world: ClusterSimulation;
   private readonly startedAt = new Map<string, Micros>();
   private readonly submittedAt = new Map<string, Micros>();
   private readyAt: Micros | null = null;
@@ -75,7 +75,7 @@
     const { machines, seed } = options;
     // Twice what a team's share of a burst takes: quotas are counted, and hold nobody up.
     const quota = Math.max(4 * LARGEST_GANG, Math.ceil((16 * machines) / TEAMS.length));
-    this.world = new World(
+    this.world = new ClusterSimulation(
       new Random(seed),
       CONTROLLERS,
       clusterSettings(quota),
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { TYPE } from './site.js';
-import type { World } from './cluster-simulation.js';
+import type { ClusterSimulation } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
 
 export class LeftWaiting {
@@ -15,7 +15,7 @@
   readonly longest = new Map<string, Micros>();
 
   constructor(
-    private readonly w: World,
+    private readonly w: ClusterSimulation,
     private readonly teamCores: number,
   ) {}
 
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -5,10 +5,10 @@
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
 import { LeftWaiting } from '../src/waiting.js';
-import { World } from '../src/cluster-simulation.js';
+import { ClusterSimulation } from '../src/cluster-simulation.js';
 
-const longest = (coresMax: number, before: (w: World) => void): number => {
-  const w = new World(
+const longest = (coresMax: number, before: (w: ClusterSimulation) => void): number => {
+  const w = new ClusterSimulation(
     new Random(3),
     3,
     `[[cluster.teams]]\nname = "t"\ncpus_max = ${coresMax}.0\n`,
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -4,7 +4,7 @@
  *
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
-import { Members } from '@shaleyoke/core/membership/peer-failure-detector';
+import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
@@ -67,20 +67,20 @@
 
 const play = (c: Case, r: Random, end: Micros): { wrong: number; found: Micros } => {
   let now: Micros = 0;
-  const members = new Members(ON, ['p'], () => now);
+  const members = new PeerFailureDetector(ON, ['p'], () => now);
   const inbox = beats(c, r, end);
   let wrong = 0;
   for (let i = 0, look = SECOND; ;) {
     const next = inbox[i];
     if (next !== undefined && next.at <= look) {
       now = next.at;
-      members.take(next.beat);
+      members.receive(next.beat);
       i++;
       continue;
     }
     now = look;
     const late = r.below(c.late + 1);
-    if (members.check(late).length > 0) {
+    if (members.suspectSilentPeers(late).length > 0) {
       if (now >= end) return { wrong, found: now - end };
       wrong++;
     } else if (now >= end && members.levelOf('p') === 'suspected') return { wrong, found: 0 };
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -15,7 +15,7 @@
   type HistoryPlan,
 } from '../src/digest/generated-history.js';
 import type { Random } from '../src/random.js';
-import type { World } from '../src/cluster-simulation.js';
+import type { ClusterSimulation } from '../src/cluster-simulation.js';
 
 const TEAMS: Team[] = ['t', 'u'].map((name) => ({
   name,
@@ -72,7 +72,7 @@
   prepare: (world) => {
     world.put(tokenKey(TOKEN.id), TOKEN.record);
   },
-  step: (world: World, random: Random) => {
+  step: (world: ClusterSimulation, random: Random) => {
     if (!random.chance(0.5)) return;
     const [method, url, body] = generateRequest(random);
     const request = requestOf({ method, url, contentType: 'application/json', body });
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -3,12 +3,12 @@
  * manifest go. Whoever finds a marked object may go on: on the node that was asked, or in the leader after a crash.
  */
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
-import type { NodeLinks } from '@shaleyoke/core/ports';
+import type { NodeServices } from '@shaleyoke/core/ports';
 import { manifestKey } from './records.js';
 import type { KubeObject } from './view.js';
 
 export class Deletion {
-  constructor(private readonly links: NodeLinks) {}
+  constructor(private readonly links: NodeServices) {}
 
   /** `changed`: it is not any more as it was; look again. */
   begin(o: KubeObject, then: (marked: KubeObject | 'changed' | 'failed') => void): void {
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -1,6 +1,6 @@
 /** The front as a feature of the core: its part on each node, and its part in the leader's term. */
-import type { Feature, FeatureTerm, NodeLinks, NodePart } from '@shaleyoke/core/ports';
-import type { Term } from '@shaleyoke/core/leadership/leader-term';
+import type { Feature, FeatureTerm, NodeServices, FeatureEndpoint } from '@shaleyoke/core/ports';
+import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { Front, FEATURE } from './front.js';
 import { Keeper } from './keeper.js';
 import type { KubeSettings } from './settings.js';
@@ -8,7 +8,7 @@
 export class Kube implements Feature {
   readonly name = FEATURE;
   private front: Front | null = null;
-  private links: NodeLinks | null = null;
+  private links: NodeServices | null = null;
 
   /** `random`: 16 bytes that nobody can guess, for each call. */
   constructor(
@@ -16,13 +16,13 @@
     private readonly settings: KubeSettings,
   ) {}
 
-  serve(links: NodeLinks): NodePart {
+  serve(links: NodeServices): FeatureEndpoint {
     this.links = links;
     this.front = new Front(links, this.random, this.settings.tenants);
     return this.front;
   }
 
-  begin(term: Term): FeatureTerm {
+  begin(term: LeaderTerm): FeatureTerm {
     if (this.front === null || this.links === null) throw new Error('begin comes after serve');
     return new Keeper(term, this.links, this.front.follow, this.settings.statusChangesPerS);
   }
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -2,7 +2,7 @@
  * Keeps a node's view as new as it has to be. Nothing is asked for while nobody asks; a question is answered from a
  * state that is no older than the question, whatever node was asked before; watches share one long poll.
  */
-import type { Context } from '@shaleyoke/core/node/node-context';
+import type { NodeContext } from '@shaleyoke/core/node/node-context';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -28,7 +28,7 @@
   private readonly gatherUs: Micros;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     /** Told of changes in their order; `lost` where some may be missing, and every watch has to end. */
     private readonly host: { changed(changes: readonly Change[]): void; lost(): void },
   ) {
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -7,7 +7,7 @@
 import type { InternalResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { VersionCondition, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
-import type { NodeLinks, NodePart } from '@shaleyoke/core/ports';
+import type { NodeServices, FeatureEndpoint } from '@shaleyoke/core/ports';
 import { allow, tenantOf, type Credentials } from './access.js';
 import { refuse, type KubeAnswer, type KubeRequest, type Refusal } from './api.js';
 import { Deletion } from './deletion.js';
@@ -41,7 +41,7 @@
 const unavailable = (problem: string): Refusal => refuse(503, 'ServiceUnavailable', problem);
 const notFound = (name: string): Refusal => refuse(404, 'NotFound', `jobs.batch "${name}" not found`);
 
-export class Front implements NodePart {
+export class Front implements FeatureEndpoint {
   readonly follow: Follow;
   private readonly watches: Watches;
   private readonly lists: Lists;
@@ -49,7 +49,7 @@
 
   /** `random`: 16 bytes that nobody can guess, for each call. */
   constructor(
-    private readonly links: NodeLinks,
+    private readonly links: NodeServices,
     private readonly random: () => Uint8Array,
     private readonly tenants: ReadonlyMap<string, Tenant>,
   ) {
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -3,14 +3,14 @@
  * manifests that nobody names. Everything is found anew from the records, so that any leader goes on where the one
  * before stopped.
  */
-import type { ActiveJob, Hold } from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, AdmissionHold } from '@shaleyoke/core/cluster/cluster-model';
 import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { FeatureTerm, NodeLinks } from '@shaleyoke/core/ports';
+import type { FeatureTerm, NodeServices } from '@shaleyoke/core/ports';
 import { decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
-import type { Term } from '@shaleyoke/core/leadership/leader-term';
+import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { RedBlackTree } from 'effect';
 import { Deletion } from './deletion.js';
 import type { Follow } from './follow.js';
@@ -41,8 +41,8 @@
   private readonly deletion: Deletion;
 
   constructor(
-    private readonly term: Term,
-    private readonly links: NodeLinks,
+    private readonly term: LeaderTerm,
+    private readonly links: NodeServices,
     private readonly follow: Follow,
     /** Changes a second that status may take, on average. */
     private readonly changesPerS: number,
@@ -77,7 +77,7 @@
   keeps(): boolean {
     return false;
   }
-  holds(): Hold | null {
+  holds(): AdmissionHold | null {
     return null;
   }
 
@@ -116,9 +116,9 @@
   private seen(o: KubeObject): Seen {
     const { id, status } = o.record;
     if (status.result !== null) return { kind: 'unknown' };
-    const job = this.term.estate.jobs.get(id);
+    const job = this.term.cluster.jobs.get(id);
     if (job !== undefined && job.phase !== 'ended')
-      return { kind: 'open', running: job.running(), done: job.done.count };
+      return { kind: 'open', running: job.runningCount(), done: job.done.count };
     const known = this.ends.get(id);
     if (known === undefined) this.readEnd(id);
     return known ?? { kind: 'unknown' };
@@ -164,13 +164,14 @@
 
   /** Only by the leader, and only over what it has seen. */
   private put(o: KubeObject, record: KubeObject['record'], then: () => void): void {
-    const { ctx, office, leadership } = this.term;
+    const { ctx, lease: office, election: leadership } = this.term;
     const conditions = [
-      { key: LEAD, version: office.version },
+      { key: LEAD, version: office.keyVersion },
       { key: o.key, version: o.version },
     ];
     ctx.state({ kind: 'txn', conditions, writes: [{ kind: 'put', key: o.key, value: record }] }, 2, (r) => {
-      if (r.kind === 'conflict' && r.failed.includes(LEAD) && !this.term.stopped) leadership.lose('fenced');
+      if (r.kind === 'conflict' && r.failed.includes(LEAD) && !this.term.stopped)
+        leadership.stepDown('fenced');
       then();
     });
   }
@@ -190,7 +191,7 @@
         if (guard.version > 0 && some.length === pieces.length)
           writes.push({ kind: 'delete', key: guard.key });
         this.allowance -= writes.length;
-        const conditions = [{ key: LEAD, version: this.term.office.version }, guard];
+        const conditions = [{ key: LEAD, version: this.term.lease.keyVersion }, guard];
         ctx.state({ kind: 'txn', conditions, writes }, 2, () => undefined);
       }
     }
--- a/packages/kubernetes/src/watches.ts
+++ b/packages/kubernetes/src/watches.ts
@@ -1,5 +1,5 @@
 /** Watches: each client is told of every change after its version, once and in order, until it is gone or must list again. */
-import type { Context } from '@shaleyoke/core/node/node-context';
+import type { NodeContext } from '@shaleyoke/core/node/node-context';
 import { refuse, type KubeAnswer, type KubeRequest } from './api.js';
 import { BOOKMARK_EVERY, type Follow } from './follow.js';
 import { selects } from './lists.js';
@@ -21,7 +21,7 @@
   private ticking = false;
 
   constructor(
-    private readonly ctx: Context,
+    private readonly ctx: NodeContext,
     private readonly follow: Follow,
     private readonly answer: (request: number, answer: KubeAnswer, last: boolean) => void,
   ) {}
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -7,7 +7,7 @@
 import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { World } from '@shaleyoke/emulator/cluster-simulation';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kubernetes/api';
 import { Kube } from '@shaleyoke/kubernetes/feature';
 import { FEATURE } from '@shaleyoke/kubernetes/front';
@@ -46,10 +46,10 @@
   readonly bytes?: () => Uint8Array;
 }
 
-const worldOf = ({ seed, next = '', bytes }: Options): World => {
+const worldOf = ({ seed, next = '', bytes }: Options): ClusterSimulation => {
   const ids = new Random(seed * 31 + 7);
   const random = bytes ?? ((): Uint8Array => Uint8Array.from({ length: 16 }, () => ids.below(256)));
-  const w = new World(
+  const w = new ClusterSimulation(
     new Random(seed),
     3,
     '[[cluster.teams]]\nname = "t"\n[[cluster.teams]]\nname = "u"\n',
@@ -105,7 +105,13 @@
 });
 
 /** Asks a node and waits for the answer; null where none came. */
-const ask = (w: World, node: number, r: KubeRequest, who = WHO, within = 20 * SECOND): KubeAnswer | null => {
+const ask = (
+  w: ClusterSimulation,
+  node: number,
+  r: KubeRequest,
+  who = WHO,
+  within = 20 * SECOND,
+): KubeAnswer | null => {
   let answer: KubeAnswer | null = null;
   let open = true;
   w.askFeature(node, FEATURE, { who, ask: r }, (a) => {
@@ -416,7 +422,7 @@
   private life = 0;
 
   constructor(
-    private readonly w: World,
+    private readonly w: ClusterSimulation,
     private node: number,
   ) {
     this.list();
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -162,9 +162,9 @@
     ...REPORT,
     terminationNoticeUs: null,
   });
-  assert.deepEqual(decodeOrdersReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', report: REPORT });
-  assert.deepEqual(decodeOrdersReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', report: REPORT });
-  assert.deepEqual(decodeOrdersReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', report: null });
+  assert.deepEqual(decodeOrdersReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', heartbeat: REPORT });
+  assert.deepEqual(decodeOrdersReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', heartbeat: REPORT });
+  assert.deepEqual(decodeOrdersReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', heartbeat: null });
 });
 
 test('answers to reports, and orders', () => {
