--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -144,7 +144,7 @@
     // A month may have been closed while some of its rows were not in the journal yet.
     for (const [owner, month] of books.closed) books.closeMonth(owner, month);
     this.limits.commitBegun();
-    ctx.info('budgets.ready', {
+    ctx.info('budgets.restored', {
       jobs: books.jobs.size,
       openPages: this.store.lastJournalPage,
       firstTime: found.w === null,
@@ -352,7 +352,7 @@
       const s = this.limits.standing(owner);
       if (s.limit.soft === null || spentOf(s) < s.limit.soft || this.told.get(owner) === s.month) continue;
       this.told.set(owner, s.month);
-      this.term.ctx.info('budget.soft_limit', {
+      this.term.ctx.info('budgets.soft_limit_reached', {
         owner,
         month: s.month,
         spent: formatMoney(spentOf(s)),
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -83,7 +83,7 @@
 
   load(then: (found: Found) => void): void {
     if (this.term.ctx.settings.maxTransactionOperations < LEAST_OPS) {
-      this.term.ctx.error('budgets.txn_ops', {
+      this.term.ctx.error('budgets.transaction_too_small', {
         txnOps: this.term.ctx.settings.maxTransactionOperations,
         least: LEAST_OPS,
       });
@@ -197,7 +197,7 @@
 
   /** A record as it is now; tried until the state service answers. */
   get(key: string, then: (item: StoredItem | null) => void): void {
-    this.term.ctx.state({ kind: 'get', key }, 1, (r) => {
+    this.term.ctx.requestStore({ kind: 'get', key }, 1, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'item') then(r.item);
       else if (r.kind === 'missing') then(null);
@@ -216,7 +216,7 @@
     found: StoredItem[] = [],
   ): void {
     const op = { kind: 'list', prefix, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
-    this.term.ctx.state(op, 1, (r) => {
+    this.term.ctx.requestStore(op, 1, (r) => {
       if (this.term.stopped) return;
       if (r.kind !== 'items') {
         this.term.after(RETRY, () => {
@@ -427,7 +427,7 @@
       { key: LEAD, version: office.keyVersion },
       ...writes.map((x) => ({ key: x.key, version: this.versions.get(x.key) ?? 0 })),
     ];
-    ctx.state({ kind: 'txn', conditions, writes }, 2, (r) => {
+    ctx.requestStore({ kind: 'txn', conditions, writes }, 2, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'ok') {
         for (const x of writes) this.versions.set(x.key, r.revision);
@@ -440,11 +440,11 @@
         });
       } else if (r.kind === 'refused' && what === 'head') {
         // Within what the settings promise, and yet refused: an operator has to look at that.
-        ctx.error('budgets.refused', { keys: writes.map((x) => x.key), bytes: bytesOf(writes) });
+        ctx.error('budgets.write_rejected', { keys: writes.map((x) => x.key), bytes: bytesOf(writes) });
         this.goBlind(HEAD, () => undefined);
       } else if (r.kind === 'refused') {
         // The service takes less than was announced: smaller pages from now on, and nothing more of this flush.
-        ctx.error('budgets.refused', { writes: writes.length, bytes: bytesOf(writes) });
+        ctx.error('budgets.write_rejected', { writes: writes.length, bytes: bytesOf(writes) });
         this.room = Math.max(512, Math.floor(this.room * 0.6));
         this.packing.forget();
         this.busy = false;
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -8,10 +8,10 @@
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { decodeCloudReply, encodeCloudOp } from '@shaleyoke/protocol/cloud';
+import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
 import { encodePeer } from '@shaleyoke/protocol/peers';
-import { decodeStateReply, encodeStateOp } from '@shaleyoke/protocol/state';
-import { decodeOrdersReply, encodeOrders, ORDERS_PATH } from '@shaleyoke/protocol/workers';
+import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
+import { decodeCommandReply, encodeCommands, COMMANDS_PATH } from '@shaleyoke/protocol/workers';
 import { steadyNow } from './clock.js';
 import { callHttp, makeAgent } from './http-client.js';
 import { Limiter } from './limiter.js';
@@ -87,7 +87,7 @@
       const timeout = op.kind === 'watch' ? op.waitMs * MILLI + 2 * SECOND : STATE_TIMEOUT;
       const agent = op.kind === 'watch' ? watchAgent : stateAgent;
       const until = steadyNow() + RETRY_FOR[urgency];
-      const call = encodeStateOp(op);
+      const call = encodeStoreOperation(op);
       const attempt = (): Effect.Effect<StoreReply> =>
         admitted(stateLimiter, urgency, writes).pipe(
           Effect.flatMap((ok) => {
@@ -111,7 +111,7 @@
                   stateLimiter.pushBack(writes > 0);
                   if (steadyNow() < until) return attempt();
                 }
-                return Effect.succeed(decodeStateReply(op, r.status, r.body));
+                return Effect.succeed(decodeStoreReply(op, r.status, r.body));
               }),
             );
           }),
@@ -122,7 +122,7 @@
       admitted(cloudLimiter, urgency, 0).pipe(
         Effect.flatMap((ok) => {
           if (!ok) return Effect.succeed<CloudReply>({ kind: 'failed', reason: 'over budget' });
-          return callHttp(cloudAgent, settings.cloudAddress, encodeCloudOp(op), CLOUD_TIMEOUT).pipe(
+          return callHttp(cloudAgent, settings.cloudAddress, encodeCloudOperation(op), CLOUD_TIMEOUT).pipe(
             Effect.map((r): CloudReply => {
               if (r === null) return { kind: 'failed', reason: 'no answer' };
               if (r.status === 429) cloudLimiter.pushBack(false);
@@ -135,11 +135,11 @@
       callHttp(
         workerAgent,
         address,
-        { method: 'POST', path: ORDERS_PATH, body: encodeOrders(token, session, orders) },
+        { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(token, session, orders) },
         ORDERS_TIMEOUT,
       ).pipe(
         Effect.map((r) =>
-          r === null ? { kind: 'lost' as const, heartbeat: null } : decodeOrdersReply(r.status, r.body),
+          r === null ? { kind: 'lost' as const, heartbeat: null } : decodeCommandReply(r.status, r.body),
         ),
       ),
     peer: (member, message) => {
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -5,10 +5,10 @@
 import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import { decodeBody, encodeBody, Malformed } from '@shaleyoke/protocol/body';
+import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 import { decodePeer, peerKind } from '@shaleyoke/protocol/peers';
-import { decodeSubmission, encodeUserAnswer, route } from '@shaleyoke/protocol/users';
-import { decodeReport, encodeWorkerAnswer } from '@shaleyoke/protocol/workers';
+import { decodeSubmission, encodeClientResponse, route } from '@shaleyoke/protocol/client-api';
+import { decodeHeartbeat, encodeHeartbeatResponse } from '@shaleyoke/protocol/workers';
 import { Clients, type ClientsService } from './clients.js';
 import { steadyNow, wallNow } from './clock.js';
 import { Log, type LogService } from './log.js';
@@ -39,7 +39,7 @@
       for (const e of this.core.step(steadyNow(), input)) this.perform(e);
     } catch (e) {
       // A mistake of ours must not take the node, and with it users' requests, down.
-      this.log.write('error', 'core.exception', { input: input.kind, stack: (e as Error).stack });
+      this.log.write('error', 'node.exception_caught', { input: input.kind, stack: (e as Error).stack });
     }
   }
 
@@ -60,34 +60,34 @@
 
   private perform(e: CoreEffect): void {
     switch (e.kind) {
-      case 'state':
+      case 'storeRequest':
         this.run(this.clients.state(e.op, e.urgency), (reply) => {
-          this.feed({ kind: 'state', call: e.call, reply });
+          this.feed({ kind: 'storeReply', call: e.call, reply });
         });
         return;
-      case 'cloud':
+      case 'cloudRequest':
         this.run(this.clients.cloud(e.op, e.urgency), (reply) => {
-          this.feed({ kind: 'cloud', call: e.call, reply });
+          this.feed({ kind: 'cloudReply', call: e.call, reply });
         });
         return;
-      case 'orders':
-        this.run(this.clients.orders(e.address, e.token, e.session, e.orders), (reply) => {
-          this.feed({ kind: 'orders', call: e.call, reply });
+      case 'workerCommands':
+        this.run(this.clients.orders(e.address, e.fencingToken, e.agentEpoch, e.commands), (reply) => {
+          this.feed({ kind: 'commandReply', call: e.call, reply });
         });
         return;
-      case 'peer':
+      case 'peerMessage':
         this.run(this.clients.peer(e.member, e.message), () => undefined);
         return;
-      case 'answerUser': {
-        const a = encodeUserAnswer(e.answer);
+      case 'clientResponse': {
+        const a = encodeClientResponse(e.answer);
         // A node that can't serve now says so at once and lets the retry go to another one.
         this.answer(e.request, { ...a, close: a.status === 503 });
         return;
       }
-      case 'answerWorker':
-        this.answer(e.request, encodeWorkerAnswer(e.answer));
+      case 'heartbeatResponse':
+        this.answer(e.request, encodeHeartbeatResponse(e.answer));
         return;
-      case 'answerAsked': {
+      case 'featureResponse': {
         const told = this.asking.get(e.request);
         if (e.last) this.asking.delete(e.request);
         told?.(e.answer, e.last);
@@ -114,14 +114,14 @@
   private ask(answer: (o: Outgoing) => void, body: ClientRequest): void {
     const request = this.nextRequest++;
     this.open.set(request, answer);
-    this.feed({ kind: 'user', request, body, wallUs: wallNow() });
+    this.feed({ kind: 'clientRequest', request, body, wallUs: wallNow() });
   }
 
   /** A feature's client asks; `told` is called for each answer, until the last. */
   askFeature(feature: string, body: unknown, told: (answer: unknown, last: boolean) => void): number {
     const request = this.nextRequest++;
     this.asking.set(request, told);
-    this.feed({ kind: 'asked', feature, request, body, wallUs: wallNow() });
+    this.feed({ kind: 'featureRequest', feature, request, body, wallUs: wallNow() });
     return request;
   }
 
@@ -149,12 +149,12 @@
 
   private onReport(body: Buffer, answer: (o: Outgoing) => void): void {
     try {
-      const report = decodeReport(decodeBody(body));
+      const report = decodeHeartbeat(decodeBody(body));
       const request = this.nextRequest++;
       this.open.set(request, answer);
-      this.feed({ kind: 'report', request, report });
+      this.feed({ kind: 'heartbeat', request, heartbeat: report });
     } catch (e) {
-      if (!(e instanceof Malformed)) throw e;
+      if (!(e instanceof MalformedMessageError)) throw e;
       this.log.write('error', 'report.malformed', { problem: e.message });
       answer(plain(400));
     }
@@ -173,7 +173,7 @@
       return;
     }
     answer({ status: 200, body: Buffer.alloc(0) });
-    this.feed({ kind: 'peer', message });
+    this.feed({ kind: 'peerMessage', message });
   }
 
   start(): void {
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -142,7 +142,7 @@
     if (then !== undefined) {
       this.inner.delete(request);
       then(answer);
-    } else if (answer.kind !== 'taken') this.ctx.emit({ kind: 'answerUser', request, answer });
+    } else if (answer.kind !== 'taken') this.ctx.emit({ kind: 'clientResponse', request, answer });
   }
 
   private unavailable(problem: string): ClientResponse {
@@ -176,7 +176,7 @@
 
   /** Reads a job's record. First `j/`, then `t/`: records only ever move that way. */
   private lookup(id: string, then: (f: Found) => void): void {
-    this.ctx.state({ kind: 'get', key: activeKey(id) }, 1, (a) => {
+    this.ctx.requestStore({ kind: 'get', key: activeKey(id) }, 1, (a) => {
       if (a.kind === 'item') {
         const rec = decodeActiveJob(a.item.value);
         if (rec === null) {
@@ -187,7 +187,7 @@
         this.remember(id, k);
         then(this.cache.get(id) ?? k);
       } else if (a.kind === 'missing') {
-        this.ctx.state({ kind: 'get', key: endedKey(id) }, 1, (t) => {
+        this.ctx.requestStore({ kind: 'get', key: endedKey(id) }, 1, (t) => {
           if (t.kind === 'item') {
             const rec = decodeEndedJob(t.item.value);
             if (rec === null) {
@@ -332,7 +332,7 @@
     limit: number,
     then: (failed: ReadonlySet<string> | null) => void,
   ): void {
-    this.ctx.state({ kind: 'txn', conditions: conditions.slice(0, limit), writes: [] }, 1, (r) => {
+    this.ctx.requestStore({ kind: 'txn', conditions: conditions.slice(0, limit), writes: [] }, 1, (r) => {
       if (r.kind === 'conflict' && r.failed.length > 0) then(new Set(r.failed));
       else if (r.kind !== 'ok') then(null);
       else if (conditions.length > limit) this.compare(conditions.slice(limit), limit, then);
@@ -394,7 +394,7 @@
       this.show(request, id, known);
       return;
     }
-    if (known !== undefined && id !== null && body.beside === undefined) {
+    if (known !== undefined && id !== null && body.extraWrites === undefined) {
       // Accepted for ever: a comparison tells how it stands now. The accepting transaction would tell as well, but writes
       // that fail count against the limit, and users who repeat themselves ate the writes of others' work.
       this.poll(request, id);
@@ -436,7 +436,7 @@
       return;
     }
     this.checkNeeds(spec.dependsOn, (problem) => {
-      if (problem === null) this.accept(request, spec, record, body.beside);
+      if (problem === null) this.accept(request, spec, record, body.extraWrites);
       else if (problem === 'unknown')
         this.answer(request, this.unavailable('named jobs can not be looked up'));
       else refuse({ kind: 'impossible', problem });
@@ -467,7 +467,7 @@
   }
 
   private accept(request: number, spec: JobSpec, record: unknown, beside: ExtraWrites | undefined): void {
-    this.ctx.state(
+    this.ctx.requestStore(
       {
         kind: 'txn',
         conditions: [
@@ -545,7 +545,7 @@
   }
 
   private withdraw(request: number, id: string, k: Known & { kind: 'active' }, tries: number): void {
-    this.ctx.state(
+    this.ctx.requestStore(
       {
         kind: 'txn',
         conditions: [{ key: activeKey(id), version: k.version }],
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -98,32 +98,32 @@
         return;
       case 'timer':
         return;
-      case 'state':
-        this.ctx.stateReplied(input.call, input.reply);
+      case 'storeReply':
+        this.ctx.storeReplied(input.call, input.reply);
         return;
-      case 'cloud':
+      case 'cloudReply':
         this.ctx.cloudReplied(input.call, input.reply);
         return;
-      case 'orders':
-        this.ctx.ordersReplied(input.call, input.reply);
+      case 'commandReply':
+        this.ctx.commandsReplied(input.call, input.reply);
         return;
-      case 'user':
+      case 'clientRequest':
         this.ctx.wallOffset = input.wallUs - this.ctx.now;
         this.desk.handle(input.request, input.body);
         return;
-      case 'report':
-        this.beats?.recordWorkerContact(input.report.machine);
+      case 'heartbeat':
+        this.beats?.recordWorkerContact(input.heartbeat.machine);
         this.ctx.emit({
-          kind: 'answerWorker',
+          kind: 'heartbeatResponse',
           request: input.request,
-          answer: this.answerReport(input.report),
+          answer: this.answerReport(input.heartbeat),
         });
         return;
-      case 'asked':
+      case 'featureRequest':
         this.ctx.wallOffset = input.wallUs - this.ctx.now;
         this.parts.get(input.feature)?.asked(input.request, input.body);
         return;
-      case 'peer':
+      case 'peerMessage':
         this.hear(input.message);
         return;
     }
@@ -138,9 +138,9 @@
 
   private answerReport(r: Heartbeat): HeartbeatResponse {
     if (this.currentScheduler !== null && this.leadership.canActAsLeader())
-      return this.currentScheduler.onReport(r);
+      return this.currentScheduler.respondToHeartbeat(r);
     if (this.currentScheduler !== null) {
-      this.currentScheduler.heard(r);
+      this.currentScheduler.recordLiveness(r);
       return { kind: 'unavailable' };
     }
     const { leader } = this.leadership;
@@ -156,14 +156,14 @@
         this.learnTypes(tries + 1);
       });
     };
-    this.ctx.state({ kind: 'get', key: TYPES }, 1, (s) => {
+    this.ctx.requestStore({ kind: 'get', key: TYPES }, 1, (s) => {
       const stored = s.kind === 'item' ? decodeMachineTypes(s.item.value) : null;
       if (stored !== null && stored.length > 0) {
         this.haveTypes(stored);
         this.savedTypes = true;
         return;
       }
-      this.ctx.cloud({ kind: 'types' }, 0, (r) => {
+      this.ctx.requestCloud({ kind: 'types' }, 0, (r) => {
         if (r.kind === 'types' && r.types.length > 0) {
           this.haveTypes(r.types);
           this.saveTypes();
@@ -174,7 +174,7 @@
 
   private haveTypes(types: readonly MachineType[]): void {
     this.ctx.types = new Map(types.map((t) => [t.name, t]));
-    this.ctx.info('types.known', { types: types.map((t) => t.name) });
+    this.ctx.info('machine_types.loaded', { types: types.map((t) => t.name) });
     this.currentScheduler?.changed();
   }
 
--- a/packages/core/src/domain/client-api.ts
+++ b/packages/core/src/domain/client-api.ts
@@ -16,7 +16,7 @@
       readonly spec: JobSpec | null;
       readonly problem: string | null;
       /** Never from the users' own interface. */
-      readonly beside?: ExtraWrites;
+      readonly extraWrites?: ExtraWrites;
     }
   | { readonly kind: 'poll'; readonly id: string }
   | { readonly kind: 'cancel'; readonly id: string }
--- a/packages/core/src/domain/effects.ts
+++ b/packages/core/src/domain/effects.ts
@@ -3,6 +3,7 @@
 import type { CloudOperation, CloudReply } from './cloud.js';
 import type { WorkerCommand, CommandReply, Heartbeat, HeartbeatResponse } from './heartbeat.js';
 import type { StoreOperation, StoreReply } from './key-value-store.js';
+import type { LogEvent } from './log-events.js';
 import type { PeerMessage } from './peer.js';
 import type { Micros } from './time.js';
 
@@ -12,20 +13,25 @@
 export type Input =
   | { readonly kind: 'start'; readonly wallUs: Micros }
   | { readonly kind: 'timer' }
-  | { readonly kind: 'state'; readonly call: number; readonly reply: StoreReply }
-  | { readonly kind: 'cloud'; readonly call: number; readonly reply: CloudReply }
-  | { readonly kind: 'orders'; readonly call: number; readonly reply: CommandReply }
-  | { readonly kind: 'user'; readonly request: number; readonly body: ClientRequest; readonly wallUs: Micros }
-  | { readonly kind: 'report'; readonly request: number; readonly report: Heartbeat }
+  | { readonly kind: 'storeReply'; readonly call: number; readonly reply: StoreReply }
+  | { readonly kind: 'cloudReply'; readonly call: number; readonly reply: CloudReply }
+  | { readonly kind: 'commandReply'; readonly call: number; readonly reply: CommandReply }
+  | {
+      readonly kind: 'clientRequest';
+      readonly request: number;
+      readonly body: ClientRequest;
+      readonly wallUs: Micros;
+    }
+  | { readonly kind: 'heartbeat'; readonly request: number; readonly heartbeat: Heartbeat }
   /** Of a client of a feature; the feature alone knows what `body` is. */
   | {
-      readonly kind: 'asked';
+      readonly kind: 'featureRequest';
       readonly feature: string;
       readonly request: number;
       readonly body: unknown;
       readonly wallUs: Micros;
     }
-  | { readonly kind: 'peer'; readonly message: PeerMessage };
+  | { readonly kind: 'peerMessage'; readonly message: PeerMessage };
 
 export type LogLevel = 'debug' | 'info' | 'error';
 
@@ -34,37 +40,37 @@
 /** What the core wants done; the runtime does it and feeds back what came of it. */
 export type CoreEffect =
   | {
-      readonly kind: 'state';
+      readonly kind: 'storeRequest';
       readonly call: number;
       readonly op: StoreOperation;
       readonly urgency: RequestUrgency;
     }
   | {
-      readonly kind: 'cloud';
+      readonly kind: 'cloudRequest';
       readonly call: number;
       readonly op: CloudOperation;
       readonly urgency: RequestUrgency;
     }
   | {
-      readonly kind: 'orders';
+      readonly kind: 'workerCommands';
       readonly call: number;
       readonly address: string;
-      readonly token: number;
-      readonly session: number;
-      readonly orders: readonly WorkerCommand[];
+      readonly fencingToken: number;
+      readonly agentEpoch: number;
+      readonly commands: readonly WorkerCommand[];
     }
-  | { readonly kind: 'answerUser'; readonly request: number; readonly answer: ClientResponse }
-  | { readonly kind: 'answerWorker'; readonly request: number; readonly answer: HeartbeatResponse }
+  | { readonly kind: 'clientResponse'; readonly request: number; readonly answer: ClientResponse }
+  | { readonly kind: 'heartbeatResponse'; readonly request: number; readonly answer: HeartbeatResponse }
   /** One of several for the same request, until `last`. */
   | {
-      readonly kind: 'answerAsked';
+      readonly kind: 'featureResponse';
       readonly feature: string;
       readonly request: number;
       readonly answer: unknown;
       readonly last: boolean;
     }
-  | { readonly kind: 'peer'; readonly member: string; readonly message: PeerMessage }
+  | { readonly kind: 'peerMessage'; readonly member: string; readonly message: PeerMessage }
   | { readonly kind: 'wake'; readonly at: Micros }
   /** The leader gets the larger part of the request budget that the nodes share. */
   | { readonly kind: 'role'; readonly leader: boolean }
-  | { readonly kind: 'log'; readonly level: LogLevel; readonly event: string; readonly fields: LogFields };
+  | { readonly kind: 'log'; readonly level: LogLevel; readonly event: LogEvent; readonly fields: LogFields };
--- a/packages/core/src/domain/heartbeat.ts
+++ b/packages/core/src/domain/heartbeat.ts
@@ -45,6 +45,6 @@
 }
 
 export type HeartbeatResponse =
-  | { readonly kind: 'accepted'; readonly token: number; readonly orders: readonly WorkerCommand[] }
+  | { readonly kind: 'accepted'; readonly fencingToken: number; readonly commands: readonly WorkerCommand[] }
   | { readonly kind: 'redirect'; readonly leader: string | null }
   | { readonly kind: 'unavailable' };
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -60,7 +60,7 @@
         },
       );
     }
-    this.ctx.state({ kind: 'txn', conditions, writes }, 1, (r) => {
+    this.ctx.requestStore({ kind: 'txn', conditions, writes }, 1, (r) => {
       if (!this.host.active()) return;
       if (r.kind === 'ok') {
         for (const job of batch) this.host.withdrawn(job);
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -37,14 +37,14 @@
   }
 
   private read(id: string): void {
-    this.ctx.state({ kind: 'get', key: endedKey(id) }, 1, (r) => {
+    this.ctx.requestStore({ kind: 'get', key: endedKey(id) }, 1, (r) => {
       if (!this.active()) return;
       this.under--;
       this.asked.delete(id);
       const rec = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
       if (rec !== null) this.found(id, { stage: rec.stage, at: rec.endedAt });
       else {
-        if (r.kind === 'item') this.ctx.error('job.unreadable', { job: id });
+        if (r.kind === 'item') this.ctx.error('job.record_unreadable', { job: id });
         // Not there: it has not ended yet, and this leader is still to hear that it was accepted.
         const delay: Micros = r.kind === 'item' ? 10 * SECOND : 400 * MILLI;
         this.ctx.after(delay, () => {
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -34,7 +34,7 @@
     if (!added) return;
     job.consecutiveFailures = 0;
     job.progressDirty = true;
-    this.term.ctx.debug('task.done', { job: job.id, task: index, done: job.done.count });
+    this.term.ctx.debug('task.completed', { job: job.id, task: index, done: job.done.count });
     if (job.isComplete) this.finish(job);
     this.term.schedulePass();
   }
@@ -48,7 +48,11 @@
     const { ctx } = this.term;
     job.phase = 'ended';
     job.cancelled = stage !== 'done';
-    ctx.info('job.withdrawn', { job: job.id, live: job.liveAttempts.size, doomed: job.dependencyFailed });
+    ctx.info('job.dependency_failed', {
+      job: job.id,
+      live: job.liveAttempts.size,
+      doomed: job.dependencyFailed,
+    });
     this.host.ended(job, stage === null ? null : { stage, at: ctx.wallNow });
     for (const a of [...job.liveAttempts.values()]) this.host.stop(a);
     this.host.dropProgress(job);
@@ -66,7 +70,7 @@
     const { ctx, lease: office, election: leadership } = this.term;
     job.phase = 'finishing';
     const at = ctx.wallNow;
-    ctx.state(
+    ctx.requestStore(
       {
         kind: 'txn',
         conditions: [
@@ -88,7 +92,7 @@
         if (r.kind === 'ok') {
           job.phase = 'ended';
           this.host.told(job.id, 'done', job.spec.tasks);
-          ctx.info('job.done', { job: job.id, afterS: (ctx.wallNow - job.acceptedAt) / SECOND });
+          ctx.info('job.completed', { job: job.id, afterS: (ctx.wallNow - job.acceptedAt) / SECOND });
           this.host.dropProgress(job);
           this.host.ended(job, { stage: 'done', at });
           this.dropIfEmpty(job);
@@ -113,7 +117,7 @@
 
   /** Reads how a job ended whose record moved without this leader's doing. */
   confirm(job: ActiveJob): void {
-    this.term.ctx.state({ kind: 'get', key: endedKey(job.id) }, 1, (r) => {
+    this.term.ctx.requestStore({ kind: 'get', key: endedKey(job.id) }, 1, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'item') {
         const rec = decodeEndedJob(r.item.value);
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -43,5 +43,5 @@
 
 export const logClusterSummary = (term: LeaderTerm): void => {
   if (!term.ctx.verbose) return;
-  term.ctx.debug('summary', { fleet: poolsOf(term), waiting: waitingOf(term) });
+  term.ctx.debug('cluster.summarized', { fleet: poolsOf(term), waiting: waitingOf(term) });
 };
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -258,7 +258,7 @@
   private logPlan(run: PlanRun): void {
     const { decision, waiting } = run;
     if (waiting.groups.length === 0) return;
-    this.term.ctx.debug('plan', {
+    this.term.ctx.debug('plan.completed', {
       ...run.cost,
       groups: waiting.groups.length,
       overflow: decision.overflow,
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -33,7 +33,7 @@
       jobs: this.notes(all),
     } as const;
     this.desk.recordProgress(message);
-    for (const peer of ctx.settings.peers) ctx.emit({ kind: 'peer', member: peer.member, message });
+    for (const peer of ctx.settings.peers) ctx.emit({ kind: 'peerMessage', member: peer.member, message });
   }
 
   private notes(all: boolean): JobProgress[] {
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -98,7 +98,7 @@
     this.writer = new FencedWriter(ctx, office.keyVersion, fenced);
     this.progress = new ProgressStore(ctx, this.writer, (id) => estate.jobs.get(id), find);
     this.roster = new MachineStore(this.writer, pageRoom(ctx.settings.maxValueBytes), find, (key) => {
-      ctx.error('roster.unreadable', { key });
+      ctx.error('machine.record_unreadable', { key });
     });
     this.attempts = new AttemptLifecycle(term, {
       place: (job, then, refused) => {
@@ -243,13 +243,16 @@
       released: (job) => {
         this.holdOne(job);
         if (!term.ready) return;
-        ctx.info('job.released', { job: job.id, heldS: (job.waitingSince - job.acceptedAt) / SECOND });
+        ctx.info('job.dependencies_met', {
+          job: job.id,
+          heldS: (job.waitingSince - job.acceptedAt) / SECOND,
+        });
         // What was released long ago is no arrival of now.
         if (ctx.wallNow - job.waitingSince < FRESH) this.fleet.noteArrival(job.spec);
         term.schedulePass();
       },
       doomed: (jobs, cause) => {
-        ctx.info('jobs.doomed', { cause, jobs: jobs.map((j) => j.id) });
+        ctx.info('dependencies.failure_propagated', { cause, jobs: jobs.map((j) => j.id) });
         this.cascade.add(jobs);
       },
       expected: (job) => estate.expectedDuration(job),
@@ -297,12 +300,12 @@
     this.planner.schedulePass();
   }
 
-  onReport(r: Heartbeat): HeartbeatResponse {
+  respondToHeartbeat(r: Heartbeat): HeartbeatResponse {
     return this.reports.respond(r);
   }
 
   /** A report that could not be answered with 200 still shows that its sender is there. */
-  heard(r: Heartbeat): void {
+  recordLiveness(r: Heartbeat): void {
     this.reports.recordLiveness(r);
   }
 
@@ -334,7 +337,7 @@
       f.ready();
     });
     this.hold();
-    this.ctx.info('leader.ready', {
+    this.ctx.info('leader.state_restored', {
       term: this.term.number,
       jobs: jobs.size,
       held: this.deps.blockedCount,
@@ -350,7 +353,7 @@
     if (jobs.has(id)) return;
     const rec = decodeActiveJob(value);
     if (rec === null) {
-      this.ctx.error('job.unreadable', { job: id });
+      this.ctx.error('job.record_unreadable', { job: id });
       return;
     }
     // A list of several pages may show a job whose end this leader has written since. One that waits for others may be
@@ -361,10 +364,11 @@
     if (fresh) {
       this.deps.add(job);
       this.holdOne(job);
-      if (job.blockedOnDependencies) this.ctx.info('job.held', { job: id, for: this.deps.waitsFor(job) });
+      if (job.blockedOnDependencies)
+        this.ctx.info('job.blocked_on_dependencies', { job: id, for: this.deps.waitsFor(job) });
       else if (rec.spec.dependsOn.length === 0 && job.admissionHold === null)
         this.fleet.noteArrival(rec.spec);
-      this.ctx.debug('job.seen', { job: id, class: rec.spec.class });
+      this.ctx.debug('job.discovered', { job: id, class: rec.spec.class });
       if (this.fleet.mustStartAtOnce(rec.spec)) this.planner.scheduleUrgentPass();
     }
     this.planner.schedulePass();
@@ -388,9 +392,9 @@
     // What passes with a change of leader was once told for every job that had not begun, each time.
     const known = before !== null && !before.transient;
     if (hold !== null && !hold.transient && !known)
-      this.ctx.info('job.barred', { job: job.id, reason: hold.reason });
+      this.ctx.info('job.admission_held', { job: job.id, reason: hold.reason });
     if (hold === null) {
-      if (known) this.ctx.info('job.let_go', { job: job.id, after: before.reason });
+      if (known) this.ctx.info('job.admission_released', { job: job.id, after: before.reason });
       // What came long ago is no arrival of now.
       if (this.ctx.wallNow - job.acceptedAt < FRESH) this.fleet.noteArrival(job.spec);
     }
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -64,7 +64,7 @@
         });
         return;
       }
-      this.term.ctx.state({ kind: 'get', key: TIMINGS }, 2, (t) => {
+      this.term.ctx.requestStore({ kind: 'get', key: TIMINGS }, 2, (t) => {
         if (this.term.stopped) return;
         this.host.restore((p) => lists.get(p) ?? [], t.kind === 'item' ? t.item : null);
         // What changed while the rest was read is asked for at once.
@@ -79,7 +79,7 @@
     let first: { revision: number; sent: Micros } | null = null;
     const page = (after: string | undefined): void => {
       const sent = this.term.ctx.now;
-      this.term.ctx.state(
+      this.term.ctx.requestStore(
         { kind: 'list', prefix, limit: PAGE, ...(after === undefined ? {} : { after }) },
         0,
         (r) => {
@@ -127,7 +127,7 @@
   private follow(waitMs: number, then: (ok: boolean) => void): void {
     const sent = this.term.ctx.now;
     const after = this.cursor;
-    this.term.ctx.state({ kind: 'watch', prefix: JOBS, after, waitMs }, 0, (r) => {
+    this.term.ctx.requestStore({ kind: 'watch', prefix: JOBS, after, waitMs }, 0, (r) => {
       if (this.term.stopped) return;
       if (r.kind === 'events' && r.revision >= after) {
         for (const e of r.events) if (e.version > this.cursor) this.onJobEvent(e);
@@ -139,7 +139,8 @@
           then(true);
         });
       } else {
-        if (r.kind === 'events') this.term.ctx.info('watch.went_back', { to: r.revision, from: after });
+        if (r.kind === 'events')
+          this.term.ctx.info('watch.revision_regressed', { to: r.revision, from: after });
         then(false);
       }
     });
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -110,7 +110,7 @@
     // What was held back on its way may be of an office that is over.
     if (this.lease !== null || term < this.lastTerm) return false;
     if (term === this.lastTerm && this.lastKnownLeader?.member !== member) return false;
-    if (this.lastKnownLeader?.member !== member) this.ctx.info('leader.heard', { member, term });
+    if (this.lastKnownLeader?.member !== member) this.ctx.info('leader.announced', { member, term });
     this.recordLeader(member, term);
     return true;
   }
@@ -128,18 +128,18 @@
   resign(holdOff: Micros, reason: string): void {
     const office = this.lease;
     if (office === null) return;
-    this.ctx.info('leader.resign', { term: office.term, reason });
+    this.ctx.info('leader.resigned', { term: office.term, reason });
     this.resignedAt = this.ctx.now;
     this.holdOffUntil = this.ctx.now + holdOff;
     this.leaseValidUntil = 0;
-    this.ctx.state({ kind: 'revoke', lease: office.leaseId }, 0, () => {
+    this.ctx.requestStore({ kind: 'revoke', lease: office.leaseId }, 0, () => {
       this.stepDown('resigned');
     });
   }
 
   stepDown(reason: string): void {
     if (this.lease === null) return;
-    this.ctx.info('leader.lost', { term: this.lease.term, reason });
+    this.ctx.info('leader.stepped_down', { term: this.lease.term, reason });
     this.lease = null;
     this.leaseValidUntil = 0;
     this.suspended = false;
@@ -159,14 +159,14 @@
   private look(): void {
     if (this.looking || this.acquiring || this.lease !== null) return;
     this.looking = true;
-    this.ctx.state({ kind: 'get', key: LEAD }, 0, (r) => {
+    this.ctx.requestStore({ kind: 'get', key: LEAD }, 0, (r) => {
       if (r.kind === 'item') {
         const lead = decodeLeader(r.item.value);
         if (lead?.member === this.ctx.settings.member && r.item.lease !== null) {
           // The state service's word for our own name: a predecessor of this process, surely dead, or an
           // attempt of ours whose answer was lost. Either way nobody acts under it.
-          this.ctx.info('leader.predecessor', { term: lead.term });
-          this.ctx.state({ kind: 'revoke', lease: r.item.lease }, 0, () => {
+          this.ctx.info('leader.predecessor_found', { term: lead.term });
+          this.ctx.requestStore({ kind: 'revoke', lease: r.item.lease }, 0, () => {
             this.again(0);
           });
           return;
@@ -187,7 +187,7 @@
   private watch(after: number): void {
     const of = this.lastKnownLeader;
     const waitMs = Math.floor((this.ttl * WATCH_PART) / MILLI);
-    this.ctx.state({ kind: 'watch', prefix: LEAD, after, waitMs }, 0, (r) => {
+    this.ctx.requestStore({ kind: 'watch', prefix: LEAD, after, waitMs }, 0, (r) => {
       if (r.kind === 'events') {
         if (r.events.length > 0) {
           this.again(0);
@@ -211,12 +211,12 @@
     }
     this.acquiring = true;
     const sent = this.ctx.now;
-    this.ctx.state({ kind: 'grant', ttlMs: Math.floor(this.ttl / MILLI) }, 0, (g) => {
+    this.ctx.requestStore({ kind: 'grant', ttlMs: Math.floor(this.ttl / MILLI) }, 0, (g) => {
       if (g.kind !== 'granted') {
         this.giveUp(null, 300 * MILLI);
         return;
       }
-      this.ctx.state({ kind: 'get', key: TERM }, 0, (t) => {
+      this.ctx.requestStore({ kind: 'get', key: TERM }, 0, (t) => {
         if (t.kind === 'item' || t.kind === 'missing') this.claim(sent, g.lease, t);
         else this.giveUp(g.lease, 300 * MILLI);
       });
@@ -234,7 +234,7 @@
     const term = last.number + 1;
     const { first } = last;
     const { member } = this.ctx.settings;
-    this.ctx.state(
+    this.ctx.requestStore(
       {
         kind: 'txn',
         conditions: [
@@ -264,7 +264,7 @@
         };
         this.extend(sent);
         this.ctx.emit({ kind: 'role', leader: true });
-        this.ctx.info('leader.won', { term });
+        this.ctx.info('leader.elected', { term });
         this.renewLater(this.lease);
         this.onWon(this.lease);
       },
@@ -272,7 +272,7 @@
   }
 
   private giveUp(lease: number | null, delay: Micros): void {
-    if (lease !== null) this.ctx.state({ kind: 'revoke', lease }, 2, () => undefined);
+    if (lease !== null) this.ctx.requestStore({ kind: 'revoke', lease }, 2, () => undefined);
     this.acquiring = false;
     this.again(delay);
   }
@@ -294,7 +294,7 @@
   private renew(office: LeaderLease, seq: number): void {
     if (this.lease !== office || seq !== this.renewSeq) return;
     const sent = this.ctx.now;
-    this.ctx.state({ kind: 'renew', lease: office.leaseId }, 0, (r) => {
+    this.ctx.requestStore({ kind: 'renew', lease: office.leaseId }, 0, (r) => {
       if (this.lease !== office) return;
       if (r.kind === 'ok') {
         this.onRenewed?.();
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -215,8 +215,14 @@
     since: Micros,
     tries: number,
   ): void {
-    this.ctx.info('fleet.rent', { request, type: r.type.name, zone: r.zone, spot: r.spot, count });
-    this.ctx.cloud(
+    this.ctx.info('autoscaler.scale_out_requested', {
+      request,
+      type: r.type.name,
+      zone: r.zone,
+      spot: r.spot,
+      count,
+    });
+    this.ctx.requestCloud(
       { kind: 'rent', request, type: r.type.name, zone: r.zone, spot: r.spot, count },
       1,
       (reply: CloudReply) => {
@@ -227,12 +233,17 @@
           // Fewer than asked for: there are no more for now.
           if (reply.machines.length < count) this.refuse(offer);
           for (const m of reply.machines) this.host.rented(m, r.type.name, r.zone, r.spot, since);
-          this.ctx.info('fleet.rented', { request, machines: reply.machines });
+          this.ctx.info('autoscaler.machines_provisioned', { request, machines: reply.machines });
           this.host.changed();
         } else if (reply.kind === 'noCapacity') {
           offer.inFlight = false;
           this.refuse(offer);
-          this.ctx.info('fleet.refused', { request, type: r.type.name, zone: r.zone, spot: r.spot });
+          this.ctx.info('autoscaler.capacity_refused', {
+            request,
+            type: r.type.name,
+            zone: r.zone,
+            spot: r.spot,
+          });
           this.host.changed();
         } else if (tries < 4) {
           // The same name again: if the first request was executed, it rents nothing more.
@@ -273,7 +284,7 @@
     if (this.deleting || this.deletes.length === 0) return;
     this.deleting = true;
     const batch = this.deletes.slice(0, MAX_DELETE);
-    this.ctx.cloud({ kind: 'delete', machines: batch }, 0, (r) => {
+    this.ctx.requestCloud({ kind: 'delete', machines: batch }, 0, (r) => {
       this.deleting = false;
       if (!this.host.active()) return;
       if (r.kind === 'deleted') {
@@ -297,7 +308,7 @@
   private refreshTypes(): void {
     this.ctx.after(60 * SECOND, () => {
       if (!this.host.active()) return;
-      this.ctx.cloud({ kind: 'types' }, 2, (r) => {
+      this.ctx.requestCloud({ kind: 'types' }, 2, (r) => {
         if (r.kind === 'types' && r.types.length > 0)
           this.ctx.types = new Map(r.types.map((t) => [t.name, t]));
       });
@@ -310,7 +321,7 @@
   }
 
   private listFrom(after: string, seen: ListedMachine[], began: Micros): void {
-    this.ctx.cloud({ kind: 'list', after, limit: PAGE }, 2, (r) => {
+    this.ctx.requestCloud({ kind: 'list', after, limit: PAGE }, 2, (r) => {
       if (!this.host.active()) return;
       // No more often than the list changes, nor than leaves calls for renting and returning.
       const pages = 1 + Math.floor(seen.length / PAGE);
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -32,7 +32,7 @@
     for (const m of estate.machines.values()) {
       if (ctx.now <= m.leaseRenewedAt + length) continue;
       if (!m.up && !m.awaitingReconciliation) continue;
-      ctx.info('machine.lease_ended', { machine: m.name, tasks: m.attempts.size });
+      ctx.info('machine.lease_expired', { machine: m.name, tasks: m.attempts.size });
       m.up = false;
       m.awaitingReconciliation = false;
       m.unknownTaskCount = 0;
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -45,7 +45,7 @@
     if (this.buried.has(r.machine)) return null;
     if (this.term.ready && this.isGhost(r)) return null;
     // Never on record, so no leader ever put anything on it.
-    this.term.ctx.info('machine.reported', { machine: r.machine, type: r.type, zone: r.zone });
+    this.term.ctx.info('machine.registered', { machine: r.machine, type: r.type, zone: r.zone });
     return this.add(r.machine, r);
   }
 
@@ -56,7 +56,7 @@
    */
   private isGhost(r: Heartbeat): boolean {
     if (r.tasks.length === 0 || !this.roster.isComplete) return false;
-    this.term.ctx.info('report.of_gone', {
+    this.term.ctx.info('heartbeat.stale', {
       machine: r.machine,
       session: r.agentEpoch,
       tasks: r.tasks.length,
@@ -96,7 +96,7 @@
       }
       m = this.add(l.name, l);
       m.provisionedAt = this.term.ctx.now - l.ageUs;
-      this.term.ctx.info('machine.listed', { machine: l.name, type: l.type, zone: l.zone });
+      this.term.ctx.info('machine.discovered', { machine: l.name, type: l.type, zone: l.zone });
     }
     if (m.address === '') m.address = l.address;
   }
@@ -104,7 +104,7 @@
   /** The machine and everything on it are gone for sure. */
   remove(m: Machine, reason: string): void {
     if (!this.machines.has(m.name)) return;
-    this.term.ctx.info('machine.gone', { machine: m.name, reason, tasks: m.attempts.size });
+    this.term.ctx.info('machine.removed', { machine: m.name, reason, tasks: m.attempts.size });
     this.machines.delete(m.name);
     this.buried.set(m.name, this.term.ctx.now);
     if (this.buried.size > BURIED) this.buried.delete(this.buried.keys().next().value!);
@@ -122,7 +122,7 @@
     if (m.deletionRequested) return;
     m.deletionRequested = true;
     m.retirementReason ??= reason;
-    this.term.ctx.info('machine.retire', { machine: m.name, reason, tasks: m.attempts.size });
+    this.term.ctx.info('machine.retired', { machine: m.name, reason, tasks: m.attempts.size });
     m.recorded = 'writing';
     this.roster.put(m, () => {
       m.recorded = 'yes';
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -67,7 +67,7 @@
       () => encodeTerm({ number: this.term.number, first: false }),
       () => {
         this.state = 'closed';
-        this.term.ctx.info('fleet.standing', {
+        this.term.ctx.info('autoscaler.preprovisioned_recorded', {
           machines: [...this.term.cluster.machines.values()].filter((m) => m.preprovisioned).length,
         });
         this.closed();
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -101,7 +101,7 @@
       timerDelayUs: this.lateUs,
       workerCount: this.workers.size,
     });
-    for (const p of ctx.settings.peers) ctx.emit({ kind: 'peer', member: p.member, message });
+    for (const p of ctx.settings.peers) ctx.emit({ kind: 'peerMessage', member: p.member, message });
     this.dueAt = ctx.now + this.settings.heartbeatIntervalUs;
     ctx.after(this.settings.heartbeatIntervalUs, () => {
       this.tick();
@@ -123,7 +123,7 @@
             agoS: (o.ageUs + ctx.now - x.heardAt) / SECOND,
           })),
       );
-      ctx.info('member.suspected', {
+      ctx.info('peer.suspected', {
         of: c.member,
         silentS: c.silent / SECOND,
         limitS: c.limit / SECOND,
@@ -132,7 +132,7 @@
         others: also,
       });
     } else if (c.kind === 'heard')
-      ctx.info('member.heard', { of: c.member, ...(c.after === null ? {} : { afterS: c.after / SECOND }) });
-    else ctx.info('member.restarted', { of: c.member, incarnation: c.incarnation });
+      ctx.info('peer.alive', { of: c.member, ...(c.after === null ? {} : { afterS: c.after / SECOND }) });
+    else ctx.info('peer.restarted', { of: c.member, incarnation: c.incarnation });
   }
 }
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,6 +1,7 @@
 /** What every part of the core shares within one node: the present time, pending calls, timers. */
 import { TERM } from '../codecs/keys.js';
 import { StoreConnection } from './store-connection.js';
+import type { LogEvent } from '../domain/log-events.js';
 import type { CloudOperation, CloudReply } from '../domain/cloud.js';
 import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
 import type { WorkerCommand, CommandReply } from '../domain/heartbeat.js';
@@ -36,9 +37,9 @@
   /** Who wants to know when it is lost. */
   readonly onStoreLost: (() => void)[] = [];
   private probing = false;
-  private readonly stateCalls = new Map<number, { sent: Micros; then: (r: StoreReply) => void }>();
+  private readonly storeCalls = new Map<number, { sent: Micros; then: (r: StoreReply) => void }>();
   private readonly cloudCalls = new Map<number, (r: CloudReply) => void>();
-  private readonly orderCalls = new Map<number, (r: CommandReply) => void>();
+  private readonly commandCalls = new Map<number, (r: CommandReply) => void>();
 
   /** `stopwatch` only bounds the time spent on a search; decisions never read it otherwise. */
   constructor(
@@ -56,34 +57,34 @@
     this.out.push(e);
   }
 
-  info(event: string, fields: LogFields = {}): void {
+  info(event: LogEvent, fields: LogFields = {}): void {
     this.out.push({ kind: 'log', level: 'info', event, fields });
   }
 
   /** Fields that cost something to gather are given as a function. */
-  debug(event: string, given: LogFields | (() => LogFields) = {}): void {
+  debug(event: LogEvent, given: LogFields | (() => LogFields) = {}): void {
     if (!this.verbose) return;
     const fields = typeof given === 'function' ? given() : given;
     this.out.push({ kind: 'log', level: 'debug', event, fields });
   }
 
-  error(event: string, fields: LogFields = {}): void {
+  error(event: LogEvent, fields: LogFields = {}): void {
     this.out.push({ kind: 'log', level: 'error', event, fields });
   }
 
-  state(op: StoreOperation, urgency: RequestUrgency, then: (r: StoreReply) => void): void {
+  requestStore(op: StoreOperation, urgency: RequestUrgency, then: (r: StoreReply) => void): void {
     const call = this.nextCall++;
-    this.stateCalls.set(call, { sent: this.now, then });
-    this.out.push({ kind: 'state', call, op, urgency });
+    this.storeCalls.set(call, { sent: this.now, then });
+    this.out.push({ kind: 'storeRequest', call, op, urgency });
   }
 
-  cloud(op: CloudOperation, urgency: RequestUrgency, then: (r: CloudReply) => void): void {
+  requestCloud(op: CloudOperation, urgency: RequestUrgency, then: (r: CloudReply) => void): void {
     const call = this.nextCall++;
     this.cloudCalls.set(call, then);
-    this.out.push({ kind: 'cloud', call, op, urgency });
+    this.out.push({ kind: 'cloudRequest', call, op, urgency });
   }
 
-  orders(
+  sendCommands(
     address: string,
     token: number,
     session: number,
@@ -91,8 +92,15 @@
     then: (r: CommandReply) => void,
   ): void {
     const call = this.nextCall++;
-    this.orderCalls.set(call, then);
-    this.out.push({ kind: 'orders', call, address, token, session, orders });
+    this.commandCalls.set(call, then);
+    this.out.push({
+      kind: 'workerCommands',
+      call,
+      address,
+      fencingToken: token,
+      agentEpoch: session,
+      commands: orders,
+    });
   }
 
   after(delay: Micros, run: () => void): void {
@@ -113,9 +121,9 @@
     }
   }
 
-  stateReplied(call: number, r: StoreReply): void {
-    const waiting = this.stateCalls.get(call);
-    this.stateCalls.delete(call);
+  storeReplied(call: number, r: StoreReply): void {
+    const waiting = this.storeCalls.get(call);
+    this.storeCalls.delete(call);
     if (waiting === undefined) return;
     if (r.kind !== 'failed') this.linkGood();
     else if (this.storeConnection.recordFailure(r.cause, waiting.sent)) this.linkBad(r.cause);
@@ -125,11 +133,11 @@
   private linkGood(): void {
     const since = this.storeConnection.downSince;
     if (this.storeConnection.recordSuccess(this.now) && since !== null)
-      this.info('state.back', { afterS: (this.now - since) / SECOND });
+      this.info('store.reconnected', { afterS: (this.now - since) / SECOND });
   }
 
   private linkBad(cause: StoreFailureCause): void {
-    this.info('state.lost', { cause });
+    this.info('store.unreachable', { cause });
     for (const tell of this.onStoreLost) tell();
     if (!this.probing) this.probe();
   }
@@ -138,7 +146,7 @@
   private probe(): void {
     this.probing = this.storeConnection.downSince !== null;
     if (!this.probing) return;
-    this.state({ kind: 'get', key: TERM }, 0, () => {
+    this.requestStore({ kind: 'get', key: TERM }, 0, () => {
       this.after(PROBE_EVERY, () => {
         this.probe();
       });
@@ -151,9 +159,9 @@
     then?.(r);
   }
 
-  ordersReplied(call: number, r: CommandReply): void {
-    const then = this.orderCalls.get(call);
-    this.orderCalls.delete(call);
+  commandsReplied(call: number, r: CommandReply): void {
+    const then = this.commandCalls.get(call);
+    this.commandCalls.delete(call);
     then?.(r);
   }
 
@@ -169,7 +177,7 @@
     try {
       run();
     } catch (e) {
-      this.error('core.exception', { what, stack: e instanceof Error ? e.stack : String(e) });
+      this.error('node.exception_caught', { what, stack: e instanceof Error ? e.stack : String(e) });
     }
   }
 
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -45,7 +45,7 @@
     }
     if (best === null) return;
     const { m } = best;
-    this.ctx.info('machine.consolidate', { machine: m.name, tasks: m.attempts.size });
+    this.ctx.info('machine.defragmented', { machine: m.name, tasks: m.attempts.size });
     m.retirementReason = 'consolidated';
     for (const a of [...m.attempts.values()]) this.stopAttempt(a, a.job.spec.checkpointDurationUs + SECOND);
     this.retireWhenEmpty(m, 'consolidated', now + 20 * SECOND);
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -53,7 +53,7 @@
       // What is being freed is for this job: others must not slip in before all of it is there.
       job.reservedUntil =
         this.ctx.now + Math.max(...victims.map((v) => v.job.spec.checkpointDurationUs)) + 6 * SECOND;
-      this.ctx.debug('preempt', () => ({
+      this.ctx.debug('task.preempted', () => ({
         job: job.id,
         victims: victims.map((v) => `${v.job.id}/${v.index}`),
       }));
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -162,7 +162,7 @@
       return;
     }
     // After users' own writes: these come in batches, behind which a submission would wait for half a second.
-    this.ctx.state({ kind: 'txn', conditions, writes: batch.map((e) => e.write) }, 2, (r) => {
+    this.ctx.requestStore({ kind: 'txn', conditions, writes: batch.map((e) => e.write) }, 2, (r) => {
       if (this.stopped) return;
       if (r.kind === 'ok') {
         for (const { entry, write } of batch) {
@@ -176,7 +176,7 @@
         // Alone, so it is this one that the service won't take. It must not hold up the rest for ever.
         const { entry, write } = batch[0]!;
         const size = write.kind === 'put' ? bytesOf(write.value) : 0;
-        this.ctx.error('write.refused', { key: entry.key, bytes: size });
+        this.ctx.error('write.rejected', { key: entry.key, bytes: size });
         for (const f of entry.refused) f(size);
         this.more();
         return;
@@ -198,7 +198,7 @@
       } else {
         if (r.kind === 'refused') {
           // One of them is too large, or they are too many: never the same batch again.
-          this.ctx.info('write.batch_refused', { writes: batch.length, bytes });
+          this.ctx.info('write.batch_rejected', { writes: batch.length, bytes });
           this.most = Math.max(1, Math.floor(batch.length / 2));
           this.cautiousUntil = this.ctx.now + CAUTION;
         }
@@ -215,7 +215,7 @@
       this.kick(GATHER_US);
       return;
     }
-    this.ctx.state({ kind: 'get', key }, 1, (r) => {
+    this.ctx.requestStore({ kind: 'get', key }, 1, (r) => {
       if (this.stopped) return;
       if (r.kind === 'item') this.versions.set(key, r.item.version);
       else if (r.kind === 'missing') this.versions.set(key, 0);
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -69,7 +69,7 @@
     for (const it of pages) {
       const entries = readPage(it.value);
       if (entries === null) {
-        this.ctx.error('progress.unreadable', { key: it.key });
+        this.ctx.error('progress.record_unreadable', { key: it.key });
         whole = false;
       }
       for (const [id, value] of Object.entries(entries ?? {})) merge(id, 0, value);
@@ -129,7 +129,7 @@
     const rec = decodeProgress(value);
     if (rec === null) {
       // Never taken for absence: where its tasks are can't be known, so none is started by this leader.
-      this.ctx.error('progress.unreadable', { job: job.id });
+      this.ctx.error('progress.record_unreadable', { job: job.id });
       job.progressUnreadable = true;
       return;
     }
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -63,7 +63,7 @@
       attempts.push(a);
     }
     job.startedBefore = true;
-    ctx.debug('job.start', () => ({
+    ctx.debug('job.tasks_dispatched', () => ({
       job: job.id,
       tasks: places.map((p) => `${p.index}@${p.machine.name}`),
       attempt: no,
@@ -136,7 +136,7 @@
   disown(a: TaskAttempt): void {
     if (!this.detach(a)) return;
     const { job, machine } = a;
-    this.term.ctx.debug('attempt.disowned', {
+    this.term.ctx.debug('attempt.discarded', {
       job: job.id,
       task: a.index,
       machine: machine.name,
@@ -204,7 +204,7 @@
     const pause = everywhere ? Math.min(60, 2 ** Math.min(job.consecutiveFailures - 2, 6)) : 0;
     job.retryNotBefore = Math.max(job.retryNotBefore, ctx.now + pause * SECOND);
     if (everywhere) {
-      ctx.info('job.fails_everywhere', { job: job.id, failures: job.consecutiveFailures });
+      ctx.info('job.failing_everywhere', { job: job.id, failures: job.consecutiveFailures });
       for (const name of job.failuresByMachine.keys()) estate.machines.get(name)?.failedJobs.delete(job.id);
       return;
     }
@@ -262,7 +262,7 @@
     const { ctx } = this.term;
     a.stopping = { since: ctx.now, graceUs };
     a.machine.markChanged();
-    ctx.debug('attempt.stop', { job: a.job.id, task: a.index, machine: a.machine.name, graceUs });
+    ctx.debug('attempt.stop_requested', { job: a.job.id, task: a.index, machine: a.machine.name, graceUs });
     a.machine.queuedCommands.push({ op: 'stop', job: a.job.id, index: a.index, attempt: a.number, graceUs });
     this.pump(a.machine);
   }
@@ -354,7 +354,7 @@
     if (starts.length > 0) m.lastStartToken = token;
     m.commandInFlight = true;
     const session = m.agentEpoch;
-    this.term.ctx.orders(m.address, token, session, orders, (r) => {
+    this.term.ctx.sendCommands(m.address, token, session, orders, (r) => {
       m.commandInFlight = false;
       if (this.term.stopped) return;
       this.onOrdersReply(m, starts, r);
@@ -367,13 +367,13 @@
     if (r.kind === 'lost') {
       if (starts.length > 0) {
         m.fencingCounter++;
-        ctx.info('orders.lost', { machine: m.name, starts: starts.length });
+        ctx.info('command.unanswered', { machine: m.name, starts: starts.length });
       }
       for (const a of starts) if (a.state === 'sent') a.state = 'unknown';
       return;
     }
     if (r.kind === 'refused') {
-      ctx.info('orders.refused', { machine: m.name, starts: starts.length });
+      ctx.info('command.rejected', { machine: m.name, starts: starts.length });
       for (const a of starts) if (a.state === 'sent') this.end(a, null);
     } else {
       // Executed before its report was made: what the report doesn't list is not there.
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -43,7 +43,7 @@
     if (m === null) return { kind: 'unavailable' };
     if (r.fencingToken > this.term.fencingTokenOf(m)) {
       // It would drop a 200 of ours, and stay here until its lease has run out.
-      ctx.info('report.token_ahead', { machine: m.name, token: r.fencingToken });
+      ctx.info('heartbeat.token_ahead', { machine: m.name, token: r.fencingToken });
       return { kind: 'unavailable' };
     }
     const newer = m.isNewerHeartbeat(r);
@@ -66,7 +66,7 @@
     }
     this.attempts.refuseLate(m);
     const forgets = newer && this.term.ready ? this.forgetsFor(m, r, MAX_COMMANDS - stops.length) : [];
-    return { kind: 'accepted', token: this.term.fencingTokenOf(m), orders: [...stops, ...forgets] };
+    return { kind: 'accepted', fencingToken: this.term.fencingTokenOf(m), commands: [...stops, ...forgets] };
   }
 
   /**
@@ -84,7 +84,7 @@
   apply(m: Machine, r: Heartbeat): void {
     const { ctx } = this.term;
     if (r.agentEpoch > m.agentEpoch) {
-      if (m.agentEpoch > 0) ctx.info('machine.session', { machine: m.name, session: r.agentEpoch });
+      if (m.agentEpoch > 0) ctx.info('machine.epoch_changed', { machine: m.name, session: r.agentEpoch });
       for (const a of [...m.attempts.values()]) if (a.agentEpoch < r.agentEpoch) this.attempts.end(a, null);
       m.agentEpoch = r.agentEpoch;
       // It began by now, and lasts for a whole lease from its beginning. Who hears of it from the answer to an order, which
@@ -99,12 +99,16 @@
       m.up = true;
       m.upSince = ctx.now;
       m.idleSince = ctx.now;
-      ctx.info('machine.up', { machine: m.name, type: m.type, afterS: (ctx.now - m.provisionedAt) / SECOND });
+      ctx.info('machine.ready', {
+        machine: m.name,
+        type: m.type,
+        afterS: (ctx.now - m.provisionedAt) / SECOND,
+      });
       this.term.schedulePass();
     }
     const noticed = r.terminationNoticeUs === null ? null : ctx.now + r.terminationNoticeUs;
     if (noticed !== null && m.terminationAt === null) {
-      ctx.info('machine.notice', { machine: m.name, leftS: r.terminationNoticeUs! / SECOND });
+      ctx.info('machine.termination_noticed', { machine: m.name, leftS: r.terminationNoticeUs! / SECOND });
       m.terminationAt = noticed;
       this.term.schedulePass();
     } else if (noticed === null) m.terminationAt = null;
@@ -204,7 +208,7 @@
   private onTaskState(m: Machine, a: TaskAttempt, t: ReportedTask): void {
     if (t.state === 'exited' || a.state === t.state) return;
     const { ctx } = this.term;
-    ctx.debug('attempt.state', { job: a.job.id, task: a.index, machine: m.name, state: t.state });
+    ctx.debug('attempt.state_changed', { job: a.job.id, task: a.index, machine: m.name, state: t.state });
     a.state = t.state;
     m.markChanged();
     if (t.state === 'running' && a.runningAt === null) {
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -93,7 +93,7 @@
   const steps = (): number => {
     const world = worldOf(1);
     world.onLog = (_node, event, fields) => {
-      if (event === 'plan') slices = Math.max(slices, Number(fields['slices']));
+      if (event === 'plan.completed') slices = Math.max(slices, Number(fields['slices']));
     };
     let last = 0;
     countSteps(world, world.nodes[world.leader()]!.name, (count) => {
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -182,7 +182,7 @@
 /** What the leader answers to this report. */
 const answerOf = (w: ClusterSimulation, r: Heartbeat): HeartbeatResponse => {
   const core = w.nodes.find((n) => n.core?.leads() === true)!.core!;
-  return core.scheduler!.onReport(r);
+  return core.scheduler!.respondToHeartbeat(r);
 };
 
 test('a report that was overtaken is answered with the stops of what is over, or not with 200', () => {
@@ -201,13 +201,13 @@
     const a = answerOf(w, r);
     assert.equal(a.kind, 'accepted');
     assert.deepEqual(
-      a.kind === 'accepted' ? a.orders.filter((o) => o.op === 'stop' && o.job === id).length : -1,
+      a.kind === 'accepted' ? a.commands.filter((o) => o.op === 'stop' && o.job === id).length : -1,
       tasks.length,
     );
   }
   // One that lists none of them, made before they began: the stops come all the same.
   const empty = answerOf(w, { ...old, tasks: [] });
-  assert.ok(empty.kind === 'accepted' && empty.orders.some((o) => o.op === 'stop' && o.job === id));
+  assert.ok(empty.kind === 'accepted' && empty.commands.some((o) => o.op === 'stop' && o.job === id));
   // It has seen a token that is not of this term: it would drop a 200, and nothing is learned from it.
   const ahead = { ...newer, sequence: newer.sequence + 1, fencingToken: 2 ** 50 };
   assert.equal(answerOf(w, ahead).kind, 'unavailable');
@@ -295,7 +295,7 @@
   const r = new Random(seed * 31_337);
   let won = 0;
   w.onLog = (_n, event) => {
-    if (event === 'leader.won') won++;
+    if (event === 'leader.elected') won++;
   };
   const node = (): number => {
     const lead = w.nodes.findIndex((n) => n.name === leader());
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -26,14 +26,14 @@
 const nextLeader = (w: ClusterSimulation, old: readonly Heartbeat[]): void => {
   const won = w.nodes.map(() => false);
   w.onLog = (n, event) => {
-    if (event === 'leader.ready') won[w.nodes.findIndex((x) => x.name === n)] = true;
+    if (event === 'leader.state_restored') won[w.nodes.findIndex((x) => x.name === n)] = true;
   };
   for (const x of w.workers.values()) x.muteUntil = w.now + 60 * SECOND;
   w.crash(w.leader(), 30 * SECOND);
   for (let i = 0; i < 1_000 && !won.includes(true); i++) w.runFor(25 * MILLI);
   assert.ok(won.includes(true), 'a new leader is ready');
   const { scheduler } = w.nodes[w.leader()]!.core!;
-  for (const r of old) assert.equal(scheduler!.onReport(r).kind, 'accepted');
+  for (const r of old) assert.equal(scheduler!.respondToHeartbeat(r).kind, 'accepted');
   for (const x of w.workers.values()) {
     x.muteUntil = 0;
     x.node = w.leader();
@@ -93,7 +93,7 @@
     const { scheduler } = w.nodes[w.leader()]!.core!;
     // It has heard of the new leader: by an order, or an answer before the records were read.
     w.machines.orders(place.name, scheduler!.term.firstFencingToken, place.session, []);
-    assert.equal(scheduler!.onReport(w.machines.reportOf(place)).kind, 'accepted');
+    assert.equal(scheduler!.respondToHeartbeat(w.machines.reportOf(place)).kind, 'accepted');
     place.deafUntil = w.now + 12 * SECOND;
     for (const x of w.workers.values()) if (x !== place) x.nextReport = w.now;
     from.nextReport = w.now;
@@ -128,7 +128,7 @@
     nextLeader(w, []);
     const { scheduler } = w.nodes[w.leader()]!.core!;
     for (const copies of old) {
-      for (const r of copies) scheduler!.onReport(r);
+      for (const r of copies) scheduler!.respondToHeartbeat(r);
       w.runFor(2 * SECOND);
     }
     assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -166,7 +166,7 @@
   const sent = s.now;
   s.pass(SECOND);
   s.take('watch').then(events([gone('a', 49)], 49));
-  assert.deepEqual([[...s.jobs.keys()], s.logged], [['a'], ['watch.went_back']]);
+  assert.deepEqual([[...s.jobs.keys()], s.logged], [['a'], ['watch.revision_regressed']]);
   assert.ok(!s.freshness.isFresh(sent + s.freshness.maxAgeUs));
 });
 
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -133,7 +133,7 @@
     const r = new Random(seed * 2_027);
     const w = new ClusterSimulation(r, 3, undefined, undefined, 4);
     w.onLog = (_n, event) => {
-      if (event === 'leader.won') won++;
+      if (event === 'leader.elected') won++;
     };
     w.runFor(3 * SECOND);
     for (let i = 0; i < 5; i++) {
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -80,7 +80,7 @@
     const w = new ClusterSimulation(new Random(seed * 77), 3, TEAM(16), 16, 4);
     const missed = new Map<string, number>();
     w.onLog = (_n, event, f) => {
-      if (event === 'machine.retire' && f['reason'] === 'silent') missed.set(String(f['machine']), w.now);
+      if (event === 'machine.retired' && f['reason'] === 'silent') missed.set(String(f['machine']), w.now);
     };
     w.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++)
@@ -90,12 +90,12 @@
     // What it has sent so far comes again, one after the other, for longer than its lease.
     const sent = Array.from({ length: 12 }, () => w.machines.reportOf(x));
     const lead = (): Core => w.nodes.find((n) => n.core?.leads() === true)!.core!;
-    for (const r of sent) lead().scheduler!.onReport(r);
+    for (const r of sent) lead().scheduler!.respondToHeartbeat(r);
     x.cutUntil = w.now + 1_000 * SECOND;
     const from = w.now;
     for (const r of sent) {
       w.runFor(4 * SECOND);
-      lead().scheduler!.onReport(r);
+      lead().scheduler!.respondToHeartbeat(r);
     }
     const at = missed.get(x.name);
     assert.ok(at !== undefined, `seed ${seed}: ${x.name} is never missed`);
@@ -128,12 +128,12 @@
     for (let i = 0; i < 40 && reading() === undefined; i++) w.runFor(250 * MILLI);
     const scheduler = reading()!.scheduler!;
     assert.equal(scheduler.term.ready, false);
-    scheduler.onReport(old);
+    scheduler.respondToHeartbeat(old);
     assert.ok(scheduler.term.cluster.machines.has(x.name), 'taken for one that may be there');
     w.runFor(6 * SECOND);
     assert.equal(scheduler.term.ready, true);
     assert.ok(!scheduler.term.cluster.machines.has(x.name), 'let go once the records were read');
-    assert.equal(scheduler.onReport(old).kind, 'unavailable', `seed ${seed}`);
+    assert.equal(scheduler.respondToHeartbeat(old).kind, 'unavailable', `seed ${seed}`);
     ghosts += tasks.length;
     w.runFor(30 * SECOND);
     assert.deepEqual([...new Set(w.broken)], []);
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -61,8 +61,8 @@
     w.runFor(12 * SECOND);
     assert.notEqual(leader(), slow);
     w.runFor(60 * SECOND);
-    assert.equal(log.filter((l) => l.endsWith('leader.won')).length, 1, log.join('; '));
-    assert.equal(log.filter((l) => l.endsWith('machine.session')).length, 0);
+    assert.equal(log.filter((l) => l.endsWith('leader.elected')).length, 1, log.join('; '));
+    assert.equal(log.filter((l) => l.endsWith('machine.epoch_changed')).length, 0);
     assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
   }
 });
@@ -72,6 +72,6 @@
   for (const n of w.nodes) w.stutter.set(n.name, 2_500 * MILLI);
   w.runFor(100 * SECOND);
   // Each of them may give it up once in four leases of the workers, which last 20 s here.
-  assert.ok(log.filter((l) => l.endsWith('leader.resign')).length <= 4, log.join('; '));
+  assert.ok(log.filter((l) => l.endsWith('leader.resigned')).length <= 4, log.join('; '));
   assert.deepEqual([...new Set(w.broken)], []);
 });
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -262,7 +262,7 @@
     const { core } = n;
     const step = core!.step.bind(core);
     core!.step = (now, input) => {
-      if (input.kind === 'peer') kinds.add(input.message.kind);
+      if (input.kind === 'peerMessage') kinds.add(input.message.kind);
       return step(now, input);
     };
   }
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -90,10 +90,10 @@
       const out = this.ctx.out;
       this.ctx.out = [];
       for (const e of out) {
-        if (e.kind !== 'state') continue;
+        if (e.kind !== 'storeRequest') continue;
         const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
         const fate = this.random.next();
-        if (fate >= this.trouble) this.ctx.stateReplied(e.call, this.apply(e.op));
+        if (fate >= this.trouble) this.ctx.storeReplied(e.call, this.apply(e.op));
         else {
           if (fate < this.trouble / 3) this.apply(e.op);
           else if (fate < this.trouble / 1.5) {
@@ -101,7 +101,7 @@
             const at = this.ctx.now + this.random.below(20) * SECOND;
             this.late.push({ at, run: () => this.apply(op) });
           }
-          this.ctx.stateReplied(e.call, failed);
+          this.ctx.storeReplied(e.call, failed);
         }
       }
     }
@@ -446,7 +446,7 @@
   ctx.now += SECOND;
   ctx.runDueTimers();
   assert.ok(
-    ctx.out.some((e) => e.kind === 'state'),
+    ctx.out.some((e) => e.kind === 'storeRequest'),
     'on its way',
   );
   assert.ok(!job.recordedMachines.has(m.name));
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -46,7 +46,7 @@
   if (seed % 3 !== 0) w.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   let won = 0;
   w.onLog = (_node, event) => {
-    if (event === 'leader.won') won++;
+    if (event === 'leader.elected') won++;
   };
   w.runFor(2 * SECOND);
   const ids: string[] = [];
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -45,7 +45,11 @@
       w.runFor(75 * SECOND);
       assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
       assert.equal(sessions(w), 0, `seed ${seed}, refused ${refused}: leases that ran out`);
-      assert.equal(log.filter((l) => l.endsWith('leader.won')).length, 1, 'the office changes hands once');
+      assert.equal(
+        log.filter((l) => l.endsWith('leader.elected')).length,
+        1,
+        'the office changes hands once',
+      );
     }
 });
 
@@ -61,13 +65,19 @@
     // More than can run: there is something to rent for.
     for (let i = 20; i < 24; i++) w.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
     w.runFor(50 * SECOND);
-    const acts = ['fleet.rent', 'machine.lease_ended', 'machine.retire', 'gang.broken', 'leader.resign'];
+    const acts = [
+      'autoscaler.scale_out_requested',
+      'machine.lease_expired',
+      'machine.retired',
+      'gang.broken',
+      'leader.resigned',
+    ];
     assert.deepEqual(
       log.filter((l) => acts.some((a) => l === `${leader} ${a}`)),
       [],
     );
     assert.ok(
-      log.some((l) => l.endsWith('fleet.rent')),
+      log.some((l) => l.endsWith('autoscaler.scale_out_requested')),
       'the new leader rents',
     );
     // What is told by a peer ends the office at once; else it lasts until the state service answers again.
@@ -108,13 +118,13 @@
   return {
     feed,
     sentTo: (atS) => {
-      const out = feed(atS, { kind: 'report', request: 1, report: REPORT });
-      const a = out.find((e) => e.kind === 'answerWorker')?.answer;
+      const out = feed(atS, { kind: 'heartbeat', request: 1, heartbeat: REPORT });
+      const a = out.find((e) => e.kind === 'heartbeatResponse')?.answer;
       assert.notEqual(a?.kind, 'accepted');
       return a?.kind === 'redirect' ? a.leader : null;
     },
     tell: (atS, member, term) => {
-      feed(atS, { kind: 'peer', message: { kind: 'progress', member, term, jobs: [] } });
+      feed(atS, { kind: 'peerMessage', message: { kind: 'progress', member, term, jobs: [] } });
     },
   };
 };
@@ -142,11 +152,11 @@
 test('the end of an office that the state service tells of is not undone by a late word of it', () => {
   const n = alone();
   const look = n.feed(1, { kind: 'timer' });
-  assert.ok(look.every((e) => e.kind !== 'answerWorker'));
+  assert.ok(look.every((e) => e.kind !== 'heartbeatResponse'));
   n.tell(1, 'n1', 5);
   assert.equal(n.sentTo(1), 'n1');
   // The first call of a node is its look at the leader's key.
-  n.feed(2, { kind: 'state', call: 1, reply: { kind: 'missing', revision: 9 } });
+  n.feed(2, { kind: 'storeReply', call: 1, reply: { kind: 'missing', revision: 9 } });
   n.tell(2, 'n1', 5);
   assert.equal(n.sentTo(2), null);
   n.tell(3, 'n2', 6);
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -57,7 +57,7 @@
   w.stand(size.standing);
   let won = 0;
   w.onLog = (_node, event) => {
-    if (event === 'leader.won') won++;
+    if (event === 'leader.elected') won++;
   };
   w.repeats = 0.1;
   // From the first moment on: nothing in the start may hang on a process that lives through it.
@@ -190,7 +190,7 @@
     let ready = 0;
     let firstStart = 0;
     w.onLog = (_n, event) => {
-      if (event === 'leader.ready') ready = w.now;
+      if (event === 'leader.state_restored') ready = w.now;
     };
     w.crash(leader, 8 * SECOND);
     w.submit(specOf('run-9', { tasks: 4, estimatedRunUs: 10 * SECOND }));
@@ -218,7 +218,7 @@
     for (const x of [...w.workers.values()].slice(0, 8)) w.killWorker(x);
     let ready = 0;
     w.onLog = (_n, event) => {
-      if (event === 'leader.ready') ready = w.now;
+      if (event === 'leader.state_restored') ready = w.now;
     };
     w.crash(
       w.nodes.findIndex((n) => n.core?.leads()),
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -316,7 +316,7 @@
       if (n.life === life) this.feed(n, input);
     };
     switch (e.kind) {
-      case 'state':
+      case 'storeRequest':
         if (e.op.kind === 'txn' && e.op.writes.length > 0)
           this.onWrite(
             n.name,
@@ -328,7 +328,7 @@
           () => this.state.apply(e.op),
           (r) => {
             this.plan(e.op.kind === 'list' && this.isLate(n.name) ? this.listDelay : 0, () => {
-              back({ kind: 'state', call: e.call, reply: r });
+              back({ kind: 'storeReply', call: e.call, reply: r });
             });
           },
           { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' },
@@ -337,11 +337,11 @@
           'state',
         );
         return;
-      case 'cloud':
+      case 'cloudRequest':
         this.carry<CloudReply>(
           () => this.cloud.apply(e.op),
           (r) => {
-            back({ kind: 'cloud', call: e.call, reply: r });
+            back({ kind: 'cloudReply', call: e.call, reply: r });
           },
           { kind: 'failed', reason: 'lost' },
           null,
@@ -349,35 +349,35 @@
           'cloud',
         );
         return;
-      case 'orders':
+      case 'workerCommands':
         this.carryOrders(n, e, (r) => {
-          back({ kind: 'orders', call: e.call, reply: r });
+          back({ kind: 'commandReply', call: e.call, reply: r });
         });
         return;
-      case 'answerUser':
+      case 'clientResponse':
         this.asking.get(`${n.name}/${life}/${e.request}`)?.(e.answer);
         return;
-      case 'answerWorker': {
+      case 'heartbeatResponse': {
         const reply = this.reporting.get(`${n.name}/${life}/${e.request}`);
         reply?.(e.answer);
         return;
       }
-      case 'answerAsked':
+      case 'featureResponse':
         this.askingFeatures.get(`${n.name}/${life}/${e.request}`)?.(e.answer, e.last);
         return;
       case 'wake':
         n.wake = Math.ceil((e.at - 1) / n.rate) + n.startAt;
         return;
       case 'log':
-        if (e.event === 'leader.won') this.deliverKept();
+        if (e.event === 'leader.elected') this.deliverKept();
         this.onLog(n.name, e.event, e.fields);
         if (e.level === 'error') this.broken.push(`error logged: ${e.event} ${JSON.stringify(e.fields)}`);
         return;
-      case 'peer': {
+      case 'peerMessage': {
         const to = this.nodes.find((x) => x.name === e.member)!;
         if (this.random.chance(this.loss / 2)) return;
         const deliver = (): void => {
-          this.feed(to, { kind: 'peer', message: e.message });
+          this.feed(to, { kind: 'peerMessage', message: e.message });
         };
         this.plan(this.network.delay(n.name, to.name) + 2 * MILLI, deliver);
         this.again(deliver);
@@ -396,14 +396,14 @@
       for (const n of this.nodes)
         this.plan(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLI, () => {
           this.keptArrived++;
-          this.feed(n, { kind: 'report', request: this.nextRequest++, report });
+          this.feed(n, { kind: 'heartbeat', request: this.nextRequest++, heartbeat: report });
         });
   }
 
   private neverAnswered(call: number, back: (input: Input) => void): void {
     this.plan(CALL_PATIENCE, () => {
       back({
-        kind: 'state',
+        kind: 'storeReply',
         call,
         reply: { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' },
       });
@@ -559,7 +559,7 @@
       this.machines.unanswered(w);
       const late = this.nextRequest++;
       this.plan(there + 2 * MILLI, () => {
-        this.feed(n, { kind: 'report', request: late, report });
+        this.feed(n, { kind: 'heartbeat', request: late, heartbeat: report });
       });
       return;
     }
@@ -569,7 +569,7 @@
     const lostThere = this.random.chance(this.loss / 2);
     const lostBack = this.random.chance(this.loss / 2);
     const deliver = (): void => {
-      if (n.life === life) this.feed(n, { kind: 'report', request, report });
+      if (n.life === life) this.feed(n, { kind: 'heartbeat', request, heartbeat: report });
     };
     this.reporting.set(`${n.name}/${life}/${request}`, (a) => {
       this.reporting.delete(`${n.name}/${life}/${request}`);
@@ -583,9 +583,9 @@
     this.plan(lostThere ? this.random.below(20) * SECOND : 2 * MILLI, deliver);
     this.again(() => {
       this.feed(this.nodes[this.random.below(this.nodes.length)]!, {
-        kind: 'report',
+        kind: 'heartbeat',
         request: this.nextRequest++,
-        report,
+        heartbeat: report,
       });
     });
     if (lostThere || lostBack) this.machines.nextNode(w);
@@ -594,7 +594,7 @@
 
   private carryOrders(
     n: SimNode,
-    e: CoreEffect & { kind: 'orders' },
+    e: CoreEffect & { kind: 'workerCommands' },
     reply: (r: CommandReply) => void,
   ): void {
     const w = this.workers.get(e.address);
@@ -605,7 +605,7 @@
       });
       return;
     }
-    const run = (): CommandReply => this.machines.orders(e.address, e.token, e.session, e.orders);
+    const run = (): CommandReply => this.machines.orders(e.address, e.fencingToken, e.agentEpoch, e.commands);
     const late = this.ordersLate !== null && this.random.chance(this.ordersLate.share);
     if (late) {
       this.plan(ORDERS_PATIENCE + this.random.below(this.ordersLate!.most), () => {
@@ -660,7 +660,7 @@
     this.plan(5 * SECOND, () => {
       finish(null);
     });
-    this.feed(n, { kind: 'user', request, body, wallUs: this.wall });
+    this.feed(n, { kind: 'clientRequest', request, body, wallUs: this.wall });
   }
 
   /**
@@ -685,7 +685,7 @@
     this.askingFeatures.set(`${n.name}/${life}/${request}`, tell);
     this.plan(2 * MILLI, () => {
       if (n.core !== null && n.life === life)
-        this.feed(n, { kind: 'asked', feature, request, body, wallUs: this.wall });
+        this.feed(n, { kind: 'featureRequest', feature, request, body, wallUs: this.wall });
     });
     const look = (): void => {
       if (open && (n.core === null || n.life !== life)) tell(null, true);
--- a/packages/emulator/src/digest/message-encoding.ts
+++ b/packages/emulator/src/digest/message-encoding.ts
@@ -1,10 +1,10 @@
 /** The bytes of everything that a controller sends, by the same codecs that the controller's process uses. */
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
-import { encodeCloudOp, type HttpCall } from '@shaleyoke/protocol/cloud';
+import { encodeCloudOperation, type HttpCall } from '@shaleyoke/protocol/cloud';
 import { encodePeer } from '@shaleyoke/protocol/peers';
-import { encodeStateOp } from '@shaleyoke/protocol/state';
-import { encodeUserAnswer } from '@shaleyoke/protocol/users';
-import { encodeOrders, encodeWorkerAnswer, ORDERS_PATH } from '@shaleyoke/protocol/workers';
+import { encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
+import { encodeClientResponse } from '@shaleyoke/protocol/client-api';
+import { encodeCommands, encodeHeartbeatResponse, COMMANDS_PATH } from '@shaleyoke/protocol/workers';
 
 /** One message as it leaves a controller. */
 export interface SentMessage {
@@ -29,29 +29,29 @@
   encodeFeatureAnswer: FeatureAnswerEncoder,
 ): SentMessage | null => {
   switch (effect.kind) {
-    case 'state':
-      return request('state', encodeStateOp(effect.op));
-    case 'cloud':
-      return request('cloud', encodeCloudOp(effect.op));
-    case 'orders':
+    case 'storeRequest':
+      return request('state', encodeStoreOperation(effect.op));
+    case 'cloudRequest':
+      return request('cloud', encodeCloudOperation(effect.op));
+    case 'workerCommands':
       return {
-        head: `worker ${effect.address} POST ${ORDERS_PATH}`,
-        body: encodeOrders(effect.token, effect.session, effect.orders),
+        head: `worker ${effect.address} POST ${COMMANDS_PATH}`,
+        body: encodeCommands(effect.fencingToken, effect.agentEpoch, effect.commands),
       };
-    case 'answerUser': {
-      const { status, body, retryAfterS } = encodeUserAnswer(effect.answer);
+    case 'clientResponse': {
+      const { status, body, retryAfterS } = encodeClientResponse(effect.answer);
       return { head: `user ${effect.request} ${status} ${retryAfterS ?? ''}`, body };
     }
-    case 'answerWorker': {
-      const { status, body } = encodeWorkerAnswer(effect.answer);
+    case 'heartbeatResponse': {
+      const { status, body } = encodeHeartbeatResponse(effect.answer);
       return { head: `report ${effect.request} ${status}`, body };
     }
-    case 'answerAsked':
+    case 'featureResponse':
       return {
         head: `client ${effect.feature} ${effect.request}`,
         body: Buffer.from(encodeFeatureAnswer(effect.feature, effect.answer, effect.last)),
       };
-    case 'peer': {
+    case 'peerMessage': {
       const { path, body } = encodePeer(effect.message);
       return { head: `peer ${effect.member} POST ${path}`, body };
     }
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -470,7 +470,7 @@
   };
   let won = 0;
   w.onLog = (_n, event) => {
-    if (event === 'leader.won') won++;
+    if (event === 'leader.elected') won++;
   };
   w.runFor(2 * SECOND);
   const ids: string[] = [];
--- a/packages/emulator/src/loopback-http.ts
+++ b/packages/emulator/src/loopback-http.ts
@@ -1,6 +1,6 @@
 /** Plain HTTP on loopback, for stand-ins: a server and a call, each with nothing more than they need. */
 import * as http from 'node:http';
-import { Malformed } from '@shaleyoke/protocol/body';
+import { MalformedMessageError } from '@shaleyoke/protocol/body';
 import { answer, type Answer } from './wire.js';
 
 export interface Asked {
@@ -32,7 +32,7 @@
         try {
           handle({ method: req.method ?? 'GET', url: req.url ?? '/', body: Buffer.concat(chunks) }, reply);
         } catch (e) {
-          if (!(e instanceof Malformed)) throw e;
+          if (!(e instanceof MalformedMessageError)) throw e;
           reply(answer(400, { error: e.message }));
         }
       });
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -213,10 +213,10 @@
     if (!this.alive || this.session !== session) return;
     const a = r === null ? null : workerAnswerOf(r.status, r.body);
     if (a?.kind === 'accepted') {
-      if (a.token < this.token) return;
-      this.token = a.token;
+      if (a.fencingToken < this.token) return;
+      this.token = a.fencingToken;
       this.answered = sent;
-      for (const o of a.orders) this.execute(o);
+      for (const o of a.commands) this.execute(o);
       return;
     }
     const leader = a?.kind === 'redirect' ? this.world.nodes.findIndex((n) => n.member === a.leader) : -1;
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -56,18 +56,18 @@
   }
 
   private count(effect: CoreEffect): void {
-    if (effect.kind === 'state' && effect.op.kind === 'txn') {
+    if (effect.kind === 'storeRequest' && effect.op.kind === 'txn') {
       this.counts.transactions++;
       for (const write of effect.op.writes) {
         this.counts.puts++;
         if (write.kind === 'put') this.counts.putBytes += Buffer.byteLength(JSON.stringify(write.value));
       }
-    } else if (effect.kind === 'orders') {
+    } else if (effect.kind === 'workerCommands') {
       this.counts.orderCalls++;
-      this.countStarts(effect.orders);
-    } else if (effect.kind === 'answerWorker' && effect.answer.kind === 'accepted')
-      this.countStarts(effect.answer.orders);
-    else if (effect.kind === 'log' && effect.event === 'plan') this.notePlan(effect.fields);
+      this.countStarts(effect.commands);
+    } else if (effect.kind === 'heartbeatResponse' && effect.answer.kind === 'accepted')
+      this.countStarts(effect.answer.commands);
+    else if (effect.kind === 'log' && effect.event === 'plan.completed') this.notePlan(effect.fields);
   }
 
   private countStarts(orders: readonly WorkerCommand[]): void {
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -84,7 +84,7 @@
     );
     this.world.meter = this.probe;
     this.world.onLog = (_node, event) => {
-      if (event === 'leader.ready') this.readyAt = this.world.now;
+      if (event === 'leader.state_restored') this.readyAt = this.world.now;
     };
     this.probe.onStart = (order) => {
       const task = `${order.job}/${order.index}`;
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -12,13 +12,13 @@
   flag,
   integer,
   list,
-  Malformed,
+  MalformedMessageError,
   micros,
   seconds,
   text,
   type Fields,
 } from '@shaleyoke/protocol/body';
-import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/users';
+import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/client-api';
 import { CAUSES, splitTask, STATES, taskName } from '@shaleyoke/protocol/workers';
 
 /** A value's name on the wire, by the protocol's own table. */
@@ -82,7 +82,7 @@
   if (method === 'POST' && path === '/grants') return { kind: 'grant', ttlMs: integer(f(), 'life_ms') };
   const grant = /^\/grants\/(\d+)(\/touch)?$/.exec(path);
   if (grant !== null) return { kind: method === 'DELETE' ? 'revoke' : 'renew', lease: Number(grant[1]) };
-  throw new Malformed(`no such request: ${method} ${path}`);
+  throw new MalformedMessageError(`no such request: ${method} ${path}`);
 };
 
 export const encodeStateReply = (op: StoreOperation, r: StoreReply): Answer => {
@@ -149,7 +149,7 @@
       count: integer(x, 'count'),
     };
   }
-  throw new Malformed(`no such request: ${method} ${path}`);
+  throw new MalformedMessageError(`no such request: ${method} ${path}`);
 };
 
 const flavor = (t: MachineType): unknown => ({
@@ -225,7 +225,7 @@
     case 'clear':
       return { op: 'forget', ...id };
     default:
-      throw new Malformed('verb: not a known order');
+      throw new MalformedMessageError('verb: not a known order');
   }
 };
 
@@ -244,13 +244,13 @@
     if (status === 200)
       return {
         kind: 'accepted',
-        token: integer(f, 'baton'),
-        orders: list(f['orders'], 'orders').map(orderOf),
+        fencingToken: integer(f, 'baton'),
+        commands: list(f['orders'], 'orders').map(orderOf),
       };
     const leader = f['foreman'];
     if (status === 421) return { kind: 'redirect', leader: typeof leader === 'string' ? leader : null };
   } catch (e) {
-    if (!(e instanceof Malformed)) throw e;
+    if (!(e instanceof MalformedMessageError)) throw e;
   }
   return { kind: 'unavailable' };
 };
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -181,10 +181,10 @@
   answered(w: Worker, session: number, sent: Micros, a: HeartbeatResponse, to: number): void {
     if (!w.alive || w.session !== session || this.now < w.cutUntil) return;
     if (a.kind === 'accepted') {
-      if (a.token < w.token) return;
-      w.token = a.token;
+      if (a.fencingToken < w.token) return;
+      w.token = a.fencingToken;
       w.answered = sent;
-      for (const o of a.orders) this.execute(w, o);
+      for (const o of a.commands) this.execute(w, o);
     } else if (to >= 0 && to !== w.node) {
       w.node = to;
       w.nextReport = this.now + 100 * MILLI;
--- a/packages/emulator/test/digest.test.ts
+++ b/packages/emulator/test/digest.test.ts
@@ -11,7 +11,7 @@
 import { MessageDigest } from '@shaleyoke/emulator/digest/message-digest';
 
 const put = (value: unknown): CoreEffect => ({
-  kind: 'state',
+  kind: 'storeRequest',
   call: 1,
   op: { kind: 'txn', conditions: [], writes: [{ kind: 'put', key: 'j/run-1', value }] },
   urgency: 1,
@@ -32,14 +32,20 @@
     assert.deepEqual(results[0], results[1]);
     assert.deepEqual(traces[0], traces[1]);
     assert.equal(traces[0]!.length, results[0]!.messages);
-    for (const kind of ['state', 'cloud', 'orders', 'answerUser', 'answerWorker'] as const)
+    for (const kind of [
+      'storeRequest',
+      'cloudRequest',
+      'workerCommands',
+      'clientResponse',
+      'heartbeatResponse',
+    ] as const)
       assert.ok((results[0]!.counts.get(kind) ?? 0) >= 10, `seed ${seed}: ${kind}`);
   }
   assert.notEqual(digestOfSeed(planOf(4), NO_FEATURES).digest, digestOfSeed(planOf(8), NO_FEATURES).digest);
 });
 
 test("controllers' messages to each other are part of the digest where membership is on", () => {
-  assert.ok((digestOfSeed(planOf(2), NO_FEATURES).counts.get('peer') ?? 0) > 100);
+  assert.ok((digestOfSeed(planOf(2), NO_FEATURES).counts.get('peerMessage') ?? 0) > 100);
 });
 
 test('a stored field with another name, another time and another order change the digest', () => {
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -17,7 +17,7 @@
       return;
     }
     const record = { ...o.record, deleting: this.links.ctx.wallNow };
-    this.links.ctx.state(
+    this.links.ctx.requestStore(
       {
         kind: 'txn',
         conditions: [{ key: o.key, version: o.version }],
@@ -48,7 +48,7 @@
       key: manifestKey(o.record.uid, n),
     }));
     const first = pieces.slice(0, ctx.settings.maxTransactionOperations - 1);
-    ctx.state(
+    ctx.requestStore(
       {
         kind: 'txn',
         conditions: [{ key: o.key, version: o.version }],
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -66,7 +66,7 @@
 
   /** What changed up to now, in one request: it names the ledger's number as well. */
   private catchUp(then: (ok: boolean) => void): void {
-    this.ctx.state({ kind: 'watch', prefix: ROOT, after: this.view.at, waitMs: 0 }, 1, (r) => {
+    this.ctx.requestStore({ kind: 'watch', prefix: ROOT, after: this.view.at, waitMs: 0 }, 1, (r) => {
       if (r.kind === 'events') {
         this.take(r.events, r.revision);
         then(true);
@@ -91,7 +91,7 @@
   /** Reads all objects. Pages are of different moments: what changed meanwhile is put right from the first's on. */
   private load(then: (ok: boolean) => void, after = '', found: StoredItem[] = [], from = -1): void {
     const op = { kind: 'list', prefix: ROOT, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
-    this.ctx.state(op, 1, (r) => {
+    this.ctx.requestStore(op, 1, (r) => {
       if (r.kind !== 'items') {
         then(false);
         return;
@@ -104,7 +104,7 @@
         return;
       }
       this.view.reset(found, first);
-      this.ctx.state({ kind: 'watch', prefix: ROOT, after: first, waitMs: 0 }, 1, (w) => {
+      this.ctx.requestStore({ kind: 'watch', prefix: ROOT, after: first, waitMs: 0 }, 1, (w) => {
         if (w.kind === 'events') {
           this.view.apply(w.events, w.revision);
           this.view.settle();
@@ -129,7 +129,7 @@
   private poll(): void {
     if (this.polling || this.watchers === 0 || !this.loaded) return;
     this.polling = true;
-    this.ctx.state({ kind: 'watch', prefix: ROOT, after: this.view.at, waitMs: POLL_MS }, 2, (r) => {
+    this.ctx.requestStore({ kind: 'watch', prefix: ROOT, after: this.view.at, waitMs: POLL_MS }, 2, (r) => {
       this.polling = false;
       if (r.kind === 'events') {
         this.take(r.events, r.revision);
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -69,14 +69,14 @@
   }
 
   private answer(request: number, answer: KubeAnswer, last = true): void {
-    this.links.ctx.emit({ kind: 'answerAsked', feature: FEATURE, request, answer, last });
+    this.links.ctx.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
   }
 
   asked(request: number, body: unknown): void {
     const { who, ask } = body as KubeAsk;
     if (ask.verb === 'unwatch') {
       this.watches.end(ask.watch);
-      this.links.ctx.emit({ kind: 'answerAsked', feature: FEATURE, request, answer: null, last: true });
+      this.links.ctx.emit({ kind: 'featureResponse', feature: FEATURE, request, answer: null, last: true });
       return;
     }
     // Tokens are as new as objects: one that is revoked opens nothing on any node from then on.
@@ -213,7 +213,7 @@
           ...writes.slice(0, room),
         ],
       };
-      this.links.ask({ kind: 'submit', id: spec.id, spec, problem: null, beside }, (a) => {
+      this.links.ask({ kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside }, (a) => {
         const taken = a.kind === 'view' && !a.created;
         // Somebody has that id: with a hundred random bits, a native user who was told it, if anybody.
         if (taken && draws > 1) this.draw(request, r, m, needs, draws - 1);
@@ -235,7 +235,7 @@
     }
     const some = writes.slice(0, ops);
     const conditions = some.map((w) => ({ key: w.key, version: 0 }));
-    this.links.ctx.state({ kind: 'txn', conditions, writes: some }, 1, (r) => {
+    this.links.ctx.requestStore({ kind: 'txn', conditions, writes: some }, 1, (r) => {
       if (r.kind !== 'ok') then(null);
       else {
         const now = some.map((w) => ({ key: w.key, version: r.revision }));
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -128,7 +128,7 @@
   private readEnd(id: string): void {
     if (this.reads >= MOST_READS) return;
     this.reads++;
-    this.term.ctx.state({ kind: 'get', key: endedKey(id) }, 2, (r) => {
+    this.term.ctx.requestStore({ kind: 'get', key: endedKey(id) }, 2, (r) => {
       this.reads--;
       const end = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
       if (end === null) return;
@@ -169,11 +169,15 @@
       { key: LEAD, version: office.keyVersion },
       { key: o.key, version: o.version },
     ];
-    ctx.state({ kind: 'txn', conditions, writes: [{ kind: 'put', key: o.key, value: record }] }, 2, (r) => {
-      if (r.kind === 'conflict' && r.failed.includes(LEAD) && !this.term.stopped)
-        leadership.stepDown('fenced');
-      then();
-    });
+    ctx.requestStore(
+      { kind: 'txn', conditions, writes: [{ kind: 'put', key: o.key, value: record }] },
+      2,
+      (r) => {
+        if (r.kind === 'conflict' && r.failed.includes(LEAD) && !this.term.stopped)
+          leadership.stepDown('fenced');
+        then();
+      },
+    );
   }
 
   private sweepLoose(): void {
@@ -192,7 +196,7 @@
           writes.push({ kind: 'delete', key: guard.key });
         this.allowance -= writes.length;
         const conditions = [{ key: LEAD, version: this.term.lease.keyVersion }, guard];
-        ctx.state({ kind: 'txn', conditions, writes }, 2, () => undefined);
+        ctx.requestStore({ kind: 'txn', conditions, writes }, 2, () => undefined);
       }
     }
   }
--- a/packages/protocol/src/users.ts
+++ b/packages/protocol/src/client-api.ts
@@ -9,7 +9,7 @@
   encodeBody,
   flag,
   list,
-  Malformed,
+  MalformedMessageError,
   oneOf,
   optionalText,
   text,
@@ -35,7 +35,7 @@
 
 const nonEmpty = (f: Fields, name: string): string => {
   const v = text(f, name);
-  if (v === '' || v.length > 200) throw new Malformed(`${name}: empty or too long`);
+  if (v === '' || v.length > 200) throw new MalformedMessageError(`${name}: empty or too long`);
   return v;
 };
 
@@ -45,8 +45,9 @@
   if (v === null || v === undefined) return [];
   const needs = new Set<string>();
   for (const n of list(v, 'awaits')) {
-    if (typeof n !== 'string' || !validId(n)) throw new Malformed('awaits: not a list of job ids');
-    if (n === id) throw new Malformed('awaits: names the job itself');
+    if (typeof n !== 'string' || !validId(n))
+      throw new MalformedMessageError('awaits: not a list of job ids');
+    if (n === id) throw new MalformedMessageError('awaits: names the job itself');
     needs.add(n);
   }
   return [...needs];
@@ -54,17 +55,17 @@
 
 export const decodeSpec = (f: Fields): JobSpec => {
   const id = text(f, 'ref');
-  if (!validId(id)) throw new Malformed('ref: not a job id');
+  if (!validId(id)) throw new MalformedMessageError('ref: not a job id');
   const tasks = f['parts'];
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
-    throw new Malformed(`parts: not a count from 1 to ${MAX_TASKS}`);
+    throw new MalformedMessageError(`parts: not a count from 1 to ${MAX_TASKS}`);
   const cores = amount(f, 'cores');
   const models = f['models'];
   const types =
     models === null || models === undefined
       ? null
       : list(models, 'models').map((m) => {
-          if (typeof m !== 'string') throw new Malformed('models: not a list of texts');
+          if (typeof m !== 'string') throw new MalformedMessageError('models: not a list of texts');
           return m;
         });
   return {
@@ -100,7 +101,7 @@
     if (typeof ref === 'string' && validId(ref)) id = ref;
     return { kind: 'submit', id, spec: decodeSpec(f), problem: null };
   } catch (e) {
-    if (!(e instanceof Malformed)) throw e;
+    if (!(e instanceof MalformedMessageError)) throw e;
     return { kind: 'submit', id, spec: null, problem: e.message };
   }
 };
@@ -149,7 +150,7 @@
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
-export const encodeUserAnswer = (a: ClientResponse): HttpAnswer => {
+export const encodeClientResponse = (a: ClientResponse): HttpAnswer => {
   switch (a.kind) {
     case 'view':
       return { status: a.created ? 201 : 200, body: encodeBody(view(a.view)) };
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -8,7 +8,7 @@
   encodeBody,
   flag,
   list,
-  Malformed,
+  MalformedMessageError,
   micros,
   oneOf,
   text,
@@ -28,11 +28,11 @@
 
 const texts = (value: unknown, what: string): string[] =>
   list(value, what).map((v) => {
-    if (typeof v !== 'string') throw new Malformed(`${what}: not texts`);
+    if (typeof v !== 'string') throw new MalformedMessageError(`${what}: not texts`);
     return v;
   });
 
-export const encodeCloudOp = (op: CloudOperation): HttpCall => {
+export const encodeCloudOperation = (op: CloudOperation): HttpCall => {
   switch (op.kind) {
     case 'types':
       return { method: 'GET', path: '/flavors', body: null };
@@ -111,7 +111,8 @@
         };
     }
   } catch (e) {
-    if (e instanceof Malformed) return { kind: 'failed', reason: `malformed answer: ${e.message}` };
+    if (e instanceof MalformedMessageError)
+      return { kind: 'failed', reason: `malformed answer: ${e.message}` };
     throw e;
   }
 };
--- a/packages/protocol/src/state.ts
+++ b/packages/protocol/src/key-value-store.ts
@@ -6,7 +6,16 @@
   StoreReply,
   StoreWrite,
 } from '@shaleyoke/core/domain/key-value-store';
-import { asFields, decodeBody, encodeBody, flag, integer, list, Malformed, text } from './body.js';
+import {
+  asFields,
+  decodeBody,
+  encodeBody,
+  flag,
+  integer,
+  list,
+  MalformedMessageError,
+  text,
+} from './body.js';
 import type { HttpCall } from './cloud.js';
 
 const encodeWrite = (w: StoreWrite): unknown =>
@@ -14,7 +23,7 @@
     ? { set: w.key, data: w.value, ...(w.lease === undefined ? {} : { permit: w.lease }) }
     : { remove: w.key };
 
-export const encodeStateOp = (op: StoreOperation): HttpCall => {
+export const encodeStoreOperation = (op: StoreOperation): HttpCall => {
   switch (op.kind) {
     case 'get':
       return { method: 'GET', path: `/kv/${op.key}`, body: null };
@@ -96,7 +105,7 @@
   }
 };
 
-export const decodeStateReply = (op: StoreOperation, status: number, bytes: Uint8Array): StoreReply => {
+export const decodeStoreReply = (op: StoreOperation, status: number, bytes: Uint8Array): StoreReply => {
   try {
     if (status === 429 || status === 503)
       return {
@@ -121,7 +130,7 @@
     if (status === 400) return { kind: 'refused', reason: 'malformed or beyond the limits' };
     return { kind: 'failed', executed: null, cause: 'refused', reason: `status ${status}` };
   } catch (e) {
-    if (e instanceof Malformed)
+    if (e instanceof MalformedMessageError)
       return { kind: 'failed', executed: null, cause: 'refused', reason: `malformed answer: ${e.message}` };
     throw e;
   }
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -15,7 +15,7 @@
   flag,
   integer,
   list,
-  Malformed,
+  MalformedMessageError,
   micros,
   oneOf,
   optionalAmount,
@@ -46,7 +46,7 @@
 export const splitTask = (name: string): { job: string; index: number } => {
   const cut = name.lastIndexOf('/');
   const index = Number(name.slice(cut + 1));
-  if (cut <= 0 || !Number.isInteger(index) || index < 0) throw new Malformed('part: not a task');
+  if (cut <= 0 || !Number.isInteger(index) || index < 0) throw new MalformedMessageError('part: not a task');
   return { job: name.slice(0, cut), index };
 };
 
@@ -62,7 +62,7 @@
   };
 };
 
-export const decodeReport = (value: unknown): Heartbeat => {
+export const decodeHeartbeat = (value: unknown): Heartbeat => {
   const f = asFields(value, 'report');
   const notice = optionalAmount(f, 'recall_s');
   return {
@@ -91,10 +91,13 @@
   }
 };
 
-export const encodeWorkerAnswer = (a: HeartbeatResponse): { status: number; body: Buffer } => {
+export const encodeHeartbeatResponse = (a: HeartbeatResponse): { status: number; body: Buffer } => {
   switch (a.kind) {
     case 'accepted':
-      return { status: 200, body: encodeBody({ baton: a.token, orders: a.orders.map(encodeOrder) }) };
+      return {
+        status: 200,
+        body: encodeBody({ baton: a.fencingToken, orders: a.commands.map(encodeOrder) }),
+      };
     case 'redirect':
       return { status: 421, body: encodeBody(a.leader === null ? {} : { foreman: a.leader }) };
     case 'unavailable':
@@ -102,19 +105,19 @@
   }
 };
 
-export const ORDERS_PATH = '/orders';
+export const COMMANDS_PATH = '/orders';
 
-export const encodeOrders = (token: number, session: number, orders: readonly WorkerCommand[]): Buffer =>
+export const encodeCommands = (token: number, session: number, orders: readonly WorkerCommand[]): Buffer =>
   encodeBody({ baton: token, shift: session, orders: orders.map(encodeOrder) });
 
 /** A malformed answer counts as none: whether the orders were executed stays open. */
-export const decodeOrdersReply = (status: number, bytes: Uint8Array): CommandReply => {
+export const decodeCommandReply = (status: number, bytes: Uint8Array): CommandReply => {
   if (status !== 200 && status !== 409) return { kind: 'lost', heartbeat: null };
   try {
-    const report = decodeReport(decodeBody(bytes));
+    const report = decodeHeartbeat(decodeBody(bytes));
     return { kind: status === 200 ? 'executed' : 'refused', heartbeat: report };
   } catch (e) {
-    if (e instanceof Malformed) return { kind: 'lost', heartbeat: null };
+    if (e instanceof MalformedMessageError) return { kind: 'lost', heartbeat: null };
     throw e;
   }
 };
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -3,12 +3,12 @@
 import { test } from 'node:test';
 import { encode } from '@msgpack/msgpack';
 import fc from 'fast-check';
-import { decodeBody, encodeBody, Malformed } from '@shaleyoke/protocol/body';
+import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 import { decodeCloudReply } from '@shaleyoke/protocol/cloud';
 import { decodePeer, encodePeer, peerKind } from '@shaleyoke/protocol/peers';
-import { decodeStateReply } from '@shaleyoke/protocol/state';
-import { decodeSubmission, route } from '@shaleyoke/protocol/users';
-import { decodeOrdersReply, decodeReport } from '@shaleyoke/protocol/workers';
+import { decodeStoreReply } from '@shaleyoke/protocol/key-value-store';
+import { decodeSubmission, route } from '@shaleyoke/protocol/client-api';
+import { decodeCommandReply, decodeHeartbeat } from '@shaleyoke/protocol/workers';
 import { encodeActiveJob, decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 
@@ -142,13 +142,13 @@
         { kind: 'grant', ttlMs: 1 },
         { kind: 'watch', prefix: 'k', after: 0, waitMs: 1 },
       ] as const)
-        for (const status of [200, 400, 404, 409, 410, 500]) decodeStateReply(op, status, bytes);
-      for (const status of [200, 409, 500]) decodeOrdersReply(status, bytes);
+        for (const status of [200, 400, 404, 409, 410, 500]) decodeStoreReply(op, status, bytes);
+      for (const status of [200, 409, 500]) decodeCommandReply(status, bytes);
       for (const kind of ['progress', 'beat'] as const) decodePeer(kind, Buffer.from(bytes));
       try {
-        decodeReport(decodeBody(bytes));
+        decodeHeartbeat(decodeBody(bytes));
       } catch (e) {
-        assert.ok(e instanceof Malformed);
+        assert.ok(e instanceof MalformedMessageError);
       }
     }),
     seed,
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -9,15 +9,15 @@
 import type { StoreOperation } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { decodeBody, encodeBody } from '@shaleyoke/protocol/body';
-import { decodeCloudReply, encodeCloudOp } from '@shaleyoke/protocol/cloud';
+import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
 import { decodePeer, encodePeer } from '@shaleyoke/protocol/peers';
-import { decodeStateReply, encodeStateOp } from '@shaleyoke/protocol/state';
-import { decodeSubmission, encodeUserAnswer } from '@shaleyoke/protocol/users';
+import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
+import { decodeSubmission, encodeClientResponse } from '@shaleyoke/protocol/client-api';
 import {
-  decodeOrdersReply,
-  decodeReport,
-  encodeOrders,
-  encodeWorkerAnswer,
+  decodeCommandReply,
+  decodeHeartbeat,
+  encodeCommands,
+  encodeHeartbeatResponse,
 } from '@shaleyoke/protocol/workers';
 
 const bodyOf = (bytes: Uint8Array | null): unknown => (bytes === null ? null : decodeBody(bytes));
@@ -78,24 +78,24 @@
   const view = { id: 'run-1', done: 3, running: 2 };
   const words = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
   for (const stage of ['queued', 'running', 'done', 'cancelled'] as const) {
-    const answer = encodeUserAnswer({ kind: 'view', created: true, view: { ...view, stage } });
+    const answer = encodeClientResponse({ kind: 'view', created: true, view: { ...view, stage } });
     assert.equal(answer.status, 201);
     assert.deepEqual(bodyOf(answer.body), { ref: 'run-1', stage: words[stage], done: 3, running: 2 });
   }
-  const known = encodeUserAnswer({ kind: 'view', created: false, view: { ...view, stage: 'queued' } });
+  const known = encodeClientResponse({ kind: 'view', created: false, view: { ...view, stage: 'queued' } });
   assert.equal(known.status, 200);
   const refusals = [
-    [encodeUserAnswer({ kind: 'malformed', problem: 'x' }), 400],
-    [encodeUserAnswer({ kind: 'impossible', problem: 'x' }), 422],
-    [encodeUserAnswer({ kind: 'unavailable', retryAfterS: 1, problem: 'x' }), 503],
+    [encodeClientResponse({ kind: 'malformed', problem: 'x' }), 400],
+    [encodeClientResponse({ kind: 'impossible', problem: 'x' }), 422],
+    [encodeClientResponse({ kind: 'unavailable', retryAfterS: 1, problem: 'x' }), 503],
   ] as const;
   for (const [answer, status] of refusals) {
     assert.equal(answer.status, status);
     assert.deepEqual(bodyOf(answer.body), { error: 'x' });
   }
   assert.equal(refusals[2][0].retryAfterS, 1);
-  assert.equal(encodeUserAnswer({ kind: 'absent' }).status, 404);
-  assert.deepEqual(bodyOf(encodeUserAnswer({ kind: 'healthy' }).body), {});
+  assert.equal(encodeClientResponse({ kind: 'absent' }).status, 404);
+  assert.deepEqual(bodyOf(encodeClientResponse({ kind: 'healthy' }).body), {});
 });
 
 const REPORT_BODY = {
@@ -157,14 +157,14 @@
 };
 
 test("a worker's report, as it comes by itself and in answer to orders", () => {
-  assert.deepEqual(decodeReport(REPORT_BODY), REPORT);
-  assert.deepEqual(decodeReport({ ...REPORT_BODY, recall_s: null }), {
+  assert.deepEqual(decodeHeartbeat(REPORT_BODY), REPORT);
+  assert.deepEqual(decodeHeartbeat({ ...REPORT_BODY, recall_s: null }), {
     ...REPORT,
     terminationNoticeUs: null,
   });
-  assert.deepEqual(decodeOrdersReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', heartbeat: REPORT });
-  assert.deepEqual(decodeOrdersReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', heartbeat: REPORT });
-  assert.deepEqual(decodeOrdersReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', heartbeat: null });
+  assert.deepEqual(decodeCommandReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', heartbeat: REPORT });
+  assert.deepEqual(decodeCommandReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', heartbeat: REPORT });
+  assert.deepEqual(decodeCommandReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', heartbeat: null });
 });
 
 test('answers to reports, and orders', () => {
@@ -179,17 +179,17 @@
     { verb: 'kill', part: 'run-1/4', try: 50, leeway_s: 1.5 },
     { verb: 'clear', part: 'run-1/4', try: 50 },
   ];
-  const accepted = encodeWorkerAnswer({ kind: 'accepted', token: 9, orders });
+  const accepted = encodeHeartbeatResponse({ kind: 'accepted', fencingToken: 9, commands: orders });
   assert.equal(accepted.status, 200);
   assert.deepEqual(bodyOf(accepted.body), { baton: 9, orders: bodies });
-  const redirect = encodeWorkerAnswer({ kind: 'redirect', leader: 'dock-1' });
+  const redirect = encodeHeartbeatResponse({ kind: 'redirect', leader: 'dock-1' });
   assert.equal(redirect.status, 421);
   assert.deepEqual(bodyOf(redirect.body), { foreman: 'dock-1' });
-  assert.deepEqual(bodyOf(encodeWorkerAnswer({ kind: 'redirect', leader: null }).body), {});
-  const unavailable = encodeWorkerAnswer({ kind: 'unavailable' });
+  assert.deepEqual(bodyOf(encodeHeartbeatResponse({ kind: 'redirect', leader: null }).body), {});
+  const unavailable = encodeHeartbeatResponse({ kind: 'unavailable' });
   assert.equal(unavailable.status, 503);
   assert.deepEqual(bodyOf(unavailable.body), { error: 'not entitled to answer reports now' });
-  assert.deepEqual(bodyOf(encodeOrders(9, 2, orders)), { baton: 9, shift: 2, orders: bodies });
+  assert.deepEqual(bodyOf(encodeCommands(9, 2, orders)), { baton: 9, shift: 2, orders: bodies });
 });
 
 test('requests to the key-value store', () => {
@@ -234,7 +234,7 @@
     ],
   ];
   for (const [operation, method, path, body] of requests) {
-    const call = encodeStateOp(operation);
+    const call = encodeStoreOperation(operation);
     assert.deepEqual([call.method, call.path, bodyOf(call.body)], [method, path, body]);
   }
 });
@@ -284,12 +284,12 @@
     [get, 429, {}, { kind: 'failed', executed: false, cause: 'busy', reason: 'status 429' }],
   ];
   for (const [operation, status, body, reply] of answers)
-    assert.deepEqual(decodeStateReply(operation, status, encodeBody(body)), reply);
+    assert.deepEqual(decodeStoreReply(operation, status, encodeBody(body)), reply);
 });
 
 test('requests to the cloud, and its answers', () => {
   const rent = { kind: 'rent', request: 'r-7-1', type: 'g8', zone: 'a', spot: true, count: 4 } as const;
-  const rented = encodeCloudOp(rent);
+  const rented = encodeCloudOperation(rent);
   assert.deepEqual([rented.method, rented.path], ['POST', '/hosts']);
   assert.deepEqual(bodyOf(rented.body), {
     booking: 'r-7-1',
@@ -298,11 +298,14 @@
     loaners: true,
     count: 4,
   });
-  const removed = encodeCloudOp({ kind: 'delete', machines: ['m-1'] });
+  const removed = encodeCloudOperation({ kind: 'delete', machines: ['m-1'] });
   assert.deepEqual([removed.method, removed.path], ['POST', '/hosts/delete']);
   assert.deepEqual(bodyOf(removed.body), { berths: ['m-1'] });
-  assert.equal(encodeCloudOp({ kind: 'types' }).path, '/flavors');
-  assert.equal(encodeCloudOp({ kind: 'list', after: 'm-1', limit: 500 }).path, '/hosts?since=m-1&page=500');
+  assert.equal(encodeCloudOperation({ kind: 'types' }).path, '/flavors');
+  assert.equal(
+    encodeCloudOperation({ kind: 'list', after: 'm-1', limit: 500 }).path,
+    '/hosts?since=m-1&page=500',
+  );
   const model = {
     sku: 'g8',
     cores: 32,
