--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -4,7 +4,7 @@
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Feature, FeatureTerm, DependencyLinks } from '@shaleyoke/core/ports';
+import type { Feature, FeatureTerm, DependencyLinks } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { ALL, Books, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
@@ -109,7 +109,7 @@
 
   // ---- beginning ---------------------------------------------------------------------------------
 
-  ready(): void {
+  stateRestored(): void {
     this.coreReady = true;
     this.roster = new Set(
       [...this.term.cluster.machines.values()].filter((m) => m.recorded === 'yes').map((m) => m.name),
@@ -139,7 +139,7 @@
     }
     this.early = [];
     for (const job of estate.jobs.values())
-      for (const a of job.liveAttempts.values()) if (a.confirmed && a.runningAt !== null) this.running(a);
+      for (const a of job.liveAttempts.values()) if (a.confirmed && a.runningAt !== null) this.taskRunning(a);
     for (const id of books.jobs.keys()) if (!estate.jobs.has(id)) this.endedBefore.push(id);
     // A month may have been closed while some of its rows were not in the journal yet.
     for (const [owner, month] of books.closed) books.closeMonth(owner, month);
@@ -161,7 +161,7 @@
     }
   }
 
-  stop(): void {
+  termEnded(): void {
     this.entered = false;
   }
 
@@ -195,7 +195,7 @@
     if (!holding && m.up) this.books.update(m.name, rate, true);
   }
 
-  running(a: TaskAttempt): void {
+  taskRunning(a: TaskAttempt): void {
     if (!this.entered) return;
     this.books.at(this.wall);
     this.see(a.machine, false);
@@ -205,7 +205,7 @@
     this.books.run(a.machine.name, this.jobOf(a.job), a.index, a.number, weightOf(a.job.spec, type));
   }
 
-  ended(a: TaskAttempt, exit: ReportedTask | null): void {
+  attemptEnded(a: TaskAttempt, exit: ReportedTask | null): void {
     if (!this.entered) {
       this.noteEarly(a.job.id, a.index, a.number, exit);
       return;
@@ -227,7 +227,7 @@
     return Math.max(0, Math.round(now - last - LATE * settings.heartbeatIntervalUs));
   }
 
-  exited(job: string, exit: ReportedTask): void {
+  unknownAttemptExited(job: string, exit: ReportedTask): void {
     if (!this.entered) {
       this.noteEarly(job, exit.index, exit.attempt, exit);
       return;
@@ -247,7 +247,7 @@
     if (this.books.ranFor(job, index, no) > 0) this.unwritten.set(keptKey(job, index, no), this.term.ctx.now);
   }
 
-  keeps(exit: ReportedTask): boolean {
+  retainsResult(exit: ReportedTask): boolean {
     const { ctx, lease: office } = this.term;
     if (this.store.blind !== null) return false;
     if (!this.entered) return ctx.now - office.heldSince < READING;
@@ -261,7 +261,7 @@
     this.early.push({ job, index, no, done, kept: done || exit?.checkpointed === true });
   }
 
-  gone(m: Machine): void {
+  machineRemoved(m: Machine): void {
     if (!this.entered) return;
     this.books.at(this.wall);
     if (m.agentEpoch === 0 && this.roster.has(m.name)) this.books.vanish(m.name);
@@ -269,14 +269,14 @@
     this.heard.delete(m.name);
   }
 
-  closed(job: ActiveJob): void {
+  jobClosed(job: ActiveJob): void {
     if (!this.entered) return;
     this.books.at(this.wall);
     this.books.close(job.id);
   }
 
   /** Money holds back only what has not begun; while the books can't be read, nothing for long. */
-  holds(job: ActiveJob): AdmissionHold | null {
+  admissionHold(job: ActiveJob): AdmissionHold | null {
     if (this.store.blind !== null) return null;
     if (!this.entered)
       return this.term.ctx.now - this.term.lease.heldSince < READING
@@ -290,7 +290,7 @@
 
   // ---- the sweep ---------------------------------------------------------------------------------
 
-  sweep(entitled: boolean): void {
+  maintain(entitled: boolean): void {
     const { ctx, cluster: estate, lease: office } = this.term;
     if (this.store.blind !== null) {
       this.complain();
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -4,7 +4,7 @@
 import { Effect, Layer } from 'effect';
 import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { Feature } from '@shaleyoke/core/ports';
+import type { Feature } from '@shaleyoke/core/feature-api';
 import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
 import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
--- a/packages/controller/src/node.ts
+++ b/packages/controller/src/node.ts
@@ -1,7 +1,7 @@
 /** One controller: feeds the core and carries out what it returns. */
 import { Effect, Runtime, type Scope } from 'effect';
 import { Core } from '@shaleyoke/core/core';
-import type { AskFeature, Feature } from '@shaleyoke/core/ports';
+import type { AskFeature, Feature } from '@shaleyoke/core/feature-api';
 import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Settings } from '@shaleyoke/core/domain/settings';
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -12,7 +12,7 @@
 import type { Micros } from './domain/time.js';
 import { MILLI, SECOND } from './domain/time.js';
 import { decodeMachineTypes } from './codecs/machine-type-codec.js';
-import type { Feature, FeatureEndpoint } from './ports.js';
+import type { Feature, FeatureEndpoint } from './feature-api.js';
 import { Scheduler } from './leader/scheduler.js';
 
 export class Core {
@@ -37,7 +37,7 @@
     for (const f of features) {
       const part = f.serve?.({
         ctx: this.ctx,
-        ask: (body, then) => {
+        submitRequest: (body, then) => {
           this.desk.ask(body, then);
         },
       });
@@ -121,7 +121,7 @@
         return;
       case 'featureRequest':
         this.ctx.wallOffset = input.wallUs - this.ctx.now;
-        this.parts.get(input.feature)?.asked(input.request, input.body);
+        this.parts.get(input.feature)?.handle(input.request, input.body);
         return;
       case 'peerMessage':
         this.hear(input.message);
@@ -175,12 +175,12 @@
   private haveTypes(types: readonly MachineType[]): void {
     this.ctx.types = new Map(types.map((t) => [t.name, t]));
     this.ctx.info('machine_types.loaded', { types: types.map((t) => t.name) });
-    this.currentScheduler?.changed();
+    this.currentScheduler?.machineTypesChanged();
   }
 
   private saveTypes(): void {
     if (this.currentScheduler === null || this.savedTypes || this.ctx.types.size === 0) return;
     this.savedTypes = true;
-    this.currentScheduler.saveTypes([...this.ctx.types.values()]);
+    this.currentScheduler.saveMachineTypes([...this.ctx.types.values()]);
   }
 }
--- /dev/null
+++ b/packages/core/src/leader/term-composition.ts
@@ -0,0 +1,305 @@
+/**
+ * Composition of one leader's term: makes all of its parts and connects them. The parts know each other only through the
+ * narrow interfaces that they declare; this is the one place that knows them all.
+ */
+import type { JobService } from '../api/job-service.js';
+import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
+import { SECOND, type Micros } from '../domain/time.js';
+import type { Feature } from '../feature-api.js';
+import { DependencyGraph, type DependencyEvents } from '../jobs/dependencies.js';
+import { DependencyFailurePropagation } from '../jobs/dependency-failure-propagation.js';
+import { DependencyOutcomeResolver } from '../jobs/dependency-outcome-resolver.js';
+import { JobCompletion } from '../jobs/job-completion.js';
+import { Failover } from '../leadership/failover.js';
+import type { LeaderElection, LeaderLease } from '../leadership/leader-election.js';
+import { LeaderTerm } from '../leadership/leader-term.js';
+import { Autoscaler } from '../machines/autoscaler.js';
+import { MachineFailureDetector } from '../machines/machine-failure-detector.js';
+import { MachineLifecycle } from '../machines/machine-lifecycle.js';
+import { PreprovisionedMachines } from '../machines/preprovisioned-machines.js';
+import type { NodeContext } from '../node/node-context.js';
+import { Defragmentation } from '../scheduling/defragmentation.js';
+import { PreemptionPlanner } from '../scheduling/preemption-planner.js';
+import { QueueOrder } from '../scheduling/queue-order.js';
+import { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
+import { FencedWriter } from '../storage/fenced-writer.js';
+import { MachineStore } from '../storage/machine-store.js';
+import { pageRoom } from '../storage/packed-pages.js';
+import { ProgressStore } from '../storage/progress-store.js';
+import { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
+import { HeartbeatHandler } from '../tasks/heartbeat-handler.js';
+import { AdmissionHolds, NEW_ARRIVAL } from './admission-holds.js';
+import { FeatureRegistry } from './feature-registry.js';
+import { LeaderHealth } from './leader-health.js';
+import { MaintenanceLoop } from './maintenance-loop.js';
+import { Planner } from './planner.js';
+import { ProgressPublisher } from './progress-publisher.js';
+import { StateRestoration } from './state-restoration.js';
+import { TermRecords } from './term-records.js';
+
+export class TermComposition {
+  readonly health = new LeaderHealth();
+  readonly term: LeaderTerm;
+  readonly writer: FencedWriter;
+  readonly progressStore: ProgressStore;
+  readonly machineStore: MachineStore;
+  readonly attempts: AttemptLifecycle;
+  readonly machines: MachineLifecycle;
+  readonly autoscaler: Autoscaler;
+  readonly failureDetector: MachineFailureDetector;
+  readonly defragmentation: Defragmentation;
+  readonly dependencies: DependencyGraph;
+  readonly outcomeResolver: DependencyOutcomeResolver;
+  readonly completion: JobCompletion;
+  readonly heartbeats: HeartbeatHandler;
+  readonly failurePropagation: DependencyFailurePropagation;
+  readonly progressPublisher: ProgressPublisher;
+  readonly planner: Planner;
+  readonly records: TermRecords;
+  readonly features: FeatureRegistry;
+  readonly holds: AdmissionHolds;
+  readonly failover: Failover;
+  readonly maintenance: MaintenanceLoop;
+
+  /** The features come last: as they begin, they may use all other parts. */
+  constructor(
+    private readonly context: NodeContext,
+    private readonly lease: LeaderLease,
+    private readonly election: LeaderElection,
+    readonly jobService: JobService,
+    features: readonly Feature[],
+  ) {
+    this.term = new LeaderTerm(context, lease, election, () => {
+      this.planner.schedulePass();
+    });
+    this.writer = new FencedWriter(context, lease.keyVersion, this.stepDownAsFenced);
+    this.progressStore = this.createProgressStore();
+    this.machineStore = this.createMachineStore();
+    this.attempts = this.createAttempts();
+    this.machines = this.createMachines();
+    this.autoscaler = this.createAutoscaler();
+    this.failureDetector = new MachineFailureDetector(this.term, this.machines, this.endAttempt);
+    this.defragmentation = new Defragmentation(this.term.cluster, this.stopAttempt, this.retireWhenEmpty);
+    this.dependencies = new DependencyGraph(this.dependencyEvents());
+    this.outcomeResolver = this.createOutcomeResolver();
+    this.completion = this.createCompletion();
+    this.heartbeats = this.createHeartbeats();
+    this.failurePropagation = this.createFailurePropagation();
+    this.progressPublisher = new ProgressPublisher(this.term, jobService);
+    this.planner = this.createPlanner();
+    this.records = new TermRecords(this.term, this.writer, this.attempts);
+    this.features = new FeatureRegistry(this.term, features, this.dependencies);
+    this.holds = new AdmissionHolds(this.term, this.features, this.autoscaler);
+    this.failover = new Failover(this.term, lease.freshness, new StateRestoration(this.term, this));
+    this.maintenance = new MaintenanceLoop(this.term, this);
+  }
+
+  private readonly stepDownAsFenced = (): void => {
+    this.election.stepDown('fenced');
+  };
+
+  private readonly findMachine = (name: string): Machine | undefined => this.term.cluster.machines.get(name);
+
+  private readonly endAttempt = (attempt: TaskAttempt): void => {
+    this.attempts.end(attempt, null);
+  };
+
+  private readonly stopAttempt = (attempt: TaskAttempt, graceUs: Micros): void => {
+    this.attempts.stop(attempt, graceUs);
+  };
+
+  private readonly retireWhenEmpty = (machine: Machine, reason: string, latest: Micros): void => {
+    this.machines.retireWhenEmpty(machine, reason, latest);
+  };
+
+  private readonly isActive = (): boolean => !this.term.stopped;
+
+  private createProgressStore(): ProgressStore {
+    const { jobs } = this.term.cluster;
+    return new ProgressStore(this.context, this.writer, (id) => jobs.get(id), this.findMachine);
+  }
+
+  private createMachineStore(): MachineStore {
+    const room = pageRoom(this.context.settings.maxValueBytes);
+    return new MachineStore(this.writer, room, this.findMachine, (key) => {
+      this.context.error('machine.record_unreadable', { key });
+    });
+  }
+
+  private createAttempts(): AttemptLifecycle {
+    return new AttemptLifecycle(this.term, {
+      place: (job, then, refused) => {
+        this.progressStore.recordPlacement(job, then, refused);
+      },
+      report: (machine, heartbeat) => {
+        this.heartbeats.apply(machine, heartbeat);
+      },
+      released: (job) => {
+        this.completion.dropIfEmpty(job);
+      },
+      ended: (attempt, exit) => {
+        this.features.notify((feature) => {
+          feature.attemptEnded(attempt, exit);
+        });
+      },
+      retireWhenEmpty: this.retireWhenEmpty,
+    });
+  }
+
+  private createMachines(): MachineLifecycle {
+    return new MachineLifecycle(this.term, this.machineStore, {
+      remove: (name) => {
+        this.autoscaler.remove(name);
+      },
+      end: this.endAttempt,
+      gone: (machine) => {
+        this.features.notify((feature) => {
+          feature.machineRemoved(machine);
+        });
+      },
+    });
+  }
+
+  private createAutoscaler(): Autoscaler {
+    const { term, machines } = this;
+    return new Autoscaler(this.context, {
+      term: term.number,
+      standing: new PreprovisionedMachines(term, this.machineStore, this.writer, term.schedulePass),
+      machines: () => term.cluster.machines.values(),
+      find: this.findMachine,
+      rented: (name, type, zone, spot, since) => {
+        machines.recordProvisioned(name, type, zone, spot, since);
+      },
+      listed: (machine) => {
+        machines.recordListed(machine);
+      },
+      gone: (machine, reason) => {
+        machines.remove(machine, reason);
+      },
+      retire: (machine, reason) => {
+        machines.retire(machine, reason);
+      },
+      changed: term.schedulePass,
+      active: this.isActive,
+      entitled: () => term.canActAsLeader(),
+      thrifty: () => term.cluster.isCostSensitive(),
+    });
+  }
+
+  private dependencyEvents(): DependencyEvents {
+    const { context, term } = this;
+    const { cluster } = term;
+    return {
+      get wallNow(): Micros {
+        return context.wallNow;
+      },
+      job: (id) => {
+        const job = cluster.jobs.get(id);
+        return job?.phase === 'ended' ? undefined : job;
+      },
+      resolve: (id) => {
+        this.outcomeResolver.ask(id);
+      },
+      released: (job) => {
+        this.holds.update(job);
+        if (!term.ready) return;
+        const heldS = (job.waitingSince - job.acceptedAt) / SECOND;
+        context.info('job.dependencies_met', { job: job.id, heldS });
+        if (context.wallNow - job.waitingSince < NEW_ARRIVAL) this.autoscaler.noteArrival(job.spec);
+        term.schedulePass();
+      },
+      doomed: (jobs, cause) => {
+        context.info('dependencies.failure_propagated', { cause, jobs: jobs.map((job) => job.id) });
+        this.failurePropagation.add(jobs);
+      },
+      expected: (job) => cluster.expectedDuration(job),
+    };
+  }
+
+  private createOutcomeResolver(): DependencyOutcomeResolver {
+    const { jobs } = this.term.cluster;
+    return new DependencyOutcomeResolver(
+      this.context,
+      this.isActive,
+      (id) => this.dependencies.open(id) && (jobs.get(id)?.phase ?? 'ended') === 'ended',
+      (id, outcome) => {
+        this.dependencies.ended(id, outcome);
+      },
+    );
+  }
+
+  private createCompletion(): JobCompletion {
+    const { jobs } = this.term.cluster;
+    return new JobCompletion(this.term, {
+      told: (id, stage, done) => {
+        this.jobService.recordTerminalState(id, stage, done);
+      },
+      ended: (job, outcome) => {
+        this.dependencies.remove(job);
+        if (outcome !== null) this.dependencies.ended(job.id, outcome);
+        else if (this.dependencies.open(job.id)) this.outcomeResolver.ask(job.id);
+      },
+      stop: (attempt) => {
+        this.attempts.stop(attempt, 0);
+      },
+      dropProgress: (job) => {
+        this.progressStore.drop(job);
+      },
+      forget: (job) => {
+        if (jobs.get(job.id) !== job) return;
+        jobs.delete(job.id);
+        this.progressPublisher.forget(job.id);
+        this.features.notify((feature) => {
+          feature.jobClosed(job);
+        });
+      },
+    });
+  }
+
+  private createHeartbeats(): HeartbeatHandler {
+    return new HeartbeatHandler(this.term, this.machines, this.attempts, {
+      markDone: (job, index) => {
+        this.completion.markDone(job, index);
+      },
+      running: (attempt) => {
+        this.features.notify((feature) => {
+          feature.taskRunning(attempt);
+        });
+      },
+      exited: (job, exit) => {
+        this.features.notify((feature) => {
+          feature.unknownAttemptExited(job, exit);
+        });
+      },
+      keeps: (exit) => !this.features.isEmpty && this.features.retainsResult(exit),
+    });
+  }
+
+  private createFailurePropagation(): DependencyFailurePropagation {
+    return new DependencyFailurePropagation(this.context, {
+      leadVersion: this.lease.keyVersion,
+      active: this.isActive,
+      fenced: this.stepDownAsFenced,
+      withdrawn: (job) => {
+        this.jobService.recordTerminalState(job.id, 'cancelled', 0, job.spec.shape === 'service');
+        this.completion.ended(job, 'cancelled');
+      },
+      moved: (job) => {
+        this.completion.confirm(job);
+      },
+    });
+  }
+
+  private createPlanner(): Planner {
+    const { cluster } = this.term;
+    return new Planner(this.term, {
+      ordering: new QueueOrder(cluster),
+      imaging: new SnapshotBuilder(cluster),
+      clearing: new PreemptionPlanner(cluster, this.stopAttempt),
+      attempts: this.attempts,
+      deps: this.dependencies,
+      fleet: this.autoscaler,
+      behind: () => this.health.isLagging,
+    });
+  }
+}
--- /dev/null
+++ b/packages/core/src/leader/term-records.ts
@@ -0,0 +1,47 @@
+/** What a leader stores for its successors and for starting controllers: learned run times and machine types. */
+import { TIMINGS, TYPES } from '../codecs/keys.js';
+import { encodeMachineTypes } from '../codecs/machine-type-codec.js';
+import { bytesOf } from '../codecs/value-size.js';
+import type { StoredItem } from '../domain/key-value-store.js';
+import type { MachineType } from '../domain/machine.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { FencedWriter } from '../storage/fenced-writer.js';
+import { pageRoom } from '../storage/packed-pages.js';
+import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
+
+const ignoreConfirmation = (): void => undefined;
+
+export class TermRecords {
+  constructor(
+    private readonly term: LeaderTerm,
+    private readonly writer: FencedWriter,
+    private readonly attempts: Pick<AttemptLifecycle, 'noted'>,
+  ) {}
+
+  private get largestValue(): number {
+    return pageRoom(this.term.ctx.settings.maxValueBytes);
+  }
+
+  /** Takes over what an earlier leader had learned of run times; null: nothing is stored. */
+  loadRuntimeEstimates(item: StoredItem | null): void {
+    if (item === null) return;
+    this.term.cluster.runtimeEstimates.load(item.value);
+    this.writer.rememberVersion(TIMINGS, item.version);
+  }
+
+  /** Stores the run times if any were learned since the last time. */
+  saveRuntimeEstimates(): void {
+    if (this.attempts.noted === 0) return;
+    this.attempts.noted = 0;
+    const value = this.term.cluster.runtimeEstimates.summary(this.largestValue);
+    this.writer.put(TIMINGS, () => value, ignoreConfirmation, { urgent: 'later' });
+  }
+
+  /** Stores the machine types for controllers that start while the cloud is out. */
+  saveMachineTypes(types: readonly MachineType[]): void {
+    const value = encodeMachineTypes(types);
+    // Some of them would be worse than none: jobs would be refused as fitting nowhere.
+    if (bytesOf(value) > this.largestValue) return;
+    this.writer.put(TYPES, () => value, ignoreConfirmation, { checked: false, urgent: 'later' });
+  }
+}
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -13,7 +13,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { activeKey } from '@shaleyoke/core/codecs/keys';
-import type { Feature } from '@shaleyoke/core/ports';
+import type { Feature } from '@shaleyoke/core/feature-api';
 import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { CloudModel } from './cloud-model.js';
 import { Network } from './network.js';
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import type { Feature } from '@shaleyoke/core/ports';
+import type { Feature } from '@shaleyoke/core/feature-api';
 import { BASIC_SCENARIOS, play, EXTENDED_SCENARIOS } from '../fault-scenarios.js';
 import { Random } from '../random.js';
 import { specOf } from '../specs.js';
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -3,7 +3,7 @@
  * manifest go. Whoever finds a marked object may go on: on the node that was asked, or in the leader after a crash.
  */
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
-import type { NodeServices } from '@shaleyoke/core/ports';
+import type { NodeServices } from '@shaleyoke/core/feature-api';
 import { manifestKey } from './records.js';
 import type { KubeObject } from './view.js';
 
@@ -33,7 +33,7 @@
 
   /** `then` in any case: what could not be done now is done by the leader. */
   finish(o: KubeObject, then: () => void): void {
-    this.links.ask({ kind: 'cancel', id: o.record.id }, (a) => {
+    this.links.submitRequest({ kind: 'cancel', id: o.record.id }, (a) => {
       // Only once the job can't begin any more: an object that is gone shows nobody what runs.
       if (a.kind === 'view' && (a.view.stage === 'cancelled' || a.view.stage === 'done'))
         this.remove(o, then);
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -7,7 +7,7 @@
 import type { InternalResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { VersionCondition, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
-import type { NodeServices, FeatureEndpoint } from '@shaleyoke/core/ports';
+import type { NodeServices, FeatureEndpoint } from '@shaleyoke/core/feature-api';
 import { allow, tenantOf, type Credentials } from './access.js';
 import { refuse, type KubeAnswer, type KubeRequest, type Refusal } from './api.js';
 import { Deletion } from './deletion.js';
@@ -72,7 +72,7 @@
     this.links.ctx.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
   }
 
-  asked(request: number, body: unknown): void {
+  handle(request: number, body: unknown): void {
     const { who, ask } = body as KubeAsk;
     if (ask.verb === 'unwatch') {
       this.watches.end(ask.watch);
@@ -213,7 +213,7 @@
           ...writes.slice(0, room),
         ],
       };
-      this.links.ask({ kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside }, (a) => {
+      this.links.submitRequest({ kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside }, (a) => {
         const taken = a.kind === 'view' && !a.created;
         // Somebody has that id: with a hundred random bits, a native user who was told it, if anybody.
         if (taken && draws > 1) this.draw(request, r, m, needs, draws - 1);
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -8,7 +8,7 @@
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { FeatureTerm, NodeServices } from '@shaleyoke/core/ports';
+import type { FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import { decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { RedBlackTree } from 'effect';
@@ -51,37 +51,37 @@
     this.allowanceAt = term.ctx.now;
   }
 
-  ready(): void {
+  stateRestored(): void {
     this.on = true;
   }
 
-  stop(): void {
+  termEnded(): void {
     this.on = false;
   }
 
-  running(): void {
+  taskRunning(): void {
     // Seen at the next look.
   }
-  ended(): void {
+  attemptEnded(): void {
     // Seen at the next look.
   }
-  exited(): void {
+  unknownAttemptExited(): void {
     // Seen at the next look.
   }
-  gone(): void {
+  machineRemoved(): void {
     // Seen at the next look.
   }
-  closed(job: ActiveJob): void {
+  jobClosed(job: ActiveJob): void {
     this.ends.delete(job.id);
   }
-  keeps(): boolean {
+  retainsResult(): boolean {
     return false;
   }
-  holds(): AdmissionHold | null {
+  admissionHold(): AdmissionHold | null {
     return null;
   }
 
-  sweep(entitled: boolean): void {
+  maintain(entitled: boolean): void {
     const { ctx } = this.term;
     if (!this.on || !entitled || this.syncing || ctx.now < this.lookAt) return;
     this.lookAt = ctx.now + LOOK_EVERY;
@@ -149,7 +149,7 @@
         });
         return;
       case 'withdraw':
-        this.links.ask({ kind: 'cancel', id: o.record.id }, done);
+        this.links.submitRequest({ kind: 'cancel', id: o.record.id }, done);
         return;
       case 'expire':
         this.deletion.begin(o, (marked) => {
