--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,186 +1,184 @@
-/** One node as a state machine: `step` takes an input at a time and returns what to do. */
-import { NodeContext } from './node/node-context.js';
+/** One controller as a state machine: `step` takes one input at a time and returns the effects to be carried out. */
 import { JobService } from './api/job-service.js';
-import { TYPES } from './codecs/keys.js';
-import { PeerHeartbeats } from './membership/peer-heartbeats.js';
-import { LeaderElection } from './leadership/leader-election.js';
 import type { CoreEffect, Input } from './domain/effects.js';
 import type { Heartbeat, HeartbeatResponse } from './domain/heartbeat.js';
-import type { MachineType } from './domain/machine.js';
 import type { PeerMessage } from './domain/peer.js';
 import type { Settings } from './domain/settings.js';
 import type { Micros } from './domain/time.js';
-import { MILLI, SECOND } from './domain/time.js';
-import { decodeMachineTypes } from './codecs/machine-type-codec.js';
 import type { Feature, FeatureEndpoint } from './feature-api.js';
 import { Scheduler } from './leader/scheduler.js';
+import { LeaderElection } from './leadership/leader-election.js';
+import { PeerHeartbeats } from './membership/peer-heartbeats.js';
+import { MachineTypeLoader } from './node/machine-type-loader.js';
+import { NodeContext } from './node/node-context.js';
 
 export class Core {
-  private readonly ctx: NodeContext;
-  private readonly desk: JobService;
-  private readonly leadership: LeaderElection;
+  private readonly context: NodeContext;
+  private readonly jobService: JobService;
+  private readonly election: LeaderElection;
+  private readonly machineTypes: MachineTypeLoader;
   /** Null: switched off. */
-  private readonly beats: PeerHeartbeats | null;
+  private readonly peerHeartbeats: PeerHeartbeats | null;
   private currentScheduler: Scheduler | null = null;
-  private savedTypes = false;
-  private readonly parts = new Map<string, FeatureEndpoint>();
+  private readonly endpoints: ReadonlyMap<string, FeatureEndpoint>;
 
   constructor(
     settings: Settings,
+    /** Processor time in microseconds, from any origin. */
     stopwatch: () => Micros,
+    /** Whether decisions are logged. */
     verbose = true,
-    /** What is switched on. */
-    features: readonly Feature[] = [],
+    /** The features that are switched on. */
+    private readonly features: readonly Feature[] = [],
   ) {
-    this.ctx = new NodeContext(settings, stopwatch, verbose);
-    this.desk = new JobService(this.ctx, () => this.beats?.isStoreServingPeers() ?? false);
-    for (const f of features) {
-      const part = f.serve?.({
-        ctx: this.ctx,
+    this.context = new NodeContext(settings, stopwatch, verbose);
+    this.jobService = new JobService(this.context, () => this.peerHeartbeats?.isStoreServingPeers() ?? false);
+    this.endpoints = this.serveFeatures();
+    this.election = this.createElection();
+    this.machineTypes = this.createMachineTypeLoader();
+    this.peerHeartbeats = this.createPeerHeartbeats();
+  }
+
+  private serveFeatures(): ReadonlyMap<string, FeatureEndpoint> {
+    const endpoints = new Map<string, FeatureEndpoint>();
+    for (const feature of this.features) {
+      const endpoint = feature.serve?.({
+        ctx: this.context,
         submitRequest: (body, then) => {
-          this.desk.ask(body, then);
+          this.jobService.ask(body, then);
         },
       });
-      if (part !== undefined) this.parts.set(f.name, part);
+      if (endpoint !== undefined) endpoints.set(feature.name, endpoint);
     }
-    this.leadership = new LeaderElection(
-      this.ctx,
-      (office) => {
-        this.currentScheduler = new Scheduler(this.ctx, office, this.leadership, this.desk, features);
+    return endpoints;
+  }
+
+  private createElection(): LeaderElection {
+    const election: LeaderElection = new LeaderElection(
+      this.context,
+      (lease) => {
+        this.currentScheduler = new Scheduler(this.context, lease, election, this.jobService, this.features);
         this.currentScheduler.start();
-        this.saveTypes();
+        this.machineTypes.storeIfMissing();
       },
       () => {
         this.currentScheduler?.stop();
         this.currentScheduler = null;
       },
     );
-    this.beats =
-      settings.membership === null || settings.peers.length === 0
-        ? null
-        : new PeerHeartbeats(this.ctx, settings.membership, () =>
-            this.leadership.canActAsLeader() ? (this.leadership.lease?.term ?? null) : null,
-          );
+    return election;
+  }
+
+  private createMachineTypeLoader(): MachineTypeLoader {
+    return new MachineTypeLoader(
+      this.context,
+      () => {
+        this.currentScheduler?.machineTypesChanged();
+      },
+      (types) => {
+        this.currentScheduler?.saveMachineTypes(types);
+        return this.currentScheduler !== null;
+      },
+    );
   }
 
+  private createPeerHeartbeats(): PeerHeartbeats | null {
+    const { membership, peers } = this.context.settings;
+    if (membership === null || peers.length === 0) return null;
+    return new PeerHeartbeats(this.context, membership, () =>
+      this.election.canActAsLeader() ? (this.election.lease?.term ?? null) : null,
+    );
+  }
+
+  /** Takes one input at steady time `now`, and returns the effects in the order in which they are to be carried out. */
   step(now: Micros, input: Input): CoreEffect[] {
+    const { context } = this;
     // Time never runs backwards inside, whatever the order in which inputs were stamped.
-    this.ctx.now = Math.max(this.ctx.now, now);
-    this.ctx.out = [];
-    // A mistake of ours in one place must not swallow what others had to say, nor take the node down.
-    this.ctx.guard(input.kind, () => {
-      this.take(input);
+    context.now = Math.max(context.now, now);
+    context.out = [];
+    context.guard(input.kind, () => {
+      this.dispatch(input);
     });
-    this.ctx.runDueTimers();
-    this.ctx.runEndOfStep();
-    const at = this.ctx.nextWake();
-    if (at !== null) this.ctx.emit({ kind: 'wake', at });
-    return this.ctx.out;
+    context.runDueTimers();
+    context.runEndOfStep();
+    const wakeAt = context.nextWake();
+    if (wakeAt !== null) context.emit({ kind: 'wake', at: wakeAt });
+    return context.out;
   }
 
-  /** Of the term that this node leads; null while another one does. */
+  /** The scheduler of the term that this controller leads; null while another one does. */
   get scheduler(): Scheduler | null {
     return this.currentScheduler;
   }
 
-  /** Whether this node leads and may act. */
+  /** Whether this controller leads and may act. */
   leads(): boolean {
-    return this.leadership.canActAsLeader();
+    return this.election.canActAsLeader();
   }
 
-  private take(input: Input): void {
+  private dispatch(input: Input): void {
+    const { context } = this;
     switch (input.kind) {
       case 'start':
-        this.ctx.wallOffset = input.wallUs - this.ctx.now;
-        this.leadership.start();
-        this.beats?.start(input.wallUs);
-        this.learnTypes(0);
+        this.setWallClock(input.wallUs);
+        this.election.start();
+        this.peerHeartbeats?.start(input.wallUs);
+        this.machineTypes.load();
         return;
       case 'timer':
         return;
       case 'storeReply':
-        this.ctx.storeReplied(input.call, input.reply);
+        context.storeReplied(input.call, input.reply);
         return;
       case 'cloudReply':
-        this.ctx.cloudReplied(input.call, input.reply);
+        context.cloudReplied(input.call, input.reply);
         return;
       case 'commandReply':
-        this.ctx.commandsReplied(input.call, input.reply);
+        context.commandsReplied(input.call, input.reply);
         return;
       case 'clientRequest':
-        this.ctx.wallOffset = input.wallUs - this.ctx.now;
-        this.desk.handle(input.request, input.body);
+        this.setWallClock(input.wallUs);
+        this.jobService.handle(input.request, input.body);
         return;
       case 'heartbeat':
-        this.beats?.recordWorkerContact(input.heartbeat.machine);
-        this.ctx.emit({
-          kind: 'heartbeatResponse',
-          request: input.request,
-          answer: this.answerReport(input.heartbeat),
-        });
+        this.handleHeartbeat(input.request, input.heartbeat);
         return;
       case 'featureRequest':
-        this.ctx.wallOffset = input.wallUs - this.ctx.now;
-        this.parts.get(input.feature)?.handle(input.request, input.body);
+        this.setWallClock(input.wallUs);
+        this.endpoints.get(input.feature)?.handle(input.request, input.body);
         return;
       case 'peerMessage':
-        this.hear(input.message);
+        this.receivePeerMessage(input.message);
         return;
     }
   }
 
-  private hear(m: PeerMessage): void {
-    const newest = m.term !== null && this.leadership.recordPeerClaim(m.member, m.term);
-    if (m.kind === 'beat') this.beats?.receive(m);
-    // Counts of an office that is over are older than those of the next.
-    else if (newest) this.desk.recordProgress(m);
-  }
-
-  private answerReport(r: Heartbeat): HeartbeatResponse {
-    if (this.currentScheduler !== null && this.leadership.canActAsLeader())
-      return this.currentScheduler.respondToHeartbeat(r);
-    if (this.currentScheduler !== null) {
-      this.currentScheduler.recordLiveness(r);
-      return { kind: 'unavailable' };
-    }
-    const { leader } = this.leadership;
-    if (leader === null || leader === this.ctx.settings.member) return { kind: 'unavailable' };
-    return { kind: 'redirect', leader };
+  private setWallClock(wallUs: Micros): void {
+    this.context.wallOffset = wallUs - this.context.now;
   }
 
-  /** From the cloud, or, while it is out, from what a leader has stored. */
-  private learnTypes(tries: number): void {
-    if (this.ctx.types.size > 0) return;
-    const again = (): void => {
-      this.ctx.after(Math.min(2 * SECOND, (1 + tries) * 400 * MILLI), () => {
-        this.learnTypes(tries + 1);
-      });
-    };
-    this.ctx.requestStore({ kind: 'get', key: TYPES }, 1, (s) => {
-      const stored = s.kind === 'item' ? decodeMachineTypes(s.item.value) : null;
-      if (stored !== null && stored.length > 0) {
-        this.haveTypes(stored);
-        this.savedTypes = true;
-        return;
-      }
-      this.ctx.requestCloud({ kind: 'types' }, 0, (r) => {
-        if (r.kind === 'types' && r.types.length > 0) {
-          this.haveTypes(r.types);
-          this.saveTypes();
-        } else again();
-      });
-    });
+  private receivePeerMessage(message: PeerMessage): void {
+    const { member, term } = message;
+    const isFromNewestLeader = term !== null && this.election.recordPeerClaim(member, term);
+    if (message.kind === 'beat') this.peerHeartbeats?.receive(message);
+    // Counts of a leader that has stepped down are older than those of the next.
+    else if (isFromNewestLeader) this.jobService.recordProgress(message);
   }
 
-  private haveTypes(types: readonly MachineType[]): void {
-    this.ctx.types = new Map(types.map((t) => [t.name, t]));
-    this.ctx.info('machine_types.loaded', { types: types.map((t) => t.name) });
-    this.currentScheduler?.machineTypesChanged();
+  private handleHeartbeat(request: number, heartbeat: Heartbeat): void {
+    this.peerHeartbeats?.recordWorkerContact(heartbeat.machine);
+    const answer = this.respondToHeartbeat(heartbeat);
+    this.context.emit({ kind: 'heartbeatResponse', request, answer });
   }
 
-  private saveTypes(): void {
-    if (this.currentScheduler === null || this.savedTypes || this.ctx.types.size === 0) return;
-    this.savedTypes = true;
-    this.currentScheduler.saveMachineTypes([...this.ctx.types.values()]);
+  private respondToHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
+    if (this.currentScheduler !== null) {
+      if (this.leads()) return this.currentScheduler.respondToHeartbeat(heartbeat);
+      this.currentScheduler.recordLiveness(heartbeat);
+      return { kind: 'unavailable' };
+    }
+    const { leader } = this.election;
+    if (leader === null || leader === this.context.settings.member) return { kind: 'unavailable' };
+    return { kind: 'redirect', leader };
   }
 }
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,23 +1,22 @@
-/** What every part of the core shares within one node: the present time, pending calls, timers. */
+/** What every part of the core shares within one node: the present time, effects of the step, pending calls, timers, logs. */
 import { TERM } from '../codecs/keys.js';
-import { StoreConnection } from './store-connection.js';
-import type { LogEvent } from '../domain/log-events.js';
 import type { CloudOperation, CloudReply } from '../domain/cloud.js';
 import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
-import type { WorkerCommand, CommandReply } from '../domain/heartbeat.js';
+import type { CommandReply, WorkerCommand } from '../domain/heartbeat.js';
 import type { StoreFailureCause, StoreOperation, StoreReply } from '../domain/key-value-store.js';
+import type { LogEvent } from '../domain/log-events.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Settings } from '../domain/settings.js';
-import type { Micros } from '../domain/time.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { StoreConnection } from './store-connection.js';
+import { TimerQueue } from './timer-queue.js';
 
-/** How often a lost link to the state service is tried. */
-const PROBE_EVERY: Micros = 300 * MILLI;
+/** How often the store is probed while it does not answer. */
+const PROBE_INTERVAL: Micros = 300 * MILLI;
 
-interface Timer {
-  readonly at: Micros;
-  readonly order: number;
-  readonly run: () => void;
+interface PendingStoreCall {
+  readonly sentAt: Micros;
+  readonly then: (reply: StoreReply) => void;
 }
 
 export class NodeContext {
@@ -25,21 +24,20 @@
   /** Time of day minus steady time, from the newest input that carried both. */
   wallOffset: Micros = 0;
   types: ReadonlyMap<string, MachineType> = new Map();
+  /** Effects of the step under way. */
   out: CoreEffect[] = [];
+  readonly storeConnection = new StoreConnection();
+  /** Called when the store stops answering this node. */
+  readonly onStoreLost: (() => void)[] = [];
 
+  private readonly timers = new TimerQueue();
   /** What is put off to the end of the step under way. */
-  private atEnd: (() => void)[] = [];
+  private endOfStep: (() => void)[] = [];
   private nextCall = 1;
-  private timerOrder = 0;
-  private timers: Timer[] = [];
-  /** The link to the state service. */
-  readonly storeConnection = new StoreConnection();
-  /** Who wants to know when it is lost. */
-  readonly onStoreLost: (() => void)[] = [];
   private probing = false;
-  private readonly storeCalls = new Map<number, { sent: Micros; then: (r: StoreReply) => void }>();
-  private readonly cloudCalls = new Map<number, (r: CloudReply) => void>();
-  private readonly commandCalls = new Map<number, (r: CommandReply) => void>();
+  private readonly storeCalls = new Map<number, PendingStoreCall>();
+  private readonly cloudCalls = new Map<number, (reply: CloudReply) => void>();
+  private readonly commandCalls = new Map<number, (reply: CommandReply) => void>();
 
   /** `stopwatch` only bounds the time spent on a search; decisions never read it otherwise. */
   constructor(
@@ -49,141 +47,145 @@
     readonly verbose = true,
   ) {}
 
+  /** Time of day. */
   get wallNow(): Micros {
     return this.now + this.wallOffset;
   }
 
-  emit(e: CoreEffect): void {
-    this.out.push(e);
+  // ---- effects and logs ----------------------------------------------------------------------------
+
+  emit(effect: CoreEffect): void {
+    this.out.push(effect);
   }
 
   info(event: LogEvent, fields: LogFields = {}): void {
-    this.out.push({ kind: 'log', level: 'info', event, fields });
+    this.emit({ kind: 'log', level: 'info', event, fields });
   }
 
-  /** Fields that cost something to gather are given as a function. */
+  /** Fields that are costly to gather are given as a function. */
   debug(event: LogEvent, given: LogFields | (() => LogFields) = {}): void {
     if (!this.verbose) return;
     const fields = typeof given === 'function' ? given() : given;
-    this.out.push({ kind: 'log', level: 'debug', event, fields });
+    this.emit({ kind: 'log', level: 'debug', event, fields });
   }
 
   error(event: LogEvent, fields: LogFields = {}): void {
-    this.out.push({ kind: 'log', level: 'error', event, fields });
+    this.emit({ kind: 'log', level: 'error', event, fields });
+  }
+
+  /** Runs a part so that an exception in it is logged and stops neither the other parts nor the node. */
+  guard(what: string, run: () => void): void {
+    try {
+      run();
+    } catch (error) {
+      const stack = error instanceof Error ? error.stack : String(error);
+      this.error('node.exception_caught', { what, stack });
+    }
   }
 
-  requestStore(op: StoreOperation, urgency: RequestUrgency, then: (r: StoreReply) => void): void {
+  // ---- calls ---------------------------------------------------------------------------------------
+
+  requestStore(op: StoreOperation, urgency: RequestUrgency, then: (reply: StoreReply) => void): void {
     const call = this.nextCall++;
-    this.storeCalls.set(call, { sent: this.now, then });
-    this.out.push({ kind: 'storeRequest', call, op, urgency });
+    this.storeCalls.set(call, { sentAt: this.now, then });
+    this.emit({ kind: 'storeRequest', call, op, urgency });
   }
 
-  requestCloud(op: CloudOperation, urgency: RequestUrgency, then: (r: CloudReply) => void): void {
+  requestCloud(op: CloudOperation, urgency: RequestUrgency, then: (reply: CloudReply) => void): void {
     const call = this.nextCall++;
     this.cloudCalls.set(call, then);
-    this.out.push({ kind: 'cloudRequest', call, op, urgency });
+    this.emit({ kind: 'cloudRequest', call, op, urgency });
   }
 
+  /** Sends commands to a worker directly; it executes them only if it knows neither a higher token nor another epoch. */
   sendCommands(
     address: string,
-    token: number,
-    session: number,
-    orders: readonly WorkerCommand[],
-    then: (r: CommandReply) => void,
+    fencingToken: number,
+    agentEpoch: number,
+    commands: readonly WorkerCommand[],
+    then: (reply: CommandReply) => void,
   ): void {
     const call = this.nextCall++;
     this.commandCalls.set(call, then);
-    this.out.push({
-      kind: 'workerCommands',
-      call,
-      address,
-      fencingToken: token,
-      agentEpoch: session,
-      commands: orders,
-    });
+    this.emit({ kind: 'workerCommands', call, address, fencingToken, agentEpoch, commands });
   }
 
-  after(delay: Micros, run: () => void): void {
-    this.timers.push({ at: this.now + delay, order: this.timerOrder++, run });
+  storeReplied(call: number, reply: StoreReply): void {
+    const pending = this.storeCalls.get(call);
+    this.storeCalls.delete(call);
+    if (pending === undefined) return;
+    this.recordStoreReply(reply, pending.sentAt);
+    pending.then(reply);
   }
 
-  /** Once, when all else of this step is done: what several parts ask for in one step is then done together. */
-  atEndOfStep(run: () => void): void {
-    this.atEnd.push(run);
+  cloudReplied(call: number, reply: CloudReply): void {
+    const then = this.cloudCalls.get(call);
+    this.cloudCalls.delete(call);
+    then?.(reply);
   }
 
-  /** Also what is put off meanwhile. */
-  runEndOfStep(): void {
-    while (this.atEnd.length > 0) {
-      const due = this.atEnd;
-      this.atEnd = [];
-      for (const run of due) this.guard('end of step', run);
-    }
+  commandsReplied(call: number, reply: CommandReply): void {
+    const then = this.commandCalls.get(call);
+    this.commandCalls.delete(call);
+    then?.(reply);
   }
 
-  storeReplied(call: number, r: StoreReply): void {
-    const waiting = this.storeCalls.get(call);
-    this.storeCalls.delete(call);
-    if (waiting === undefined) return;
-    if (r.kind !== 'failed') this.linkGood();
-    else if (this.storeConnection.recordFailure(r.cause, waiting.sent)) this.linkBad(r.cause);
-    waiting.then(r);
+  // ---- connection to the store ---------------------------------------------------------------------
+
+  private recordStoreReply(reply: StoreReply, sentAt: Micros): void {
+    if (reply.kind !== 'failed') this.storeAnswered();
+    else if (this.storeConnection.recordFailure(reply.cause, sentAt)) this.storeLost(reply.cause);
   }
 
-  private linkGood(): void {
-    const since = this.storeConnection.downSince;
-    if (this.storeConnection.recordSuccess(this.now) && since !== null)
-      this.info('store.reconnected', { afterS: (this.now - since) / SECOND });
+  private storeAnswered(): void {
+    const { downSince } = this.storeConnection;
+    const isBack = this.storeConnection.recordSuccess(this.now);
+    if (isBack && downSince !== null)
+      this.info('store.reconnected', { afterS: (this.now - downSince) / SECOND });
   }
 
-  private linkBad(cause: StoreFailureCause): void {
+  private storeLost(cause: StoreFailureCause): void {
     this.info('store.unreachable', { cause });
-    for (const tell of this.onStoreLost) tell();
-    if (!this.probing) this.probe();
+    for (const listener of this.onStoreLost) listener();
+    if (!this.probing) this.probeStore();
   }
 
-  /** While it is lost nobody else need ask: users are answered without. */
-  private probe(): void {
+  /** While the store does not answer, no other part need ask it: users are answered without it. */
+  private probeStore(): void {
     this.probing = this.storeConnection.downSince !== null;
     if (!this.probing) return;
     this.requestStore({ kind: 'get', key: TERM }, 0, () => {
-      this.after(PROBE_EVERY, () => {
-        this.probe();
+      this.after(PROBE_INTERVAL, () => {
+        this.probeStore();
       });
     });
   }
 
-  cloudReplied(call: number, r: CloudReply): void {
-    const then = this.cloudCalls.get(call);
-    this.cloudCalls.delete(call);
-    then?.(r);
-  }
+  // ---- timers --------------------------------------------------------------------------------------
 
-  commandsReplied(call: number, r: CommandReply): void {
-    const then = this.commandCalls.get(call);
-    this.commandCalls.delete(call);
-    then?.(r);
+  after(delay: Micros, run: () => void): void {
+    this.timers.set(this.now + delay, run);
   }
 
   runDueTimers(): void {
-    const due = this.timers.filter((t) => t.at <= this.now);
-    if (due.length === 0) return;
-    this.timers = this.timers.filter((t) => t.at > this.now);
-    due.sort((a, b) => a.at - b.at || a.order - b.order);
-    for (const t of due) this.guard('timer', t.run);
+    for (const run of this.timers.takeDue(this.now)) this.guard('timer', run);
   }
 
-  guard(what: string, run: () => void): void {
-    try {
-      run();
-    } catch (e) {
-      this.error('node.exception_caught', { what, stack: e instanceof Error ? e.stack : String(e) });
-    }
+  nextWake(): Micros | null {
+    return this.timers.nextDueAt();
   }
 
-  nextWake(): Micros | null {
-    let at: Micros | null = null;
-    for (const t of this.timers) if (at === null || t.at < at) at = t.at;
-    return at;
+  /** Runs once, after all else of this step: what several parts ask for in one step is then done together. */
+  atEndOfStep(run: () => void): void {
+    this.endOfStep.push(run);
+  }
+
+  /** Runs what was put off, and what that puts off in turn. */
+  runEndOfStep(): void {
+    while (this.endOfStep.length > 0) {
+      const due = this.endOfStep;
+      this.endOfStep = [];
+      for (const run of due) this.guard('end of step', run);
+    }
   }
 }
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -213,12 +213,15 @@
           ...writes.slice(0, room),
         ],
       };
-      this.links.submitRequest({ kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside }, (a) => {
-        const taken = a.kind === 'view' && !a.created;
-        // Somebody has that id: with a hundred random bits, a native user who was told it, if anybody.
-        if (taken && draws > 1) this.draw(request, r, m, needs, draws - 1);
-        else this.created(request, r.namespace, m, record, a);
-      });
+      this.links.submitRequest(
+        { kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside },
+        (a) => {
+          const taken = a.kind === 'view' && !a.created;
+          // Somebody has that id: with a hundred random bits, a native user who was told it, if anybody.
+          if (taken && draws > 1) this.draw(request, r, m, needs, draws - 1);
+          else this.created(request, r.namespace, m, record, a);
+        },
+      );
     });
   }
 
