--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -1,6 +1,7 @@
-/** For operators, in the log: where room is, and who waits for it. */
+/** A summary of capacity and of waiting work, in the log for operators. */
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
+/** Machines that are alike in type, zone and kind. */
 interface PoolSummary {
   up: number;
   booting: number;
@@ -10,9 +11,9 @@
   tasks: number;
 }
 
-const poolsOf = ({ ctx, cluster: estate }: LeaderTerm): Record<string, PoolSummary> => {
+const poolsOf = ({ ctx, cluster }: LeaderTerm): Record<string, PoolSummary> => {
   const pools: Record<string, PoolSummary> = {};
-  for (const machine of estate.machines.values()) {
+  for (const machine of cluster.machines.values()) {
     const key = `${machine.type}/${machine.zone}${machine.spot ? '/spot' : ''}`;
     const pool = (pools[key] ??= { up: 0, booting: 0, cores: 0, gpus: 0, tasks: 0 });
     const type = ctx.types.get(machine.type);
@@ -30,9 +31,9 @@
   return pools;
 };
 
-const waitingOf = ({ cluster: estate }: LeaderTerm): Record<string, { jobs: number; tasks: number }> => {
+const waitingOf = ({ cluster }: LeaderTerm): Record<string, { jobs: number; tasks: number }> => {
   const waiting: Record<string, { jobs: number; tasks: number }> = {};
-  for (const job of estate.jobs.values()) {
+  for (const job of cluster.jobs.values()) {
     if (job.phase !== 'active' || job.blockedOnDependencies || job.waitingCount <= 0) continue;
     const sums = (waiting[job.spec.class] ??= { jobs: 0, tasks: 0 });
     sums.jobs++;
@@ -41,6 +42,7 @@
   return waiting;
 };
 
+/** Logs the free capacity of each pool and the waiting jobs of each class. */
 export const logClusterSummary = (term: LeaderTerm): void => {
   if (!term.ctx.verbose) return;
   term.ctx.debug('cluster.summarized', { fleet: poolsOf(term), waiting: waitingOf(term) });
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -1,47 +1,48 @@
 /**
- * Whether this node still does a leader's work in time, by how late its own timers fire. One that was slowed down held the
- * office for 40 s: its renewals arrived, so nobody else could lead, but the reports of its workers timed out until all
- * their leases had run out (adresy-pomorze rough: 2,706 tasks killed). A state machine of moments.
+ * Whether this node does a leader's work in time, by how late its own timers fire. A slowed-down leader once kept its lease for
+ * 40 s: its renewals arrived, so nobody else could lead, but heartbeats of its workers timed out until all worker leases had
+ * expired (adresy-pomorze rough: 2,706 tasks killed). A state machine without I/O: callers pass the times.
  */
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 
-/** So late is no chance of a moment any more: of four seconds that a worker waits for its answer. */
-const LATE: Micros = SECOND;
-/** Answers to renewals further apart than that. */
-const APART: Micros = 2_500 * MILLI;
-/** So often within the window; a process that stood still once, and is well again, is late once. */
-const TIMES = 3;
+/** A timer that fires later than that counts as late; a worker waits four seconds for its answer. */
+const MAX_TIMER_DELAY: Micros = SECOND;
+/** Answers to lease renewals that are further apart count as late. */
+const MAX_RENEWAL_GAP: Micros = 2_500 * MILLI;
+/** Late events within the window that make an overloaded leader; a process that was paused once is late once. */
+const OVERLOAD_COUNT = 3;
 const WINDOW: Micros = 20 * SECOND;
 
 export class LeaderHealth {
-  private late: Micros[] = [];
-  private last: Micros = 0;
+  private lateAt: Micros[] = [];
+  private lastDelay: Micros = 0;
   private renewedAt: Micros | null = null;
 
-  /** A timer that was due then fires now. `counts`: not where everybody would be late, as while workers turn to a new leader. */
-  recordTimer(now: Micros, due: Micros, counts = true): void {
-    this.last = now - due;
-    this.late = this.late.filter((at) => at > now - WINDOW);
-    if (counts && now - due > LATE) this.late.push(now);
+  /** A timer that was due at `dueAt` fires now. `counts` is false where every leader would be late, as right after a failover. */
+  recordTimer(now: Micros, dueAt: Micros, counts = true): void {
+    this.lastDelay = now - dueAt;
+    this.lateAt = this.lateAt.filter((at) => at > now - WINDOW);
+    if (counts && now - dueAt > MAX_TIMER_DELAY) this.lateAt.push(now);
   }
 
   /**
-   * A renewal was answered. They are sent every second or so and answered within some milliseconds: answers so far apart mean
-   * that those between came too late, though the service serves this node. Timers alone don't tell: they come before
-   * whatever waits in sockets.
+   * A renewal of the lease was answered. Renewals are sent about every second and answered within milliseconds: a long gap means
+   * that answers were handled too late, though the store serves this node. Timers alone don't show that: they fire before what
+   * waits in sockets is handled.
    */
   recordRenewal(now: Micros, counts = true): void {
     const gap = this.renewedAt === null ? 0 : now - this.renewedAt;
     this.renewedAt = now;
-    if (counts && gap > APART) this.late.push(now);
+    if (counts && gap > MAX_RENEWAL_GAP) this.lateAt.push(now);
   }
 
-  /** What came first is not done yet: whoever waits for an answer had better not wait for more. */
+  /** Whether the node is late right now: optional work had better wait. */
   get isLagging(): boolean {
-    return this.last > LATE;
+    return this.lastDelay > MAX_TIMER_DELAY;
   }
 
+  /** Whether the node was late so often that another controller should lead. */
   get isOverloaded(): boolean {
-    return this.late.length >= TIMES;
+    return this.lateAt.length >= OVERLOAD_COUNT;
   }
 }
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -134,7 +134,7 @@
     const { failureDetector, autoscaler, attempts, planner } = this.parts;
     failureDetector.expireLeases();
     failureDetector.retireSilentMachines();
-    autoscaler.sweep(planner.needed);
+    autoscaler.sweep(planner.machinesInPlan);
     for (const machine of this.term.cluster.machines.values())
       if (machine.queuedCommands.length > 0) attempts.pump(machine);
     attempts.checkGangs();
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,4 +1,4 @@
-/** Carries out what a plan decided: checked once more against what is known now, then begun. */
+/** Carries out the steps of a plan, after checking them once more against the present cluster state. */
 import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import { fits, placeAllowed, spreadLimit, takeFrom, type Amounts } from '../domain/resources.js';
 import type { PlanStep } from '../scheduling/plan-input.js';
@@ -9,13 +9,14 @@
 /** Steps by job, in their order. */
 export type StepsByJob = ReadonlyMap<ActiveJob, readonly PlanStep[]>;
 
+/** Begins attempts for the steps of a plan. */
 export class PlacementCommit {
   constructor(
     private readonly term: LeaderTerm,
     private readonly attempts: Pick<AttemptLifecycle, 'begin'>,
   ) {}
 
-  /** Starts what begins now. A plan in several parts is older than what is known: nothing rests on its picture alone. */
+  /** Begins the steps that are due now. A plan in several slices is older than the cluster state, so each step is checked again. */
   startAll(stepsByJob: StepsByJob, planNow: number): void {
     const usage = this.term.cluster.usage();
     for (const [job, steps] of stepsByJob) this.start(job, steps, planNow, usage);
@@ -26,7 +27,7 @@
     const startsNow = steps.filter((step) => step.start <= planNow && step.slot.machine !== null);
     if (startsNow.length === 0) return;
     if (job.spec.shape === 'gang' && startsNow.length !== steps.length) return;
-    const team = this.term.ctx.settings.teams.find((t) => t.name === job.spec.team);
+    const team = this.term.ctx.settings.teams.find(({ name }) => name === job.spec.team);
     const chosen = this.machinesFor(job, startsNow).slice(0, usage.room(job.spec, team));
     if (chosen.length === 0) return;
     const indices = job.takeWaiting(chosen.length);
@@ -34,11 +35,11 @@
     usage.add(job.spec, indices.length);
     this.attempts.begin(
       job,
-      indices.map((index, k) => ({ index, machine: chosen[k]! })),
+      indices.map((index, position) => ({ index, machine: chosen[position]! })),
     );
   }
 
-  /** Where the tasks still have room, zone and kind allowed, one entry a task. */
+  /** Machines with room that the job's constraints allow, one entry for each task. */
   private machinesFor(job: ActiveJob, steps: readonly PlanStep[]): Machine[] {
     const { spec } = job;
     const chosen: Machine[] = [];
@@ -55,7 +56,7 @@
       if (!placeAllowed(spec, machine.type, machine.zone, machine.spot)) continue;
       const room = free.get(machine) ?? machine.freeOf(type);
       free.set(machine, room);
-      for (let k = 0; k < step.count && fits(spec, room) && zoneAllows(machine.zone); k++) {
+      for (let placed = 0; placed < step.count && fits(spec, room) && zoneAllows(machine.zone); placed++) {
         zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
         takeFrom(room, spec);
         chosen.push(machine);
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,22 +1,22 @@
-/** One plan from its picture to its last step, in slices: between two of them the node gets to its other work. */
+/** One plan, from its snapshot to its last step, in slices: between two of them the node does its other work. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { PlanStep } from '../scheduling/plan-input.js';
 import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
 import { MILLI, type Micros } from '../domain/time.js';
 import type { StepsByJob } from './placement-commit.js';
-import type { Waiting } from './waiting-groups.js';
+import type { WaitingWork } from './waiting-groups.js';
 
-/** A slice ends with the first of its decisions after that: what waits behind it is answered within a few of these. */
-const SLICE: Micros = 30 * MILLI;
+/** A slice ends with the first decision after that; inputs that wait behind it are handled within a few of these. */
+const SLICE_LENGTH: Micros = 30 * MILLI;
 
 /** Processor time of a plan's parts, in microseconds. */
 export interface PlanCost {
   readonly groupsUs: Micros;
   searchUs: Micros;
-  actUs: Micros;
+  commitUs: Micros;
 }
 
-/** Processor time that a plan has had; it stands still between slices. */
+/** Processor time of a plan; the clock stands still between slices. */
 export class PlanClock {
   private before: Micros = 0;
   private began: Micros;
@@ -36,16 +36,18 @@
   }
 }
 
+/** A plan under way. */
 export class PlanRun {
   private readonly stepsByJob = new Map<ActiveJob, PlanStep[]>();
   private readonly iterator: Generator<void>;
   private committed = 0;
-  slices = 0;
+  /** Slices that have begun. */
+  sliceCount = 0;
 
   constructor(
-    /** Only what must start at once is planned for, and nothing is stopped or rented for it. */
+    /** Only urgent work is planned, and nothing is preempted or scaled out for it. */
     readonly urgentOnly: boolean,
-    readonly waiting: Waiting,
+    readonly waiting: WaitingWork,
     readonly now: Micros,
     readonly clock: PlanClock,
     readonly cost: PlanCost,
@@ -63,18 +65,18 @@
     return this.stepsByJob;
   }
 
-  /** Decides until the slice is over: whether everything is decided. */
+  /** Decides until the slice is over; returns whether everything is decided. */
   advance(): boolean {
     const began = this.clock.elapsed();
-    // The first one has made the picture already.
-    const end = (this.slices++ === 0 ? 0 : began) + SLICE;
+    // The time that the snapshot took counts towards the first slice.
+    const end = (this.sliceCount++ === 0 ? 0 : began) + SLICE_LENGTH;
     let done = false;
     while (!done && this.clock.elapsed() < end) done = this.iterator.next().done === true;
     this.cost.searchUs += this.clock.elapsed() - began;
     return done;
   }
 
-  /** Steps that were decided since this was last asked for. */
+  /** Steps that were decided since the last call. */
   takeSteps(): StepsByJob {
     const { steps } = this.search;
     const taken = new Map<ActiveJob, PlanStep[]>();
@@ -88,7 +90,7 @@
     return taken;
   }
 
-  /** Machines that the plan counts on. */
+  /** Names of the machines that the plan uses. */
   neededMachines(): ReadonlySet<string> {
     const needed = new Set<string>();
     for (const { used, machine } of this.decision.picture.slots)
@@ -96,8 +98,8 @@
     return needed;
   }
 
-  /** The picture's slots may serve another plan from now on. */
-  release(): void {
+  /** The snapshot's slots may serve another plan from now on. */
+  releaseSlots(): void {
     this.search.release();
   }
 }
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -1,9 +1,13 @@
-/** Plans: which waiting work begins where now, by a search over the newest picture; only that is done. */
+/**
+ * Plans which waiting work begins where, by a search over the newest snapshot. Only the steps that begin now are carried out;
+ * everything else is decided anew by the next plan.
+ */
 import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import type { PreemptionPlanner } from '../scheduling/preemption-planner.js';
 import type { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
 import type { QueueOrder } from '../scheduling/queue-order.js';
-import { PlacementSearch } from '../scheduling/placement-search.js';
+import { PlacementSearch, type SearchLimits } from '../scheduling/placement-search.js';
+import type { TaskGroup } from '../scheduling/plan-input.js';
 import type { DependencyGraph } from '../jobs/dependencies.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
@@ -12,53 +16,57 @@
 import { PlanClock, PlanRun } from './plan-run.js';
 import { WaitingGroups } from './waiting-groups.js';
 
-/** Plans pause for this many times what the last one took: users and workers must get through between. */
-const PLAN_PAUSE = 6;
-/** They come no faster than that, however little they take. */
-const LEAST_PAUSE = 80 * MILLI;
-/** Events that come together are planned for together. */
-const GATHER = 15 * MILLI;
-/** A new leader plans little while workers turn to it, until all but this share is known. */
-const REBUILD_SHARE = 0.1;
-/** Where nothing waits, room for arrivals is looked after no more often than that. */
-const IDLE_PASS = SECOND;
-const CHAINS_FRESH = 2 * SECOND;
-/** Plans are put off no longer while this node is behind with its answers. */
-const BEHIND_AT_MOST = 6 * SECOND;
-/** Tasks of one urgent job, and urgent jobs that come together, are planned for together. */
-const URGENT_GATHER = 20 * MILLI;
-/** Between two slices of a plan: what has come meanwhile is taken first. */
+/** The pause after a plan, in multiples of what it took: requests of users and workers are answered in between. */
+const PAUSE_PER_PLAN_COST = 6;
+/** The shortest pause between two plans, however little they take. */
+const MIN_PAUSE = 80 * MILLI;
+/** Events that come within this time are planned for together. */
+const BATCHING_DELAY = 15 * MILLI;
+/** A new leader plans only urgent work until all but this share of the machines is reconciled. */
+const MAX_UNRECONCILED_SHARE = 0.1;
+/** Where nothing waits, spare capacity for arrivals is planned no more often than that. */
+const IDLE_PASS_INTERVAL = SECOND;
+/** Deadlines along dependencies are worked out anew at least this often, since predicted run times change. */
+const DEADLINE_CHAINS_MAX_AGE = 2 * SECOND;
+/** Plans are put off no longer than that while this node is late with its answers. */
+const MAX_DELAY_WHILE_LAGGING = 6 * SECOND;
+/** Urgent jobs that come within this time are planned for together. */
+const URGENT_BATCHING_DELAY = 20 * MILLI;
+/** Between two slices of a plan, in which inputs that have come meanwhile are handled. */
 const SLICE_PAUSE = MILLI;
 
+/** What plans are made with, and what carries them out. */
 export interface PlannerParts {
-  readonly ordering: QueueOrder;
-  readonly imaging: SnapshotBuilder;
-  readonly clearing: PreemptionPlanner;
+  readonly queueOrder: QueueOrder;
+  readonly snapshotBuilder: SnapshotBuilder;
+  readonly preemptionPlanner: PreemptionPlanner;
   readonly attempts: AttemptLifecycle;
-  readonly deps: DependencyGraph;
-  readonly fleet: Autoscaler;
+  readonly dependencies: DependencyGraph;
+  readonly autoscaler: Autoscaler;
   /** Whether this node is late with its work. */
-  behind(): boolean;
+  isLagging(): boolean;
 }
 
+type OnFinished = (run: PlanRun) => void;
+
 export class Planner {
-  /** Machines that the last plan counts on. */
-  needed: ReadonlySet<string> = new Set();
+  /** Names of the machines that the last full plan uses. */
+  machinesInPlan: ReadonlySet<string> = new Set();
   private readonly waitingGroups: WaitingGroups;
   private readonly commit: PlacementCommit;
   private current: PlanRun | null = null;
   private passScheduled = false;
   private urgentPassScheduled = false;
   /** Something changed while no plan could be made. */
-  private again = false;
-  private lastPlan: Micros = 0;
-  /** Of all that waits. */
-  private lastWhole: Micros = 0;
-  /** What the last plan took: the next one waits a multiple of it, so that users' requests get through. */
-  private planCost: Micros = 0;
-  /** The last plan's comparisons went past their budget. */
+  private passOwed = false;
+  private lastPlanAt: Micros = 0;
+  /** Of the last plan for all that waits, not for urgent work alone. */
+  private lastFullPlanAt: Micros = 0;
+  /** Processor time of the last plan. */
+  private lastPlanCost: Micros = 0;
+  /** The last plan's comparisons exceeded their budget. */
   private comparisonsCutShort = false;
-  private chainsAt: Micros = 0;
+  private deadlineChainsAt: Micros = 0;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -68,42 +76,42 @@
     this.commit = new PlacementCommit(term, parts.attempts);
   }
 
-  /** A change came while a plan was under way, or none could be made yet. */
+  /** Whether something changed while a plan was under way, or while none could be made. */
   get passPending(): boolean {
-    return this.again;
+    return this.passOwed;
   }
 
-  /** Plans for all that waits, once the pause after the last plan is over. */
+  /** Makes a plan for all that waits, once the pause after the last one is over. */
   schedulePass(): void {
     const { ctx } = this.term;
     if (this.passScheduled || !this.term.ready || this.term.stopped) {
-      this.again = true;
+      this.passOwed = true;
       return;
     }
     this.passScheduled = true;
-    const pause = Math.max(LEAST_PAUSE, PLAN_PAUSE * this.planCost);
-    const delay = Math.max(GATHER, this.lastPlan + pause - ctx.now);
+    const pause = Math.max(MIN_PAUSE, PAUSE_PER_PLAN_COST * this.lastPlanCost);
+    const delay = Math.max(BATCHING_DELAY, this.lastPlanAt + pause - ctx.now);
     ctx.after(delay, () => {
       this.passScheduled = false;
-      this.again = false;
-      if (!this.term.stopped) this.plan();
+      this.passOwed = false;
+      if (!this.term.stopped) this.runPass();
     });
   }
 
-  /** Something came that must start at once: it does not wait for the pause after the last plan, which costs much more. */
+  /** Makes a plan for work that must start at once, without waiting for the pause after the last plan. */
   scheduleUrgentPass(): void {
     if (this.urgentPassScheduled) return;
     this.urgentPassScheduled = true;
-    this.term.after(URGENT_GATHER, () => {
-      this.planUrgent();
+    this.term.after(URGENT_BATCHING_DELAY, () => {
+      this.runUrgentPass();
     });
   }
 
-  private planUrgent(): void {
+  private runUrgentPass(): void {
     if (this.current !== null) {
-      // The plan under way is over within a fraction of a second.
-      this.term.after(URGENT_GATHER, () => {
-        this.planUrgent();
+      // The current plan ends within a fraction of a second.
+      this.term.after(URGENT_BATCHING_DELAY, () => {
+        this.runUrgentPass();
       });
       return;
     }
@@ -112,146 +120,160 @@
   }
 
   /**
-   * A new leader rebuilds from reports first. Machines that have not reported to it are not in its picture: it
-   * would rent for all that waits beside them, and did so at each change of leader, the dearest types too.
+   * A new leader reconciles from heartbeats first. Machines that have not reported to it are not in its snapshot: it would
+   * scale out for all waiting work beside them, and did so at each failover, the most expensive types too.
    */
-  private rebuilding(): boolean {
-    const { cluster: estate } = this.term;
+  private isRebuilding(): boolean {
     if (!this.term.inFailoverGracePeriod) return false;
     let all = 0;
-    let unknown = 0;
-    for (const machine of estate.machines.values()) {
+    let unreconciled = 0;
+    for (const machine of this.term.cluster.machines.values()) {
       if (machine.recorded !== 'yes' || machine.retirementReason !== null) continue;
       all++;
-      if (machine.awaitingReconciliation) unknown++;
+      if (machine.awaitingReconciliation) unreconciled++;
     }
-    return unknown > REBUILD_SHARE * all;
+    return unreconciled > MAX_UNRECONCILED_SHARE * all;
   }
 
-  private plan(): void {
+  private runPass(): void {
     const { ctx } = this.term;
     if (ctx.types.size === 0) return;
     if (this.current !== null) {
-      this.again = true;
+      this.passOwed = true;
       return;
     }
-    // Owed until the right comes back: a plan rents, and stops some for others. And answers to those who turn to a new
-    // leader come before its first plans: on a sixth of a core the starts of these once held up hundreds of workers
-    // until their leases ran out. Only the few that must start at once do, where there is room on what is known.
-    // So do they later: each plan brings starts and their reports with it, and a node that is behind loses its workers.
-    const behind = this.parts.behind() && ctx.now < this.lastWhole + BEHIND_AT_MOST;
-    const urgentOnly = this.rebuilding() || behind;
-    if (!this.term.canDispatch() || (urgentOnly && !this.urgentWaits())) {
-      this.again = true;
+    // No plan without the lease: a plan scales out and preempts. And a new leader's answers to workers come before its first
+    // plans: on a sixth of a core the starts of these once held up hundreds of workers until their leases expired. Only urgent
+    // work starts then, where the machines that are known have room. The same holds for a node that is late with its work:
+    // each plan brings starts and their heartbeats with it, and a node that falls further behind loses its workers.
+    const isLate = this.parts.isLagging() && ctx.now < this.lastFullPlanAt + MAX_DELAY_WHILE_LAGGING;
+    const urgentOnly = this.isRebuilding() || isLate;
+    if (!this.term.canDispatch() || (urgentOnly && !this.hasUrgentWork())) {
+      this.passOwed = true;
       return;
     }
-    if (ctx.now < this.lastWhole + IDLE_PASS && !this.anyWaits()) return;
+    if (ctx.now < this.lastFullPlanAt + IDLE_PASS_INTERVAL && !this.hasWaitingWork()) return;
     this.begin(urgentOnly, (run) => {
-      this.again ||= urgentOnly;
-      this.planCost = run.clock.elapsed();
-      this.lastPlan = run.now;
-      if (!urgentOnly) this.lastWhole = run.now;
+      this.passOwed ||= urgentOnly;
+      this.lastPlanCost = run.clock.elapsed();
+      this.lastPlanAt = run.now;
+      if (!urgentOnly) this.lastFullPlanAt = run.now;
     });
   }
 
   /** Whether any work could begin if there were room, or is about to. */
-  private anyWaits(): boolean {
-    if (this.parts.deps.blockedCount > 0) return true;
+  private hasWaitingWork(): boolean {
+    if (this.parts.dependencies.blockedCount > 0) return true;
     for (const job of this.term.cluster.jobs.values()) if (this.term.cluster.isStartable(job)) return true;
     return false;
   }
 
-  private urgentWaits(): boolean {
-    const { cluster: estate } = this.term;
-    for (const job of estate.jobs.values())
-      if (this.parts.fleet.mustStartAtOnce(job.spec) && estate.isStartable(job)) return true;
+  private hasUrgentWork(): boolean {
+    const { cluster } = this.term;
+    for (const job of cluster.jobs.values())
+      if (this.parts.autoscaler.mustStartAtOnce(job.spec) && cluster.isStartable(job)) return true;
     return false;
   }
 
-  /** `finished`: told once the whole plan is carried out. */
-  private begin(urgentOnly: boolean, finished: ((run: PlanRun) => void) | null): void {
+  /** `onFinished` is called once the whole plan is carried out. */
+  private begin(urgentOnly: boolean, onFinished: OnFinished | null): void {
     const { ctx } = this.term;
-    const { deps, imaging, fleet } = this.parts;
+    const { snapshotBuilder, autoscaler } = this.parts;
     const clock = new PlanClock(ctx.stopwatch);
-    // Predictions change with what is learned.
-    deps.refresh(ctx.now - this.chainsAt > CHAINS_FRESH);
-    if (ctx.now - this.chainsAt > CHAINS_FRESH) this.chainsAt = ctx.now;
+    this.refreshDeadlineChains();
     const waiting = this.waitingGroups.collect(urgentOnly);
     const groupsUs = clock.elapsed();
-    const further = urgentOnly ? [] : [...fleet.kept(), ...fleet.headroom(), ...this.waitingGroups.ahead()];
-    const picture = imaging.picture(fleet.rentable(), fleet.kinds());
-    const { tuning } = ctx.settings;
-    const pictureUs = clock.elapsed();
+    const hypothetical = urgentOnly ? [] : this.hypotheticalGroups();
+    const snapshot = snapshotBuilder.picture(autoscaler.rentable(), autoscaler.kinds());
+    const snapshotUs = clock.elapsed();
     const search = new PlacementSearch(
-      picture,
-      [...waiting.groups, ...further],
-      waiting.overflow,
-      {
-        budgetUs: tuning.searchBudgetUs,
-        width: tuning.shortlistSize,
-        depth: tuning.rolloutDepth,
-        toleranceUs: tuning.makespanToleranceUs,
-        skipWhenPlenty: this.comparisonsCutShort,
-      },
-      () => clock.elapsed() - pictureUs,
+      snapshot,
+      [...waiting.groups, ...hypothetical],
+      waiting.backfill,
+      this.searchLimits(),
+      () => clock.elapsed() - snapshotUs,
     );
-    const cost = { groupsUs, searchUs: clock.elapsed() - groupsUs, actUs: 0 };
+    const cost = { groupsUs, searchUs: clock.elapsed() - groupsUs, commitUs: 0 };
     this.current = new PlanRun(urgentOnly, waiting, ctx.now, clock, cost, search);
-    this.advance(this.current, finished);
+    this.advance(this.current, onFinished);
+  }
+
+  private refreshDeadlineChains(): void {
+    const { now } = this.term.ctx;
+    const isOld = now - this.deadlineChainsAt > DEADLINE_CHAINS_MAX_AGE;
+    this.parts.dependencies.refresh(isOld);
+    if (isOld) this.deadlineChainsAt = now;
+  }
+
+  /** Groups of no real tasks: capacity reserved for urgent work, for arrivals, and for stages to come. */
+  private hypotheticalGroups(): TaskGroup[] {
+    const { autoscaler } = this.parts;
+    return [...autoscaler.kept(), ...autoscaler.headroom(), ...this.waitingGroups.upcomingStages()];
+  }
+
+  private searchLimits(): SearchLimits {
+    const { tuning } = this.term.ctx.settings;
+    return {
+      budgetUs: tuning.searchBudgetUs,
+      width: tuning.shortlistSize,
+      depth: tuning.rolloutDepth,
+      toleranceUs: tuning.makespanToleranceUs,
+      skipWhenPlenty: this.comparisonsCutShort,
+    };
   }
 
-  /** A slice of a plan: what it decided is carried out at once, and the rest is gone on with a little later. */
-  private advance(run: PlanRun, finished: ((run: PlanRun) => void) | null): void {
+  /** Decides one slice of a plan and carries it out; the next slice follows a little later. */
+  private advance(run: PlanRun, onFinished: OnFinished | null): void {
     if (!this.term.canDispatch()) {
-      // The right or the state service is lost: what is decided by now is carried out by then, and no more of it.
+      // The lease or the store is lost: what was decided before is carried out already, and nothing more is.
       this.abandon(run);
       return;
     }
     try {
       if (this.decideAndStart(run)) {
         this.finish(run);
-        finished?.(run);
+        onFinished?.(run);
         return;
       }
-    } catch (e) {
+    } catch (error) {
       // No later plan would begin while this one seems to be under way.
       this.abandon(run);
-      throw e;
+      throw error;
     }
     run.clock.pause();
     this.term.after(SLICE_PAUSE, () => {
       run.clock.resume();
-      this.advance(run, finished);
+      this.advance(run, onFinished);
     });
   }
 
-  /** Whether everything is decided. */
+  /** Returns whether everything is decided. */
   private decideAndStart(run: PlanRun): boolean {
     const done = run.advance();
     const before = run.clock.elapsed();
     this.commit.startAll(run.takeSteps(), run.now);
-    run.cost.actUs += run.clock.elapsed() - before;
+    run.cost.commitUs += run.clock.elapsed() - before;
     return done;
   }
 
   private abandon(run: PlanRun): void {
-    run.release();
+    run.releaseSlots();
     this.current = null;
-    this.again = true;
+    this.passOwed = true;
   }
 
   private finish(run: PlanRun): void {
     const { decision } = run;
     if (!run.urgentOnly) {
       const before = run.clock.elapsed();
-      this.parts.clearing.preempt(run.steps);
-      this.parts.fleet.rentFor(decision);
-      this.needed = run.neededMachines();
+      this.parts.preemptionPlanner.preempt(run.steps);
+      this.parts.autoscaler.rentFor(decision);
+      this.machinesInPlan = run.neededMachines();
       this.comparisonsCutShort = decision.fellBack || (this.comparisonsCutShort && decision.searched === 0);
-      run.cost.actUs += run.clock.elapsed() - before;
+      run.cost.commitUs += run.clock.elapsed() - before;
       this.logPlan(run);
     }
-    run.release();
+    run.releaseSlots();
     this.current = null;
   }
 
@@ -266,7 +288,7 @@
       searched: decision.searched,
       fellBack: decision.fellBack,
       looks: decision.looks,
-      slices: run.slices,
+      slices: run.sliceCount,
     });
   }
 }
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,10 +1,10 @@
-/** Counts of done and running tasks for display, to the other controllers and to this one's users. */
+/** Publishes the counts of done and running tasks to the other controllers, and to the users of this one. */
 import type { JobProgress } from '../domain/peer.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { JobService } from '../api/job-service.js';
 
-/** Jobs that one message tells of; the others follow with the next. */
-const MAX_NOTES = 1_000;
+/** The most jobs in one message; the others follow with the next. */
+const MAX_JOBS_PER_MESSAGE = 1_000;
 
 export class ProgressPublisher {
   /** What was published last, by job. */
@@ -12,41 +12,41 @@
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly desk: Pick<JobService, 'recordProgress'>,
+    private readonly jobService: Pick<JobService, 'recordProgress'>,
   ) {}
 
-  /** The job is over: nothing more is published of it. */
+  /** The job has ended: nothing more is published of it. */
   forget(job: string): void {
     this.published.delete(job);
   }
 
-  /** Publishes what changed since the last time. `all`: what did not change too, for those who missed it. */
+  /** Publishes what changed since the last time; with `all` also what did not, for peers that missed it. */
   publish(all: boolean): void {
-    // Who was deposed and doesn't know it would else be taken for the leader by those who know less.
+    // A leader that was deposed without noticing would else pass for the leader with peers that know less.
     if (!this.term.canActAsLeader()) return;
     const { ctx } = this.term;
-    // Sent without counts too: it tells the others who leads, also those who can't ask the state service.
+    // Sent without any counts too: it announces the leader, also to peers that can't reach the store.
     const message = {
       kind: 'progress',
       member: ctx.settings.member,
       term: this.term.number,
-      jobs: this.notes(all),
+      jobs: this.jobsToPublish(all),
     } as const;
-    this.desk.recordProgress(message);
+    this.jobService.recordProgress(message);
     for (const peer of ctx.settings.peers) ctx.emit({ kind: 'peerMessage', member: peer.member, message });
   }
 
-  private notes(all: boolean): JobProgress[] {
-    const notes: JobProgress[] = [];
+  private jobsToPublish(all: boolean): JobProgress[] {
+    const changed: JobProgress[] = [];
     for (const job of this.term.cluster.jobs.values()) {
       if (job.phase === 'ended' || job.blockedOnDependencies) continue;
-      const note = { id: job.id, done: job.done.count, running: job.runningCount() };
-      const text = `${note.done}/${note.running}`;
+      const progress = { id: job.id, done: job.done.count, running: job.runningCount() };
+      const text = `${progress.done}/${progress.running}`;
       if (this.published.get(job.id) === text && !all) continue;
       this.published.set(job.id, text);
-      notes.push(note);
-      if (notes.length >= MAX_NOTES) break;
+      changed.push(progress);
+      if (changed.length >= MAX_JOBS_PER_MESSAGE) break;
     }
-    return notes;
+    return changed;
   }
 }
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -293,13 +293,13 @@
   private createPlanner(): Planner {
     const { cluster } = this.term;
     return new Planner(this.term, {
-      ordering: new QueueOrder(cluster),
-      imaging: new SnapshotBuilder(cluster),
-      clearing: new PreemptionPlanner(cluster, this.stopAttempt),
+      queueOrder: new QueueOrder(cluster),
+      snapshotBuilder: new SnapshotBuilder(cluster),
+      preemptionPlanner: new PreemptionPlanner(cluster, this.stopAttempt),
       attempts: this.attempts,
-      deps: this.dependencies,
-      fleet: this.autoscaler,
-      behind: () => this.health.isLagging,
+      dependencies: this.dependencies,
+      autoscaler: this.autoscaler,
+      isLagging: () => this.health.isLagging,
     });
   }
 }
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,4 +1,4 @@
-/** What waits, as groups of equal tasks in the order in which a plan looks at them. */
+/** Waiting work as groups of equal tasks, in the order in which a plan considers them. */
 import { stagesAhead } from '../scheduling/look-ahead.js';
 import type { QueueOrder } from '../scheduling/queue-order.js';
 import { gpuKind, taskKind, type TaskGroup } from '../scheduling/plan-input.js';
@@ -12,26 +12,28 @@
 import type { QuotaUsage } from '../cluster/fair-share.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Tasks of one job that a play-out represents. */
-const MAX_REPRESENTED = 160;
-/** Tasks of one job that a plan places beyond those that it represents. */
-const MAX_OVERFLOW = 10_000;
+/** The most tasks of one job that the search compares placements for. */
+const MAX_COMPARED = 160;
+/** The most tasks of one job that a plan backfills beyond those that it compares. */
+const MAX_BACKFILLED = 10_000;
 
+/** What the order and the urgency of work are asked of. */
 export interface WaitingParts {
-  readonly ordering: QueueOrder;
-  readonly deps: DependencyGraph;
-  readonly fleet: Pick<Autoscaler, 'mustStartAtOnce'>;
+  readonly queueOrder: QueueOrder;
+  readonly dependencies: DependencyGraph;
+  readonly autoscaler: Pick<Autoscaler, 'mustStartAtOnce'>;
 }
 
-/** What one plan works on. */
-export interface Waiting {
-  /** Compared and placed, now or later. */
+/** The work that one plan places. */
+export interface WaitingWork {
+  /** Placements of these are compared, and begin now or later. */
   readonly groups: readonly TaskGroup[];
-  /** Placed behind them, where there is room now. */
-  readonly overflow: BackfillWork;
+  /** Placed behind them where there is room now, without comparison. */
+  readonly backfill: BackfillWork;
   jobOf(group: TaskGroup): ActiveJob | undefined;
 }
 
+/** Collects the work of a plan. */
 export class WaitingGroups {
   private readonly teams: ReadonlyMap<string, Team>;
 
@@ -42,104 +44,111 @@
     this.teams = new Map(term.ctx.settings.teams.map((team) => [team.name, team]));
   }
 
-  /** All that may start, within the limits of its teams. `urgentOnly`: what must start at once. */
-  collect(urgentOnly: boolean): Waiting {
+  /** All work that may start within the quotas of its teams; with `urgentOnly` only what must start at once. */
+  collect(urgentOnly: boolean): WaitingWork {
     const usage = this.term.cluster.usage();
     const jobs = new Map<TaskGroup, ActiveJob>();
     const groups: TaskGroup[] = [];
     const beyond: ActiveJob[] = [];
-    const order = this.parts.ordering.inOrder();
-    const lowest = order.reduce((least, j) => Math.min(least, j.priority), 3);
-    // Work with and without GPUs is limited apart: many waiting gangs must not keep arrays from the plan.
+    const order = this.parts.queueOrder.inOrder();
+    const lowest = order.reduce((least, { priority }) => Math.min(least, priority), 3);
+    // Work with and without GPUs is limited separately: many waiting gangs must not keep arrays out of the plan.
     const taken = [0, 0];
     for (const job of order) {
-      if (urgentOnly && !this.parts.fleet.mustStartAtOnce(job.spec)) continue;
+      if (urgentOnly && !this.parts.autoscaler.mustStartAtOnce(job.spec)) continue;
       const kind = gpuKind(job.spec);
       if (taken[kind]! >= this.term.ctx.settings.tuning.maxGroupsPerPlan) {
         beyond.push(job);
         continue;
       }
-      const group = this.groupOf(job, usage, lowest, MAX_REPRESENTED);
+      const group = this.groupOf(job, usage, lowest, MAX_COMPARED);
       if (group === null) continue;
       jobs.set(group, job);
       groups.push(group);
       taken[kind]!++;
-      if (job.spec.shape !== 'gang' && job.waitingCount > MAX_REPRESENTED) beyond.push(job);
+      if (job.spec.shape !== 'gang' && job.waitingCount > MAX_COMPARED) beyond.push(job);
     }
-    const represented = new Map([...jobs].map(([group, job]) => [job, group.count]));
+    const compared = new Map([...jobs].map(([group, job]) => [job, group.count]));
     return {
       groups,
-      overflow: {
+      backfill: {
         kinds: [...new Map(beyond.map((job) => [taskKind(job.spec), job.spec])).values()],
-        groups: this.overflow(beyond, represented, usage, lowest, jobs),
+        groups: this.backfillGroups(beyond, compared, usage, lowest, jobs),
       },
       jobOf: (group) => jobs.get(group),
     };
   }
 
-  /** Made one by one as they are asked for, which may be a moment later: what has changed meanwhile is passed over. */
-  private *overflow(
+  /** Generated one by one, possibly a moment later: jobs that changed meanwhile are skipped. */
+  private *backfillGroups(
     beyond: readonly ActiveJob[],
-    represented: ReadonlyMap<ActiveJob, number>,
+    compared: ReadonlyMap<ActiveJob, number>,
     usage: QuotaUsage,
     lowest: number,
     jobs: Map<TaskGroup, ActiveJob>,
   ): Generator<TaskGroup> {
     for (const job of beyond) {
       if (!this.term.cluster.isStartable(job)) continue;
-      const group = this.groupOf(job, usage, lowest, MAX_OVERFLOW, represented.get(job) ?? 0);
+      const group = this.groupOf(job, usage, lowest, MAX_BACKFILLED, compared.get(job) ?? 0);
       if (group === null) continue;
       jobs.set(group, job);
       yield group;
     }
   }
 
-  /** Up to `most` of the job's waiting tasks behind the first `behind` of them; null: none may start. */
+  /** Up to `limit` of the job's waiting tasks after the first `skipped` of them; null: none may start. */
   private groupOf(
     job: ActiveJob,
     usage: QuotaUsage,
     lowest: number,
-    most: number,
-    behind = 0,
+    limit: number,
+    skipped = 0,
   ): TaskGroup | null {
-    const { ctx, cluster: estate } = this.term;
+    const { ctx, cluster } = this.term;
     const spec = job.priority === job.spec.priority ? job.spec : { ...job.spec, priority: job.priority };
     const room = usage.room(spec, this.teams.get(spec.team));
-    const waiting = job.waitingCount - behind;
-    const count = Math.min(waiting, room, spec.shape === 'gang' ? Infinity : most);
+    const waiting = job.waitingCount - skipped;
+    const count = Math.min(waiting, room, spec.shape === 'gang' ? Infinity : limit);
     if (count <= 0 || (spec.shape === 'gang' && count < spec.tasks)) return null;
     usage.add(spec, count);
-    const promised = job.reservedUntil > ctx.now;
+    const hasReservation = job.reservedUntil > ctx.now;
     return {
       spec,
       count,
       zones: job.tasksByZone(),
       avoid: new Set(job.failuresByMachine.keys()),
       checkpointedProgress: job.checkpointedProgress.get(-1) ?? 0,
-      scaleOutThreshold: estate.scaleOutThreshold(job),
-      allowedDelay: estate.allowedDelay(job),
-      reserve: spec.priority > lowest || promised || this.parts.ordering.hasTurn(job),
-      allowedMachines: promised ? job.reservedMachines : null,
+      scaleOutThreshold: cluster.scaleOutThreshold(job),
+      allowedDelay: cluster.allowedDelay(job),
+      reserve: spec.priority > lowest || hasReservation || this.parts.queueOrder.hasTurn(job),
+      allowedMachines: hasReservation ? job.reservedMachines : null,
       hypothetical: false,
       runTimes: new Map(),
       costPenalties: new Map(),
     };
   }
 
-  /** What the next stages will need while a machine could boot for them. */
-  ahead(): TaskGroup[] {
-    const { deps } = this.parts;
-    const { ctx, cluster: estate } = this.term;
-    if (deps.blockedCount === 0) return [];
+  /** Hypothetical groups for blocked jobs whose dependencies will be met before a new machine could boot. */
+  upcomingStages(): TaskGroup[] {
+    const { dependencies } = this.parts;
+    const { ctx, cluster } = this.term;
+    if (dependencies.blockedCount === 0) return [];
     const { now } = ctx;
-    let boot = 0;
-    for (const t of ctx.types.values()) boot = Math.max(boot, t.bootUs);
+    let longestBoot = 0;
+    for (const type of ctx.types.values()) longestBoot = Math.max(longestBoot, type.bootUs);
     const endOf = (job: ActiveJob): Micros => {
-      let left = job.waitingCount > 0 ? estate.expectedDuration(job) : 0;
-      for (const a of job.liveAttempts.values()) left = Math.max(left, estate.remainingRunTime(a));
+      let left = job.waitingCount > 0 ? cluster.expectedDuration(job) : 0;
+      for (const attempt of job.liveAttempts.values())
+        left = Math.max(left, cluster.remainingRunTime(attempt));
       return now + left + STAGE_HANDOVER;
     };
-    const ahead = stagesAhead(estate.jobs.values(), deps, (id) => estate.jobs.get(id), endOf, now + boot);
+    const ahead = stagesAhead(
+      cluster.jobs.values(),
+      dependencies,
+      (id) => cluster.jobs.get(id),
+      endOf,
+      now + longestBoot,
+    );
     return ahead.map(({ job, ready }) => ({
       spec: {
         ...job.spec,
@@ -148,12 +157,12 @@
         spreadAcrossZones: false,
         priority: job.priority,
       },
-      count: Math.min(job.spec.tasks, MAX_REPRESENTED),
+      count: Math.min(job.spec.tasks, MAX_COMPARED),
       zones: new Map(),
       avoid: new Set(),
       checkpointedProgress: 0,
-      scaleOutThreshold: estate.scaleOutThreshold(job),
-      allowedDelay: estate.allowedDelay(job),
+      scaleOutThreshold: cluster.scaleOutThreshold(job),
+      allowedDelay: cluster.allowedDelay(job),
       allowedMachines: null,
       reserve: false,
       hypothetical: true,
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -193,12 +193,10 @@
   {
     name: 'a plan that fails stays under way',
     file: 'leader/planner.ts',
-    from: '      this.abandon(run);\n      throw e;',
-    to: '      throw e;',
+    from: '      this.abandon(run);\n      throw error;',
+    to: '      throw error;',
   },
 ];
 
-/** The quickest to notice first; a mutant is through once one fails. */
-
 /** How often the text that a mutant takes out stands in its file; it must be once. */
 export const occurrences = (source: string, mutant: Mutant): number => source.split(mutant.from).length - 1;
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -7,6 +7,19 @@
 
 const NANOSECONDS_PER_MICROSECOND = 1000n;
 
+/** Names of inputs in stored measurements, which stay comparable with those of earlier versions. */
+const STORED_INPUT_NAMES: Readonly<Record<Input['kind'], string>> = {
+  start: 'start',
+  timer: 'timer',
+  storeReply: 'state',
+  cloudReply: 'cloud',
+  commandReply: 'orders',
+  clientRequest: 'user',
+  heartbeat: 'report',
+  featureRequest: 'asked',
+  peerMessage: 'peer',
+};
+
 export interface PlanTimes {
   readonly groupsUs: Summary;
   readonly searchUs: Summary;
@@ -82,12 +95,14 @@
     this.plans.push({
       groups: Number(fields['groupsUs']),
       search: Number(fields['searchUs']),
-      act: Number(fields['actUs']),
+      act: Number(fields['commitUs']),
     });
   }
 
   report(): PhaseReport {
-    const stepUs = Object.fromEntries([...this.steps].map(([kind, times]) => [kind, summarize(times)]));
+    const stepUs = Object.fromEntries(
+      [...this.steps].map(([kind, times]) => [STORED_INPUT_NAMES[kind], summarize(times)]),
+    );
     const summaries = Object.values(stepUs);
     return {
       coreS: summaries.reduce((sum, s) => sum + s.total, 0) / 1e6,
--- a/packages/emulator/tools/mutants.ts
+++ b/packages/emulator/tools/mutants.ts
@@ -17,6 +17,7 @@
 import { join, resolve } from 'node:path';
 import { MUTANTS, occurrences } from '../src/mutants.js';
 
+/** The quickest to notice first; a mutant is done with once one fails. */
 const TESTS = [
   'usage-totals',
   'bulk-starts',
