--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -150,7 +150,7 @@
 
   account(owner: string, month: string): Charge {
     let months = this.accounts.get(owner);
-    if (months === undefined) this.accounts.set(owner, (months = new Map()));
+    if (months === undefined) this.accounts.set(owner, (months = new Map<string, Charge>()));
     let c = months.get(month);
     if (c === undefined) months.set(month, (c = noCharge()));
     return c;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -110,8 +110,7 @@
     for (;;) {
       const r = yield* page(prefix, after);
       if (r.kind !== 'items') return false;
-      for (const it of r.items as readonly StoredItem[])
-        console.log(JSON.stringify({ key: it.key, value: it.value }));
+      for (const it of r.items) console.log(JSON.stringify({ key: it.key, value: it.value }));
       after = r.items.at(-1)?.key;
       if (!r.more || after === undefined) return true;
     }
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -16,12 +16,12 @@
 test('wrong settings are named', () => {
   assert.throws(
     () => parseSettings('member = 3', null),
-    (e: unknown) => e instanceof SettingsError && /member/.test(e.message),
+    (e: unknown) => e instanceof SettingsError && e.message.includes('member'),
   );
   assert.throws(() => parseSettings('member = ', null), SettingsError);
   assert.throws(
     () => parseTuning('silent_s: -1'),
-    (e: unknown) => e instanceof SettingsError && /silent_s/.test(e.message),
+    (e: unknown) => e instanceof SettingsError && e.message.includes('silent_s'),
   );
 });
 
--- a/packages/emulator/src/larger.ts
+++ b/packages/emulator/src/larger.ts
@@ -41,7 +41,10 @@
   for (const job of tables(site['jobs']))
     if (isTable(job['arrivals'])) grow(job['arrivals'], ['rate'], times);
   for (const day of tables(site['day']))
-    for (const f of tables(day['faults'])) if (FAULTS.includes(String(f['kind']))) grow(f, ['count'], times);
+    for (const fault of tables(day['faults'])) {
+      const { kind } = fault;
+      if (typeof kind === 'string' && FAULTS.includes(kind)) grow(fault, ['count'], times);
+    }
   const { nodes } = site;
   if (restartS !== null && isTable(nodes)) nodes['restart_delay_s'] = restartS;
   return site;
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -237,7 +237,7 @@
       return;
     }
     if (o.op === 'stop') {
-      if (t !== undefined && t.attempt === o.attempt && t.state !== 'exited') this.exit(t, 'stopped');
+      if (t?.attempt === o.attempt && t.state !== 'exited') this.exit(t, 'stopped');
       return;
     }
     if (t?.attempt === o.attempt) return;
--- a/packages/emulator/src/scale/capacity.ts
+++ b/packages/emulator/src/scale/capacity.ts
@@ -350,7 +350,7 @@
     figure(r.need),
     figure(r.budget),
     r.unit,
-    Number.isFinite(r.budget) ? `${figure(r.need / r.budget)}` : '',
+    Number.isFinite(r.budget) ? figure(r.need / r.budget) : '',
     Number.isFinite(r.crossedAt) ? figure(r.crossedAt) : 'not',
     r.kind,
     r.mechanism,
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -194,10 +194,15 @@
     const leaderAfterS = world.leader() >= 0 ? (world.now - began) / SECOND : null;
     this.probe.begin(this.leaderName);
     playUntil(world, TAKEOVER_MOST, () => this.readyAt !== null);
-    const readyAfterS = this.readyAt === null ? null : (this.readyAt - began) / SECOND;
+    const readyAfterS = this.secondsUntilReady(began);
     world.runFor(REST);
     return { ...this.probe.report(), leaderAfterS, readyAfterS };
   }
+
+  /** Null: no leader has restored the state since. */
+  private secondsUntilReady(began: Micros): number | null {
+    return this.readyAt === null ? null : (this.readyAt - began) / SECOND;
+  }
 }
 
 /** Plays and measures one size. Takes up to some minutes of processor time at 12,000 machines. */
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -221,10 +221,10 @@
       return;
     }
     if (o.op === 'stop') {
-      if (t !== undefined && t.attempt === o.attempt && t.state !== 'exited') this.stop(w, t, o.graceUs);
+      if (t?.attempt === o.attempt && t.state !== 'exited') this.stop(w, t, o.graceUs);
       return;
     }
-    if (t !== undefined && t.attempt === o.attempt) return;
+    if (t?.attempt === o.attempt) return;
     if (t !== undefined && t.state !== 'exited') {
       w.tasks.push({ ...o, state: 'exited', cause: 'busy', checkpointed: false, until: 0, since: null });
       return;
--- a/packages/emulator/test/larger.test.ts
+++ b/packages/emulator/test/larger.test.ts
@@ -46,7 +46,7 @@
         arrivals: { rate: number; swing: number };
       }[];
       assert.equal(job?.initial, Math.round(7 * times));
-      assert.ok(Math.abs(job!.arrivals.rate - 0.2 * times) < 1e-9);
+      assert.ok(Math.abs(job.arrivals.rate - 0.2 * times) < 1e-9);
       assert.equal(job?.arrivals.swing, 0.5);
       assert.deepEqual(job?.tasks, { sizes: [4, 9] });
       const [day] = site['day'] as { faults: { count: number }[] }[];
--- a/packages/emulator/tools/larger.ts
+++ b/packages/emulator/tools/larger.ts
@@ -29,7 +29,8 @@
   const site = larger(parse(readFileSync(from, 'utf8')), times, restartS);
   mkdirSync(folder, { recursive: true });
   writeFileSync(join(folder, basename(from)), stringify(site));
-  const wire = join(dirname(from), String(site['wire'] ?? ''));
+  const wireName = site['wire'];
+  const wire = join(dirname(from), typeof wireName === 'string' ? wireName : '');
   if (existsSync(wire)) copyFileSync(wire, join(folder, basename(wire)));
   console.log(join(folder, basename(from)));
 };
--- a/packages/kubernetes/src/check.ts
+++ b/packages/kubernetes/src/check.ts
@@ -104,7 +104,7 @@
     const { errors } = doc;
     for (const e of errors) add(e.pos[0], `is not YAML: ${e.message.split('\n')[0]}`, true);
     if (errors.length > 0 || doc.contents === null) continue;
-    const start = doc.contents.range?.[0] ?? 0;
+    const start = doc.contents.range[0];
     let value: unknown;
     try {
       value = doc.toJS({ maxAliasCount: 50 });
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -57,7 +57,10 @@
     this.asking = true;
     const done = (ok: boolean): void => {
       this.asking = false;
-      for (const then of asked) this.ctx.guard('kube.sync', () => then(ok));
+      for (const then of asked)
+        this.ctx.guard('kube.sync', () => {
+          then(ok);
+        });
       if (this.waiting.length > 0) this.gather();
     };
     if (this.loaded) this.catchUp(done);
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -11,7 +11,6 @@
   Job,
   JOB_ONLY,
   PREFIX,
-  SPOT,
   TYPE,
   ZONE,
   type OurAnnotation,
@@ -77,8 +76,8 @@
 type Notes = NonNullable<Job['metadata']['annotations']>;
 
 const note = (notes: Notes | undefined, name: OurAnnotation): string | undefined => {
-  const v: unknown = notes?.[`${PREFIX}${name}`];
-  return v === undefined ? undefined : String(v);
+  const value = notes?.[`${PREFIX}${name}`];
+  return value === undefined ? undefined : `${value}`;
 };
 const flag = (notes: Notes | undefined, name: OurAnnotation): boolean => note(notes, name) === 'true';
 
@@ -170,7 +169,7 @@
     zone: pod.nodeSelector?.[ZONE] ?? null,
     sameZone: flag(notes, 'same-zone'),
     spreadAcrossZones: flag(notes, 'spread'),
-    spot: pod.tolerations?.some((t) => t.key === SPOT) ?? false,
+    spot: pod.tolerations !== undefined && pod.tolerations.length > 0,
     estimatedRunUs: micros(note(notes, 'estimate')),
     checkpointIntervalUs: checkpoint,
     checkpointDurationUs: save,
--- a/packages/kubernetes/src/wire.ts
+++ b/packages/kubernetes/src/wire.ts
@@ -121,6 +121,7 @@
   const policy = options.propagationPolicy ?? q.get('propagationPolicy') ?? 'Background';
   if (policy !== 'Background' && policy !== 'Foreground')
     return bad(
+      // eslint-disable-next-line @typescript-eslint/no-base-to-string -- what a client sent in its place is shown as it is
       `propagationPolicy: Background or Foreground; ${String(policy)} would leave pods without a Job`,
     );
   const { uid, resourceVersion } = options.preconditions ?? {};
--- a/packages/kubernetes/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -169,7 +169,9 @@
     return true;
   });
 });
-after(() => l.stop());
+after(() => {
+  l.stop();
+});
 
 test('discovery tells what is served, to anybody', async () => {
   const groups = JSON.parse((await raw('GET', '/apis?timeout=32s', '', { Authorization: '' })).body) as {
--- a/packages/kubernetes/test/mapping.test.ts
+++ b/packages/kubernetes/test/mapping.test.ts
@@ -67,7 +67,7 @@
     const work: Work = {
       class: g.class,
       shape: g.gang ? 'gang' : 'array',
-      priority: g.priority as Work['priority'],
+      priority: g.priority,
       tasks: g.tasks,
       cores: g.millicores / 1000,
       gpus: g.gpus,
@@ -211,7 +211,7 @@
   structuredClone({
     apiVersion: 'batch/v1',
     kind: 'Job',
-    metadata: { name: 'a' } as Tree,
+    metadata: { name: 'a' },
     spec: {
       template: {
         spec: {
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -20,7 +20,7 @@
 /** A ledger of what happens to three objects; each has its manifest put and removed with it. */
 const ledgerOf = (steps: readonly number[]): { events: StoreEvent[]; stores: Map<string, StoredItem>[] } => {
   const events: StoreEvent[] = [];
-  const stores: Map<string, StoredItem>[] = [new Map()];
+  const stores = [new Map<string, StoredItem>()];
   const put = (store: Map<string, StoredItem>, key: string, value: unknown, version: number): void => {
     events.push({ kind: 'put', key, value, version });
     store.set(key, { key, value, version, lease: null });
