--- a/packages/core/src/domain/client-api.ts
+++ b/packages/core/src/domain/client-api.ts
@@ -2,26 +2,30 @@
 import type { JobSpec, JobView } from './job.js';
 import type { VersionCondition, StoreWrite } from './key-value-store.js';
 
-/** Put together with a job's record, in the same transaction, or not at all. */
+/** Conditions and writes of a feature, in the transaction that accepts a job. */
 export interface ExtraWrites {
   readonly conditions: readonly VersionCondition[];
   readonly writes: readonly StoreWrite[];
 }
 
+/** A request of a user, or of a feature for one of its clients. */
 export type ClientRequest =
   | {
       readonly kind: 'submit';
-      /** The id, when at least that could be read. */
+      /** The id, if at least that could be decoded. */
       readonly id: string | null;
       readonly spec: JobSpec | null;
       readonly problem: string | null;
-      /** Never from the users' own interface. */
+      /** Only from features. */
       readonly extraWrites?: ExtraWrites;
     }
   | { readonly kind: 'poll'; readonly id: string }
   | { readonly kind: 'cancel'; readonly id: string }
   | { readonly kind: 'health' };
 
+/**
+ * The response to a request. `impossible`: the job can never run; `absent`: no such job was accepted; `unavailable`: try again.
+ */
 export type ClientResponse =
   | {
       readonly kind: 'view';
@@ -36,5 +40,5 @@
   | { readonly kind: 'unavailable'; readonly retryAfterS: number; readonly problem: string }
   | { readonly kind: 'healthy' };
 
-/** What a feature is told that asked on a client's behalf; `taken`: keys of `beside` that were there already. */
+/** The response to a feature's request; `taken`: keys of its extra conditions that did not hold. */
 export type InternalResponse = ClientResponse | { readonly kind: 'taken'; readonly keys: readonly string[] };
--- a/packages/core/src/domain/cloud.ts
+++ b/packages/core/src/domain/cloud.ts
@@ -1,6 +1,7 @@
 /** Operations on the cloud's interface, and its answers. */
 import type { ListedMachine, MachineType } from './machine.js';
 
+/** A request to the cloud. The request id of `rent` makes it idempotent. */
 export type CloudOperation =
   | { readonly kind: 'types' }
   | {
@@ -14,6 +15,7 @@
   | { readonly kind: 'delete'; readonly machines: readonly string[] }
   | { readonly kind: 'list'; readonly after: string; readonly limit: number };
 
+/** The cloud's answer. */
 export type CloudReply =
   | { readonly kind: 'types'; readonly types: readonly MachineType[] }
   | { readonly kind: 'rented'; readonly machines: readonly string[] }
--- a/packages/core/src/domain/effects.ts
+++ b/packages/core/src/domain/effects.ts
@@ -1,4 +1,4 @@
-/** Inputs and effects of the state machine. */
+/** Inputs and effects of the controller's state machine. */
 import type { ClientResponse, ClientRequest } from './client-api.js';
 import type { CloudOperation, CloudReply } from './cloud.js';
 import type { WorkerCommand, CommandReply, Heartbeat, HeartbeatResponse } from './heartbeat.js';
@@ -10,6 +10,7 @@
 /** 0 is the most urgent: lease renewal, then answers to users, then the rest. */
 export type RequestUrgency = 0 | 1 | 2;
 
+/** What happened outside: `step` takes one at a time. */
 export type Input =
   | { readonly kind: 'start'; readonly wallUs: Micros }
   | { readonly kind: 'timer' }
@@ -23,7 +24,7 @@
       readonly wallUs: Micros;
     }
   | { readonly kind: 'heartbeat'; readonly request: number; readonly heartbeat: Heartbeat }
-  /** Of a client of a feature; the feature alone knows what `body` is. */
+  /** A request of a feature's client; only the feature knows the form of `body`. */
   | {
       readonly kind: 'featureRequest';
       readonly feature: string;
@@ -33,11 +34,13 @@
     }
   | { readonly kind: 'peerMessage'; readonly message: PeerMessage };
 
+/** Severity of a log event. */
 export type LogLevel = 'debug' | 'info' | 'error';
 
+/** Further fields of a log event. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** What the core wants done; the runtime does it and feeds back what came of it. */
+/** What the core wants done; the controller's process does it and passes the result back as an input. */
 export type CoreEffect =
   | {
       readonly kind: 'storeRequest';
@@ -61,7 +64,7 @@
     }
   | { readonly kind: 'clientResponse'; readonly request: number; readonly answer: ClientResponse }
   | { readonly kind: 'heartbeatResponse'; readonly request: number; readonly answer: HeartbeatResponse }
-  /** One of several for the same request, until `last`. */
+  /** One of possibly several responses to the same request, until `last`. */
   | {
       readonly kind: 'featureResponse';
       readonly feature: string;
@@ -71,6 +74,6 @@
     }
   | { readonly kind: 'peerMessage'; readonly member: string; readonly message: PeerMessage }
   | { readonly kind: 'wake'; readonly at: Micros }
-  /** The leader gets the larger part of the request budget that the nodes share. */
+  /** The leader gets the larger part of the request budget that the controllers share. */
   | { readonly kind: 'role'; readonly leader: boolean }
   | { readonly kind: 'log'; readonly level: LogLevel; readonly event: LogEvent; readonly fields: LogFields };
--- a/packages/core/src/domain/log-events.ts
+++ b/packages/core/src/domain/log-events.ts
@@ -1,5 +1,6 @@
 /** The names of all events that are logged (docs/operations.md). Features log under a prefix of their own. */
 
+/** Events of the core. */
 export type CoreLogEvent =
   | 'attempt.adopted'
   | 'attempt.discarded'
@@ -63,4 +64,5 @@
   | 'write.batch_rejected'
   | 'write.rejected';
 
+/** All events: those of the core, and those of features with the feature's prefix. */
 export type LogEvent = CoreLogEvent | `budgets.${string}` | `kubernetes.${string}`;
--- a/packages/core/src/domain/peer.ts
+++ b/packages/core/src/domain/peer.ts
@@ -1,13 +1,14 @@
 /** Messages between controllers. */
 import type { Micros } from './time.js';
 
+/** How many tasks of a job are done and running. */
 export interface JobProgress {
   readonly id: string;
   readonly done: number;
   readonly running: number;
 }
 
-/** A leader's counts for display. */
+/** Counts that a leader publishes for display; sent without any, it announces the leader. */
 export interface ProgressUpdate {
   readonly kind: 'progress';
   readonly member: string;
@@ -15,25 +16,25 @@
   readonly jobs: readonly JobProgress[];
 }
 
-/** What a node says of itself to the others. */
+/** A controller's status as its peers receive it. */
 export interface PeerStatus {
   readonly member: string;
-  /** Number of the process: a restarted one has a higher one. */
+  /** Number of the process: raised with each restart. */
   readonly incarnation: number;
-  /** Of the office that it holds and has the right to; null if it has none. */
+  /** The term that it leads and may act in; null: none. */
   readonly term: number | null;
-  /** Since the state service gave it a good answer; null: it never did. */
+  /** Time since the store gave it a good answer; null: it never did. */
   readonly storeAnswerAgeUs: Micros | null;
   /** How late its timers fire. */
   readonly timerDelayUs: Micros;
-  /** Workers that reported to it lately. */
+  /** Workers whose heartbeats reached it lately. */
   readonly workerCount: number;
 }
 
-/** A sign of life, every `beatUs`, with what the node hears of the others. */
+/** A controller's heartbeat to its peers, with what it knows of the others. */
 export interface PeerHeartbeat extends PeerStatus {
   readonly kind: 'beat';
-  /** Counts this process's beats: what is held back on its way tells nothing new. */
+  /** Counts the heartbeats of this process: a delayed one with a lower number is ignored. */
   readonly sequence: number;
   readonly peers: readonly {
     readonly member: string;
@@ -43,4 +44,5 @@
   }[];
 }
 
+/** A message between controllers. */
 export type PeerMessage = ProgressUpdate | PeerHeartbeat;
--- a/packages/core/src/domain/settings.ts
+++ b/packages/core/src/domain/settings.ts
@@ -1,6 +1,7 @@
 /** Settings of one controller: the platform's file and the operators' file, checked. */
 import type { Micros } from './time.js';
 
+/** A team of users, with its quota. A maximum of 0 means no limit. */
 export interface Team {
   readonly name: string;
   readonly guaranteedCores: number;
@@ -9,17 +10,20 @@
   readonly maxGpus: number;
 }
 
+/** What the operators want to hold for a class of jobs. Fields that a kind does not use are null. */
 export interface ServiceLevelObjective {
+  /** `wait`: tasks begin within a time; `finished`: jobs end within a time; `deadline`: jobs keep their deadline; and others. */
   readonly kind: string;
   readonly class: string | null;
   readonly withinUs: Micros | null;
   readonly share: number | null;
-  /** For deadlines: how many times the job's own deadline. */
+  /** For deadlines: a multiple of the job's own deadline. */
   readonly deadlineFactor: number;
 }
 
-/** What the platform's file and the operators' own file say, checked. */
+/** All settings of one controller. */
 export interface Settings {
+  /** Name of this controller. */
   readonly member: string;
   readonly listen: string;
   readonly peerListen: string;
@@ -29,23 +33,30 @@
   readonly memberCount: number;
   readonly teams: readonly Team[];
   readonly objectives: readonly ServiceLevelObjective[];
+  /** How often workers send heartbeats. */
   readonly heartbeatIntervalUs: Micros;
+  /** A worker whose heartbeat was not accepted for that long drops its tasks. */
   readonly workerLeaseUs: Micros;
+  /** A gang's members that have waited that long for the others exit. */
   readonly gangStartTimeoutUs: Micros;
+  /** Within that time the members of a running gang notice that one of them is lost. */
   readonly gangPeerTimeoutUs: Micros;
+  /** Within that time of a confirmed cancellation no task of the job may run any more. */
   readonly cancellationDeadlineUs: Micros;
-  /** Limits of the state service: the smaller of those of now and those announced. */
+  /** Limits of the key-value store: the smaller of those in force and those announced. */
   readonly storeRequestsPerS: number;
   readonly storeWritesPerS: number;
   readonly maxValueBytes: number;
   readonly maxTransactionOperations: number;
-  /** The limit on values that the version before went by. */
+  /** The limit on values that the version before used. */
   readonly formerMaxValueBytes: number;
   readonly cloudRequestsPerS: number;
+  /** How old the cloud's list of machines may be. */
   readonly cloudListLagUs: Micros;
+  /** Connections that this controller may have open; 0: no limit. */
   readonly maxConnections: number;
   readonly tuning: Tuning;
-  /** Null: switched off, nothing is sent. */
+  /** Null: heartbeats between controllers are switched off. */
   readonly membership: MembershipSettings | null;
 }
 
@@ -53,35 +64,35 @@
 export interface Tuning {
   /** Time to live of the leader's lease. */
   readonly leaderLeaseUs: Micros;
-  /** Silence after which a machine is suspected. */
+  /** A machine without a heartbeat for that long is suspected. */
   readonly machineSuspicionUs: Micros;
-  /** Budget of one search. */
+  /** Processor time of one search. */
   readonly searchBudgetUs: Micros;
-  /** Waiting tasks (groups) on the shortlist of a search. */
+  /** Task groups on the shortlist of a search. */
   readonly shortlistSize: number;
-  /** Waiting groups played out to completion behind each candidate. */
+  /** Task groups whose completion is simulated behind each candidate. */
   readonly rolloutDepth: number;
-  /** Waiting groups that one plan places, with and without GPUs each; the rest wait for the next. */
+  /** Task groups that one plan compares, with and without GPUs each; the rest is backfilled. */
   readonly maxGroupsPerPlan: number;
   /** Makespans closer than this count as equal. */
   readonly makespanToleranceUs: Micros;
-  /** How long starts pause on machines that drain for the oldest task. */
+  /** How long machines are drained for the job whose fair-share turn it is. */
   readonly fairShareDrainUs: Micros;
-  /** How often each team's oldest job gets a turn ahead of the order by aims. */
+  /** How often each team's oldest job gets a turn ahead of the order by objectives. */
   readonly fairShareTurnIntervalUs: Micros;
-  /** Idle time after which a machine is returned where money is an aim. */
+  /** Idle time after which a machine is scaled in where cost matters. */
   readonly idleScaleInUs: Micros;
-  /** How much sooner a rented machine must finish work where money is an aim. */
+  /** How much sooner work must end on a new machine to scale out where cost matters. */
   readonly scaleOutThresholdUs: Micros;
-  /** Whether capacity is saved; `auto`: where no machine stood ready before the service rented any. */
+  /** Whether cost matters; `auto`: it does where no machine was pre-provisioned. */
   readonly costSensitivity: 'auto' | 'on' | 'off';
-  /** How often counts of progress are written. */
+  /** How often the progress of jobs is stored. */
   readonly progressIntervalUs: Micros;
 }
 
-/** How controllers notice one another (operators' file, when switched on). */
+/** Failure detection between controllers (operators' file, when switched on). */
 export interface MembershipSettings {
   readonly heartbeatIntervalUs: Micros;
-  /** Beats that must be missing at least before a peer is suspected. */
+  /** The fewest heartbeats in a row that a suspected peer has missed. */
   readonly suspectAfterMissed: number;
 }
--- a/packages/core/src/domain/task-bitset.ts
+++ b/packages/core/src/domain/task-bitset.ts
@@ -1,6 +1,8 @@
-/** A set of task numbers, as a job keeps of its tasks that are done. */
+/** Sets of task numbers, such as a job's tasks that are done. */
+
 const BITS_PER_BYTE = 8;
 
+/** A set of task numbers below a fixed size, one bit each. */
 export class TaskBitset {
   readonly bytes: Uint8Array;
   /** How many tasks are in the set. */
--- a/packages/core/src/domain/time.ts
+++ b/packages/core/src/domain/time.ts
@@ -3,6 +3,8 @@
 /** A point or span of time in whole microseconds. */
 export type Micros = number;
 
+/** One second in microseconds. */
 export const SECOND: Micros = 1_000_000;
 
+/** One millisecond in microseconds. */
 export const MILLI: Micros = 1_000;
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -4,17 +4,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { problemsOf, type Path, type Problem, type Reason } from './problems.js';
 import { formatQuantity, parseQuantity, toNumber, type Nano } from './quantity.js';
-import {
-  Deployment,
-  GPU,
-  isLabel,
-  Job,
-  JOB_ONLY,
-  PREFIX,
-  TYPE,
-  ZONE,
-  type OurAnnotation,
-} from './subset.js';
+import { Deployment, GPU, isLabel, Job, JOB_ONLY, PREFIX, TYPE, ZONE, type OurAnnotation } from './subset.js';
 
 /** All of a native job but its id, its team and the ids of the jobs that it awaits. */
 export type Work = Omit<JobSpec, 'id' | 'team' | 'dependsOn'>;
