--- a/eslint.config.js
+++ b/eslint.config.js
@@ -8,7 +8,6 @@
   'packages/budgets/src/**',
   'packages/cli/src/**',
   'packages/config/src/**',
-  'packages/controller/src/**',
   'packages/demo/src/**',
   'packages/emulator/src/**',
   'packages/kubernetes/src/**',
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -8,7 +8,7 @@
 import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
 import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
-import { runNode, type FeatureListener } from '@shaleyoke/controller/node';
+import { runController, type FeatureListener } from '@shaleyoke/controller/run-controller';
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
@@ -88,7 +88,7 @@
         log.write(level === 'error' ? 'error' : 'info', 'settings.contradiction', { field, problem, remedy });
     }),
   );
-  const node = named.pipe(Effect.zipRight(runNode(settings, features, listeners)));
+  const node = named.pipe(Effect.zipRight(runController(settings, features, listeners)));
   Effect.runPromise(Effect.scoped(node).pipe(Effect.provide(layers))).catch((e: unknown) => {
     console.error(String(e));
     process.exit(EXIT_FAILED);
@@ -98,7 +98,7 @@
 const page = (prefix: string, after: string | undefined): Effect.Effect<StoreReply, never, Clients> =>
   Clients.pipe(
     Effect.flatMap((c) =>
-      c.state({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) }, 2),
+      c.requestStore({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) }, 2),
     ),
   );
 
@@ -200,7 +200,7 @@
   const layer = ClientsLive(settings);
   const clients = Effect.runSync(Effect.provide(Clients, layer));
   const call = async (op: StoreOperation): Promise<StoreReply> => {
-    const r = await Effect.runPromise(clients.state(op, 2));
+    const r = await Effect.runPromise(clients.requestStore(op, 2));
     if (r.kind === 'failed') throw new Error(`the state service does not answer (${r.reason})`);
     return r;
   };
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -1,160 +1,87 @@
-/** The outside systems that the core calls: state service, cloud, workers, other controllers. */
-import { Context, Effect, Layer } from 'effect';
+/** The outside systems that the core calls: key-value store, cloud, workers, other controllers. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
-import type { WorkerCommand, CommandReply } from '@shaleyoke/core/domain/heartbeat';
+import type { CommandReply, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { PeerMessage } from '@shaleyoke/core/domain/peer';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
+import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { encodePeer } from '@shaleyoke/protocol/peers';
-import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
-import { decodeCommandReply, encodeCommands, COMMANDS_PATH } from '@shaleyoke/protocol/workers';
+import { COMMANDS_PATH, decodeCommandReply, encodeCommands } from '@shaleyoke/protocol/workers';
+import { Context, Effect, Layer } from 'effect';
+
+import { budgetShares } from './budget-shares.js';
 import { steadyNow } from './clock.js';
+import { CloudClient } from './cloud-client.js';
 import { callHttp, makeAgent } from './http-client.js';
-import { Limiter } from './limiter.js';
+import { RateLimiter } from './rate-limiter.js';
+import { StoreClient } from './store-client.js';
 
+/** Calls to outside systems. None of them fails: a call without an answer has a reply that says so. */
 export interface ClientsService {
-  readonly state: (op: StoreOperation, urgency: RequestUrgency) => Effect.Effect<StoreReply>;
-  readonly cloud: (op: CloudOperation, urgency: RequestUrgency) => Effect.Effect<CloudReply>;
-  readonly orders: (
+  readonly requestStore: (operation: StoreOperation, urgency: RequestUrgency) => Effect.Effect<StoreReply>;
+  readonly requestCloud: (operation: CloudOperation, urgency: RequestUrgency) => Effect.Effect<CloudReply>;
+  readonly sendCommands: (
     address: string,
-    token: number,
-    session: number,
-    orders: readonly WorkerCommand[],
+    fencingToken: number,
+    agentEpoch: number,
+    commands: readonly WorkerCommand[],
   ) => Effect.Effect<CommandReply>;
-  readonly peer: (member: string, message: PeerMessage) => Effect.Effect<void>;
-  readonly role: (leader: boolean) => void;
+  readonly sendToPeer: (member: string, message: PeerMessage) => Effect.Effect<void>;
+  /** The leader gets the larger share of the request budgets. */
+  readonly setRole: (isLeader: boolean) => void;
 }
+
+/** The tag under which the clients are provided. */
 export class Clients extends Context.Tag('Clients')<Clients, ClientsService>() {}
 
-const STATE_TIMEOUT: Micros = 1_200 * MILLI;
-const CLOUD_TIMEOUT: Micros = 5 * SECOND;
-const ORDERS_TIMEOUT: Micros = 2_500 * MILLI;
+const COMMANDS_TIMEOUT: Micros = 2_500 * MILLI;
 const PEER_TIMEOUT: Micros = 2 * SECOND;
-
-/**
- * The nodes share the budgets without asking each other. Requests are mostly users' polls, which come to
- * all nodes alike; renewals of leases count among them, so their shares stay within the whole. Shares of
- * changes add up to more than the whole: the nodes seldom need them at once, and what the service turns
- * away is tried again. Only the leader calls the cloud, but for the machine types at the start.
- */
-interface Shares {
-  readonly requests: number;
-  readonly changes: number;
-  readonly cloud: number;
-}
-const ALONE: Shares = { requests: 0.95, changes: 0.95, cloud: 0.95 };
-const shares = (s: Settings, leader: boolean): Shares => {
-  const others = s.memberCount - 1;
-  if (others <= 0) return ALONE;
-  return leader
-    ? { requests: 0.4, changes: 0.65, cloud: 0.9 }
-    : { requests: 0.55 / others, changes: 0.7 / others, cloud: 0.1 / others };
-};
-
-/** How long a call that was turned away for the budget is tried again, by urgency. */
-const RETRY_FOR: Record<RequestUrgency, Micros> = { 0: 2 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
 /** Idle connections to workers are closed: at a thousand machines they would use up the sockets. */
 const WORKER_IDLE_MS = 4_000;
+/** The cloud's budget does not count writes. */
+const NO_WRITES = 1;
 
-const admitted = (limiter: Limiter, urgency: RequestUrgency, writes: number): Effect.Effect<boolean> =>
-  Effect.async<boolean>((resume) => {
-    limiter.admit(urgency, writes, (ok) => {
-      resume(Effect.succeed(ok));
-    });
-  });
-
-const make = (settings: Settings): ClientsService => {
-  const share = shares(settings, false);
-  const stateLimiter = new Limiter(
-    settings.storeRequestsPerS * share.requests,
-    settings.storeWritesPerS * share.changes,
+const makeClients = (settings: Settings): ClientsService => {
+  const { memberCount, storeRequestsPerS, storeWritesPerS, cloudRequestsPerS } = settings;
+  const shares = budgetShares(memberCount, false);
+  const storeLimiter = new RateLimiter(
+    storeRequestsPerS * shares.requests,
+    storeWritesPerS * shares.writes,
     steadyNow,
   );
-  const cloudLimiter = new Limiter(settings.cloudRequestsPerS * share.cloud, 1, steadyNow);
-  const stateAgent = makeAgent(16);
-  const watchAgent = makeAgent(4);
-  const cloudAgent = makeAgent(4);
+  const cloudLimiter = new RateLimiter(cloudRequestsPerS * shares.cloud, NO_WRITES, steadyNow);
+  const store = new StoreClient(settings.storeAddress, storeLimiter);
+  const cloud = new CloudClient(settings.cloudAddress, cloudLimiter);
   const workerAgent = makeAgent(1, WORKER_IDLE_MS);
   const peerAgent = makeAgent(1);
 
   return {
-    state: (op, urgency) => {
-      const writes = op.kind === 'txn' ? op.writes.length : 0;
-      const timeout = op.kind === 'watch' ? op.waitMs * MILLI + 2 * SECOND : STATE_TIMEOUT;
-      const agent = op.kind === 'watch' ? watchAgent : stateAgent;
-      const until = steadyNow() + RETRY_FOR[urgency];
-      const call = encodeStoreOperation(op);
-      const attempt = (): Effect.Effect<StoreReply> =>
-        admitted(stateLimiter, urgency, writes).pipe(
-          Effect.flatMap((ok) => {
-            if (!ok)
-              return Effect.succeed<StoreReply>({
-                kind: 'failed',
-                executed: false,
-                cause: 'busy',
-                reason: 'over budget',
-              });
-            return callHttp(agent, settings.storeAddress, call, timeout).pipe(
-              Effect.flatMap((r) => {
-                if (r === null)
-                  return Effect.succeed<StoreReply>({
-                    kind: 'failed',
-                    executed: null,
-                    cause: 'silent',
-                    reason: 'no answer',
-                  });
-                if (r.status === 429) {
-                  stateLimiter.pushBack(writes > 0);
-                  if (steadyNow() < until) return attempt();
-                }
-                return Effect.succeed(decodeStoreReply(op, r.status, r.body));
-              }),
-            );
-          }),
-        );
-      return attempt();
-    },
-    cloud: (op, urgency) =>
-      admitted(cloudLimiter, urgency, 0).pipe(
-        Effect.flatMap((ok) => {
-          if (!ok) return Effect.succeed<CloudReply>({ kind: 'failed', reason: 'over budget' });
-          return callHttp(cloudAgent, settings.cloudAddress, encodeCloudOperation(op), CLOUD_TIMEOUT).pipe(
-            Effect.map((r): CloudReply => {
-              if (r === null) return { kind: 'failed', reason: 'no answer' };
-              if (r.status === 429) cloudLimiter.pushBack(false);
-              return decodeCloudReply(op, r.status, r.body);
-            }),
-          );
-        }),
-      ),
-    orders: (address, token, session, orders) =>
-      callHttp(
-        workerAgent,
-        address,
-        { method: 'POST', path: COMMANDS_PATH, body: encodeCommands(token, session, orders) },
-        ORDERS_TIMEOUT,
-      ).pipe(
-        Effect.map((r) =>
-          r === null ? { kind: 'lost' as const, heartbeat: null } : decodeCommandReply(r.status, r.body),
+    requestStore: (operation, urgency) => store.request(operation, urgency),
+    requestCloud: (operation, urgency) => cloud.request(operation, urgency),
+    sendCommands: (address, fencingToken, agentEpoch, commands) => {
+      const body = encodeCommands(fencingToken, agentEpoch, commands);
+      const call = { method: 'POST', path: COMMANDS_PATH, body } as const;
+      return callHttp(workerAgent, address, call, COMMANDS_TIMEOUT).pipe(
+        Effect.map((reply): CommandReply =>
+          reply === null ? { kind: 'lost', heartbeat: null } : decodeCommandReply(reply.status, reply.body),
         ),
-      ),
-    peer: (member, message) => {
-      const p = settings.peers.find((x) => x.member === member);
-      if (p === undefined) return Effect.void;
+      );
+    },
+    sendToPeer: (member, message) => {
+      const peer = settings.peers.find((candidate) => candidate.member === member);
+      if (peer === undefined) return Effect.void;
       const call = { method: 'POST', ...encodePeer(message) } as const;
-      return Effect.asVoid(callHttp(peerAgent, p.address, call, PEER_TIMEOUT));
+      return Effect.asVoid(callHttp(peerAgent, peer.address, call, PEER_TIMEOUT));
     },
-    role: (leader) => {
-      const s = shares(settings, leader);
-      stateLimiter.setRates(settings.storeRequestsPerS * s.requests, settings.storeWritesPerS * s.changes);
-      cloudLimiter.setRates(settings.cloudRequestsPerS * s.cloud, 1);
+    setRole: (isLeader) => {
+      const { requests, writes, cloud: cloudShare } = budgetShares(memberCount, isLeader);
+      storeLimiter.setRates(storeRequestsPerS * requests, storeWritesPerS * writes);
+      cloudLimiter.setRates(cloudRequestsPerS * cloudShare, NO_WRITES);
     },
   };
 };
 
+/** Clients for the outside systems that the settings name. */
 export const ClientsLive = (settings: Settings): Layer.Layer<Clients> =>
-  Layer.sync(Clients, () => make(settings));
+  Layer.sync(Clients, () => makeClients(settings));
--- a/packages/controller/src/clock.ts
+++ b/packages/controller/src/clock.ts
@@ -1,8 +1,14 @@
 /** The process's clocks, in whole microseconds. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-const begun = process.hrtime.bigint();
+const NANOSECONDS_PER_MICROSECOND = 1000n;
+const MICROSECONDS_PER_MILLISECOND = 1000;
 
-/** Steady; counted from the start of the process, so that it stays small. */
-export const steadyNow = (): Micros => Number((process.hrtime.bigint() - begun) / 1000n);
-export const wallNow = (): Micros => Date.now() * 1000;
+const startedAt = process.hrtime.bigint();
+
+/** Steady time, counted from the start of the process so that it stays small. */
+export const steadyNow = (): Micros =>
+  Number((process.hrtime.bigint() - startedAt) / NANOSECONDS_PER_MICROSECOND);
+
+/** Time of day. */
+export const wallNow = (): Micros => Date.now() * MICROSECONDS_PER_MILLISECOND;
--- /dev/null
+++ b/packages/controller/src/cloud-client.ts
@@ -0,0 +1,43 @@
+/** The client of the cloud, within the request budget. */
+import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
+import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
+import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
+import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
+import { Effect } from 'effect';
+
+import { TOO_MANY_REQUESTS, waitForAdmission } from './admission.js';
+import { callHttp, makeAgent } from './http-client.js';
+import type { RateLimiter } from './rate-limiter.js';
+
+const TIMEOUT: Micros = 5 * SECOND;
+const SOCKETS = 4;
+
+/** Sends requests to the cloud. */
+export class CloudClient {
+  private readonly agent = makeAgent(SOCKETS);
+
+  constructor(
+    private readonly address: string,
+    private readonly limiter: RateLimiter,
+  ) {}
+
+  request(operation: CloudOperation, urgency: RequestUrgency): Effect.Effect<CloudReply> {
+    return waitForAdmission(this.limiter, urgency, 0).pipe(
+      Effect.flatMap((admitted) =>
+        admitted
+          ? this.send(operation)
+          : Effect.succeed<CloudReply>({ kind: 'failed', reason: 'over budget' }),
+      ),
+    );
+  }
+
+  private send(operation: CloudOperation): Effect.Effect<CloudReply> {
+    return callHttp(this.agent, this.address, encodeCloudOperation(operation), TIMEOUT).pipe(
+      Effect.map((reply): CloudReply => {
+        if (reply === null) return { kind: 'failed', reason: 'no answer' };
+        if (reply.status === TOO_MANY_REQUESTS) this.limiter.recordRejection(false);
+        return decodeCloudReply(operation, reply.status, reply.body);
+      }),
+    );
+  }
+}
--- /dev/null
+++ b/packages/controller/src/controller.ts
@@ -0,0 +1,217 @@
+/** One controller: passes inputs to the core's state machine and carries out the effects that it returns. */
+import { Core } from '@shaleyoke/core/core';
+import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
+import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
+import type { Settings } from '@shaleyoke/core/domain/settings';
+import type { Micros } from '@shaleyoke/core/domain/time';
+import type { Feature } from '@shaleyoke/core/feature-api';
+import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
+import { decodeSubmission, encodeClientResponse, route } from '@shaleyoke/protocol/client-api';
+import { decodePeer, peerKind } from '@shaleyoke/protocol/peers';
+import { decodeHeartbeat, encodeHeartbeatResponse } from '@shaleyoke/protocol/workers';
+import type { Effect } from 'effect';
+
+import type { ClientsService } from './clients.js';
+import { steadyNow, wallNow } from './clock.js';
+import type { ServerRequest, ServerResponse } from './http-server.js';
+import type { LogService } from './log.js';
+
+/** Calls back with the response of a request. */
+export type Respond = (response: ServerResponse) => void;
+/** Runs an effect and passes its result on. */
+export type RunEffect = <A>(effect: Effect.Effect<A>, then: (result: A) => void) => void;
+/** Called for each answer of a feature, until the last. */
+type OnFeatureAnswer = (answer: unknown, last: boolean) => void;
+
+const MICROSECONDS_PER_MILLISECOND = 1000;
+const UNAVAILABLE = 503;
+const ACCEPTED: ServerResponse = { status: 200, body: Buffer.alloc(0) };
+
+const emptyResponse = (status: number): ServerResponse => ({ status, body: encodeBody({}) });
+
+/** Owns the core of one process and the requests that wait for its responses. */
+export class Controller {
+  private readonly core: Core;
+  /** Requests of users and workers that wait for their response. */
+  private readonly waiting = new Map<number, Respond>();
+  /** Requests of features' clients that wait for further answers. */
+  private readonly featureRequests = new Map<number, OnFeatureAnswer>();
+  private nextRequest = 1;
+  private timer: NodeJS.Timeout | null = null;
+  private wakeAt: Micros = 0;
+
+  constructor(
+    settings: Settings,
+    private readonly clients: ClientsService,
+    private readonly log: LogService,
+    private readonly run: RunEffect,
+    features: readonly Feature[],
+  ) {
+    this.core = new Core(settings, steadyNow, log.verbose, features);
+  }
+
+  start(): void {
+    this.step({ kind: 'start', wallUs: wallNow() });
+  }
+
+  /** A request of a user, a worker or a health check. */
+  handlePublic({ method, url, body }: ServerRequest, respond: Respond): void {
+    const target = route(method, url);
+    switch (target.kind) {
+      case 'refused':
+        respond(emptyResponse(target.status));
+        return;
+      case 'health':
+        this.handleClientRequest({ kind: 'health' }, respond);
+        return;
+      case 'poll':
+      case 'cancel':
+        this.handleClientRequest({ kind: target.kind, id: target.id }, respond);
+        return;
+      case 'submit':
+        this.handleClientRequest(decodeSubmission(body), respond);
+        return;
+      case 'report':
+        this.handleHeartbeat(body, respond);
+        return;
+    }
+  }
+
+  /** A message of another controller. */
+  handlePeer({ url, body }: ServerRequest, respond: Respond): void {
+    const kind = peerKind(url);
+    if (kind === null) {
+      respond(emptyResponse(404));
+      return;
+    }
+    const message = decodePeer(kind, body);
+    if (message === null) {
+      this.log.write('error', 'peer.message_malformed', { bytes: body.length });
+      respond(emptyResponse(400));
+      return;
+    }
+    respond(ACCEPTED);
+    this.step({ kind: 'peerMessage', message });
+  }
+
+  /** A request of a feature's client; returns its number. `onAnswer` is called for each answer, until the last. */
+  handleFeatureRequest(feature: string, body: unknown, onAnswer: OnFeatureAnswer): number {
+    const request = this.nextRequest++;
+    this.featureRequests.set(request, onAnswer);
+    this.step({ kind: 'featureRequest', feature, request, body, wallUs: wallNow() });
+    return request;
+  }
+
+  private handleClientRequest(body: ClientRequest, respond: Respond): void {
+    const request = this.nextRequest++;
+    this.waiting.set(request, respond);
+    this.step({ kind: 'clientRequest', request, body, wallUs: wallNow() });
+  }
+
+  private handleHeartbeat(body: Buffer, respond: Respond): void {
+    try {
+      const heartbeat = decodeHeartbeat(decodeBody(body));
+      const request = this.nextRequest++;
+      this.waiting.set(request, respond);
+      this.step({ kind: 'heartbeat', request, heartbeat });
+    } catch (error) {
+      if (!(error instanceof MalformedMessageError)) throw error;
+      this.log.write('error', 'heartbeat.malformed', { problem: error.message });
+      respond(emptyResponse(400));
+    }
+  }
+
+  private step(input: Input): void {
+    try {
+      for (const effect of this.core.step(steadyNow(), input)) this.perform(effect);
+    } catch (error) {
+      // A fault of the program must not take the controller, and with it users' requests, down.
+      const stack = error instanceof Error ? error.stack : String(error);
+      this.log.write('error', 'node.exception_caught', { input: input.kind, stack });
+    }
+  }
+
+  private perform(effect: CoreEffect): void {
+    switch (effect.kind) {
+      case 'storeRequest':
+      case 'cloudRequest':
+      case 'workerCommands':
+        this.call(effect);
+        return;
+      case 'peerMessage':
+        this.run(this.clients.sendToPeer(effect.member, effect.message), () => undefined);
+        return;
+      case 'clientResponse': {
+        const response = encodeClientResponse(effect.answer);
+        // A controller that can't serve now says so at once, and lets the retry go to another one.
+        this.respond(effect.request, { ...response, close: response.status === UNAVAILABLE });
+        return;
+      }
+      case 'heartbeatResponse':
+        this.respond(effect.request, encodeHeartbeatResponse(effect.answer));
+        return;
+      case 'featureResponse':
+        this.respondToFeatureClient(effect.request, effect.answer, effect.last);
+        return;
+      case 'wake':
+        this.setTimer(effect.at);
+        return;
+      case 'role':
+        this.clients.setRole(effect.leader);
+        return;
+      case 'log':
+        this.log.write(effect.level, effect.event, effect.fields);
+        return;
+    }
+  }
+
+  /** Calls an outside system; its reply is a later input. */
+  private call(effect: CoreEffect & { kind: 'storeRequest' | 'cloudRequest' | 'workerCommands' }): void {
+    const { call } = effect;
+    switch (effect.kind) {
+      case 'storeRequest':
+        this.run(this.clients.requestStore(effect.op, effect.urgency), (reply) => {
+          this.step({ kind: 'storeReply', call, reply });
+        });
+        return;
+      case 'cloudRequest':
+        this.run(this.clients.requestCloud(effect.op, effect.urgency), (reply) => {
+          this.step({ kind: 'cloudReply', call, reply });
+        });
+        return;
+      case 'workerCommands': {
+        const { address, fencingToken, agentEpoch, commands } = effect;
+        this.run(this.clients.sendCommands(address, fencingToken, agentEpoch, commands), (reply) => {
+          this.step({ kind: 'commandReply', call, reply });
+        });
+        return;
+      }
+    }
+  }
+
+  private respond(request: number, response: ServerResponse): void {
+    const respond = this.waiting.get(request);
+    this.waiting.delete(request);
+    respond?.(response);
+  }
+
+  private respondToFeatureClient(request: number, answer: unknown, last: boolean): void {
+    const onAnswer = this.featureRequests.get(request);
+    if (last) this.featureRequests.delete(request);
+    onAnswer?.(answer, last);
+  }
+
+  /** One timer at a time: the core names the next moment at which it wants to be woken with each step. */
+  private setTimer(at: Micros): void {
+    if (this.timer !== null) {
+      if (this.wakeAt === at) return;
+      clearTimeout(this.timer);
+    }
+    this.wakeAt = at;
+    const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MICROSECONDS_PER_MILLISECOND));
+    this.timer = setTimeout(() => {
+      this.timer = null;
+      this.step({ kind: 'timer' });
+    }, delayMs);
+  }
+}
--- a/packages/controller/src/http-client.ts
+++ b/packages/controller/src/http-client.ts
@@ -1,15 +1,19 @@
-/** Calls over Node's http, each with a deadline: a silent peer costs its time-out, never more. */
+/** Calls over Node's http, each with a deadline: a silent server costs its time-out, never more. */
 import * as http from 'node:http';
-import { Effect } from 'effect';
-import type { HttpCall } from '@shaleyoke/protocol/cloud';
+
 import type { Micros } from '@shaleyoke/core/domain/time';
+import type { HttpCall } from '@shaleyoke/protocol/cloud';
+import { Effect } from 'effect';
+
+import { splitAddress } from './address.js';
 
-/** Null: no answer, nobody can tell whether the request was executed. */
+/** Null: no answer; whether the request was executed is not known. */
 export type HttpReply = { readonly status: number; readonly body: Buffer } | null;
 
-const MAX_REPLY = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES = 64 * 1024 * 1024;
+const MICROSECONDS_PER_MILLISECOND = 1000;
 
-/** `idleMs`: connections that were not used for that long are closed. */
+/** A pool of connections that are kept open; `idleMs`: those that were not used for that long are closed. */
 export const makeAgent = (sockets: number, idleMs?: number): http.Agent =>
   new http.Agent({
     keepAlive: true,
@@ -19,6 +23,34 @@
     ...(idleMs === undefined ? {} : { timeout: idleMs }),
   });
 
+const headersOf = (body: Buffer | null): http.OutgoingHttpHeaders =>
+  body === null ? {} : { 'Content-Type': 'application/msgpack', 'Content-Length': body.length };
+
+/** Passes the whole response on; null for one that breaks off or is too large. */
+const readResponse = (
+  request: http.ClientRequest,
+  response: http.IncomingMessage,
+  settle: (reply: HttpReply) => void,
+): void => {
+  const chunks: Buffer[] = [];
+  let size = 0;
+  const fail = (): void => {
+    settle(null);
+  };
+  response.on('data', (chunk: Buffer) => {
+    size += chunk.length;
+    if (size > MAX_REPLY_BYTES) request.destroy();
+    else chunks.push(chunk);
+  });
+  response.on('end', () => {
+    const body = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
+    settle({ status: response.statusCode ?? 0, body });
+  });
+  response.on('error', fail);
+  response.on('aborted', fail);
+};
+
+/** Sends a request, and gives the response, or null once `timeout` has passed or the connection fails. */
 export const callHttp = (
   agent: http.Agent,
   address: string,
@@ -26,66 +58,36 @@
   timeout: Micros,
 ): Effect.Effect<HttpReply> =>
   Effect.async<HttpReply>((resume) => {
-    const cut = address.lastIndexOf(':');
     let settled = false;
-    const settle = (r: HttpReply): void => {
+    const settle = (reply: HttpReply): void => {
       if (settled) return;
       settled = true;
       clearTimeout(timer);
-      resume(Effect.succeed(r));
+      resume(Effect.succeed(reply));
     };
-    const req = http.request(
-      {
-        agent,
-        host: address.slice(0, cut),
-        port: Number(address.slice(cut + 1)),
-        method: call.method,
-        path: call.path,
-        headers:
-          call.body === null
-            ? {}
-            : { 'Content-Type': 'application/msgpack', 'Content-Length': call.body.length },
-      },
-      (res) => {
-        const chunks: Buffer[] = [];
-        let size = 0;
-        res.on('data', (c: Buffer) => {
-          size += c.length;
-          if (size > MAX_REPLY) req.destroy();
-          else chunks.push(c);
-        });
-        res.on('end', () => {
-          settle({
-            status: res.statusCode ?? 0,
-            body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks),
-          });
-        });
-        res.on('error', () => {
-          settle(null);
-        });
-        res.on('aborted', () => {
-          settle(null);
-        });
-      },
-    );
+    const { method, path, body } = call;
+    const options = { agent, ...splitAddress(address), method, path, headers: headersOf(body) };
+    const request = http.request(options, (response) => {
+      readResponse(request, response, settle);
+    });
     const timer = setTimeout(() => {
-      req.destroy();
+      request.destroy();
       settle(null);
-    }, timeout / 1000);
-    req.on('error', () => {
+    }, timeout / MICROSECONDS_PER_MILLISECOND);
+    request.on('error', () => {
       settle(null);
     });
-    req.on('socket', (s) => {
-      s.setNoDelay(true);
+    request.on('socket', (socket) => {
+      socket.setNoDelay(true);
     });
-    if (call.body === null) req.end();
-    else req.end(call.body);
+    if (body === null) request.end();
+    else request.end(body);
     return Effect.sync(() => {
       clearTimeout(timer);
-      req.destroy();
+      request.destroy();
     });
   }).pipe(
-    // An address that can't be one throws at once. Nobody was called then; who waits must hear that all the same, else its
-    // machine would get no order any more, and whatever stands behind the call would wait for ever.
+    // An address that can't be one throws at once. Nothing was sent then, and the caller must learn of that all the same: else its
+    // machine would get no command any more, and whatever waits for the call would wait for ever.
     Effect.catchAllDefect(() => Effect.succeed<HttpReply>(null)),
   );
--- a/packages/controller/test/http-client.test.ts
+++ b/packages/controller/test/http-client.test.ts
@@ -2,9 +2,10 @@
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
-import { Effect } from 'effect';
-import { SECOND } from '@shaleyoke/core/domain/time';
+
 import { callHttp, makeAgent } from '@shaleyoke/controller/http-client';
+import { SECOND } from '@shaleyoke/core/domain/time';
+import { Effect } from 'effect';
 
 const agent = makeAgent(1);
 const call = { method: 'GET', path: '/inspect', body: null } as const;
--- a/packages/controller/test/servers.test.ts
+++ b/packages/controller/test/http-server.test.ts
@@ -3,8 +3,9 @@
 import * as http from 'node:http';
 import { connect, type Socket } from 'node:net';
 import { test } from 'node:test';
+
+import { listen } from '@shaleyoke/controller/http-server';
 import { Effect } from 'effect';
-import { listen } from '@shaleyoke/controller/servers';
 
 const ask = (port: number): Promise<number> =>
   new Promise((resolve, reject) => {
--- a/packages/controller/test/limiter.test.ts
+++ b/packages/controller/test/rate-limiter.test.ts
@@ -1,15 +1,16 @@
 /** The rate goes down while the service turns calls away again and again, and comes back. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { RateLimiter } from '@shaleyoke/controller/rate-limiter';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { Limiter } from '@shaleyoke/controller/limiter';
 
 /** Writes that a service with a limit of its own takes in a while, and how many it turns away. */
 const play = (announced: number, real: number, seconds: number) => {
   let now = 0;
   let over = false;
   // Once the play is over time runs by itself: what still waits is given up, and no timer stays.
-  const limiter = new Limiter(1_000, announced, () => (over ? (now += SECOND) : now));
+  const limiter = new RateLimiter(1_000, announced, () => (over ? (now += SECOND) : now));
   let tokens = real;
   let taken = 0;
   let turnedAway = 0;
@@ -23,7 +24,7 @@
         taken++;
       } else {
         turnedAway++;
-        limiter.pushBack(true);
+        limiter.recordRejection(true);
       }
     });
   }
