--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,5 +1,6 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
-import type { ActiveJob, TaskAttempt, AdmissionHold, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
+import type { ActiveJob, TaskAttempt, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,23 +1,14 @@
 /** Jobs that have not ended, machines and their sessions, and the attempts that join them. */
+import type { AdmissionHold } from './admission-hold.js';
+import type { DeadlineChain } from './deadline-chain.js';
 import type { MachineSlot } from './machine-slot.js';
+import type { AttemptState } from './task-attempt.js';
 import type { WorkerCommand, Heartbeat } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 import { TaskBitset } from '../domain/task-bitset.js';
 import { spreadLimit, type Amounts } from '../domain/resources.js';
 
-export type AttemptState =
-  /** Decided, not sent yet: waits for the record of its place. */
-  | 'recording'
-  /** The order is on its way. */
-  | 'sent'
-  /** The order got no answer: it may still be executed until the worker is fenced. */
-  | 'unknown'
-  | 'fetching'
-  | 'waiting'
-  | 'running'
-  | 'saving';
-
 export interface TaskAttempt {
   readonly job: ActiveJob;
   readonly index: number;
@@ -39,24 +30,6 @@
   stopping: { readonly since: Micros; readonly graceUs: Micros } | null;
 }
 
-export const attemptKey = (job: string, index: number): string => `${job}/${index}`;
-
-/** The tightest way from a job to one with a deadline that needs it: what lies between takes `tail`. */
-export interface DeadlineChain {
-  readonly last: ActiveJob;
-  readonly tail: Micros;
-}
-
-/** Time of day by which the job has to be done, by the deadline of the last one, times `times`. */
-export const latestFinish = ({ last, tail }: DeadlineChain, times = 1): Micros =>
-  last.acceptedAt + (last.spec.deadlineUs ?? 0) * times - tail;
-
-/** Why a job may not begin now; `passing` where that is over in a moment, and nobody need be told. */
-export interface AdmissionHold {
-  readonly reason: string;
-  readonly transient: boolean;
-}
-
 /** The leader's picture of a job. Compact: one bit a task, records only for live ones. */
 export class ActiveJob {
   readonly done: TaskBitset;
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -2,7 +2,8 @@
  * Which waiting job can still meet which aim. Between turns the order of jobs is discretionary (paper,
  * 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they can meet.
  */
-import { latestFinish, type ActiveJob } from './cluster-model.js';
+import type { ActiveJob } from './cluster-model.js';
+import { latestFinish } from './deadline-chain.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ServiceLevelObjective } from '../domain/settings.js';
 import { SECOND, type Micros } from '../domain/time.js';
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -6,7 +6,8 @@
  * There are no cycles: a job names only jobs that were accepted before it, never itself, and what it names
  * never changes. So the versions of the jobs' records, which are those of their acceptance, order the graph.
  */
-import { latestFinish, type ActiveJob } from '../cluster/cluster-model.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
+import { latestFinish } from '../cluster/deadline-chain.js';
 import type { Micros } from '../domain/time.js';
 
 export interface JobOutcome {
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -3,7 +3,8 @@
  * on, and each is told what happens in a leader's term. Nothing here may keep a rule from being kept: a feature
  * can hold back a job that has not begun, and that is all.
  */
-import type { ActiveJob, TaskAttempt, AdmissionHold, Machine } from './cluster/cluster-model.js';
+import type { AdmissionHold } from './cluster/admission-hold.js';
+import type { ActiveJob, TaskAttempt, Machine } from './cluster/cluster-model.js';
 import type { NodeContext } from './node/node-context.js';
 import type { InternalResponse, ClientRequest } from './domain/client-api.js';
 import type { ReportedTask } from './domain/heartbeat.js';
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -2,7 +2,8 @@
  * The life of an attempt: decided, put on record, sent, seen, stopped, ended. An attempt counts as there from
  * the decision until proven otherwise (docs/safety.md).
  */
-import { attemptKey, type ActiveJob, type TaskAttempt, type Machine } from '../cluster/cluster-model.js';
+import type { ActiveJob, TaskAttempt, Machine } from '../cluster/cluster-model.js';
+import { attemptKey } from '../cluster/task-attempt.js';
 import { leftovers, wholeGang } from './gang-attempts.js';
 import type { CommandReply, Heartbeat, ReportedTask } from '../domain/heartbeat.js';
 import type { Micros } from '../domain/time.js';
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -1,6 +1,7 @@
 /** What workers report: which tasks are where, what ended and how, and what each worker is to do. */
 import { MAX_COMMANDS, type AttemptLifecycle } from './attempt-lifecycle.js';
-import { attemptKey, type ActiveJob, type TaskAttempt, type Machine } from '../cluster/cluster-model.js';
+import type { ActiveJob, TaskAttempt, Machine } from '../cluster/cluster-model.js';
+import { attemptKey } from '../cluster/task-attempt.js';
 import { gangAttempt, leftovers } from './gang-attempts.js';
 import type { WorkerCommand, Heartbeat, ReportedTask, HeartbeatResponse } from '../domain/heartbeat.js';
 import type { JobSpec } from '../domain/job.js';
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,11 +1,7 @@
 /** Small pictures for tests of plans: machines, groups of waiting tasks, and what tasks are predicted to take. */
 import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
-import {
-  attemptKey,
-  type ActiveJob,
-  type TaskAttempt,
-  type Machine,
-} from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, TaskAttempt, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import { attemptKey } from '@shaleyoke/core/cluster/task-attempt';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DependencyGraph } from '@shaleyoke/core/jobs/dependencies';
-import { ActiveJob, latestFinish } from '@shaleyoke/core/cluster/cluster-model';
+import { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { latestFinish } from '@shaleyoke/core/cluster/deadline-chain';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import {
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { latestStart, mergeOrders, orderByObjectives } from '@shaleyoke/core/cluster/objectives';
-import { attemptKey, Machine, type TaskAttempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { Machine, type TaskAttempt, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { attemptKey } from '@shaleyoke/core/cluster/task-attempt';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
 import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -3,7 +3,8 @@
  * manifests that nobody names. Everything is found anew from the records, so that any leader goes on where the one
  * before stopped.
  */
-import type { ActiveJob, AdmissionHold } from '@shaleyoke/core/cluster/cluster-model';
+import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
+import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
