--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -1,4 +1,4 @@
-/** What the leader knows in one term, and what it predicts from that. Changes nothing. */
+/** What the leader knows of the cluster in one term, and what it predicts from that. */
 import { latestStart } from './objectives.js';
 import type { TaskAttempt, Machine, ActiveJob } from './cluster-model.js';
 import { UsageTotals } from './usage-totals.js';
@@ -8,17 +8,33 @@
 import type { PreemptionPolicy } from './preemption-policy.js';
 import { typeAllowed } from '../domain/resources.js';
 import { guaranteedJobs, type QuotaUsage } from './fair-share.js';
-import { RuntimeEstimates } from './runtime-estimates.js';
+import { RuntimeEstimates, UNBOUNDED_RUN_TIME } from './runtime-estimates.js';
+import { GANG_PROGRESS } from './task-attempt.js';
 
-/** From a decision to start until the task runs, where its image is there. */
-const SETUP = 2 * SECOND;
-/** From the end of a job's last task until the next job's tasks run: report, record, plan, record, start. */
-export const STAGE_HANDOVER = 3 * SECOND;
+/** From a decision to start a task until it runs, where its image is cached. */
+const SETUP: Micros = 2 * SECOND;
 
+/** From the end of a job's last task until the next job's tasks run: heartbeat, record, plan, record, start. */
+export const STAGE_HANDOVER: Micros = 3 * SECOND;
+
+/** How long a job may wait for a cheaper machine when no objective is within reach. */
+const DELAY_WITHOUT_OBJECTIVE: Micros = 60 * SECOND;
+
+/** Share of a job's slack that it may spend waiting for a cheaper machine. */
+const DELAY_SHARE_OF_SLACK = 1 / 2;
+
+/** Share of a job's slack that the threshold for scaling out is raised by. */
+const THRESHOLD_SHARE_OF_SLACK = 1 / 4;
+
+/** Jobs, machines and learned run times of one leader term. Its methods only read. */
 export class ClusterState {
+  /** By name. */
   readonly machines: Map<string, Machine>;
+  /** Sums over the machines. */
   readonly usageTotals: UsageTotals;
+  /** Jobs that have not ended, by id. */
   readonly jobs = new Map<string, ActiveJob>();
+  /** Run times learned so far. */
   readonly runtimeEstimates = new RuntimeEstimates();
 
   constructor(readonly ctx: NodeContext) {
@@ -28,18 +44,23 @@
     this.machines = machines;
   }
 
-  remainingRunTime(a: TaskAttempt): Micros {
-    const { spec } = a.job;
-    if (spec.shape === 'service') return 1e13;
-    const credit = a.job.checkpointedProgress.get(spec.shape === 'gang' ? -1 : a.index) ?? 0;
-    const elapsed = credit + (a.runningAt === null ? 0 : this.ctx.now - a.runningAt);
-    return this.runtimeEstimates.remaining(spec.class, a.machine.type, spec.estimatedRunUs, elapsed);
+  /** Expected time until the attempt ends. */
+  remainingRunTime(attempt: TaskAttempt): Micros {
+    const { job, runningAt } = attempt;
+    const { spec } = job;
+    if (spec.shape === 'service') return UNBOUNDED_RUN_TIME;
+    const progressKey = spec.shape === 'gang' ? GANG_PROGRESS : attempt.index;
+    const checkpointed = job.checkpointedProgress.get(progressKey) ?? 0;
+    const elapsed = checkpointed + (runningAt === null ? 0 : this.ctx.now - runningAt);
+    return this.runtimeEstimates.remaining(spec.class, attempt.machine.type, spec.estimatedRunUs, elapsed);
   }
 
+  /** Usage by team, for a plan that counts its own starts on top. */
   usage(): QuotaUsage {
     return this.usageTotals.usage();
   }
 
+  /** Whether tasks of the job may be started now, as far as the job is concerned. */
   isStartable(job: ActiveJob): boolean {
     if (job.phase !== 'active' || job.gangBroken || job.isComplete || job.waitingCount <= 0) return false;
     if (job.progressUnreadable || job.blockedOnDependencies || job.admissionHold !== null) return false;
@@ -51,59 +72,59 @@
   }
 
   /**
-   * The settings don't say whether money is an aim. Who keeps machines ready pays for capacity anyway; who
-   * starts from nothing pays by use.
+   * Whether plans weigh the price of machines. By default the settings don't tell whether cost is an objective: operators
+   * who keep machines pre-provisioned pay for capacity anyway; those who start from nothing pay by use.
    */
   isCostSensitive(): boolean {
-    const { costSensitivity: thrift } = this.ctx.settings.tuning;
-    if (thrift !== 'auto') return thrift === 'on';
+    const { costSensitivity } = this.ctx.settings.tuning;
+    if (costSensitivity !== 'auto') return costSensitivity === 'on';
     return !this.usageTotals.anyPreprovisioned;
   }
 
+  /** Latest start from now that still meets the job's next objective; null: none is within reach. */
   slackOf(job: ActiveJob): Micros | null {
-    const { spec } = job;
-    const credit = job.checkpointedProgress.get(-1) ?? 0;
-    const run = this.runtimeEstimates.remaining(
-      spec.class,
-      spec.machineTypes?.[0] ?? '',
-      spec.estimatedRunUs,
-      credit,
-    );
-    return latestStart(job, this.ctx.settings.objectives, this.ctx.wallNow, run, SETUP);
+    const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
+    const runTime = this.expectedRunTime(job, checkpointed);
+    return latestStart(job, this.ctx.settings.objectives, this.ctx.wallNow, runTime, SETUP);
   }
 
-  /** From a job's release to its end: its run, its image, and what lies between one job and the next. */
+  /** From when a job may start to its end: its run, its image, and what lies between one job and the next. */
   expectedDuration(job: ActiveJob): Micros {
     const { spec } = job;
-    const run = this.runtimeEstimates.remaining(
-      spec.class,
-      spec.machineTypes?.[0] ?? '',
-      spec.estimatedRunUs,
-      0,
-    );
-    let rate = 0;
-    for (const t of this.ctx.types.values())
-      if (typeAllowed(spec, t) && t.imagePullGbPerS > 0) rate = Math.max(rate, t.imagePullGbPerS);
-    return run + (rate > 0 ? Math.round((spec.imageGb / rate) * SECOND) : 0) + STAGE_HANDOVER;
+    const runTime = this.expectedRunTime(job, 0);
+    let pullRate = 0;
+    for (const type of this.ctx.types.values())
+      if (typeAllowed(spec, type) && type.imagePullGbPerS > 0)
+        pullRate = Math.max(pullRate, type.imagePullGbPerS);
+    const pullTime = pullRate > 0 ? Math.round((spec.imageGb / pullRate) * SECOND) : 0;
+    return runTime + pullTime + STAGE_HANDOVER;
+  }
+
+  /** Expected run time of a task of the job after `elapsed`, on the first machine type that it asks for. */
+  expectedRunTime({ spec }: ActiveJob, elapsed: Micros): Micros {
+    const type = spec.machineTypes?.[0] ?? '';
+    return this.runtimeEstimates.remaining(spec.class, type, spec.estimatedRunUs, elapsed);
   }
 
+  /** How long the job may wait for a cheaper machine. */
   allowedDelay(job: ActiveJob): Micros {
     const slack = this.slackOf(job);
-    return slack === null ? 60 * SECOND : Math.round(slack / 2);
+    return slack === null ? DELAY_WITHOUT_OBJECTIVE : Math.round(slack * DELAY_SHARE_OF_SLACK);
   }
 
-  /** Work that can wait a while and still meet its aim need not have machines rented for it at once. */
+  /** How much sooner the job has to finish for a machine to be provisioned: it grows with the job's slack. */
   scaleOutThreshold(job: ActiveJob): Micros {
     if (!this.isCostSensitive()) return 0;
-    const { scaleOutThresholdUs: rentMarginUs } = this.ctx.settings.tuning;
+    const { scaleOutThresholdUs } = this.ctx.settings.tuning;
     const slack = this.slackOf(job);
-    if (slack === null) return rentMarginUs;
-    return rentMarginUs + Math.min(rentMarginUs, Math.round(slack / 4));
+    if (slack === null) return scaleOutThresholdUs;
+    return scaleOutThresholdUs + Math.min(scaleOutThresholdUs, Math.round(slack * THRESHOLD_SHARE_OF_SLACK));
   }
 
+  /** Which work may be preempted, as things are now. */
   preemptionPolicy(): PreemptionPolicy {
     const { teams } = this.ctx.settings;
-    const inside = guaranteedJobs([...this.jobs.values()], teams);
-    return { teams, use: this.usageTotals.teamUsage(), guaranteed: (job) => inside.has(job) };
+    const guaranteed = guaranteedJobs([...this.jobs.values()], teams);
+    return { teams, usage: this.usageTotals.teamUsage(), isGuaranteed: (job) => guaranteed.has(job) };
   }
 }
--- a/packages/core/src/cluster/machine-registry.ts
+++ b/packages/core/src/cluster/machine-registry.ts
@@ -1,7 +1,9 @@
-/** The machines of a term by name. An observer is told of each that comes, changes or goes. */
+/** The machines of a leader term, by name. */
 import type { Machine, MachineObserver } from './cluster-model.js';
 
+/** A map of machines that notifies an observer of each that is added, changes or is removed. */
 export class MachineRegistry extends Map<string, Machine> {
+  /** Set before the first machine is added. */
   observer: MachineObserver | null = null;
 
   override set(name: string, machine: Machine): this {
--- a/packages/core/src/cluster/task-attempt.ts
+++ b/packages/core/src/cluster/task-attempt.ts
@@ -15,3 +15,6 @@
 
 /** Identifies a task across jobs. */
 export const attemptKey = (job: string, index: number): string => `${job}/${index}`;
+
+/** Key of a whole gang's checkpointed progress, where other jobs' progress is kept by task index. */
+export const GANG_PROGRESS = -1;
--- a/packages/core/src/scheduling/preemption.ts
+++ b/packages/core/src/scheduling/preemption.ts
@@ -57,7 +57,7 @@
     const key = [
       spec.team,
       job.priority,
-      this.rights.guaranteed(job),
+      this.rights.isGuaranteed(job),
       spec.cores,
       spec.gpus,
       spec.memoryGb,
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -119,10 +119,10 @@
       work += run * amount;
       amounts += amount;
       cores += job.waitingCount * spec.cores;
-      return { job, amount, latest: this.estate.slackOf(job) };
+      return { job, amount, latestStart: this.estate.slackOf(job) };
     });
     const mean = amounts > 0 ? work / amounts : SECOND;
-    const room = this.estate.usageTotals.room(gpu, priority, gpu && amounts > 0 ? cores / amounts : 1);
+    const room = this.estate.usageTotals.capacityFor(gpu, priority, gpu && amounts > 0 ? cores / amounts : 1);
     return orderByObjectives(contenders, room.free, room.total / Math.max(mean, SECOND));
   }
 }
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -106,7 +106,7 @@
 test('the rule of Moore and Hodgson keeps the number of misses small', () => {
   const job = (id: string, tasks: number): ActiveJob =>
     new ActiveJob(specOf(id, { tasks }), 1, Number(id.slice(4)), 0);
-  const c = (j: ActiveJob, latest: number | null) => ({ job: j, latest, amount: j.spec.tasks });
+  const c = (j: ActiveJob, latest: number | null) => ({ job: j, latestStart: latest, amount: j.spec.tasks });
   const [a, b, d, late] = [job('run-1', 8), job('run-2', 1), job('run-3', 1), job('run-4', 1)];
   const order = mergeOrders([orderByObjectives([c(a!, 5), c(b!, 6), c(d!, 7), c(late!, null)], 2, 0.1)]);
   assert.deepEqual(
@@ -252,7 +252,7 @@
   });
   const gang = (id: string, tasks: number): ActiveJob =>
     new ActiveJob(specOf(id, { shape: 'gang', tasks, cores: 3, sameZone: true }), 1, 0, 0);
-  const rights = { teams: [], use: new Map(), guaranteed: () => false };
+  const rights = { teams: [], usage: new Map(), isGuaranteed: () => false };
   const c = new Clearings(machines, types, rights, (a) => 100 * SECOND - a.runningAt! >= 35 * SECOND);
   assert.equal(c.take(gang('run-1', 9), 9), null);
   const first = c.take(gang('run-2', 2), 2)!;
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -39,7 +39,7 @@
       else unproven = true;
     }
     if (machine.awaitingReconciliation || machine.unknownTaskCount > 0 || unproven)
-      usage.doubt(TYPES.get(machine.type) ?? null, machine);
+      usage.addUnverified(TYPES.get(machine.type) ?? null, machine);
   }
   return { usage, use, lowest };
 };
@@ -97,7 +97,7 @@
   );
   for (const gpu of [false, true])
     for (const priority of [0, 1, 2, 3] as const) {
-      const kept = totals.room(gpu, priority, 2);
+      const kept = totals.capacityFor(gpu, priority, 2);
       const full = fullRoom(machines.values(), gpu, priority, 2);
       near(kept.total, full.total, `${what}: total of priority ${priority}`);
       near(kept.free, full.free, `${what}: free for priority ${priority}`);
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -46,8 +46,8 @@
   {
     name: 'what an older report tells of counts as known for limits',
     file: 'cluster/fair-share.ts',
-    from: 'm.freeBesideConfirmed(type)',
-    to: 'm.freeOf(type)',
+    from: 'machine.freeBesideConfirmed(type)',
+    to: 'machine.freeOf(type)',
   },
   {
     name: 'a machine counts as accounted for by any report',
