--- a/packages/core/src/scheduling/look-ahead.ts
+++ b/packages/core/src/scheduling/look-ahead.ts
@@ -1,47 +1,50 @@
 /**
- * Stages to come: held jobs that will be released while a machine boots. A play-out places them after all
- * other work, from when what they need is predicted done, so that room is there or on its way by then. They
- * run for seconds where a machine takes half a minute to boot.
+ * Look-ahead to the next stages: jobs blocked on dependencies that will be released while a machine boots. A plan places
+ * them after all other work, from when what they depend on is predicted done, so that capacity is there or on its way by
+ * then. They run for seconds where a machine takes half a minute to boot.
  */
 import type { DependencyGraph } from '../jobs/dependencies.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 
 /** Stages that one plan looks ahead to. */
-const MOST = 16;
+const MAX_STAGES = 16;
 
+/** A job that will be released soon. */
 export interface UpcomingStage {
   readonly job: ActiveJob;
+  /** When all jobs that it depends on are predicted done. */
   readonly ready: Micros;
 }
 
-/** Held jobs whose release is predicted within the horizon, the soonest first. */
+/** Jobs blocked on dependencies whose release is predicted within the horizon, the soonest first. */
 export const stagesAhead = (
   jobs: Iterable<ActiveJob>,
-  deps: DependencyGraph,
+  dependencies: DependencyGraph,
   find: (id: string) => ActiveJob | undefined,
-  /** When a job that is not held is predicted to be done. */
+  /** When a job that is not blocked is predicted to be done. */
   endOf: (job: ActiveJob) => Micros,
   horizon: Micros,
 ): UpcomingStage[] => {
-  const ends = new Map<ActiveJob, Micros>();
-  const out: UpcomingStage[] = [];
+  const predictedEnds = new Map<ActiveJob, Micros>();
+  const predictEnd = (needed: ActiveJob | undefined): Micros => {
+    // What is blocked itself has a stage between: it is considered when that one runs. And when a job with an admission
+    // hold will run, nobody knows: nothing is provisioned for what comes after it.
+    if (needed === undefined || needed.blockedOnDependencies || needed.admissionHold !== null)
+      return Infinity;
+    const end = predictedEnds.get(needed) ?? endOf(needed);
+    predictedEnds.set(needed, end);
+    return end;
+  };
+  const stages: UpcomingStage[] = [];
   for (const job of jobs) {
     if (!job.blockedOnDependencies || job.dependencyFailed || job.phase !== 'active') continue;
     let ready = 0;
-    for (const id of deps.waitsFor(job)) {
-      const needed = find(id);
-      let end: Micros = Infinity;
-      // What is held itself has a stage between: it is looked at when that one runs. And when what a feature
-      // holds back will run, nobody knows: nothing is rented for what comes after it.
-      if (needed !== undefined && !needed.blockedOnDependencies && needed.admissionHold === null) {
-        end = ends.get(needed) ?? endOf(needed);
-        ends.set(needed, end);
-      }
-      ready = Math.max(ready, end);
+    for (const id of dependencies.waitsFor(job)) {
+      ready = Math.max(ready, predictEnd(find(id)));
       if (ready > horizon) break;
     }
-    if (ready > 0 && ready <= horizon) out.push({ job, ready });
+    if (ready > 0 && ready <= horizon) stages.push({ job, ready });
   }
-  return out.sort((a, b) => a.ready - b.ready).slice(0, MOST);
+  return stages.sort((one, other) => one.ready - other.ready).slice(0, MAX_STAGES);
 };
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -1,4 +1,4 @@
-/** The order in which waiting jobs are looked at: turns first, then priority and the aims that can be met. */
+/** The queue order of waiting jobs: urgent work, then fair-share turns, then priority and objectives within reach. */
 import {
   mergeOrders,
   mustStartAtOnce,
@@ -6,123 +6,162 @@
   type ObjectiveOrder,
   type ObjectiveCandidate,
 } from '../cluster/objectives.js';
+import { PRIORITIES } from '../cluster/capacity-by-kind.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
+import { GANG_PROGRESS } from '../cluster/task-attempt.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Priority } from '../domain/job.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import { fairShareOrder } from '../cluster/fair-share.js';
 
-export class QueueOrder {
-  /** Team's turns: since when its oldest job has been at the head, and when the next turn is due. */
-  private readonly turns = new Map<string, { job: ActiveJob | null; since: Micros; next: Micros }>();
+/** A team's fair-share turns. */
+interface FairShareTurn {
+  /** The job whose turn it is; null: none. */
+  job: ActiveJob | null;
+  /** Since when it is that job's turn. */
+  since: Micros;
+  /** When the next turn is due, while there is none. */
+  nextAt: Micros;
+}
+
+/** Pools of capacity that are ordered by themselves, the first before the second among equals. */
+const POOL_KINDS = ['cpu', 'gpu'] as const;
+type PoolKind = (typeof POOL_KINDS)[number];
+
+const HIGHEST_PRIORITY_FIRST = [...PRIORITIES].reverse();
+
+const levelKey = (priority: Priority, kind: PoolKind): string => `${priority}|${kind}`;
 
-  private readonly ctx: NodeContext;
+/** Jobs by priority and pool, in the given order. */
+const groupByLevel = (jobs: readonly ActiveJob[]): Map<string, ActiveJob[]> => {
+  const levels = new Map<string, ActiveJob[]>();
+  for (const job of jobs) {
+    const key = levelKey(job.priority, job.spec.gpus > 0 ? 'gpu' : 'cpu');
+    const level = levels.get(key) ?? [];
+    level.push(job);
+    levels.set(key, level);
+  }
+  return levels;
+};
+
+/**
+ * By team, the oldest job of its highest priority that waits: a turn must not put low work ahead of what may preempt it.
+ */
+const oldestByTeam = (waiting: readonly ActiveJob[]): Map<string, ActiveJob> => {
+  const oldest = new Map<string, ActiveJob>();
+  for (const job of waiting) {
+    const former = oldest.get(job.spec.team);
+    if (
+      former === undefined ||
+      job.priority > former.priority ||
+      (job.priority === former.priority && job.acceptedAt < former.acceptedAt)
+    )
+      oldest.set(job.spec.team, job);
+  }
+  return oldest;
+};
+
+/** Orders waiting jobs, and keeps the teams' turns from one order to the next. */
+export class QueueOrder {
+  /** By team. */
+  private readonly turns = new Map<string, FairShareTurn>();
+  private readonly context: NodeContext;
 
-  constructor(private readonly estate: ClusterState) {
-    this.ctx = estate.ctx;
+  constructor(private readonly cluster: ClusterState) {
+    this.context = cluster.ctx;
   }
 
-  /** Whether it is this job's turn. */
+  /** Whether it is this job's fair-share turn. */
   hasTurn(job: ActiveJob): boolean {
     return this.turns.get(job.spec.team)?.job === job;
   }
 
-  /** Jobs whose turn it is first, then by priority and by the aims that can still be met. */
+  /** All jobs that can be started, in queue order. Turns begin and end here. */
   inOrder(): ActiveJob[] {
-    const waiting = fairShareOrder(
-      [...this.estate.jobs.values()].filter((j) => this.estate.isStartable(j)),
-      this.ctx.settings.teams,
-    );
-    const first = this.aheadOfAims(waiting);
-    const rest = waiting.filter((job) => !first.has(job));
-    const levels = new Map<string, ActiveJob[]>();
-    for (const j of rest) {
-      const key = `${j.priority}|${j.spec.gpus > 0 ? 'gpu' : 'cpu'}`;
-      const level = levels.get(key) ?? [];
-      level.push(j);
-      levels.set(key, level);
-    }
+    const startable = [...this.cluster.jobs.values()].filter((job) => this.cluster.isStartable(job));
+    const waiting = fairShareOrder(startable, this.context.settings.teams);
+    const first = this.aheadOfObjectives(waiting);
+    const levels = groupByLevel(waiting.filter((job) => !first.has(job)));
     const ordered: ActiveJob[] = [];
-    for (const priority of [3, 2, 1, 0] as const) {
-      const orders = ['cpu', 'gpu']
-        .map((kind) => ({ kind, jobs: levels.get(`${priority}|${kind}`) }))
-        .filter((l) => l.jobs !== undefined)
-        .map((l) => this.byAims(l.jobs!, l.kind === 'gpu', priority));
+    for (const priority of HIGHEST_PRIORITY_FIRST) {
+      const orders: ObjectiveOrder[] = [];
+      for (const kind of POOL_KINDS) {
+        const jobs = levels.get(levelKey(priority, kind));
+        if (jobs !== undefined) orders.push(this.orderPool(jobs, kind === 'gpu', priority));
+      }
       ordered.push(...mergeOrders(orders));
     }
     return [...first, ...ordered];
   }
 
-  /** What goes before the order by aims: urgent work, then turns, then jobs that room is being made for. */
-  private aheadOfAims(waiting: readonly ActiveJob[]): Set<ActiveJob> {
-    const { objectives } = this.ctx.settings;
+  /** What goes before the order by objectives: urgent work, then turns, then jobs that capacity is being freed for. */
+  private aheadOfObjectives(waiting: readonly ActiveJob[]): Set<ActiveJob> {
+    const { objectives } = this.context.settings;
     // With hundreds of teams there is always a turn due: what can't wait for it comes before all of them.
     const first = new Set(waiting.filter((job) => mustStartAtOnce(job.spec, objectives)));
-    for (const job of this.dueTurns(waiting)) first.add(job);
-    for (const job of waiting) if (job.reservedUntil > this.ctx.now) first.add(job);
+    for (const job of this.jobsWithTurn(waiting)) first.add(job);
+    for (const job of waiting) if (job.reservedUntil > this.context.now) first.add(job);
     return first;
   }
 
-  private dueTurns(waiting: readonly ActiveJob[]): ActiveJob[] {
-    const { tuning } = this.ctx.settings;
-    const { now } = this.ctx;
-    const oldest = new Map<string, ActiveJob>();
-    for (const j of waiting) {
-      const o = oldest.get(j.spec.team);
-      // Of the highest priority that waits: a turn must not put low work ahead of what may preempt it.
-      if (
-        o === undefined ||
-        j.priority > o.priority ||
-        (j.priority === o.priority && j.acceptedAt < o.acceptedAt)
-      )
-        oldest.set(j.spec.team, j);
-    }
-    const out: ActiveJob[] = [];
+  /** Jobs whose turn it is now. */
+  private jobsWithTurn(waiting: readonly ActiveJob[]): ActiveJob[] {
+    const jobs: ActiveJob[] = [];
     const stillWaiting = new Set(waiting);
-    for (const [team, job] of oldest) {
-      const t = this.turns.get(team) ?? { job: null, since: now, next: now + tuning.fairShareTurnIntervalUs };
-      this.turns.set(team, t);
-      if (t.job !== null && !stillWaiting.has(t.job)) {
-        // It started, or ended: the turn is over.
-        t.job = null;
-        t.next = now + tuning.fairShareTurnIntervalUs;
-      }
-      if (t.job === null && now >= t.next) {
-        t.job = job;
-        t.since = now;
-      }
-      if (t.job === null) continue;
-      if (now - t.since > tuning.fairShareDrainUs) {
-        // The drain was bounded: others get on, and the turn comes round again.
-        t.job = null;
-        t.next = now + tuning.fairShareTurnIntervalUs;
-      } else out.push(t.job);
+    for (const [team, oldest] of oldestByTeam(waiting)) {
+      const job = this.updateTurn(team, oldest, stillWaiting);
+      if (job !== null) jobs.push(job);
+    }
+    return jobs;
+  }
+
+  /** Ends and begins the team's turn where that is due. Returns the job whose turn it is; null: none. */
+  private updateTurn(
+    team: string,
+    oldest: ActiveJob,
+    stillWaiting: ReadonlySet<ActiveJob>,
+  ): ActiveJob | null {
+    const { now, settings } = this.context;
+    const { fairShareTurnIntervalUs, fairShareDrainUs } = settings.tuning;
+    const nextAt = now + fairShareTurnIntervalUs;
+    const turn = this.turns.get(team) ?? { job: null, since: now, nextAt };
+    this.turns.set(team, turn);
+    if (turn.job !== null && !stillWaiting.has(turn.job)) {
+      // It started, or ended: the turn is over.
+      turn.job = null;
+      turn.nextAt = nextAt;
+    }
+    if (turn.job === null && now >= turn.nextAt) {
+      turn.job = oldest;
+      turn.since = now;
+    }
+    if (turn.job !== null && now - turn.since > fairShareDrainUs) {
+      // The drain is bounded: others go on, and the team gets another turn.
+      turn.job = null;
+      turn.nextAt = nextAt;
     }
-    return out;
+    return turn.job;
   }
 
-  private byAims(jobs: readonly ActiveJob[], gpu: boolean, priority: Priority): ObjectiveOrder {
+  /** Orders the jobs of one priority that share a pool. */
+  private orderPool(jobs: readonly ActiveJob[], gpu: boolean, priority: Priority): ObjectiveOrder {
     let work = 0;
     let amounts = 0;
     let cores = 0;
-    const contenders = jobs.map((job): ObjectiveCandidate => {
-      const { spec } = job;
-      const credit = job.checkpointedProgress.get(-1) ?? 0;
-      const run = this.estate.runtimeEstimates.remaining(
-        spec.class,
-        spec.machineTypes?.[0] ?? '',
-        spec.estimatedRunUs,
-        credit,
-      );
-      const amount = job.waitingCount * (gpu ? spec.gpus : spec.cores);
-      work += run * amount;
+    const candidates = jobs.map((job): ObjectiveCandidate => {
+      const { spec, waitingCount } = job;
+      const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
+      const runTime = this.cluster.expectedRunTime(job, checkpointed);
+      const amount = waitingCount * (gpu ? spec.gpus : spec.cores);
+      work += runTime * amount;
       amounts += amount;
-      cores += job.waitingCount * spec.cores;
-      return { job, amount, latestStart: this.estate.slackOf(job) };
+      cores += waitingCount * spec.cores;
+      return { job, amount, latestStart: this.cluster.slackOf(job) };
     });
-    const mean = amounts > 0 ? work / amounts : SECOND;
-    const room = this.estate.usageTotals.capacityFor(gpu, priority, gpu && amounts > 0 ? cores / amounts : 1);
-    return orderByObjectives(contenders, room.free, room.total / Math.max(mean, SECOND));
+    const meanRunTime = amounts > 0 ? work / amounts : SECOND;
+    const coresPerGpu = gpu && amounts > 0 ? cores / amounts : 1;
+    const capacity = this.cluster.usageTotals.capacityFor(gpu, priority, coresPerGpu);
+    return orderByObjectives(candidates, capacity.free, capacity.total / Math.max(meanRunTime, SECOND));
   }
 }
