--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -8,7 +8,7 @@
 import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
 import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
-import { Clearings } from '@shaleyoke/core/scheduling/preemption';
+import { PreemptionCandidates } from '@shaleyoke/core/scheduling/preemption-candidates';
 import { placeGroup } from '@shaleyoke/core/scheduling/group-placement';
 import { simulateCompletion } from '@shaleyoke/core/scheduling/rollout';
 import { search } from '@shaleyoke/core/scheduling/placement-search';
@@ -253,7 +253,7 @@
   const gang = (id: string, tasks: number): ActiveJob =>
     new ActiveJob(specOf(id, { shape: 'gang', tasks, cores: 3, sameZone: true }), 1, 0, 0);
   const rights = { teams: [], usage: new Map(), isGuaranteed: () => false };
-  const c = new Clearings(machines, types, rights, (a) => 100 * SECOND - a.runningAt! >= 35 * SECOND);
+  const c = new PreemptionCandidates(machines, types, rights, (a) => 100 * SECOND - a.runningAt! >= 35 * SECOND);
   assert.equal(c.take(gang('run-1', 9), 9), null);
   const first = c.take(gang('run-2', 2), 2)!;
   const second = c.take(gang('run-3', 2), 2)!;
