--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,97 +1,111 @@
-/** When a machine has room, given what ends and what is planned on it. */
+/** When a machine has free capacity, given what ends and what is planned on it. */
 import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { fits } from '../domain/resources.js';
+import { AMOUNT_SLACK } from '../cluster/amount-slack.js';
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
+import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 
-/** Services never finish: for the play-out they hold their room this long. */
-export const FOREVER: Micros = 1e13;
+/**
+ * Whether `need` fits into `free`, and goes on fitting through the changes from the given one on that come before `end`.
+ * `free` is lowered to the least capacity of that time.
+ */
+const fitsUntil = (
+  need: Amounts,
+  free: Amounts,
+  changes: readonly CapacityChange[],
+  from: number,
+  end: Micros,
+): boolean => {
+  if (!fits(need, free)) return false;
+  let { cores, gpus, memoryGb } = free;
+  for (let i = from; i < changes.length && changes[i]!.at < end; i++) {
+    const change = changes[i]!;
+    cores += change.cores;
+    gpus += change.gpus;
+    memoryGb += change.memoryGb;
+    if (cores < free.cores) free.cores = cores;
+    if (gpus < free.gpus) free.gpus = gpus;
+    if (memoryGb < free.memoryGb) free.memoryGb = memoryGb;
+    if (!fits(need, free)) return false;
+  }
+  return true;
+};
 
-/** The first time from which `need` fits for all of `length`; the room then is left in `room`. */
-export const earliest = (
-  s: MachineSlot,
+/**
+ * The first time, not before `notBefore`, from which `need` fits for all of `duration`; null if there is none. The least
+ * capacity that is free throughout that time is left in `free`.
+ */
+export const earliestStart = (
+  slot: MachineSlot,
   need: Amounts,
-  length: Micros,
-  room: Amounts,
-  from: Micros = 0,
+  duration: Micros,
+  free: Amounts,
+  notBefore: Micros = 0,
 ): Micros | null => {
-  const { changes } = s;
-  const ready = Math.max(s.readyAt, from);
-  let { cores, gpus, memoryGb } = s.free;
-  // Room at a start time is that of all changes up to it; then the least over the length must fit.
-  for (let first = -1; first < changes.length; first++) {
-    let t = ready;
-    if (first >= 0) {
-      const c = changes[first]!;
-      cores += c.cores;
-      gpus += c.gpus;
-      memoryGb += c.memoryGb;
-      if (c.at > t) t = c.at;
-    }
-    const next = changes[first + 1];
-    if (next !== undefined && next.at <= t) continue;
-    room.cores = cores;
-    room.gpus = gpus;
-    room.memoryGb = memoryGb;
-    if (!fits(need, room)) continue;
-    let ok = true;
-    let c = cores;
-    let g = gpus;
-    let m = memoryGb;
-    for (let i = first + 1; i < changes.length && changes[i]!.at < t + length; i++) {
-      const x = changes[i]!;
-      c += x.cores;
-      g += x.gpus;
-      m += x.memoryGb;
-      if (c < room.cores) room.cores = c;
-      if (g < room.gpus) room.gpus = g;
-      if (m < room.memoryGb) room.memoryGb = m;
-      if (!fits(need, room)) {
-        ok = false;
-        break;
-      }
+  const { changes } = slot;
+  const ready = Math.max(slot.readyAt, notBefore);
+  let { cores, gpus, memoryGb } = slot.free;
+  // The capacity at a start time is that of all changes up to it; then the least over the duration must fit.
+  for (let i = -1; i < changes.length; i++) {
+    let start = ready;
+    if (i >= 0) {
+      const change = changes[i]!;
+      cores += change.cores;
+      gpus += change.gpus;
+      memoryGb += change.memoryGb;
+      if (change.at > start) start = change.at;
     }
-    if (ok) return t;
+    const next = changes[i + 1];
+    if (next !== undefined && next.at <= start) continue;
+    free.cores = cores;
+    free.gpus = gpus;
+    free.memoryGb = memoryGb;
+    if (fitsUntil(need, free, changes, i + 1, start + duration)) return start;
   }
   return null;
 };
 
-export const negative = (at: Micros, n: Readonly<Amounts>): CapacityChange => ({
+/** The change by which planned work takes the amounts. */
+export const capacityTaken = (at: Micros, amounts: Readonly<Amounts>): CapacityChange => ({
   at,
-  cores: -n.cores,
-  gpus: -n.gpus,
-  memoryGb: -n.memoryGb,
+  cores: -amounts.cores,
+  gpus: -amounts.gpus,
+  memoryGb: -amounts.memoryGb,
 });
 
-/** Slots' amounts and changes are never altered in place: what is taken back is put back whole. */
-export const insert = (s: MachineSlot, ...added: readonly CapacityChange[]): void => {
-  const changes = s.changes.slice();
-  for (const c of added) {
+/**
+ * Adds changes to a slot, behind those of the same time. A slot's amounts and changes are never altered in place: a
+ * rollback puts the former ones back as they were.
+ */
+export const insertChanges = (slot: MachineSlot, ...added: readonly CapacityChange[]): void => {
+  const changes = slot.changes.slice();
+  for (const change of added) {
     let i = changes.length;
-    while (i > 0 && changes[i - 1]!.at > c.at) i--;
-    changes.splice(i, 0, c);
+    while (i > 0 && changes[i - 1]!.at > change.at) i--;
+    changes.splice(i, 0, change);
   }
-  s.changes = changes;
+  slot.changes = changes;
 };
 
-/** When the least need first fits, however briefly; the slot's own word if it never does. */
-export const firstFit = (s: MachineSlot, least: Amounts | null): Micros => {
-  if (least === null) return FOREVER;
-  let { cores, gpus, memoryGb } = s.free;
-  let t = s.readyAt;
+/** When the least need first fits, however briefly; `UNBOUNDED_RUN_TIME` if it never does, or if there is no need. */
+export const firstFit = (slot: MachineSlot, least: Amounts | null): Micros => {
+  if (least === null) return UNBOUNDED_RUN_TIME;
+  let { cores, gpus, memoryGb } = slot.free;
+  let at = slot.readyAt;
   for (let i = 0; ; i++) {
-    const c = s.changes[i];
+    const change = slot.changes[i];
     if (
-      (c === undefined || c.at > t) &&
-      least.cores <= cores + 1e-6 &&
-      least.gpus <= gpus + 1e-6 &&
-      least.memoryGb <= memoryGb + 1e-6
+      (change === undefined || change.at > at) &&
+      least.cores <= cores + AMOUNT_SLACK &&
+      least.gpus <= gpus + AMOUNT_SLACK &&
+      least.memoryGb <= memoryGb + AMOUNT_SLACK
     )
-      return t;
-    if (c === undefined) return FOREVER;
-    cores += c.cores;
-    gpus += c.gpus;
-    memoryGb += c.memoryGb;
-    if (c.at > t) t = c.at;
+      return at;
+    if (change === undefined) return UNBOUNDED_RUN_TIME;
+    cores += change.cores;
+    gpus += change.gpus;
+    memoryGb += change.memoryGb;
+    if (change.at > at) at = change.at;
   }
 };
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -1,11 +1,12 @@
 /**
- * Placement. The ordinary path scores each candidate first action by playing a bounded set of waiting
- * work out to completion under earliest predicted finish, and commits the first action only (paper,
- * 10.2-10.4). Past its budget it is earliest predicted finish, which is the same play-out without
- * alternatives for the first step. A search can be left between two of its steps and gone on with later.
+ * Placement. The ordinary path scores each candidate first action by rolling a bounded set of waiting work out to
+ * completion under earliest predicted finish, and commits the first action only (paper, 10.2-10.4). Past its budget it is
+ * earliest predicted finish, which is the same rollout without alternatives for the first step. A search can be suspended
+ * between two of its steps and resumed later.
  */
-import { beginsNow, firstOptions } from './initial-placement.js';
+import { canStartNow, firstOptions } from './initial-placement.js';
 import { placeBackfill } from './backfill.js';
+import { keepFreeCapacity, reservePools } from './free-capacity.js';
 import { placeGroup } from './group-placement.js';
 import {
   gpuKind,
@@ -15,46 +16,50 @@
   type PlanStep,
 } from './plan-input.js';
 import { isBetter, simulateCompletion, type Score } from './rollout.js';
-import { allBeginNow } from './uncontended-placement.js';
+import { allCanStartNow } from './uncontended-placement.js';
 import { PlacementSimulation } from './placement-simulation.js';
 import type { JobSpec } from '../domain/job.js';
-import type { Micros } from '../domain/time.js';
+import { MILLI, type Micros } from '../domain/time.js';
 import { spreadLimit } from '../domain/resources.js';
 
-/** After the budget, so much longer may go into placing what can't begin now: a plan has to end. */
-const PLACING: Micros = 80_000;
+/** Past the budget, so much longer may go into placing what can't begin now: a plan has to end. */
+const LATER_PLACEMENT_TIME: Micros = 80 * MILLI;
 
-/** And so much into what machines are to be rented for beyond the groups that are compared. */
-const RENTING: Micros = 40_000;
+/** And so much into starting work beyond the groups that are compared. */
+const BACKFILL_TIME: Micros = 2 * LATER_PLACEMENT_TIME;
 
+/** And so much into what machines are to be provisioned for beyond those groups. */
+const SCALE_OUT_TIME: Micros = 40 * MILLI;
+
+/** Bounds of a search. */
 export interface SearchLimits {
+  /** Processor time in which candidates are compared. */
   readonly budgetUs: Micros;
+  /** Groups whose first actions are compared. */
   readonly width: number;
+  /** Groups that a rollout places. */
   readonly depth: number;
+  /** Makespans that differ by no more than this count as equal. */
   readonly toleranceUs: Micros;
-  /** Where everything can begin now nothing is compared; for plans whose comparisons would go past the budget. */
+  /** Where everything can begin now nothing is compared; for plans whose comparisons would exceed the budget. */
   readonly skipWhenPlenty?: boolean;
 }
 
+/** The result of a search, and what it cost. */
 export interface Decision {
+  /** In the order in which they were decided. */
   readonly steps: readonly PlanStep[];
   readonly picture: ClusterSnapshot;
+  /** Number of candidates that were rolled out. */
   readonly searched: number;
+  /** The budget ran out while candidates were compared. */
   readonly fellBack: boolean;
-  /** Places looked at: what the plan cost, whatever the machine. */
+  /** Placements examined: what the plan cost, independent of the computer. */
   readonly looks: number;
   /** Groups placed behind those that were compared. */
   readonly overflow: number;
 }
 
-/** What of a job's room is kept in each of so many zones, so that it finds enough wherever it may go. */
-const shareOf = ({ spec, count }: TaskGroup, zones: number): number => {
-  if (spec.sameZone) return count;
-  return spec.spreadAcrossZones
-    ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
-    : Math.ceil(count / zones);
-};
-
 /** Work behind the groups that are compared. */
 export interface BackfillWork {
   /** One description of each kind of task in it. */
@@ -62,158 +67,181 @@
   readonly groups: Iterable<TaskGroup>;
 }
 
+/** No work behind the groups that are compared. */
 export const NO_BACKFILL: BackfillWork = { kinds: [], groups: [] };
 
+/** A group's first action. */
 interface Candidate {
   readonly group: TaskGroup;
   readonly option: PlacementOption;
 }
 
+/** How many of a group's tasks to keep capacity for in each of so many zones, so that it fits wherever it may go. */
+const tasksKeptPerZone = ({ spec, count }: TaskGroup, zones: number): number => {
+  if (spec.sameZone) return count;
+  return spec.spreadAcrossZones
+    ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
+    : Math.ceil(count / zones);
+};
+
+/** One search. It changes the snapshot until it is released. */
 export class PlacementSearch {
   /** Decided so far. */
   readonly steps: PlanStep[] = [];
   private readonly simulation: PlacementSimulation;
   private searched = 0;
   private fellBack = false;
-  private overflowPlaced = 0;
-  /** Groups that only hold room for later, by need of GPUs. */
-  private readonly held = [0, 0];
+  private backfilledGroups = 0;
+  /** Groups that only hold capacity for later, by need of GPUs. */
+  private readonly heldGroups: [number, number] = [0, 0];
 
-  /**
-   * `groups` come in the order of turns. `overflow` is more of the same order, placed only where it can begin now, and of
-   * no other kinds than its own.
-   * `elapsed` tells the processor time that the search has had so far.
-   */
   constructor(
-    private readonly picture: ClusterSnapshot,
+    private readonly snapshot: ClusterSnapshot,
+    /** In queue order. */
     private readonly groups: readonly TaskGroup[],
-    private readonly overflow: BackfillWork,
+    /** More of the same order, placed only where it can begin now, and of no other kinds than its own. */
+    private readonly backfill: BackfillWork,
     private readonly limits: SearchLimits,
+    /** Processor time that the search has had so far. */
     private readonly elapsed: () => Micros,
   ) {
-    this.simulation = new PlacementSimulation(picture, groups, overflow.kinds);
+    this.simulation = new PlacementSimulation(snapshot, groups, backfill.kinds);
   }
 
   /**
-   * Chooses first actions one after the other, each committed into the picture before the next is searched. Between two
-   * values that it yields the picture holds nothing but what was decided.
+   * Chooses first actions one after the other, each committed to the simulation before the next is searched. Whenever it
+   * yields, the simulation holds nothing but what was decided.
    */
   *run(): Generator<void> {
-    const real = this.groups.filter((g) => !g.hypothetical);
-    const kept = this.groups.filter((g) => g.kept === true);
-    const reserved = yield* this.settleReserved(real);
-    const left = real.filter((g) => !reserved.has(g));
-    if (kept.length === 0) yield* this.place(left);
-    else {
-      // What has to start at once comes before the room that is kept for more of it, all else after that.
-      const urgent = Math.min(...kept.map((g) => g.spec.priority));
-      yield* this.place(left.filter((g) => g.spec.priority >= urgent));
-      this.keepRoom(kept);
-      yield* this.place(left.filter((g) => g.spec.priority < urgent));
-    }
-    const overflow = placeBackfill(this.simulation, this.overflow.groups, {
-      forStarts: this.timeFor(2 * PLACING),
-      forRenting: this.timeFor(RENTING),
-    });
-    for (const steps of overflow) {
-      this.steps.push(...steps);
-      this.overflowPlaced++;
-      yield;
-    }
-    for (const phantom of this.groups)
-      if (phantom.hypothetical && phantom.kept !== true) placeGroup(this.simulation, phantom);
+    const real = this.groups.filter((group) => !group.hypothetical);
+    const reserved = yield* this.placeReserved(real);
+    yield* this.placeAroundKept(real.filter((group) => !reserved.has(group)));
+    yield* this.placeBackfill();
+    for (const group of this.groups)
+      if (group.hypothetical && group.kept !== true) placeGroup(this.simulation, group);
   }
 
+  /** The result so far. */
   decision(): Decision {
     return {
       steps: this.steps,
-      picture: this.picture,
+      picture: this.snapshot,
       searched: this.searched,
       fellBack: this.fellBack,
-      looks: this.simulation.looks,
-      overflow: this.overflowPlaced,
+      looks: this.simulation.placementsExamined,
+      overflow: this.backfilledGroups,
     };
   }
 
-  /** Takes everything out of the picture again, whose slots may then serve another plan. */
+  /** Takes everything out of the snapshot again, whose slots may then serve another plan. */
   release(): void {
     this.simulation.rollback(0);
   }
 
-  /** Whether the search may still take its time, so much past its budget. */
-  private timeFor(beyondBudget: Micros): () => boolean {
-    return () => this.elapsed() <= this.limits.budgetUs + beyondBudget;
+  /** Whether there is time left, so much past the budget. */
+  private hasTime(beyondBudget: Micros): boolean {
+    return this.elapsed() <= this.limits.budgetUs + beyondBudget;
   }
 
-  private settle(group: TaskGroup, first: PlacementOption | null): void {
-    const made = placeGroup(this.simulation, group, first);
-    if (made !== null) this.steps.push(...made);
+  private commit(group: TaskGroup, first: PlacementOption | null): void {
+    const steps = placeGroup(this.simulation, group, first);
+    if (steps !== null) this.steps.push(...steps);
   }
 
   /**
-   * What can't begin now, nor have machines rented for it, only holds room for later: of that as many are
-   * placed as a candidate is played out with, in the order of turns. The others wait for the next plan.
+   * Whether a group that can't begin now is left to the next plan. What machines can't be provisioned for either only holds
+   * capacity for later: of that as many groups are placed as a rollout places, in queue order.
    */
-  private tooLate(group: TaskGroup): boolean {
+  private isDeferred(group: TaskGroup): boolean {
     const kind = gpuKind(group.spec);
-    if (this.held[kind]! >= this.limits.depth && !this.simulation.mayRent(group)) return true;
-    this.held[kind]!++;
-    return this.elapsed() > this.limits.budgetUs + PLACING;
+    if (this.heldGroups[kind] >= this.limits.depth && !this.simulation.options.canScaleOut(group))
+      return true;
+    this.heldGroups[kind]++;
+    return !this.hasTime(LATER_PLACEMENT_TIME);
   }
 
   /**
-   * Else the first actions of others, which are all that is compared later, would take the room that is being made for
-   * these, a task at a time, for ever.
+   * Places the groups that capacity is reserved for and that can't begin now; returns them. Else the first actions of
+   * others, which are all that is compared later, would take the capacity that is being freed for these, a task at a time,
+   * for ever.
    */
-  private *settleReserved(groups: readonly TaskGroup[]): Generator<void, ReadonlySet<TaskGroup>> {
-    const settled = new Set<TaskGroup>();
+  private *placeReserved(groups: readonly TaskGroup[]): Generator<void, ReadonlySet<TaskGroup>> {
+    const placed = new Set<TaskGroup>();
     for (const group of groups) {
-      if (!group.reserve || beginsNow(this.simulation, group)) continue;
-      // Else each place that becomes free would go to smaller work of lower priority, for as long as more
-      // waits above it than one plan looks at: on a full-size day 40 gangs waited so behind arrays.
-      if (this.tooLate(group)) this.simulation.keepFor(group);
-      else this.settle(group, null);
-      settled.add(group);
+      if (!group.reserve || canStartNow(this.simulation, group)) continue;
+      // Else each machine that becomes free would go to smaller work of lower priority, for as long as more
+      // waits above it than one plan considers: on a full-size day 40 gangs waited so behind arrays.
+      if (this.isDeferred(group)) reservePools(this.simulation, group);
+      else this.commit(group, null);
+      placed.add(group);
       yield;
     }
-    return settled;
+    return placed;
+  }
+
+  /** Places groups with regard to those that free capacity is kept for. */
+  private *placeAroundKept(groups: readonly TaskGroup[]): Generator<void> {
+    const kept = this.groups.filter((group) => group.kept === true);
+    if (kept.length === 0) {
+      yield* this.place(groups);
+      return;
+    }
+    // What has to start at once comes before the capacity that is kept for more of it, all else after that.
+    const urgent = Math.min(...kept.map((group) => group.spec.priority));
+    yield* this.place(groups.filter((group) => group.spec.priority >= urgent));
+    this.keepCapacity(kept);
+    yield* this.place(groups.filter((group) => group.spec.priority < urgent));
   }
 
-  private keepRoom(kept: readonly TaskGroup[]): void {
+  private keepCapacity(kept: readonly TaskGroup[]): void {
     const { zones } = this.simulation;
     for (const group of kept)
-      for (const zone of zones) this.simulation.keepRoom(group, zone, shareOf(group, zones.length));
+      for (const zone of zones)
+        keepFreeCapacity(this.simulation, group, zone, tasksKeptPerZone(group, zones.length));
+  }
+
+  private *placeBackfill(): Generator<void> {
+    const groups = placeBackfill(this.simulation, this.backfill.groups, {
+      hasTimeForStarts: () => this.hasTime(BACKFILL_TIME),
+      hasTimeForScaleOut: () => this.hasTime(SCALE_OUT_TIME),
+    });
+    for (const steps of groups) {
+      this.steps.push(...steps);
+      this.backfilledGroups++;
+      yield;
+    }
   }
 
+  /** Chooses and commits first actions while there is a choice; then places what is left in order. */
   private *place(groups: readonly TaskGroup[]): Generator<void> {
-    const compares = this.limits.skipWhenPlenty !== true || !allBeginNow(this.simulation, groups);
+    const compares = this.limits.skipWhenPlenty !== true || !allCanStartNow(this.simulation, groups);
     let left = groups;
     while (compares && left.length > 0) {
       const represented = left.slice(0, this.limits.depth);
       const candidates = this.candidates(represented);
-      // Nothing can begin now: there is no first action to choose, only what to wait for and to rent.
+      // Nothing can begin now: there is no first action to choose, only what to wait for and to provision.
       if (candidates.length === 0) break;
       const chosen = yield* this.choose(represented, candidates);
       if (this.fellBack) break;
-      const group = chosen?.group ?? left[0]!;
-      this.settle(group, chosen?.option ?? null);
-      left = left.filter((g) => g !== group);
+      const chosenGroup = chosen?.group ?? left[0]!;
+      this.commit(chosenGroup, chosen?.option ?? null);
+      left = left.filter((group) => group !== chosenGroup);
       yield;
     }
     for (const group of left) {
-      if (beginsNow(this.simulation, group) || !this.tooLate(group)) this.settle(group, null);
+      if (canStartNow(this.simulation, group) || !this.isDeferred(group)) this.commit(group, null);
       yield;
     }
   }
 
   private candidates(represented: readonly TaskGroup[]): Candidate[] {
     const candidates: Candidate[] = [];
-    let listed = 0;
+    let groupsWithOptions = 0;
     for (const group of represented) {
       const options = firstOptions(this.simulation, group);
       for (const option of options) candidates.push({ group, option });
-      if (options.length > 0) listed++;
-      if (listed >= this.limits.width) break;
+      if (options.length > 0) groupsWithOptions++;
+      if (groupsWithOptions >= this.limits.width) break;
     }
     return candidates;
   }
@@ -223,11 +251,12 @@
     represented: readonly TaskGroup[],
     candidates: readonly Candidate[],
   ): Generator<void, Candidate | null> {
-    if (represented.length === 1) return candidates.reduce((x, y) => (y.option.rank < x.option.rank ? y : x));
+    if (represented.length === 1)
+      return candidates.reduce((one, other) => (other.option.rank < one.option.rank ? other : one));
     if (candidates.length === 1) return null;
     let best: { candidate: Candidate; score: Score } | null = null;
     for (const candidate of candidates) {
-      if (this.elapsed() > this.limits.budgetUs) {
+      if (!this.hasTime(0)) {
         this.fellBack = true;
         return null;
       }
@@ -239,13 +268,14 @@
     return best?.candidate ?? null;
   }
 
+  /** Rolls the others out behind the candidate; null if that can't be placed. Leaves no trace. */
   private score({ group, option }: Candidate, represented: readonly TaskGroup[]): Score | null {
     const mark = this.simulation.mark();
     const opening = placeGroup(this.simulation, group, option);
     let score: Score | null = null;
     if (opening !== null) {
       this.searched++;
-      const others = represented.filter((g) => g !== group);
+      const others = represented.filter((other) => other !== group);
       score = simulateCompletion(this.simulation, others, opening);
     }
     this.simulation.rollback(mark);
@@ -253,16 +283,16 @@
   }
 }
 
-/** A search in one go. The picture is changed. */
+/** Runs a search in one go. The snapshot is changed. */
 export const search = (
-  picture: ClusterSnapshot,
+  snapshot: ClusterSnapshot,
   groups: readonly TaskGroup[],
   limits: SearchLimits,
   stopwatch: () => Micros,
-  overflow: BackfillWork = NO_BACKFILL,
+  backfill: BackfillWork = NO_BACKFILL,
 ): Decision => {
-  const began = stopwatch();
-  const run = new PlacementSearch(picture, groups, overflow, limits, () => stopwatch() - began);
+  const startedAt = stopwatch();
+  const run = new PlacementSearch(snapshot, groups, backfill, limits, () => stopwatch() - startedAt);
   for (const pause of run.run()) void pause;
   return run.decision();
 };
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -1,104 +1,151 @@
-/** The picture that a plan works on, made of the machines as they are and what is predicted of them. */
+/** Builds the snapshot that a plan works on, from the machines as they are and what is predicted of them. */
 import type { ClusterSnapshot, CapacityOffer } from './plan-input.js';
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
-import type { Machine } from '../cluster/cluster-model.js';
+import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 
-/** How long a machine's slot is kept in the picture while nothing changes there. */
-const PICTURE_FRESH = 2_500 * MILLI;
+/** How long a machine's slot is cached while nothing changes there. */
+const SLOT_CACHE_TIME: Micros = 2_500 * MILLI;
 
+/** A cached slot is used only if nothing on it is predicted to change sooner than this. */
+const MIN_TIME_TO_CHANGE: Micros = 100 * MILLI;
+
+/** A machine that is overdue boots for at least this longer, or for that share of its time so far. */
+const MIN_BOOT_TIME_LEFT: Micros = 2 * SECOND;
+const OVERDUE_BOOT_SHARE = 0.2;
+
+/** From the end of a stopped task's grace until its capacity is free. */
+const STOP_OVERHEAD: Micros = SECOND;
+
+const isBooting = (machine: Machine): boolean =>
+  !machine.up &&
+  machine.retirementReason === null &&
+  !machine.awaitingReconciliation &&
+  machine.agentEpoch === 0;
+
+/** Makes snapshots, and caches the slots in them from one to the next. */
 export class SnapshotBuilder {
-  private readonly ctx: NodeContext;
+  private readonly context: NodeContext;
 
-  constructor(private readonly estate: ClusterState) {
-    this.ctx = estate.ctx;
+  constructor(private readonly cluster: ClusterState) {
+    this.context = cluster.ctx;
   }
 
-  /**
-   * Kept from plan to plan while nothing changes on the machine, for as long as predictions stay fresh. A plan takes
-   * back what it changed in it.
-   */
-  private slotOf(m: Machine, type: MachineType, thrifty: boolean): MachineSlot | null {
-    const booting = !m.up && m.retirementReason === null && !m.awaitingReconciliation && m.agentEpoch === 0;
-    if (!booting && !m.isUsable()) return null;
-    const { now } = this.ctx;
-    const kept = m.cachedSlot;
-    if (
-      !booting &&
-      kept !== null &&
-      kept.changes === m.revision &&
-      now - kept.at < PICTURE_FRESH &&
-      kept.slot.type === type &&
-      (kept.slot.changes[0]?.at ?? Infinity) > now + 100 * MILLI
-    ) {
-      const sunk = m.preprovisioned || !thrifty;
-      if (sunk !== kept.slot.sunkCost) delete kept.slot.equivalenceKey;
-      kept.slot.sunkCost = sunk;
-      kept.slot.readyAt = now;
-      return kept.slot;
+  /** A snapshot of all machines that work may be placed on. */
+  picture(offers: readonly CapacityOffer[], recurringSpecs: readonly JobSpec[]): ClusterSnapshot {
+    const slots: MachineSlot[] = [];
+    const costSensitive = this.cluster.isCostSensitive();
+    const { now, types } = this.context;
+    for (const machine of this.cluster.machines.values()) {
+      const type = types.get(machine.type);
+      const slot = type === undefined ? null : this.slotOf(machine, type, costSensitive);
+      if (slot !== null) slots.push(slot);
     }
-    const slot = this.makeSlot(m, type, thrifty, booting);
-    if (!booting) m.cachedSlot = { changes: m.revision, at: now, slot };
+    return {
+      now,
+      slots,
+      types: [...types.values()],
+      offers,
+      recurringSpecs,
+      rented: new Map(),
+      predictor: {
+        runTime: (spec, type, checkpointedProgress) =>
+          this.cluster.runtimeEstimates.remaining(
+            spec.class,
+            type.name,
+            spec.estimatedRunUs,
+            checkpointedProgress,
+          ),
+      },
+    };
+  }
+
+  /** The machine's slot; null if nothing may be placed on it. A plan takes back what it changed in a cached one. */
+  private slotOf(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot | null {
+    // What is predicted of a booting machine moves on with the time.
+    if (isBooting(machine))
+      return this.makeSlot(machine, type, costSensitive, this.bootsUntil(machine, type));
+    if (!machine.isUsable()) return null;
+    return (
+      this.refreshCachedSlot(machine, type, costSensitive) ??
+      this.makeCachedSlot(machine, type, costSensitive)
+    );
+  }
+
+  /** The cached slot while nothing changes on the machine, for as long as predictions stay fresh; else null. */
+  private refreshCachedSlot(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot | null {
+    const { now } = this.context;
+    const cached = machine.cachedSlot;
+    if (
+      cached === null ||
+      cached.changes !== machine.revision ||
+      now - cached.at >= SLOT_CACHE_TIME ||
+      cached.slot.type !== type ||
+      (cached.slot.changes[0]?.at ?? Infinity) <= now + MIN_TIME_TO_CHANGE
+    )
+      return null;
+    const { slot } = cached;
+    const sunkCost = machine.preprovisioned || !costSensitive;
+    if (sunkCost !== slot.sunkCost) delete slot.equivalenceKey;
+    slot.sunkCost = sunkCost;
+    slot.readyAt = now;
+    return slot;
+  }
+
+  private makeCachedSlot(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot {
+    const { now } = this.context;
+    const slot = this.makeSlot(machine, type, costSensitive, now);
+    machine.cachedSlot = { changes: machine.revision, at: now, slot };
     return slot;
   }
 
-  private makeSlot(m: Machine, type: MachineType, thrifty: boolean, booting: boolean): MachineSlot {
-    const { now } = this.ctx;
-    const images = new Set(m.cachedImages.keys());
+  private bootsUntil(machine: Machine, type: MachineType): Micros {
+    const { now } = this.context;
+    const due = machine.provisionedAt + type.bootUs;
+    const overdue = OVERDUE_BOOT_SHARE * (now - machine.provisionedAt);
+    return Math.max(due, now + Math.max(MIN_BOOT_TIME_LEFT, overdue));
+  }
+
+  private makeSlot(
+    machine: Machine,
+    type: MachineType,
+    costSensitive: boolean,
+    readyAt: Micros,
+  ): MachineSlot {
+    const { now } = this.context;
+    const images = new Set(machine.cachedImages.keys());
     const changes: CapacityChange[] = [];
-    for (const a of m.attempts.values()) {
-      images.add(a.job.spec.image);
-      const left =
-        a.stopping !== null
-          ? a.stopping.graceUs + SECOND
-          : this.estate.remainingRunTime(a) +
-            (a.runningAt === null && type.imagePullGbPerS > 0 && !m.cachedImages.has(a.job.spec.image)
-              ? (a.job.spec.imageGb / type.imagePullGbPerS) * SECOND
-              : 0);
-      const { cores, gpus, memoryGb } = a.job.spec;
-      changes.push({ at: now + left, cores, gpus, memoryGb });
+    for (const attempt of machine.attempts.values()) {
+      const { image, cores, gpus, memoryGb } = attempt.job.spec;
+      images.add(image);
+      changes.push({ at: now + this.timeLeft(attempt, machine, type), cores, gpus, memoryGb });
     }
-    changes.sort((x, y) => x.at - y.at);
-    const due = m.provisionedAt + type.bootUs;
-    const ready = booting ? Math.max(due, now + Math.max(2 * SECOND, 0.2 * (now - m.provisionedAt))) : now;
+    changes.sort((one, other) => one.at - other.at);
     return {
-      key: m.name,
+      key: machine.name,
       type,
-      zone: m.zone,
-      spot: m.spot,
-      sunkCost: m.preprovisioned || !thrifty,
-      machine: m.name,
-      readyAt: ready,
-      free: m.freeOf(type),
+      zone: machine.zone,
+      spot: machine.spot,
+      sunkCost: machine.preprovisioned || !costSensitive,
+      machine: machine.name,
+      readyAt,
+      free: machine.freeOf(type),
       changes,
       images,
       used: false,
     };
   }
 
-  picture(rentable: readonly CapacityOffer[], kinds: readonly JobSpec[]): ClusterSnapshot {
-    const slots: MachineSlot[] = [];
-    const thrifty = this.estate.isCostSensitive();
-    for (const m of this.estate.machines.values()) {
-      const type = this.ctx.types.get(m.type);
-      const slot = type === undefined ? null : this.slotOf(m, type, thrifty);
-      if (slot !== null) slots.push(slot);
-    }
-    return {
-      now: this.ctx.now,
-      slots,
-      types: [...this.ctx.types.values()],
-      rentable,
-      kinds,
-      rented: new Map(),
-      predictor: {
-        runTime: (spec, type, credit) =>
-          this.estate.runtimeEstimates.remaining(spec.class, type.name, spec.estimatedRunUs, credit),
-      },
-    };
+  /** Predicted time until the attempt's capacity is free. */
+  private timeLeft(attempt: TaskAttempt, machine: Machine, type: MachineType): Micros {
+    if (attempt.stopping !== null) return attempt.stopping.graceUs + STOP_OVERHEAD;
+    const { image, imageGb } = attempt.job.spec;
+    const pulls = attempt.runningAt === null && type.imagePullGbPerS > 0 && !machine.cachedImages.has(image);
+    const pullTime = pulls ? (imageGb / type.imagePullGbPerS) * SECOND : 0;
+    return this.cluster.remainingRunTime(attempt) + pullTime;
   }
 }
--- a/packages/core/src/scheduling/uncontended-placement.ts
+++ b/packages/core/src/scheduling/uncontended-placement.ts
@@ -1,13 +1,14 @@
-/** Whether there is so much room that it does not matter in which order waiting work is placed. */
-import { beginsNow } from './initial-placement.js';
+/** Whether there is so much free capacity that the order in which waiting work is placed doesn't matter. */
+import { freeNow } from './free-capacity.js';
+import { canStartNow } from './initial-placement.js';
 import type { TaskGroup } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 import type { Amounts } from '../domain/resources.js';
 
-/** Room must be so many times what is asked for: what is left between tasks of different sizes is of no use. */
+/** Free capacity must be so many times the demand: what is left between tasks of different sizes is of no use. */
 const MARGIN = 2;
 
-const demandOf = (groups: readonly TaskGroup[]): Amounts => {
+const totalDemand = (groups: readonly TaskGroup[]): Amounts => {
   const demand = { cores: 0, gpus: 0, memoryGb: 0 };
   for (const { spec, count } of groups) {
     demand.cores += spec.cores * count;
@@ -17,22 +18,22 @@
   return demand;
 };
 
-const covers = (room: Readonly<Amounts>, demand: Readonly<Amounts>): boolean =>
-  room.cores >= MARGIN * demand.cores &&
-  room.gpus >= MARGIN * demand.gpus &&
-  room.memoryGb >= MARGIN * demand.memoryGb;
+const covers = (free: Readonly<Amounts>, demand: Readonly<Amounts>): boolean =>
+  free.cores >= MARGIN * demand.cores &&
+  free.gpus >= MARGIN * demand.gpus &&
+  free.memoryGb >= MARGIN * demand.memoryGb;
 
 /** Machines that a group may use, as text: groups with the same text share all of them. */
-const reachOf = ({ spec }: TaskGroup): string =>
+const constraintKey = ({ spec }: TaskGroup): string =>
   `${spec.machineTypes?.join('+') ?? '*'}|${spec.zone ?? '*'}|${spec.spot}`;
 
 /**
- * True only if all groups can begin now together: where each of them may go there is free room for several times what
- * all of them need. False says nothing.
+ * True only if all groups can begin now together: where each of them may go there is free capacity for several times what
+ * all of them need. False means that it isn't known.
  */
-export const allBeginNow = (simulation: PlacementSimulation, groups: readonly TaskGroup[]): boolean => {
-  const demand = demandOf(groups);
-  const reaches = new Map(groups.map((group) => [reachOf(group), group]));
-  for (const group of reaches.values()) if (!covers(simulation.freeNow(group), demand)) return false;
-  return groups.every((group) => group.allowedMachines === null && beginsNow(simulation, group));
+export const allCanStartNow = (simulation: PlacementSimulation, groups: readonly TaskGroup[]): boolean => {
+  const demand = totalDemand(groups);
+  const byConstraints = new Map(groups.map((group) => [constraintKey(group), group]));
+  for (const group of byConstraints.values()) if (!covers(freeNow(simulation, group), demand)) return false;
+  return groups.every((group) => group.allowedMachines === null && canStartNow(simulation, group));
 };
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -49,11 +49,11 @@
 export const pictureOf = (
   slots: MachineSlot[],
   run: Record<string, number>,
-  rentable: CapacityOffer[] = [],
+  offers: CapacityOffer[] = [],
 ): ClusterSnapshot => ({
   now: 0,
   slots,
-  rentable,
+  offers,
   rented: new Map(),
   types: slots.map((s) => s.type),
   predictor: { runTime: (_spec, type) => (run[type.name] ?? 10) * SECOND },
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -191,7 +191,7 @@
   b.rollback(mark);
   assert.equal(JSON.stringify(picture.slots), before);
   assert.equal(picture.rented.size, 0);
-  const looks = b.looks;
+  const looks = b.placementsExamined;
   assert.ok(looks < 40 * 300, `${looks} looks`);
   // In the order of floors and with bounds it finds what looking everywhere finds.
   for (const g of groups.slice(0, 10)) {
@@ -203,7 +203,7 @@
       const one = pictureOf(
         slots.filter((s) => zone === null || s.zone === zone).map((s) => ({ ...s })),
         { cpu: 30 },
-        picture.rentable.filter((r) => zone === null || r.zone === zone),
+        picture.offers.filter((r) => zone === null || r.zone === zone),
       );
       const steps = placeGroup(new PlacementSimulation(one, [g]), {
         ...g,
@@ -253,7 +253,12 @@
   const gang = (id: string, tasks: number): ActiveJob =>
     new ActiveJob(specOf(id, { shape: 'gang', tasks, cores: 3, sameZone: true }), 1, 0, 0);
   const rights = { teams: [], usage: new Map(), isGuaranteed: () => false };
-  const c = new PreemptionCandidates(machines, types, rights, (a) => 100 * SECOND - a.runningAt! >= 35 * SECOND);
+  const c = new PreemptionCandidates(
+    machines,
+    types,
+    rights,
+    (a) => 100 * SECOND - a.runningAt! >= 35 * SECOND,
+  );
   assert.equal(c.take(gang('run-1', 9), 9), null);
   const first = c.take(gang('run-2', 2), 2)!;
   const second = c.take(gang('run-3', 2), 2)!;
@@ -273,7 +278,7 @@
   });
   const empty = slotOf('empty', type, { sunkCost: false });
   const other = slotOf('other', type, { sunkCost: false });
-  const p = { ...pictureOf([empty, beside, other], { node: 20 }), kinds: [big] };
+  const p = { ...pictureOf([empty, beside, other], { node: 20 }), recurringSpecs: [big] };
   const small = groupOf(specOf('run-1', { tasks: 6, cores: 1 }), { allowedDelay: 30 * SECOND });
   const d = search(p, [small], limits, still);
   const at = new Map<string, number>();
