--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,5 +1,6 @@
-/** Small pictures for tests of plans: machines, groups of waiting tasks, and what tasks are predicted to take. */
+/** Small clusters for tests of plans: machines, groups of waiting tasks, and predicted run times. */
 import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
+import type { SearchLimits } from '@shaleyoke/core/scheduling/placement-search';
 import type { ActiveJob, TaskAttempt, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { attemptKey } from '@shaleyoke/core/cluster/task-attempt';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
@@ -8,13 +9,25 @@
 import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { TYPE } from '@shaleyoke/emulator/site';
 
-export const typeOf = (name: string, more: Partial<MachineType> = {}): MachineType => ({
+/** Limits that a search of a test never reaches. */
+export const SEARCH_LIMITS: SearchLimits = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
+
+/** A stopwatch for searches that take no time. */
+export const stoppedClock = (): number => 0;
+
+/** A machine type like the emulator's, with differences. */
+export const typeOf = (name: string, overrides: Partial<MachineType> = {}): MachineType => ({
   ...TYPE,
   name,
-  ...more,
+  ...overrides,
 });
 
-export const slotOf = (key: string, type: MachineType, more: Partial<MachineSlot> = {}): MachineSlot => ({
+/** An empty machine that is up, with differences. */
+export const slotOf = (
+  key: string,
+  type: MachineType,
+  overrides: Partial<MachineSlot> = {},
+): MachineSlot => ({
   key,
   type,
   zone: 'a',
@@ -26,10 +39,11 @@
   changes: [],
   images: new Set(),
   used: false,
-  ...more,
+  ...overrides,
 });
 
-export const groupOf = (spec: JobSpec, more: Partial<TaskGroup> = {}): TaskGroup => ({
+/** All tasks of a job as one group, with differences. */
+export const groupOf = (spec: JobSpec, overrides: Partial<TaskGroup> = {}): TaskGroup => ({
   spec,
   count: spec.tasks,
   zones: new Map(),
@@ -42,25 +56,30 @@
   hypothetical: false,
   runTimes: new Map(),
   costPenalties: new Map(),
-  ...more,
+  ...overrides,
 });
 
-/** Run times by machine type, in seconds. */
-export const pictureOf = (
+/** A snapshot at time 0; `runSeconds` are run times by machine type, 10 where there is none. */
+export const snapshotOf = (
   slots: MachineSlot[],
-  run: Record<string, number>,
+  runSeconds: Record<string, number>,
   offers: CapacityOffer[] = [],
 ): ClusterSnapshot => ({
   now: 0,
   slots,
   offers,
   rented: new Map(),
-  types: slots.map((s) => s.type),
-  predictor: { runTime: (_spec, type) => (run[type.name] ?? 10) * SECOND },
+  types: slots.map((slot) => slot.type),
+  predictor: { runTime: (_spec, type) => (runSeconds[type.name] ?? 10) * SECOND },
 });
 
-/** A task of the job runs on the machine from now on. */
-export const runTask = (job: ActiveJob, index: number, machine: Machine, proven = true): void => {
+/** Puts a running attempt of the job's task on the machine. */
+export const runTask = (
+  job: ActiveJob,
+  index: number,
+  machine: Machine,
+  overrides: Partial<Pick<TaskAttempt, 'confirmed' | 'runningAt'>> = {},
+): void => {
   const attempt: TaskAttempt = {
     job,
     index,
@@ -72,8 +91,9 @@
     commandedAt: 0,
     runningAt: 0,
     startTimeKnown: true,
-    confirmed: proven,
+    confirmed: true,
     stopping: null,
+    ...overrides,
   };
   job.liveAttempts.set(index, attempt);
   machine.attempts.set(attemptKey(job.id, index), attempt);
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -1,4 +1,4 @@
-/** What is kept up as machines change equals a full count, in generated histories. */
+/** Incrementally updated sums over machines equal a full count, in generated histories. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec, Priority } from '@shaleyoke/core/domain/job';
@@ -22,30 +22,39 @@
 const TEAMS = ['a', 'b', 'c'];
 const PROBES = TEAMS.map((team) => specOf(`probe-${team}`, { team, cores: 0.1, gpus: 0.5 }));
 
-/** All machines and attempts, one after the other, as plans once did. */
-const fullCount = (
-  machines: Iterable<Machine>,
-): { usage: QuotaUsage; use: Map<string, number>; lowest: number } => {
+interface FullCount {
+  readonly usage: QuotaUsage;
+  readonly coresByTeam: ReadonlyMap<string, number>;
+  readonly lowestPriority: number;
+}
+
+const countCores = (machines: Iterable<Machine>): Map<string, number> => {
+  const cores = new Map<string, number>();
+  for (const machine of machines)
+    for (const { job } of machine.attempts.values())
+      cores.set(job.spec.team, (cores.get(job.spec.team) ?? 0) + job.spec.cores);
+  return cores;
+};
+
+/** Goes through all machines and attempts, one after the other. */
+const countAll = (machines: readonly Machine[]): FullCount => {
   const usage = new QuotaUsage();
-  const use = new Map<string, number>();
-  let lowest = 3;
+  let lowestPriority = 3;
   for (const machine of machines) {
-    let unproven = false;
-    for (const { job, confirmed: proven } of machine.attempts.values()) {
-      const { team, cores } = job.spec;
-      use.set(team, (use.get(team) ?? 0) + cores);
-      lowest = Math.min(lowest, job.priority);
-      if (proven) usage.add(job.spec, 1);
-      else unproven = true;
+    let anyUnconfirmed = false;
+    for (const { job, confirmed } of machine.attempts.values()) {
+      lowestPriority = Math.min(lowestPriority, job.priority);
+      if (confirmed) usage.add(job.spec, 1);
+      else anyUnconfirmed = true;
     }
-    if (machine.awaitingReconciliation || machine.unknownTaskCount > 0 || unproven)
+    if (machine.awaitingReconciliation || machine.unknownTaskCount > 0 || anyUnconfirmed)
       usage.addUnverified(TYPES.get(machine.type) ?? null, machine);
   }
-  return { usage, use, lowest };
+  return { usage, coresByTeam: countCores(machines), lowestPriority };
 };
 
-/** Room by kind of work, from each machine by itself. */
-const fullRoom = (
+/** Capacity by kind of work, from each machine by itself. */
+const countCapacity = (
   machines: Iterable<Machine>,
   gpu: boolean,
   priority: number,
@@ -72,39 +81,48 @@
   return { total, free };
 };
 
-const near = (actual: number, expected: number, what: string): void => {
-  assert.ok(Math.abs(actual - expected) < 1e-6, `${what}: ${actual}, counted ${expected}`);
+const assertClose = (actual: number, expected: number, label: string): void => {
+  assert.ok(Math.abs(actual - expected) < 1e-6, `${label}: ${actual}, counted ${expected}`);
 };
 
-const compare = (totals: UsageTotals, machines: ReadonlyMap<string, Machine>, what: string): void => {
-  const counted = fullCount(machines.values());
+const assertEqualsFullCount = (
+  totals: UsageTotals,
+  registry: ReadonlyMap<string, Machine>,
+  label: string,
+): void => {
+  const machines = [...registry.values()];
+  const counted = countAll(machines);
   const usage = totals.usage();
   const limit = { name: 't', guaranteedCores: 0, guaranteedGpus: 0, maxCores: 60, maxGpus: 30 };
   for (const probe of PROBES)
     assert.equal(
       usage.room(probe, limit),
       counted.usage.room(probe, limit),
-      `${what}: room of ${probe.team}`,
+      `${label}: tasks allowed to ${probe.team}`,
     );
-  const use = totals.teamUsage();
+  const teamUsage = totals.teamUsage();
   for (const team of TEAMS)
-    near(use.get(team)?.cores ?? 0, counted.use.get(team) ?? 0, `${what}: cores of ${team}`);
-  assert.equal(totals.lowestRunning(), counted.lowest, `${what}: lowest running`);
+    assertClose(
+      teamUsage.get(team)?.cores ?? 0,
+      counted.coresByTeam.get(team) ?? 0,
+      `${label}: cores of ${team}`,
+    );
+  assert.equal(totals.lowestRunning(), counted.lowestPriority, `${label}: lowest running`);
   assert.equal(
     totals.anyPreprovisioned,
-    [...machines.values()].some((m) => m.preprovisioned),
-    `${what}: standing`,
+    machines.some((machine) => machine.preprovisioned),
+    `${label}: any pre-provisioned`,
   );
   for (const gpu of [false, true])
     for (const priority of [0, 1, 2, 3] as const) {
-      const kept = totals.capacityFor(gpu, priority, 2);
-      const full = fullRoom(machines.values(), gpu, priority, 2);
-      near(kept.total, full.total, `${what}: total of priority ${priority}`);
-      near(kept.free, full.free, `${what}: free for priority ${priority}`);
+      const actual = totals.capacityFor(gpu, priority, 2);
+      const expected = countCapacity(machines, gpu, priority, 2);
+      assertClose(actual.total, expected.total, `${label}: total of priority ${priority}`);
+      assertClose(actual.free, expected.free, `${label}: free for priority ${priority}`);
     }
 };
 
-test('sums over machines equal a full count, whatever changes', () => {
+test('sums over machines equal a full count, whichever changes come in between', () => {
   for (let seed = 1; seed <= 20; seed++) {
     const random = new Random(seed);
     const machines = new MachineRegistry();
@@ -119,12 +137,13 @@
       };
       return new ActiveJob(specOf(`run-${i}`, spec), 1, 0, 0);
     });
-    const any = (): Machine | undefined => [...machines.values()][random.below(Math.max(1, machines.size))];
-    const begin = (machine: Machine): void => {
+    const anyMachine = (): Machine | undefined =>
+      [...machines.values()][random.below(Math.max(1, machines.size))];
+    const startTask = (machine: Machine): void => {
       const job = jobs[random.below(jobs.length)]!;
-      runTask(job, random.below(1_000), machine, random.chance(0.8));
+      runTask(job, random.below(1_000), machine, { confirmed: random.chance(0.8) });
     };
-    const end = (machine: Machine): void => {
+    const endTask = (machine: Machine): void => {
       const first = [...machine.attempts][0];
       if (first === undefined) return;
       machine.attempts.delete(first[0]);
@@ -132,63 +151,61 @@
       machine.markChanged();
     };
     const changes: ((machine: Machine) => void)[] = [
-      begin,
-      begin,
-      end,
-      (m) => (m.up = !m.up),
-      (m) => (m.awaitingReconciliation = random.chance(0.3)),
-      (m) => (m.unknownTaskCount = random.below(2)),
-      (m) => (m.preprovisioned = random.chance(0.5)),
-      (m) => (m.retirementReason = random.chance(0.2) ? 'idle' : null),
+      startTask,
+      startTask,
+      endTask,
+      (machine) => (machine.up = !machine.up),
+      (machine) => (machine.awaitingReconciliation = random.chance(0.3)),
+      (machine) => (machine.unknownTaskCount = random.below(2)),
+      (machine) => (machine.preprovisioned = random.chance(0.5)),
+      (machine) => (machine.retirementReason = random.chance(0.2) ? 'idle' : null),
       () => (jobs[random.below(jobs.length)]!.priority = random.below(4) as Priority),
-      (m) => {
-        for (const attempt of m.attempts.values()) attempt.confirmed = true;
-        m.notifyObserver();
+      (machine) => {
+        for (const attempt of machine.attempts.values()) attempt.confirmed = true;
+        machine.notifyObserver();
       },
-      (m) => machines.delete(m.name),
+      (machine) => machines.delete(machine.name),
     ];
     for (let step = 0; step < 200; step++) {
       if (machines.size < 6 && random.chance(0.5)) {
         const name = `m-${random.below(12)}`;
         machines.set(name, new Machine(name, '', random.chance(0.5) ? 'box' : 'gpu', 'a', false, 0));
       }
-      const machine = any();
+      const machine = anyMachine();
       if (machine !== undefined) changes[random.below(changes.length)]!(machine);
-      if (random.chance(0.4)) compare(totals, machines, `seed ${seed}, step ${step}`);
+      if (random.chance(0.4)) assertEqualsFullCount(totals, machines, `seed ${seed}, step ${step}`);
     }
-    compare(totals, machines, `seed ${seed}, at the end`);
+    assertEqualsFullCount(totals, machines, `seed ${seed}, at the end`);
   }
 });
 
-/** Compares what the leader of a world keeps up with what it has. */
-const compareLeader = (world: ClusterSimulation): boolean => {
-  const core = world.nodes[world.leader()]?.core;
-  const estate = core?.scheduler?.term.cluster;
-  if (estate === undefined) return false;
-  const use = new Map<string, number>();
-  for (const machine of estate.machines.values())
-    for (const { job } of machine.attempts.values())
-      use.set(job.spec.team, (use.get(job.spec.team) ?? 0) + job.spec.cores);
-  near(estate.usageTotals.teamUsage().get('t')?.cores ?? 0, use.get('t') ?? 0, `at ${world.now}`);
+/** Compares the sums of a simulation's leader with a full count; false while there is no leader. */
+const compareLeader = (simulation: ClusterSimulation): boolean => {
+  const core = simulation.nodes[simulation.leader()]?.core;
+  const cluster = core?.scheduler?.term.cluster;
+  if (cluster === undefined) return false;
+  const expected = countCores(cluster.machines.values()).get('t') ?? 0;
+  const actual = cluster.usageTotals.teamUsage().get('t')?.cores ?? 0;
+  assertClose(actual, expected, `at ${simulation.now}`);
   return true;
 };
 
-test("a leader's sums equal a full count at every moment of meetings of troubles", () => {
-  let looks = 0;
-  for (const [i, meeting] of Object.values(BASIC_SCENARIOS).entries())
+test("a leader's sums equal a full count at every second of the basic fault scenarios", () => {
+  let comparisons = 0;
+  for (const [i, scenario] of Object.values(BASIC_SCENARIOS).entries())
     play(
       300 + i,
       [
         (scene) => {
-          for (let s = 1; s < 20; s++)
-            scene.w.later(s * SECOND, () => {
-              if (compareLeader(scene.w)) looks++;
+          for (let second = 1; second < 20; second++)
+            scene.w.later(second * SECOND, () => {
+              if (compareLeader(scene.w)) comparisons++;
             });
-          meeting(scene);
+          scenario(scene);
         },
       ],
       2,
       FIRST_BOUNDS,
     );
-  assert.ok(looks > 100, `${looks} comparisons`);
+  assert.ok(comparisons > 100, `${comparisons} comparisons`);
 });
