--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -50,8 +50,9 @@
 const MIN_TAIL_MASS = 1e-6;
 /** With less mass than this beyond the elapsed time, the run is longer than everything observed. */
 const MIN_REMAINING_MASS = 1e-9;
-/** Of such a run, this share of the elapsed time is still expected, at least `MIN_REMAINING_RATIO` of the estimate. */
-const REMAINING_SHARE_DIVISOR = 3;
+/** Of such a run, the elapsed time divided by this is still expected. */
+const ELAPSED_DIVISOR = 3;
+/** And at least this share of the estimate. */
 const MIN_REMAINING_RATIO = 0.2;
 /** Stored ratios have three decimals. */
 const STORED_PRECISION = 1000;
@@ -141,9 +142,7 @@
     }
     // Beyond everything observed: as if a third of what it already ran were still to come.
     const ratio =
-      mass > MIN_REMAINING_MASS
-        ? sum / mass
-        : Math.max(MIN_REMAINING_RATIO, elapsedRatio / REMAINING_SHARE_DIVISOR);
+      mass > MIN_REMAINING_MASS ? sum / mass : Math.max(MIN_REMAINING_RATIO, elapsedRatio / ELAPSED_DIVISOR);
     return Math.round(ratio * base);
   }
 
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -77,7 +77,7 @@
 }
 
 /** How many of a group's tasks to keep capacity for in each of so many zones, so that it fits wherever it may go. */
-const tasksKeptPerZone = ({ spec, count }: TaskGroup, zones: number): number => {
+const tasksPerZone = ({ spec, count }: TaskGroup, zones: number): number => {
   if (spec.sameZone) return count;
   return spec.spreadAcrossZones
     ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
@@ -115,7 +115,7 @@
   *run(): Generator<void> {
     const real = this.groups.filter((group) => !group.hypothetical);
     const reserved = yield* this.placeReserved(real);
-    yield* this.placeAroundKept(real.filter((group) => !reserved.has(group)));
+    yield* this.placeAroundHolders(real.filter((group) => !reserved.has(group)));
     yield* this.placeBackfill();
     for (const group of this.groups)
       if (group.hypothetical && group.kept !== true) placeGroup(this.simulation, group);
@@ -179,25 +179,25 @@
     return placed;
   }
 
-  /** Places groups with regard to those that free capacity is kept for. */
-  private *placeAroundKept(groups: readonly TaskGroup[]): Generator<void> {
-    const kept = this.groups.filter((group) => group.kept === true);
-    if (kept.length === 0) {
+  /** Places groups around those that only hold free capacity. */
+  private *placeAroundHolders(groups: readonly TaskGroup[]): Generator<void> {
+    const holders = this.groups.filter((group) => group.kept === true);
+    if (holders.length === 0) {
       yield* this.place(groups);
       return;
     }
     // What has to start at once comes before the capacity that is kept for more of it, all else after that.
-    const urgent = Math.min(...kept.map((group) => group.spec.priority));
+    const urgent = Math.min(...holders.map((group) => group.spec.priority));
     yield* this.place(groups.filter((group) => group.spec.priority >= urgent));
-    this.keepCapacity(kept);
+    this.keepCapacity(holders);
     yield* this.place(groups.filter((group) => group.spec.priority < urgent));
   }
 
-  private keepCapacity(kept: readonly TaskGroup[]): void {
+  private keepCapacity(holders: readonly TaskGroup[]): void {
     const { zones } = this.simulation;
-    for (const group of kept)
+    for (const group of holders)
       for (const zone of zones)
-        keepFreeCapacity(this.simulation, group, zone, tasksKeptPerZone(group, zones.length));
+        keepFreeCapacity(this.simulation, group, zone, tasksPerZone(group, zones.length));
   }
 
   private *placeBackfill(): Generator<void> {
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -81,7 +81,7 @@
   inOrder(): ActiveJob[] {
     const startable = [...this.cluster.jobs.values()].filter((job) => this.cluster.isStartable(job));
     const waiting = fairShareOrder(startable, this.context.settings.teams);
-    const first = this.aheadOfObjectives(waiting);
+    const first = this.exemptFromObjectives(waiting);
     const levels = groupByLevel(waiting.filter((job) => !first.has(job)));
     const ordered: ActiveJob[] = [];
     for (const priority of HIGHEST_PRIORITY_FIRST) {
@@ -96,7 +96,7 @@
   }
 
   /** What goes before the order by objectives: urgent work, then turns, then jobs that capacity is being freed for. */
-  private aheadOfObjectives(waiting: readonly ActiveJob[]): Set<ActiveJob> {
+  private exemptFromObjectives(waiting: readonly ActiveJob[]): Set<ActiveJob> {
     const { objectives } = this.context.settings;
     // With hundreds of teams there is always a turn due: what can't wait for it comes before all of them.
     const first = new Set(waiting.filter((job) => mustStartAtOnce(job.spec, objectives)));
