--- a/packages/core/src/feature-api.ts
+++ b/packages/core/src/feature-api.ts
@@ -3,7 +3,8 @@
  * each is notified of what happens in a leader's term. No feature can break a rule of the protocol: all it may do is hold back
  * a job that has not begun, and have workers keep a result a little longer.
  */
-import type { ActiveJob, AdmissionHold, Machine, TaskAttempt } from './cluster/cluster-model.js';
+import type { AdmissionHold } from './cluster/admission-hold.js';
+import type { ActiveJob, Machine, TaskAttempt } from './cluster/cluster-model.js';
 import type { ClientRequest, InternalResponse } from './domain/client-api.js';
 import type { ReportedTask } from './domain/heartbeat.js';
 import type { LeaderTerm } from './leadership/leader-term.js';
