--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -46,7 +46,7 @@
 };
 
 test('GPUs without cores beside them are no capacity: jobs that cannot be in time come after those that can', () => {
-  // At autoscaler size gangs without GPUs filled the machines with GPUs; all of their GPUs were counted as free, every array as
+  // At the size of the large deployments gangs without GPUs filled the machines with GPUs; all of their GPUs were counted as free, every array as
   // in time, and by latest start nearly all of them came too late.
   const orderWith = (gangMachines: number): string[] => {
     const cluster = clusterOf(10);
