--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,6 @@
 const NOT_YET_READABLE = [
   'packages/budgets/src/**',
   'packages/cli/src/**',
-  'packages/config/src/**',
   'packages/demo/src/**',
   'packages/emulator/src/**',
   'packages/kubernetes/src/**',
--- a/packages/config/src/checked.ts
+++ b/packages/config/src/checked.ts
@@ -1,38 +1,48 @@
-/** Reading what people and records hold, by schemas: one way to name what is wrong, whoever's file it is. */
+/** Decoding of files and records by schemas: one way to name what is wrong, whoever wrote them. */
 import { Either, ParseResult, Schema } from 'effect';
 
-/** Makes the error of whoever asks: what is bundled apart has classes of its own. */
-export type Fail = (message: string) => Error;
+/** Makes the error of the caller, whose bundle has an error class of its own. */
+export type MakeError = (message: string) => Error;
 
-/** `what`: the file's name. `closed`: fields that the schema does not name are wrong as well. Names each wrong field. */
+const describeIssue = (file: string, issue: ParseResult.ArrayFormatterIssue): string =>
+  `${file}: ${issue.path.join('.') || '(whole file)'}: ${issue.message}`;
+
+/**
+ * Decodes a value by a schema; throws an error that names each wrong field. `file`: the file's name, for messages; `closed`: fields
+ * that the schema does not name are wrong as well.
+ */
 export const check = <A, I>(
   schema: Schema.Schema<A, I>,
   value: unknown,
-  what: string,
-  fail: Fail,
+  file: string,
+  makeError: MakeError,
   closed = false,
 ): A => {
   const options = { errors: 'all', onExcessProperty: closed ? 'error' : 'ignore' } as const;
-  const r = Schema.decodeUnknownEither(schema, options)(value);
-  if (Either.isRight(r)) return r.right;
-  const lines = ParseResult.ArrayFormatter.formatErrorSync(r.left).map(
-    (e) => `${what}: ${e.path.join('.') || '(whole file)'}: ${e.message}`,
-  );
-  throw fail(lines.join('\n'));
+  const result = Schema.decodeUnknownEither(schema, options)(value);
+  if (Either.isRight(result)) return result.right;
+  const issues = ParseResult.ArrayFormatter.formatErrorSync(result.left);
+  throw makeError(issues.map((issue) => describeIssue(file, issue)).join('\n'));
 };
 
-export const read = (parse: (s: string) => unknown, source: string, what: string, fail: Fail): unknown => {
+/** Parses a file's text; what the parser throws becomes the caller's error. */
+export const read = (
+  parse: (source: string) => unknown,
+  source: string,
+  file: string,
+  makeError: MakeError,
+): unknown => {
   try {
     return parse(source);
-  } catch (e) {
-    throw fail(`${what}: ${(e as Error).message}`);
+  } catch (error) {
+    throw makeError(`${file}: ${error instanceof Error ? error.message : String(error)}`);
   }
 };
 
-/** Reads a record whole, or as null. */
+/** A reader of records: the whole record, or null for one that can't be read. */
 export const reader =
   <A, I>(schema: Schema.Schema<A, I>) =>
   (value: unknown): A | null => {
-    const r = Schema.decodeUnknownEither(schema)(value);
-    return Either.isRight(r) ? r.right : null;
+    const result = Schema.decodeUnknownEither(schema)(value);
+    return Either.isRight(result) ? result.right : null;
   };
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,66 +1,80 @@
-/** What the platform's settings say against each other: each with its field and what to do. */
-import { maxCancellationAge, LEAST_MAX_AGE } from '@shaleyoke/core/leadership/cancellation-freshness';
-import type { Settings } from '@shaleyoke/core/domain/settings';
-import { SECOND } from '@shaleyoke/core/domain/time';
+/** Settings that contradict each other, each with the field and the remedy. */
+import type { Settings, Team } from '@shaleyoke/core/domain/settings';
+import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
+import { LEAST_MAX_AGE, maxCancellationAge } from '@shaleyoke/core/leadership/cancellation-freshness';
 
+/**
+ *
+ */
 export interface Contradiction {
-  /** `error`: a rule can't be kept so; `warning`: something else can't. */
+  /** `error`: a rule of the protocol can't be kept so; `warning`: something else does not hold. */
   readonly level: 'error' | 'warning';
   readonly field: string;
   readonly problem: string;
   readonly remedy: string;
 }
 
-const seconds = (us: number): string => (us / SECOND).toFixed(1);
+/** Added to a suggested value, so that rounding does not make it too small. */
+const ROUNDING_MARGIN: Micros = 100_000;
 
-const cancellation = (s: Settings): Contradiction[] => {
-  const bound = maxCancellationAge(s);
-  if (bound >= LEAST_MAX_AGE) return [];
-  const least = s.cancellationDeadlineUs + LEAST_MAX_AGE - bound;
+const inSeconds = (duration: Micros): string => (duration / SECOND).toFixed(1);
+
+const cancellationContradictions = (settings: Settings): Contradiction[] => {
+  const { cancellationDeadlineUs, workerLeaseUs } = settings;
+  const maxAge = maxCancellationAge(settings);
+  if (maxAge >= LEAST_MAX_AGE) return [];
+  const least = cancellationDeadlineUs + LEAST_MAX_AGE - maxAge;
   return [
     {
       level: 'error',
       field: 'cluster.workers.cancel_s',
-      problem: `${seconds(s.cancellationDeadlineUs)} s leaves too little beside lease_s of ${seconds(s.workerLeaseUs)} s: where the state service can't be reached, tasks of cancelled jobs may run longer`,
-      remedy: `raise cancel_s to ${seconds(least + 100_000)} s or more, or lower lease_s`,
+      problem: `${inSeconds(cancellationDeadlineUs)} s leaves too little beside lease_s of ${inSeconds(workerLeaseUs)} s: where the state service can't be reached, tasks of cancelled jobs may run longer`,
+      remedy: `raise cancel_s to ${inSeconds(least + ROUNDING_MARGIN)} s or more, or lower lease_s`,
     },
   ];
 };
 
-const teams = (s: Settings): Contradiction[] =>
-  s.teams.flatMap((t) =>
-    (
-      [
-        ['cpus', t.guaranteedCores, t.maxCores],
-        ['gpus', t.guaranteedGpus, t.maxGpus],
-      ] as const
-    )
-      .filter(([, guaranteed, most]) => most > 0 && guaranteed > most)
-      .map(([what, guaranteed, most]) => ({
-        level: 'warning' as const,
-        field: `cluster.teams.${t.name}.${what}`,
-        problem: `the guarantee of ${guaranteed} is above the limit of ${most}: the limit holds`,
-        remedy: `lower ${what} or raise ${what}_max`,
-      })),
-  );
+const quotaContradiction = (
+  team: string,
+  resource: 'cpus' | 'gpus',
+  guaranteed: number,
+  maximum: number,
+): Contradiction[] => {
+  if (maximum <= 0 || guaranteed <= maximum) return [];
+  return [
+    {
+      level: 'warning',
+      field: `cluster.teams.${team}.${resource}`,
+      problem: `the guarantee of ${guaranteed} is above the limit of ${maximum}: the limit holds`,
+      remedy: `lower ${resource} or raise ${resource}_max`,
+    },
+  ];
+};
 
-const peers = (s: Settings): Contradiction[] =>
-  s.peers.some((p) => p.member === s.member)
-    ? [
-        {
-          level: 'warning',
-          field: 'peers',
-          problem: `names this node (${s.member}) among the others: it is sent messages of its own`,
-          remedy: 'leave it out',
-        },
-      ]
-    : [];
+const teamContradictions = (team: Team): Contradiction[] => [
+  ...quotaContradiction(team.name, 'cpus', team.guaranteedCores, team.maxCores),
+  ...quotaContradiction(team.name, 'gpus', team.guaranteedGpus, team.maxGpus),
+];
+
+const peerContradictions = ({ peers, member }: Settings): Contradiction[] => {
+  if (!peers.some((peer) => peer.member === member)) return [];
+  return [
+    {
+      level: 'warning',
+      field: 'peers',
+      problem: `names this node (${member}) among the others: it is sent messages of its own`,
+      remedy: 'leave it out',
+    },
+  ];
+};
 
-/** In the order of their weight; none if the settings agree. */
-export const contradictions = (s: Settings): readonly Contradiction[] => [
-  ...cancellation(s),
-  ...peers(s),
-  ...teams(s),
+/** All contradictions, the gravest first; none if the settings agree. */
+export const contradictions = (settings: Settings): readonly Contradiction[] => [
+  ...cancellationContradictions(settings),
+  ...peerContradictions(settings),
+  ...settings.teams.flatMap(teamContradictions),
 ];
 
-export const describe = (c: Contradiction): string => `${c.field}: ${c.problem}; ${c.remedy}`;
+/** One line for people. */
+export const describe = ({ field, problem, remedy }: Contradiction): string =>
+  `${field}: ${problem}; ${remedy}`;
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -1,11 +1,22 @@
 /** The platform's file (TOML) and the operators' own file (YAML), checked into `Settings`. */
+import type {
+  MembershipSettings,
+  ServiceLevelObjective,
+  Settings,
+  Team,
+  Tuning,
+} from '@shaleyoke/core/domain/settings';
+import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
 import { Schema } from 'effect';
 import { parse as parseToml } from 'smol-toml';
 import { parse as parseYaml } from 'yaml';
-import type { MembershipSettings, Settings, Tuning } from '@shaleyoke/core/domain/settings';
+
 import { check, read } from './checked.js';
 
-const us = (s: number): number => Math.round(s * 1e6);
+/** Files have seconds; whole microseconds inside. */
+const micros = (seconds: number): Micros => Math.round(seconds * SECOND);
+
+const BYTES_PER_KB = 1024;
 
 const Address = Schema.String.pipe(
   Schema.pattern(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, { message: () => 'expected IP:PORT' }),
@@ -14,7 +25,7 @@
 const NonNegative = Schema.Number.pipe(Schema.nonNegative(), Schema.finite());
 const zero = { default: () => 0 };
 
-const Platform = Schema.Struct({
+const PlatformFile = Schema.Struct({
   member: Schema.NonEmptyString,
   site: Schema.String,
   listen: Address,
@@ -82,7 +93,7 @@
   }),
 });
 
-const Operators = Schema.Struct({
+const OperatorsFile = Schema.Struct({
   leader_lease_s: Schema.optionalWith(Positive, { default: () => 6 }),
   silent_s: Schema.optionalWith(Positive, { default: () => 10 }),
   search_budget_ms: Schema.optionalWith(Positive, { default: () => 20 }),
@@ -104,89 +115,133 @@
   suspect_after_beats: Schema.optionalWith(Schema.Number.pipe(Schema.between(2, 100)), { default: () => 3 }),
 });
 
-export class SettingsError extends Error {}
+/** A file that can't be used; the message names each wrong field. */
+export class SettingsError extends Error {
+  override readonly name = 'SettingsError';
+}
 
-const fail = (message: string): SettingsError => new SettingsError(message);
+const settingsError = (message: string): SettingsError => new SettingsError(message);
 
+/** Time that the leader's lease must last at least. */
+const MIN_LEADER_LEASE: Micros = SECOND;
+
+/** The operators' file (YAML); null: all defaults. Throws `SettingsError`. */
 export const parseTuning = (yaml: string | null): Tuning => {
-  const value = yaml === null ? {} : (read(parseYaml, yaml, 'operators settings', fail) ?? {});
-  const o = check(Operators, value, 'operators settings', fail);
+  const file = 'operators settings';
+  const value = yaml === null ? {} : (read(parseYaml, yaml, file, settingsError) ?? {});
+  const operators = check(OperatorsFile, value, file, settingsError);
   return {
-    leaderLeaseUs: us(o.leader_lease_s),
-    machineSuspicionUs: us(o.silent_s),
-    searchBudgetUs: us(o.search_budget_ms / 1000),
-    shortlistSize: o.search_width,
-    rolloutDepth: o.search_depth,
-    maxGroupsPerPlan: o.search_groups,
-    makespanToleranceUs: us(o.search_tolerance_s),
-    fairShareDrainUs: us(o.turn_wait_s),
-    fairShareTurnIntervalUs: us(o.turn_every_s),
-    idleScaleInUs: us(o.idle_return_s),
-    scaleOutThresholdUs: us(o.rent_margin_s),
-    costSensitivity: o.thrift,
-    progressIntervalUs: us(o.progress_s),
+    leaderLeaseUs: micros(operators.leader_lease_s),
+    machineSuspicionUs: micros(operators.silent_s),
+    searchBudgetUs: micros(operators.search_budget_ms / 1000),
+    shortlistSize: operators.search_width,
+    rolloutDepth: operators.search_depth,
+    maxGroupsPerPlan: operators.search_groups,
+    makespanToleranceUs: micros(operators.search_tolerance_s),
+    fairShareDrainUs: micros(operators.turn_wait_s),
+    fairShareTurnIntervalUs: micros(operators.turn_every_s),
+    idleScaleInUs: micros(operators.idle_return_s),
+    scaleOutThresholdUs: micros(operators.rent_margin_s),
+    costSensitivity: operators.thrift,
+    progressIntervalUs: micros(operators.progress_s),
   };
 };
 
-/** The operators' file that switches the beats between controllers on. Throws `SettingsError` naming each wrong field. */
-export const parseMembership = (yaml: string, what: string): MembershipSettings => {
-  const m = check(MembershipFile, read(parseYaml, yaml, what, fail), what, fail, true);
-  return { heartbeatIntervalUs: us(m.beat_s), suspectAfterMissed: m.suspect_after_beats };
+/** The operators' file that switches heartbeats between controllers on. Throws `SettingsError`. */
+export const parseMembership = (yaml: string, file: string): MembershipSettings => {
+  const value = read(parseYaml, yaml, file, settingsError);
+  const membership = check(MembershipFile, value, file, settingsError, true);
+  return {
+    heartbeatIntervalUs: micros(membership.beat_s),
+    suspectAfterMissed: membership.suspect_after_beats,
+  };
 };
 
+type Cluster = typeof PlatformFile.Type.cluster;
+
+const teamsOf = ({ teams }: Cluster): Team[] =>
+  teams.map((team) => ({
+    name: team.name,
+    guaranteedCores: team.cpus,
+    maxCores: team.cpus_max,
+    guaranteedGpus: team.gpus,
+    maxGpus: team.gpus_max,
+  }));
+
+const objectivesOf = ({ objectives }: Cluster): ServiceLevelObjective[] =>
+  objectives.map((objective) => ({
+    kind: objective.kind,
+    class: objective.class ?? null,
+    withinUs: objective.within_s === undefined ? null : micros(objective.within_s),
+    share: objective.share ?? null,
+    deadlineFactor: objective.times ?? 1,
+  }));
+
+/** Limits of the store and the cloud; of those in force and those announced the smaller ones. */
+const limitsOf = ({
+  state,
+  cloud,
+}: Cluster): Pick<
+  Settings,
+  | 'storeRequestsPerS'
+  | 'storeWritesPerS'
+  | 'maxValueBytes'
+  | 'maxTransactionOperations'
+  | 'formerMaxValueBytes'
+  | 'cloudRequestsPerS'
+> => {
+  const { next } = state;
+  const maxValueKb = Math.min(state.value_kb, next?.value_kb ?? Infinity);
+  const maxOperations = Math.min(state.txn_ops, next?.txn_ops ?? Infinity);
+  return {
+    storeRequestsPerS: Math.min(state.rps, next?.rps ?? Infinity),
+    storeWritesPerS: Math.min(state.write_rps, next?.write_rps ?? Infinity),
+    maxValueBytes: Math.floor(maxValueKb * BYTES_PER_KB),
+    maxTransactionOperations: Math.max(1, Math.floor(maxOperations)),
+    formerMaxValueBytes: Math.floor(state.value_kb * BYTES_PER_KB),
+    cloudRequestsPerS: cloud.rps,
+  };
+};
+
+/**
+ * A leader that is cut off from the store must step down, and its workers' leases expire, in time for cancellations that it can't
+ * know of: its lease never exceeds half of what `cancel_s` leaves beside `lease_s`.
+ */
+const boundedLeaderLease = (leaderLeaseUs: Micros, { workers }: Cluster): Micros => {
+  const longest = Math.floor((micros(workers.cancel_s) - micros(workers.lease_s)) / 2);
+  return Math.max(MIN_LEADER_LEASE, Math.min(leaderLeaseUs, longest));
+};
+
+/** The platform's file (TOML) with the operators' files. Throws `SettingsError`. */
 export const parseSettings = (
   toml: string,
   yaml: string | null,
   membership: MembershipSettings | null = null,
 ): Settings => {
-  const p = check(Platform, read(parseToml, toml, 'settings', fail), 'settings', fail);
-  const c = p.cluster;
-  const { next } = c.state;
+  const file = 'settings';
+  const platform = check(PlatformFile, read(parseToml, toml, file, settingsError), file, settingsError);
+  const { cluster } = platform;
+  const { workers } = cluster;
   const tuning = parseTuning(yaml);
-  const leaseUs = us(c.workers.lease_s);
-  const cancelUs = us(c.workers.cancel_s);
-  // A leader cut off from the state service must stop, and its workers' leases run out, in time for
-  // cancellations it can't know of: the lease never outgrows what `cancel_s` leaves.
-  const roomUs = Math.floor((cancelUs - leaseUs) / 2);
   return {
-    member: p.member,
-    listen: p.listen,
-    peerListen: p.cluster_listen,
-    peers: p.peers,
-    cloudAddress: p.endpoints.cloud,
-    storeAddress: p.endpoints.state,
-    memberCount: p.peers.length + 1,
-    teams: c.teams.map((t) => ({
-      name: t.name,
-      guaranteedCores: t.cpus,
-      maxCores: t.cpus_max,
-      guaranteedGpus: t.gpus,
-      maxGpus: t.gpus_max,
-    })),
-    objectives: c.objectives.map((o) => ({
-      kind: o.kind,
-      class: o.class ?? null,
-      withinUs: o.within_s === undefined ? null : us(o.within_s),
-      share: o.share ?? null,
-      deadlineFactor: o.times ?? 1,
-    })),
-    heartbeatIntervalUs: us(c.workers.report_s),
-    workerLeaseUs: leaseUs,
-    gangStartTimeoutUs: us(c.workers.gang_wait_s),
-    gangPeerTimeoutUs: us(c.workers.gang_peer_s),
-    cancellationDeadlineUs: cancelUs,
-    storeRequestsPerS: Math.min(c.state.rps, next?.rps ?? Infinity),
-    storeWritesPerS: Math.min(c.state.write_rps, next?.write_rps ?? Infinity),
-    maxValueBytes: Math.floor(Math.min(c.state.value_kb, next?.value_kb ?? Infinity) * 1024),
-    maxTransactionOperations: Math.max(1, Math.floor(Math.min(c.state.txn_ops, next?.txn_ops ?? Infinity))),
-    formerMaxValueBytes: Math.floor(c.state.value_kb * 1024),
-    cloudRequestsPerS: c.cloud.rps,
-    cloudListLagUs: us(c.cloud.list_lag_s),
-    maxConnections: c.machine_limits.max_connections,
+    member: platform.member,
+    listen: platform.listen,
+    peerListen: platform.cluster_listen,
+    peers: platform.peers,
+    cloudAddress: platform.endpoints.cloud,
+    storeAddress: platform.endpoints.state,
+    memberCount: platform.peers.length + 1,
+    teams: teamsOf(cluster),
+    objectives: objectivesOf(cluster),
+    heartbeatIntervalUs: micros(workers.report_s),
+    workerLeaseUs: micros(workers.lease_s),
+    gangStartTimeoutUs: micros(workers.gang_wait_s),
+    gangPeerTimeoutUs: micros(workers.gang_peer_s),
+    cancellationDeadlineUs: micros(workers.cancel_s),
+    ...limitsOf(cluster),
+    cloudListLagUs: micros(cluster.cloud.list_lag_s),
+    maxConnections: cluster.machine_limits.max_connections,
     membership,
-    tuning: {
-      ...tuning,
-      leaderLeaseUs: Math.max(1_000_000, Math.min(tuning.leaderLeaseUs, roomUs)),
-    },
+    tuning: { ...tuning, leaderLeaseUs: boundedLeaderLease(tuning.leaderLeaseUs, cluster) },
   };
 };
--- a/packages/config/test/printed-settings.test.ts
+++ b/packages/config/test/printed-settings.test.ts
@@ -1,6 +1,7 @@
 /** `check-config` prints these names, whatever the fields of the domain are called. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -1,10 +1,11 @@
 /** Settings: checked with readable errors, unknown fields ignored, lease inside what cancellation leaves. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SECOND } from '@shaleyoke/core/domain/time';
-import { maxCancellationAge, LEAST_MAX_AGE } from '@shaleyoke/core/leadership/cancellation-freshness';
+
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
+import { SECOND } from '@shaleyoke/core/domain/time';
+import { LEAST_MAX_AGE, maxCancellationAge } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
 test('the leader lease never outgrows half of what cancel_s leaves beside lease_s', () => {
