--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -1,386 +1,266 @@
 /**
- * The life of an attempt: decided, put on record, sent, seen, stopped, ended. An attempt counts as there from
- * the decision until proven otherwise (docs/safety.md).
+ * The life of an attempt: decided, put on record, sent, reported, stopped, ended. An attempt counts as present on its machine
+ * from the decision until proven otherwise (docs/safety.md).
  */
 import { attemptKey, type ActiveJob, type TaskAttempt, type Machine } from '../cluster/cluster-model.js';
-import { leftovers, wholeGang } from './gang-attempts.js';
-import type { CommandReply, Heartbeat, ReportedTask } from '../domain/heartbeat.js';
-import type { Micros } from '../domain/time.js';
-import { SECOND } from '../domain/time.js';
+import type { Heartbeat, ReportedTask } from '../domain/heartbeat.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import { CommandQueue } from './command-queue.js';
+import { GangSupervisor } from './gang-attempts.js';
+import { delayRetry, recordRun, recordTaskFailure } from './run-outcomes.js';
 
-/** Orders that one message to a worker holds: it may have 64 KiB. */
-export const MAX_COMMANDS = 400;
+/** A job whose places can't be put on record is not tried again before so many seconds have passed. */
+const RETRY_SECONDS_AFTER_UNRECORDED = 30;
+/** A worker that had no room, or was busy, is not asked again at once. */
+const RETRY_SECONDS_AFTER_REJECTION = 1;
+/** A faulty machine is retired after this time even if it is not empty by then. */
+const FAULTY_MACHINE_DRAIN: Micros = 8 * SECOND;
 
+/** What the attempts' life needs of the other parts of the scheduler, and what it reports to them. */
 export interface AttemptEvents {
-  /** Puts the places of a job on record: nothing is sent there before. */
+  /** Puts the places of a job on record: nothing is sent there before. Calls `then` once it is done, or `refused`. */
   place(job: ActiveJob, then: () => void, refused: () => void): void;
-  /** A report that came with the answer to orders. */
-  report(m: Machine, r: Heartbeat): void;
-  /** Nothing of an ended job may be left. */
+  /** A heartbeat that came with the answer to commands. */
+  report(machine: Machine, heartbeat: Heartbeat): void;
+  /** An attempt of the job is gone: of an ended job none may be left. */
   released(job: ActiveJob): void;
-  /** An attempt is not there any more. */
-  ended(a: TaskAttempt, exit: ReportedTask | null): void;
+  /** An attempt is not on its machine any more; `exit` is how it ended, where that is known. */
+  ended(attempt: TaskAttempt, exit: ReportedTask | null): void;
   /** Takes a machine out of use once it is empty, or at `latest`. */
-  retireWhenEmpty(m: Machine, reason: string, latest: Micros): void;
+  retireWhenEmpty(machine: Machine, reason: string, latest: Micros): void;
 }
 
+/** Where a task is to be started. */
+export interface TaskPlace {
+  readonly index: number;
+  readonly machine: Machine;
+}
+
+/** Begins, adopts, stops and ends attempts, and keeps them in the cluster state. */
 export class AttemptLifecycle {
-  /** Completed or stopped runs that were learned from since the last time this was set back. */
+  /** Completed runs that the runtime estimates learned from since the caller last reset this. */
   noted = 0;
-  /** Machines with starts that leave at the end of the step. */
-  private readonly toPump = new Set<Machine>();
+  private readonly commands: CommandQueue;
+  private readonly gangs: GangSupervisor;
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly host: AttemptEvents,
-  ) {}
+    private readonly events: AttemptEvents,
+  ) {
+    this.commands = new CommandQueue(term, {
+      startFailed: (attempt) => {
+        this.end(attempt, null);
+      },
+      heartbeatReceived: (machine, heartbeat) => {
+        events.report(machine, heartbeat);
+      },
+    });
+    this.gangs = new GangSupervisor(term, (attempt, graceUs) => {
+      this.stop(attempt, graceUs);
+    });
+  }
 
-  /** Decided: from here on the tasks count as being there. `places`: tasks and where they go. */
-  begin(job: ActiveJob, places: readonly { index: number; machine: Machine }[]): void {
+  // ---- beginning ---------------------------------------------------------------------------------
+
+  /** Begins attempts at the given places: from here on the tasks count as being there. */
+  begin(job: ActiveJob, places: readonly TaskPlace[]): void {
     const { ctx } = this.term;
-    const gang = job.spec.shape === 'gang';
-    let no = gang ? this.term.nextAttemptNumber() : 0;
+    const attempts = this.createAttempts(job, places);
+    job.startedBefore = true;
+    ctx.debug('job.tasks_dispatched', () => ({
+      job: job.id,
+      tasks: places.map((place) => `${place.index}@${place.machine.name}`),
+      attempt: attempts.at(-1)?.number ?? 0,
+      waitedS: (ctx.wallNow - job.acceptedAt) / SECOND,
+    }));
+    // A job's places are on record before anything is sent there: a new leader then knows which
+    // machines may hold its tasks, and waits for no others.
+    const unrecorded = attempts.some((attempt) => !job.recordedMachines.has(attempt.machine.name));
+    const start = (): void => {
+      for (const attempt of attempts) this.commands.queueStart(attempt);
+    };
+    if (!unrecorded) start();
+    else
+      this.events.place(job, start, () => {
+        // What can't be put on record is not started, and not tried again at once.
+        delayRetry(this.term, job, RETRY_SECONDS_AFTER_UNRECORDED);
+        for (const attempt of attempts) if (attempt.state === 'recording') this.end(attempt, null);
+      });
+  }
+
+  private createAttempts(job: ActiveJob, places: readonly TaskPlace[]): TaskAttempt[] {
+    const { now } = this.term.ctx;
+    const isGang = job.spec.shape === 'gang';
+    // The members of a gang share one attempt number.
+    let number = isGang ? this.term.nextAttemptNumber() : 0;
     const attempts: TaskAttempt[] = [];
     for (const { index, machine } of places) {
-      if (!gang) no = this.term.nextAttemptNumber();
-      const a: TaskAttempt = {
+      if (!isGang) number = this.term.nextAttemptNumber();
+      const attempt: TaskAttempt = {
         job,
         index,
-        number: no,
+        number,
         machine,
         agentEpoch: machine.agentEpoch,
         state: 'recording',
         fencingToken: 0,
-        commandedAt: ctx.now,
+        commandedAt: now,
         runningAt: null,
         startTimeKnown: true,
         confirmed: true,
         stopping: null,
       };
-      this.attach(a);
-      machine.idleSince = ctx.now;
-      attempts.push(a);
+      this.attach(attempt);
+      machine.idleSince = now;
+      attempts.push(attempt);
     }
-    job.startedBefore = true;
-    ctx.debug('job.tasks_dispatched', () => ({
-      job: job.id,
-      tasks: places.map((p) => `${p.index}@${p.machine.name}`),
-      attempt: no,
-      waitedS: (ctx.wallNow - job.acceptedAt) / SECOND,
-    }));
-    // A job's places are on record before anything is sent there: a new leader then knows which
-    // machines may hold its tasks, and waits for no others.
-    const missing = attempts.some((a) => !job.recordedMachines.has(a.machine.name));
-    const send = (): void => {
-      for (const a of attempts) this.launch(a);
-    };
-    if (!missing) send();
-    else
-      this.host.place(job, send, () => {
-        // What can't be put on record is not started, and not tried again at once.
-        job.retryNotBefore = Math.max(job.retryNotBefore, ctx.now + 30 * SECOND);
-        for (const a of attempts) if (a.state === 'recording') this.end(a, null);
-      });
+    return attempts;
   }
 
-  /** A task of an earlier leader's attempt, as a machine reports it; `proven` with a token of this term. */
-  adopt(m: Machine, job: ActiveJob, t: ReportedTask, proven: boolean): TaskAttempt {
-    const a: TaskAttempt = {
+  /** Takes in a task of an earlier leader's attempt, as a machine reports it; `confirmed` with a token of this term. */
+  adopt(machine: Machine, job: ActiveJob, task: ReportedTask, confirmed: boolean): TaskAttempt {
+    const { ctx } = this.term;
+    const attempt: TaskAttempt = {
       job,
-      index: t.index,
-      number: t.attempt,
-      machine: m,
-      agentEpoch: m.agentEpoch,
+      index: task.index,
+      number: task.attempt,
+      machine,
+      agentEpoch: machine.agentEpoch,
       state: 'fetching',
       fencingToken: 0,
-      commandedAt: this.term.ctx.now,
+      commandedAt: ctx.now,
       runningAt: null,
       startTimeKnown: false,
-      confirmed: proven,
+      confirmed,
       stopping: null,
     };
-    this.term.ctx.debug('attempt.adopted', {
+    ctx.debug('attempt.adopted', {
       job: job.id,
-      task: t.index,
-      machine: m.name,
-      attempt: t.attempt,
+      task: task.index,
+      machine: machine.name,
+      attempt: task.attempt,
     });
-    this.attach(a);
-    return a;
+    this.attach(attempt);
+    return attempt;
   }
 
-  private attach(a: TaskAttempt): void {
-    a.job.liveAttempts.set(a.index, a);
-    a.machine.attempts.set(attemptKey(a.job.id, a.index), a);
-    a.machine.markChanged();
+  private attach(attempt: TaskAttempt): void {
+    const { job, machine, index } = attempt;
+    job.liveAttempts.set(index, attempt);
+    machine.attempts.set(attemptKey(job.id, index), attempt);
+    machine.markChanged();
   }
 
-  /** Out of the picture; false if it was not in it. */
-  private detach(a: TaskAttempt): boolean {
-    const { job, machine: m } = a;
-    const key = attemptKey(job.id, a.index);
-    if (m.attempts.get(key) !== a) return false;
-    m.attempts.delete(key);
-    m.markChanged();
-    if (job.liveAttempts.get(a.index) === a) job.liveAttempts.delete(a.index);
-    if (m.attempts.size === 0) m.idleSince = this.term.ctx.now;
-    job.requeue(a.index);
+  // ---- ending ------------------------------------------------------------------------------------
+
+  /** Removes an attempt from the cluster state; false if it was not in it. */
+  private detach(attempt: TaskAttempt): boolean {
+    const { job, machine, index } = attempt;
+    const key = attemptKey(job.id, index);
+    if (machine.attempts.get(key) !== attempt) return false;
+    machine.attempts.delete(key);
+    machine.markChanged();
+    if (job.liveAttempts.get(index) === attempt) job.liveAttempts.delete(index);
+    if (machine.attempts.size === 0) machine.idleSince = this.term.ctx.now;
+    job.requeue(index);
     return true;
   }
 
   /**
-   * What only an older report told of is not there, or is elsewhere: it need never have been there in this term, so nothing
-   * is learned from it, and no gang is broken by it.
+   * Drops an attempt that only an older heartbeat reported and that is not there, or is elsewhere: it need never have been
+   * there in this term, so nothing is learned from it, and no gang is broken by it.
    */
-  disown(a: TaskAttempt): void {
-    if (!this.detach(a)) return;
-    const { job, machine } = a;
+  discard(attempt: TaskAttempt): void {
+    if (!this.detach(attempt)) return;
+    const { job, machine } = attempt;
     this.term.ctx.debug('attempt.discarded', {
       job: job.id,
-      task: a.index,
+      task: attempt.index,
       machine: machine.name,
-      attempt: a.number,
+      attempt: attempt.number,
     });
-    this.host.ended(a, null);
-    this.host.released(job);
+    this.events.ended(attempt, null);
+    this.events.released(job);
     this.term.schedulePass();
   }
 
-  /** An attempt is surely not on its machine any more. `exit` tells how it ended, where that is known. */
-  end(a: TaskAttempt, exit: ReportedTask | null): void {
-    if (!a.confirmed && exit === null) {
-      this.disown(a);
+  /** An attempt is surely not on its machine any more. `exit` is how it ended, where that is known. */
+  end(attempt: TaskAttempt, exit: ReportedTask | null): void {
+    if (!attempt.confirmed && exit === null) {
+      this.discard(attempt);
       return;
     }
-    if (!this.detach(a)) return;
-    const { job, machine: m } = a;
-    const { ctx } = this.term;
-    if (exit !== null) m.endedSinceFencing.add(attemptKey(job.id, a.index));
+    if (!this.detach(attempt)) return;
+    const { job, machine } = attempt;
+    if (exit !== null) machine.endedSinceFencing.add(attemptKey(job.id, attempt.index));
     const cause = exit?.cause ?? null;
-    ctx.debug('attempt.ended', { job: job.id, task: a.index, machine: m.name, cause: cause ?? 'gone' });
-    this.host.ended(a, exit);
-    this.learn(a, cause, exit?.checkpointed === true);
-    if (cause === 'error') this.onError(m, job);
+    this.term.ctx.debug('attempt.ended', {
+      job: job.id,
+      task: attempt.index,
+      machine: machine.name,
+      cause: cause ?? 'gone',
+    });
+    this.events.ended(attempt, exit);
+    if (recordRun(this.term, attempt, cause, exit?.checkpointed === true)) this.noted++;
+    if (cause === 'error' && recordTaskFailure(this.term, machine, job)) this.retireFaulty(machine);
     if (cause === 'noRoom' || cause === 'busy' || cause === 'unknown')
-      job.retryNotBefore = Math.max(job.retryNotBefore, ctx.now + SECOND);
-    if (job.spec.shape === 'gang' && cause !== 'done' && job.liveAttempts.size > 0) this.breakGang(job);
+      delayRetry(this.term, job, RETRY_SECONDS_AFTER_REJECTION);
+    if (job.spec.shape === 'gang' && cause !== 'done' && job.liveAttempts.size > 0) this.gangs.breakGang(job);
     if (job.liveAttempts.size === 0) job.gangBroken = false;
-    this.host.released(job);
+    this.events.released(job);
     this.term.schedulePass();
   }
 
-  private learn(a: TaskAttempt, cause: string | null, saved: boolean): void {
-    const { job, machine: m } = a;
-    const { runtimeEstimates: timings } = this.term.cluster;
-    if (a.runningAt === null || job.spec.shape === 'service') return;
-    const slot = job.spec.shape === 'gang' ? -1 : a.index;
-    const before = job.checkpointedProgress.get(slot) ?? 0;
-    const ran = this.term.ctx.now - a.runningAt;
-    const total = before + ran;
-    if (cause === 'done') {
-      if (a.startTimeKnown && (job.spec.shape !== 'gang' || a.index === 0)) {
-        timings.recordRun(job.spec.class, m.type, job.spec.estimatedRunUs, total, true);
-        this.noted++;
-      }
-      job.checkpointedProgress.delete(slot);
-      return;
-    }
-    if (a.startTimeKnown && cause !== 'error')
-      timings.recordRun(job.spec.class, m.type, job.spec.estimatedRunUs, total, false);
-    if (cause === 'error') return;
-    const every = job.spec.checkpointIntervalUs;
-    if (saved) job.checkpointedProgress.set(slot, total);
-    else if (every > 0)
-      job.checkpointedProgress.set(slot, Math.max(before, Math.floor(total / every) * every));
-  }
-
-  /** Failures are the machine's, mostly; but a job that fails everywhere is not blamed on machines. */
-  private onError(m: Machine, job: ActiveJob): void {
-    const { ctx, cluster: estate } = this.term;
-    job.failuresByMachine.set(m.name, (job.failuresByMachine.get(m.name) ?? 0) + 1);
-    job.consecutiveFailures++;
-    const everywhere = job.failuresByMachine.size >= 3 && job.done.count === 0;
-    const pause = everywhere ? Math.min(60, 2 ** Math.min(job.consecutiveFailures - 2, 6)) : 0;
-    job.retryNotBefore = Math.max(job.retryNotBefore, ctx.now + pause * SECOND);
-    if (everywhere) {
-      ctx.info('job.failing_everywhere', { job: job.id, failures: job.consecutiveFailures });
-      for (const name of job.failuresByMachine.keys()) estate.machines.get(name)?.failedJobs.delete(job.id);
-      return;
-    }
-    m.consecutiveErrors++;
-    m.failedJobs.add(job.id);
-    if (
-      m.consecutiveErrors >= 2 &&
-      (m.failedJobs.size >= 2 || m.consecutiveErrors >= 4) &&
-      m.retirementReason === null
-    ) {
-      m.retirementReason = 'faulty';
-      for (const a of [...m.attempts.values()]) this.stop(a, a.job.spec.checkpointDurationUs + SECOND);
-      this.host.retireWhenEmpty(m, 'faulty', ctx.now + 8 * SECOND);
-    }
-  }
-
-  private breakGang(job: ActiveJob): void {
-    if (job.phase !== 'active' || job.isComplete) return;
-    if (!job.gangBroken) this.term.ctx.info('gang.broken', { job: job.id, left: job.liveAttempts.size });
-    job.gangBroken = true;
-    for (const a of leftovers(job)) this.stop(a, 0);
+  private retireFaulty(machine: Machine): void {
+    machine.retirementReason = 'faulty';
+    for (const attempt of [...machine.attempts.values()])
+      this.stop(attempt, attempt.job.spec.checkpointDurationUs + SECOND);
+    this.events.retireWhenEmpty(machine, 'faulty', this.term.ctx.now + FAULTY_MACHINE_DRAIN);
   }
 
-  /** Attempts of a gang that can't become whole any more, for example after taking over. */
+  /** Stops attempts of gangs that can't become whole any more, for example after a failover. */
   checkGangs(): void {
-    const { jobs, machines } = this.term.cluster;
-    for (const job of jobs.values()) {
-      if (
-        job.spec.shape !== 'gang' ||
-        job.phase !== 'active' ||
-        job.gangBroken ||
-        job.liveAttempts.size === 0
-      )
-        continue;
-      if (job.isComplete || wholeGang(job)) continue;
-      let open = false;
-      for (const name of job.unreconciledMachines)
-        open ||= machines.get(name)?.awaitingReconciliation === true;
-      if (!open) this.breakGang(job);
-    }
+    this.gangs.breakIncompleteGangs();
   }
 
-  // ---- orders ------------------------------------------------------------------------------------
+  // ---- commands ----------------------------------------------------------------------------------
 
-  /** `graceUs`: time to save; 0 stops at once. */
-  stop(a: TaskAttempt, graceUs: Micros): void {
-    // Whoever is saving is not waited for once the job is over.
-    const sooner = a.job.phase !== 'active' && graceUs === 0 && a.stopping !== null && a.stopping.graceUs > 0;
-    if (a.stopping !== null && !sooner) return;
-    if (a.state === 'recording') {
+  /** Stops an attempt. `graceUs`: time to save its checkpoint; 0 stops at once. */
+  stop(attempt: TaskAttempt, graceUs: Micros): void {
+    const { job, machine, stopping } = attempt;
+    // A task that is saving is not waited for once the job is over.
+    const sooner = job.phase !== 'active' && graceUs === 0 && stopping !== null && stopping.graceUs > 0;
+    if (stopping !== null && !sooner) return;
+    if (attempt.state === 'recording') {
       // Never sent, so it is nowhere.
-      this.end(a, null);
+      this.end(attempt, null);
       return;
     }
     const { ctx } = this.term;
-    a.stopping = { since: ctx.now, graceUs };
-    a.machine.markChanged();
-    ctx.debug('attempt.stop_requested', { job: a.job.id, task: a.index, machine: a.machine.name, graceUs });
-    a.machine.queuedCommands.push({ op: 'stop', job: a.job.id, index: a.index, attempt: a.number, graceUs });
-    this.pump(a.machine);
-  }
-
-  /**
-   * Whether the worker may forget what ended there. After a `forget` it would take a late copy of the start for a new one,
-   * and run a task that is elsewhere by then (found by a generated history of repeated messages): so the token goes up
-   * with it, unless a start is on its way, which that would refuse.
-   */
-  mayForget(m: Machine): boolean {
-    if (m.commandInFlight) return false;
-    this.raise(m);
-    return true;
-  }
-
-  /**
-   * A start on its way whose job has ended: whoever is answered without having it yet must refuse it, else it could be
-   * begun as long as the lease that the answer renews.
-   */
-  refuseLate(m: Machine): void {
-    const token = this.term.fencingTokenOf(m);
-    for (const a of m.attempts.values())
-      if (a.job.phase === 'ended' && a.state === 'sent' && a.fencingToken >= token) {
-        m.fencingCounter++;
-        return;
-      }
-  }
-
-  /** From the worker's next message on, copies of all starts sent so far are refused. */
-  private raise(m: Machine): void {
-    if (m.lastStartToken === this.term.fencingTokenOf(m)) m.fencingCounter++;
-    m.endedSinceFencing.clear();
-  }
-
-  private launch(a: TaskAttempt): void {
-    const { machine: m, job } = a;
-    if (m.attempts.get(attemptKey(job.id, a.index)) !== a || a.state !== 'recording') return;
-    const ok =
-      job.phase === 'active' &&
-      !job.gangBroken &&
-      !job.blockedOnDependencies &&
-      m.isUsable() &&
-      m.agentEpoch === a.agentEpoch &&
-      this.term.canDispatch();
-    if (!ok) {
-      this.end(a, null);
-      return;
-    }
-    m.queuedCommands.push({ op: 'start', job: job.id, index: a.index, attempt: a.number });
-    this.pumpTogether(m);
+    attempt.stopping = { since: ctx.now, graceUs };
+    machine.markChanged();
+    ctx.debug('attempt.stop_requested', {
+      job: job.id,
+      task: attempt.index,
+      machine: machine.name,
+      graceUs,
+    });
+    this.commands.queueStop(attempt, graceUs);
   }
 
-  /** Starts on a machine that are decided, or put on record, in one step go out in one call. */
-  private pumpTogether(m: Machine): void {
-    if (this.toPump.size === 0)
-      this.term.ctx.atEndOfStep(() => {
-        const machines = [...this.toPump];
-        this.toPump.clear();
-        for (const machine of machines) this.pump(machine);
-      });
-    this.toPump.add(m);
+  /** Sends the commands that wait for a machine, one call at a time. */
+  pump(machine: Machine): void {
+    this.commands.dispatchQueued(machine);
   }
 
-  /** Sends what waits for a machine, one call at a time. */
-  pump(m: Machine): void {
-    if (m.commandInFlight || m.queuedCommands.length === 0 || m.address === '') return;
-    const batch = m.queuedCommands.splice(0, MAX_COMMANDS);
-    const starts: TaskAttempt[] = [];
-    // The same task again takes the place of what the worker keeps of its end, as a `forget` does.
-    if (batch.some((o) => o.op === 'start' && m.endedSinceFencing.has(attemptKey(o.job, o.index))))
-      this.raise(m);
-    const token = this.term.fencingTokenOf(m);
-    const entitled = this.term.canActAsLeader() && !this.term.stopped;
-    const mayStart = entitled && this.term.canDispatch();
-    const orders = batch.filter((o) => {
-      if (o.op !== 'start') return entitled;
-      const a = m.attempts.get(attemptKey(o.job, o.index));
-      if (a === undefined || a.number !== o.attempt || a.state !== 'recording') return false;
-      if (!mayStart || a.agentEpoch !== m.agentEpoch || a.job.phase !== 'active') {
-        this.end(a, null);
-        return false;
-      }
-      a.state = 'sent';
-      a.fencingToken = token;
-      starts.push(a);
-      return true;
-    });
-    if (orders.length === 0) return;
-    if (starts.length > 0) m.lastStartToken = token;
-    m.commandInFlight = true;
-    const session = m.agentEpoch;
-    this.term.ctx.sendCommands(m.address, token, session, orders, (r) => {
-      m.commandInFlight = false;
-      if (this.term.stopped) return;
-      this.onOrdersReply(m, starts, r);
-      this.pump(m);
-    });
+  /** Prepares a `forget` of what ended on the machine; false if it may not be sent now. */
+  prepareForget(machine: Machine): boolean {
+    return this.commands.prepareForget(machine);
   }
 
-  private onOrdersReply(m: Machine, starts: readonly TaskAttempt[], r: CommandReply): void {
-    const { ctx } = this.term;
-    if (r.kind === 'lost') {
-      if (starts.length > 0) {
-        m.fencingCounter++;
-        ctx.info('command.unanswered', { machine: m.name, starts: starts.length });
-      }
-      for (const a of starts) if (a.state === 'sent') a.state = 'unknown';
-      return;
-    }
-    if (r.kind === 'refused') {
-      ctx.info('command.rejected', { machine: m.name, starts: starts.length });
-      for (const a of starts) if (a.state === 'sent') this.end(a, null);
-    } else {
-      // Executed before its report was made: what the report doesn't list is not there.
-      for (const a of starts) if (a.state === 'sent') a.state = 'fetching';
-    }
-    const report = r.heartbeat;
-    if (report !== null && report.machine === m.name && m.isNewerHeartbeat(report))
-      this.host.report(m, report);
+  /** Fences starts that are on their way to the machine for jobs that have ended. */
+  fenceStartsOfEndedJobs(machine: Machine): void {
+    this.commands.fenceStartsOfEndedJobs(machine);
   }
 }
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -27,21 +27,24 @@
   },
   {
     name: 'an older report decides what is there',
-    file: 'tasks/heartbeat-handler.ts',
-    from: 'return r.fencingToken >= this.term.firstFencingToken;',
-    to: 'return r.fencingToken >= 0;',
+    file: 'tasks/reported-tasks.ts',
+    from: '  heartbeat.fencingToken >= term.firstFencingToken;',
+    to: '  heartbeat.fencingToken >= 0;',
   },
   {
     name: 'an older report stops what it tells of',
-    file: 'tasks/heartbeat-handler.ts',
-    from: 'if (this.isProof(r) || !this.isWanted(t)) orders.push',
-    to: 'orders.push',
+    file: 'tasks/heartbeat-commands.ts',
+    from: `if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
+          commands.push`,
+    to: 'commands.push',
   },
   {
     name: 'unproven attempts are not let go',
-    file: 'tasks/heartbeat-handler.ts',
-    from: 'if (proof) for (const a of rivals)',
-    to: 'if (false as boolean) for (const a of rivals)',
+    file: 'tasks/reconciliation.ts',
+    from: `if (confirmed)
+      for (const rival`,
+    to: `if (false as boolean)
+      for (const rival`,
   },
   {
     name: 'what an older report tells of counts as known for limits',
@@ -51,9 +54,9 @@
   },
   {
     name: 'a machine counts as accounted for by any report',
-    file: 'tasks/heartbeat-handler.ts',
-    from: 'if (m.awaitingReconciliation && r.fencingToken >= this.term.firstFencingToken) {',
-    to: 'if (m.awaitingReconciliation) {',
+    file: 'tasks/reconciliation.ts',
+    from: 'if (machine.awaitingReconciliation && heartbeat.fencingToken >= this.term.firstFencingToken) {',
+    to: 'if (machine.awaitingReconciliation) {',
   },
   {
     name: 'a machine that is gone may come back by a late report',
@@ -63,24 +66,24 @@
   },
   {
     name: 'a lost order does not raise the token',
-    file: 'tasks/attempt-lifecycle.ts',
+    file: 'tasks/command-queue.ts',
     from: `      if (starts.length > 0) {
-        m.fencingCounter++;`,
+        machine.fencingCounter++;`,
     to: `      if (starts.length > 0) {
-        m.fencingCounter += 0;`,
+        machine.fencingCounter += 0;`,
   },
   {
     name: 'what is forgotten does not raise the token',
-    file: 'tasks/attempt-lifecycle.ts',
-    from: `    if (m.commandInFlight) return false;
-    this.raise(m);`,
-    to: '    if (m.commandInFlight) return false;',
+    file: 'tasks/command-queue.ts',
+    from: `    if (machine.commandInFlight) return false;
+    this.fenceEarlierStarts(machine);`,
+    to: '    if (machine.commandInFlight) return false;',
   },
   {
     name: 'places are not put on record before a start',
     file: 'tasks/attempt-lifecycle.ts',
-    from: 'if (!missing) send();',
-    to: 'if (!missing || missing) send();',
+    from: 'if (!unrecorded) start();',
+    to: 'if (!unrecorded || unrecorded) start();',
   },
   {
     name: 'starts while the state service does not answer',
@@ -152,25 +155,26 @@
   },
   {
     name: 'results are forgotten before they are written',
-    file: 'tasks/heartbeat-handler.ts',
-    from: `        t.cause === 'done' &&
-        job !== undefined &&
-        (job.phase`,
-    to: `        t.cause === null &&
-        job !== undefined &&
-        (job.phase`,
+    file: 'tasks/heartbeat-commands.ts',
+    from: `    const isUnwritten =
+      job !== undefined &&
+      (job.phase`,
+    to: `    const isUnwritten =
+      task.cause === null &&
+      job !== undefined &&
+      (job.phase`,
   },
   {
     name: 'a 200 without the stops of what is over',
     file: 'tasks/heartbeat-handler.ts',
-    from: 'const stops = this.term.ready ? this.stopsFor(m, r) : this.earlyStops(r);',
-    to: 'const stops = newer && this.term.ready ? this.stopsFor(m, r) : [];',
+    from: 'const stops = this.stopsFor(machine, heartbeat);',
+    to: 'const stops = newer && this.term.ready ? this.stopsFor(machine, heartbeat) : [];',
   },
   {
     name: 'a job that is over is waited for while it saves',
     file: 'tasks/attempt-lifecycle.ts',
-    from: "const sooner = a.job.phase !== 'active' && graceUs === 0",
-    to: "const sooner = a.job.phase !== 'active' && graceUs < 0",
+    from: "const sooner = job.phase !== 'active' && graceUs === 0",
+    to: "const sooner = job.phase !== 'active' && graceUs < 0",
   },
   {
     name: 'a slice of a plan starts what may not start any more',
