--- /dev/null
+++ b/packages/core/src/machines/deletion-queue.ts
@@ -0,0 +1,56 @@
+/** Deletes machines in the cloud, in batches, until each deletion is answered. */
+import { SECOND, type Micros } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { AutoscalerHost } from './autoscaler-host.js';
+import type { CapacityOffers } from './capacity-offers.js';
+
+/** Machines that one call may delete. */
+const MAX_BATCH = 100;
+const RETRY_DELAY: Micros = SECOND;
+/** Urgency of deletions: before all other calls. */
+const URGENCY = 0;
+
+/** Machines to delete, one call at a time. */
+export class DeletionQueue {
+  private queued: string[] = [];
+  private inFlight = false;
+
+  constructor(
+    private readonly ctx: NodeContext,
+    private readonly host: Pick<AutoscalerHost, 'find' | 'gone' | 'active'>,
+    private readonly offers: CapacityOffers,
+  ) {}
+
+  /** Deletes a machine that is on record as retiring; everything on it is gone once that is answered. */
+  add(name: string): void {
+    if (!this.queued.includes(name)) this.queued.push(name);
+    this.flush();
+  }
+
+  private flush(): void {
+    if (this.inFlight || this.queued.length === 0) return;
+    this.inFlight = true;
+    const batch = this.queued.slice(0, MAX_BATCH);
+    this.ctx.requestCloud({ kind: 'delete', machines: batch }, URGENCY, (reply) => {
+      this.inFlight = false;
+      if (!this.host.active()) return;
+      if (reply.kind === 'deleted') {
+        this.recordDeleted(batch);
+        this.flush();
+      } else
+        this.ctx.after(RETRY_DELAY, () => {
+          if (this.host.active()) this.flush();
+        });
+    });
+  }
+
+  private recordDeleted(names: readonly string[]): void {
+    this.queued = this.queued.filter((name) => !names.includes(name));
+    for (const name of names) {
+      const machine = this.host.find(name);
+      if (machine === undefined) continue;
+      this.offers.recordFreed(machine);
+      this.host.gone(machine, 'deleted');
+    }
+  }
+}
