--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,143 +1,180 @@
-/** The machines of a term: known from the records, the cloud or their own reports, until they are gone. */
+/** The machines of a term: known from the records, the cloud or their own heartbeats, until they are gone. */
 import { Machine, type TaskAttempt } from '../cluster/cluster-model.js';
 import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
-import type { Micros } from '../domain/time.js';
-import { MILLI } from '../domain/time.js';
-import type { MachineStore } from '../storage/machine-store.js';
+import { MILLI, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { MachineStore } from '../storage/machine-store.js';
 
-/** Names of machines that are gone are kept for so many of them: lists and reports may be older. */
-const BURIED = 2_000;
+/** Names of removed machines are kept for so many of them: lists and heartbeats may be older. */
+const MAX_REMOVED_NAMES = 2_000;
+/** How often a machine that is to be retired once it is empty is looked at. */
+const RETIREMENT_CHECK_INTERVAL: Micros = 500 * MILLI;
 
+/** What the machines' life needs of the other parts of the scheduler, and what it reports to them. */
 export interface MachineEvents {
   /** Deletes a machine that is on record as retiring. */
   remove(name: string): void;
-  /** The attempt is surely not there any more. */
-  end(a: TaskAttempt): void;
-  gone(m: Machine): void;
+  /** The attempt is surely not on its machine any more. */
+  end(attempt: TaskAttempt): void;
+  /** The machine is gone for sure. */
+  gone(machine: Machine): void;
 }
 
+/** What a machine is known by when it is added. */
+export interface MachineDescription {
+  /** Empty if it is not known yet. */
+  readonly address: string;
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+}
+
+/** Adds, records, retires and removes the machines of the cluster state. */
 export class MachineLifecycle {
-  /** Machines that are gone for good: lists older than that still name them. */
-  private readonly buried = new Map<string, Micros>();
+  /** When machines were removed for good, by name: older lists and heartbeats still name them. */
+  private readonly removedAt = new Map<string, Micros>();
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly roster: MachineStore,
-    private readonly host: MachineEvents,
+    private readonly store: MachineStore,
+    private readonly events: MachineEvents,
   ) {}
 
   private get machines(): Map<string, Machine> {
     return this.term.cluster.machines;
   }
 
-  add(name: string, d: { address: string; type: string; zone: string; spot: boolean }): Machine {
-    const m = new Machine(name, d.address, d.type, d.zone, d.spot, this.term.ctx.now);
-    this.machines.set(name, m);
-    return m;
+  /** Adds a machine to the cluster state; not yet on record. */
+  add(name: string, { address, type, zone, spot }: MachineDescription): Machine {
+    const machine = new Machine(name, address, type, zone, spot, this.term.ctx.now);
+    this.machines.set(name, machine);
+    return machine;
   }
 
-  /** The machine that a report comes from; null if it is gone for good. */
-  registerHeartbeat(r: Heartbeat): Machine | null {
-    const m = this.machines.get(r.machine);
-    if (m !== undefined) return m;
-    if (this.buried.has(r.machine)) return null;
-    if (this.term.ready && this.isGhost(r)) return null;
+  /** The machine that a heartbeat comes from, added if it is new; null if it is gone for good. */
+  registerHeartbeat(heartbeat: Heartbeat): Machine | null {
+    const { machine: name, type, zone } = heartbeat;
+    const known = this.machines.get(name);
+    if (known !== undefined) return known;
+    if (this.removedAt.has(name)) return null;
+    if (this.term.ready && this.isStale(heartbeat)) return null;
     // Never on record, so no leader ever put anything on it.
-    this.term.ctx.info('machine.registered', { machine: r.machine, type: r.type, zone: r.zone });
-    return this.add(r.machine, r);
+    this.term.ctx.info('machine.registered', { machine: name, type, zone });
+    return this.add(name, heartbeat);
   }
 
   /**
-   * Nothing is started on a machine before it is on record, and it is taken off only once it is gone for sure: so who tells of
-   * tasks and is not on record tells of a time before its end. A late report of that kind once had a new leader take the
-   * machine for one that is there, with tasks that ran elsewhere by then, until a lease had passed.
+   * Whether the heartbeat of a machine that is not on record is from before its removal. Nothing is started on a machine before
+   * it is on record, and it is taken off only once it is gone for sure: so a heartbeat that lists tasks, of a machine that is
+   * not on record, was made before its end. A late one of that kind once had a new leader take the machine for one that is
+   * there, with tasks that ran elsewhere by then, until a lease had passed.
    */
-  private isGhost(r: Heartbeat): boolean {
-    if (r.tasks.length === 0 || !this.roster.isComplete) return false;
+  private isStale(heartbeat: Heartbeat): boolean {
+    if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;
     this.term.ctx.info('heartbeat.stale', {
-      machine: r.machine,
-      session: r.agentEpoch,
-      tasks: r.tasks.length,
+      machine: heartbeat.machine,
+      session: heartbeat.agentEpoch,
+      tasks: heartbeat.tasks.length,
     });
     return true;
   }
 
-  /** Whether what came before the records were read is of a machine that is on none: then it is let go. */
-  removeStaleMachine(m: Machine, r: Heartbeat): boolean {
-    if (m.recorded !== 'no' || !this.isGhost(r)) return false;
-    this.machines.delete(m.name);
+  /**
+   * Removes a machine whose heartbeat came before the records were read, if it turns out to be stale: its machine is not on
+   * record. Returns whether it was.
+   */
+  removeStaleMachine(machine: Machine, heartbeat: Heartbeat): boolean {
+    if (machine.recorded !== 'no' || !this.isStale(heartbeat)) return false;
+    this.machines.delete(machine.name);
     return true;
   }
 
-  persist(m: Machine): void {
-    // Before the roster is read, its pages would be overwritten.
-    if (m.recorded !== 'no' || !this.term.ready) return;
-    m.recorded = 'writing';
-    this.roster.put(m, () => {
-      m.recorded = 'yes';
+  /** Puts a machine on record, unless it is already, or is being put there. */
+  persist(machine: Machine): void {
+    // Before the machine records are read, their pages would be overwritten.
+    if (machine.recorded !== 'no' || !this.term.ready) return;
+    machine.recorded = 'writing';
+    this.store.put(machine, () => {
+      machine.recorded = 'yes';
       this.term.schedulePass();
     });
   }
 
+  /** The cloud granted a machine that was requested at `since`. */
   recordProvisioned(name: string, type: string, zone: string, spot: boolean, since: Micros): void {
-    const m = this.machines.get(name) ?? this.add(name, { address: '', type, zone, spot });
-    m.provisionedAt = since;
+    const machine = this.machines.get(name) ?? this.add(name, { address: '', type, zone, spot });
+    machine.provisionedAt = since;
   }
 
-  recordListed(l: ListedMachine): void {
-    let m = this.machines.get(l.name);
-    if (m === undefined) {
-      if (this.buried.has(l.name)) return;
-      if (l.state === 'failed') {
-        this.host.remove(l.name);
+  /** The cloud lists a machine: adds it if it is new, or deletes it if it has failed and is not known. */
+  recordListed(listed: ListedMachine): void {
+    const { name } = listed;
+    let machine = this.machines.get(name);
+    if (machine === undefined) {
+      if (this.removedAt.has(name)) return;
+      if (listed.state === 'failed') {
+        this.events.remove(name);
         return;
       }
-      m = this.add(l.name, l);
-      m.provisionedAt = this.term.ctx.now - l.ageUs;
-      this.term.ctx.info('machine.discovered', { machine: l.name, type: l.type, zone: l.zone });
+      machine = this.add(name, listed);
+      machine.provisionedAt = this.term.ctx.now - listed.ageUs;
+      this.term.ctx.info('machine.discovered', { machine: name, type: listed.type, zone: listed.zone });
     }
-    if (m.address === '') m.address = l.address;
+    if (machine.address === '') machine.address = listed.address;
   }
 
   /** The machine and everything on it are gone for sure. */
-  remove(m: Machine, reason: string): void {
-    if (!this.machines.has(m.name)) return;
-    this.term.ctx.info('machine.removed', { machine: m.name, reason, tasks: m.attempts.size });
-    this.machines.delete(m.name);
-    this.buried.set(m.name, this.term.ctx.now);
-    if (this.buried.size > BURIED) this.buried.delete(this.buried.keys().next().value!);
-    m.up = false;
-    m.awaitingReconciliation = false;
-    m.retirementReason ??= reason;
-    for (const a of [...m.attempts.values()]) this.host.end(a);
-    this.host.gone(m);
-    this.roster.drop(m);
+  remove(machine: Machine, reason: string): void {
+    if (!this.machines.has(machine.name)) return;
+    this.term.ctx.info('machine.removed', {
+      machine: machine.name,
+      reason,
+      tasks: machine.attempts.size,
+    });
+    this.machines.delete(machine.name);
+    this.rememberRemoved(machine.name);
+    machine.up = false;
+    machine.awaitingReconciliation = false;
+    machine.retirementReason ??= reason;
+    for (const attempt of [...machine.attempts.values()]) this.events.end(attempt);
+    this.events.gone(machine);
+    this.store.drop(machine);
     this.term.schedulePass();
   }
 
+  private rememberRemoved(name: string): void {
+    this.removedAt.set(name, this.term.ctx.now);
+    if (this.removedAt.size <= MAX_REMOVED_NAMES) return;
+    const oldest = this.removedAt.keys().next().value!;
+    this.removedAt.delete(oldest);
+  }
+
   /** Takes a machine out of use for good. Put on record first: a late deletion must not hit a new use. */
-  retire(m: Machine, reason: string): void {
-    if (m.deletionRequested) return;
-    m.deletionRequested = true;
-    m.retirementReason ??= reason;
-    this.term.ctx.info('machine.retired', { machine: m.name, reason, tasks: m.attempts.size });
-    m.recorded = 'writing';
-    this.roster.put(m, () => {
-      m.recorded = 'yes';
-      this.host.remove(m.name);
+  retire(machine: Machine, reason: string): void {
+    if (machine.deletionRequested) return;
+    machine.deletionRequested = true;
+    machine.retirementReason ??= reason;
+    this.term.ctx.info('machine.retired', {
+      machine: machine.name,
+      reason,
+      tasks: machine.attempts.size,
+    });
+    machine.recorded = 'writing';
+    this.store.put(machine, () => {
+      machine.recorded = 'yes';
+      this.events.remove(machine.name);
     });
   }
 
-  /** Once it is empty, or at `latest`. */
-  retireWhenEmpty(m: Machine, reason: string, latest: Micros): void {
-    if (m.attempts.size === 0 || this.term.ctx.now >= latest) {
-      this.retire(m, reason);
+  /** Retires a machine once it is empty, or at `latest`. */
+  retireWhenEmpty(machine: Machine, reason: string, latest: Micros): void {
+    if (machine.attempts.size === 0 || this.term.ctx.now >= latest) {
+      this.retire(machine, reason);
       return;
     }
-    this.term.after(500 * MILLI, () => {
-      if (this.machines.has(m.name)) this.retireWhenEmpty(m, reason, latest);
+    this.term.after(RETIREMENT_CHECK_INTERVAL, () => {
+      if (this.machines.has(machine.name)) this.retireWhenEmpty(machine, reason, latest);
     });
   }
 }
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -1,26 +1,28 @@
 /**
- * Which machines stood ready before anything was rented: those of the first list, as long as no booking was ever sent. They
- * are put on record, and that this is done with, before the first booking. So it does not hang on the first leader's living
- * through its start: one that was back within a second, or the next one, once took all that stood ready for rented machines,
- * and returned what was idle.
+ * Which machines were there before any was requested: those of the first list, as long as no request was ever sent. They are put
+ * on record, and after them that this is finished, before the first request. So it does not depend on the first leader's
+ * surviving its start: one that was back within a second, or the next one, once took all pre-provisioned machines for
+ * provisioned ones, and returned those that were idle.
  */
+import type { Machine } from '../cluster/cluster-model.js';
 import { TERM } from '../codecs/keys.js';
-import { SECOND, type Micros } from '../domain/time.js';
 import { encodeTerm } from '../codecs/leadership-codec.js';
+import { SECOND, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
-import type { Machine } from '../cluster/cluster-model.js';
-import type { MachineStore } from '../storage/machine-store.js';
 import type { FencedWriter } from '../storage/fenced-writer.js';
+import type { MachineStore } from '../storage/machine-store.js';
 
-/** A record that is not confirmed by then is left to the machine's next one: renting can't wait for it for ever. */
-const CONFIRMED: Micros = 10 * SECOND;
+/** A record that is not confirmed by then is left to the machine's next one: scale-out can't wait for it for ever. */
+const CONFIRMATION_TIMEOUT: Micros = 10 * SECOND;
 
+/** Records the pre-provisioned machines once in the life of a cluster; until then nothing is provisioned. */
 export class PreprovisionedMachines {
   private state: 'open' | 'recording' | 'closing' | 'closed';
 
+  /** `closed` is called once machines may be provisioned. */
   constructor(
     private readonly term: LeaderTerm,
-    private readonly roster: MachineStore,
+    private readonly store: MachineStore,
     private readonly writer: FencedWriter,
     private readonly closed: () => void,
   ) {
@@ -29,36 +31,37 @@
     writer.rememberVersion(TERM, term.lease.keyVersion);
   }
 
-  /** A list that comes now shows what stood ready. */
+  /** Whether a list that comes now shows the pre-provisioned machines. */
   get isOpen(): boolean {
     return this.state === 'open';
   }
 
-  /** Anything may be rented. */
+  /** Whether machines may be provisioned. */
   get canProvision(): boolean {
     return this.state === 'closed';
   }
 
-  /** The machines of the first list; none where it did not come in time. */
+  /** Records the machines of the first list; none where it did not come in time. */
   recordFirstList(machines: readonly Machine[]): void {
     if (this.state !== 'open') return;
     this.state = 'recording';
-    const open = new Set(machines);
-    for (const m of machines) {
-      m.preprovisioned = true;
-      this.roster.put(m, () => {
-        if (m.recorded === 'no') m.recorded = 'yes';
-        open.delete(m);
-        if (open.size === 0) this.close();
+    const unconfirmed = new Set(machines);
+    for (const machine of machines) {
+      machine.preprovisioned = true;
+      this.store.put(machine, () => {
+        if (machine.recorded === 'no') machine.recorded = 'yes';
+        unconfirmed.delete(machine);
+        if (unconfirmed.size === 0) this.close();
       });
     }
-    if (open.size === 0) this.close();
+    if (unconfirmed.size === 0) this.close();
     else
-      this.term.after(CONFIRMED, () => {
+      this.term.after(CONFIRMATION_TIMEOUT, () => {
         this.close();
       });
   }
 
+  /** Puts on record that the pre-provisioned machines are known. */
   private close(): void {
     if (this.state !== 'recording') return;
     this.state = 'closing';
@@ -67,11 +70,15 @@
       () => encodeTerm({ number: this.term.number, first: false }),
       () => {
         this.state = 'closed';
-        this.term.ctx.info('autoscaler.preprovisioned_recorded', {
-          machines: [...this.term.cluster.machines.values()].filter((m) => m.preprovisioned).length,
-        });
+        this.logRecorded();
         this.closed();
       },
     );
   }
+
+  private logRecorded(): void {
+    let machines = 0;
+    for (const machine of this.term.cluster.machines.values()) if (machine.preprovisioned) machines++;
+    this.term.ctx.info('autoscaler.preprovisioned_recorded', { machines });
+  }
 }
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -61,8 +61,8 @@
   {
     name: 'a machine that is gone may come back by a late report',
     file: 'machines/machine-lifecycle.ts',
-    from: 'if (r.tasks.length === 0 || !this.roster.isComplete) return false;',
-    to: 'if (r.tasks.length >= 0 || !this.roster.isComplete) return false;',
+    from: 'if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;',
+    to: 'if (heartbeat.tasks.length >= 0 || !this.store.isComplete) return false;',
   },
   {
     name: 'a lost order does not raise the token',
