--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -1,25 +1,26 @@
 /**
- * Many starts at once: plans whose every decision is a slice of its own, with nearly all work beyond the groups that are
- * compared. Troubles come in the middle: no rule breaks, and all work that is not cancelled ends.
+ * Many starts at once: plans in which every decision is a slice of its own, with nearly all work beyond the groups that are
+ * compared. Faults come in the middle: no rule breaks, and all work that is not cancelled ends.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
 import {
-  FIRST_BOUNDS,
   BASIC_SCENARIOS,
+  EXTENDED_SCENARIOS,
+  FIRST_BOUNDS,
   play,
   SECOND_BOUNDS,
-  EXTENDED_SCENARIOS,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
 import { checkOutcome } from './scenario-assertions.js';
+import { teamQuota, violationsOf } from './scenario-fixtures.js';
 
 /** Longer than a slice, so that each decision ends one; the whole plan still has time for some. */
-const sliced = (): CoreOptions => {
+const slicedPlans = (): CoreOptions => {
   let time = 0;
   return {
     operators: 'search_groups: 1\nsearch_budget_ms: 100000\n',
@@ -30,12 +31,14 @@
 const MACHINES = 40;
 /** Below what the machines have, so that the quota is reached in the middle of a plan. */
 const QUOTA = 140;
+/** Steps of the leader after which it is crashed, spread over the whole bulk start. */
+const CRASH_POINTS = 24;
 
-const worldOf = (seed: number, coreOptions: CoreOptions = sliced()): ClusterSimulation => {
-  const world = new ClusterSimulation(
+const createSimulation = (seed: number, coreOptions: CoreOptions = slicedPlans()): ClusterSimulation => {
+  const simulation = new ClusterSimulation(
     new Random(seed),
     3,
-    `[[cluster.teams]]\nname = "t"\ncpus_max = ${QUOTA}.0\n`,
+    teamQuota(QUOTA),
     QUOTA,
     MACHINES / 2,
     '',
@@ -44,9 +47,9 @@
     null,
     coreOptions,
   );
-  world.stand(MACHINES);
-  world.runFor(4 * SECOND);
-  return world;
+  simulation.stand(MACHINES);
+  simulation.runFor(4 * SECOND);
+  return simulation;
 };
 
 const JOBS: readonly JobSpec[] = [
@@ -59,28 +62,33 @@
   ),
 ];
 
-const submitAll = (world: ClusterSimulation): void => {
-  for (const job of JOBS) world.submit(job);
+const submitAll = (simulation: ClusterSimulation): void => {
+  for (const job of JOBS) simulation.submit(job);
 };
 
-/** Plays until everything has ended, or for five minutes. */
-const playToEnd = (world: ClusterSimulation, what: string, cancelled: readonly string[] = []): void => {
-  for (let t = 0; t < 60; t++) {
-    world.runFor(5 * SECOND);
-    for (const { id } of JOBS) world.poll(id);
-    if (JOBS.every(({ id }) => ['done', 'cancelled'].includes(world.stageOf(id) ?? ''))) break;
+/** Runs until everything has ended, or for five minutes. */
+const runToEnd = (
+  simulation: ClusterSimulation,
+  description: string,
+  cancelled: readonly string[] = [],
+): void => {
+  for (let round = 0; round < 60; round++) {
+    simulation.runFor(5 * SECOND);
+    for (const { id } of JOBS) simulation.poll(id);
+    if (JOBS.every(({ id }) => ['done', 'cancelled'].includes(simulation.stageOf(id) ?? ''))) break;
   }
-  assert.deepEqual([...new Set(world.broken)], [], what);
+  assert.deepEqual(violationsOf(simulation), [], description);
   for (const { id } of JOBS) {
     const expected = cancelled.includes(id) ? ['done', 'cancelled'] : ['done'];
-    assert.ok(expected.includes(world.stageOf(id) ?? ''), `${what}: ${id} is ${world.stageOf(id)}`);
+    const stage = simulation.stageOf(id);
+    assert.ok(expected.includes(stage ?? ''), `${description}: ${id} is ${stage}`);
   }
 };
 
-/** Told of each step of the node that leads, in order. */
-const countSteps = (world: ClusterSimulation, leader: string, onStep: (count: number) => void): void => {
+/** Calls `onStep` after each step of the node that leads, with the number of its steps so far. */
+const countSteps = (simulation: ClusterSimulation, leader: string, onStep: (count: number) => void): void => {
   let count = 0;
-  world.meter = {
+  simulation.meter = {
     stopwatch: () => 0,
     stepped: (node) => {
       if (node === leader) onStep(++count);
@@ -88,99 +96,106 @@
   };
 };
 
-test('a leader that ends between any two steps of a bulk start', () => {
+/** Steps that the leader takes for the bulk start if nothing disturbs it, and the most slices that a plan had. */
+const measureUndisturbed = (): { steps: number; slices: number } => {
+  const simulation = createSimulation(1);
+  let steps = 0;
   let slices = 0;
-  const steps = (): number => {
-    const world = worldOf(1);
-    world.onLog = (_node, event, fields) => {
-      if (event === 'plan.completed') slices = Math.max(slices, Number(fields['slices']));
-    };
-    let last = 0;
-    countSteps(world, world.nodes[world.leader()]!.name, (count) => {
-      if (world.starts < 140) last = count;
-    });
-    submitAll(world);
-    playToEnd(world, 'undisturbed');
-    return last;
+  simulation.onLog = (_node, event, fields) => {
+    if (event === 'plan.completed') slices = Math.max(slices, Number(fields['slices']));
   };
-  const all = steps();
+  countSteps(simulation, simulation.nodes[simulation.leader()]!.name, (count) => {
+    if (simulation.starts < 140) steps = count;
+  });
+  submitAll(simulation);
+  runToEnd(simulation, 'undisturbed');
+  return { steps, slices };
+};
+
+test('a leader that crashes between any two steps of a bulk start', () => {
+  const { steps, slices } = measureUndisturbed();
   assert.ok(slices > 3, `a plan had ${slices} slices`);
-  assert.ok(all > 60, `${all} steps`);
-  for (let k = 0; k < 24; k++) {
-    const at = 1 + Math.floor((k * all) / 24);
-    const world = worldOf(1);
-    const leader = world.leader();
-    countSteps(world, world.nodes[leader]!.name, (count) => {
+  assert.ok(steps > 60, `${steps} steps`);
+  for (let point = 0; point < CRASH_POINTS; point++) {
+    const lastStep = 1 + Math.floor((point * steps) / CRASH_POINTS);
+    const simulation = createSimulation(1);
+    const leader = simulation.leader();
+    countSteps(simulation, simulation.nodes[leader]!.name, (count) => {
       // Before the effects of this step leave.
-      if (count === at)
-        world.later(0, () => {
-          world.crash(leader, [50 * MILLI, 5 * SECOND][k % 2]!);
+      if (count === lastStep)
+        simulation.later(0, () => {
+          simulation.crash(leader, [50 * MILLI, 5 * SECOND][point % 2]!);
         });
     });
-    submitAll(world);
-    playToEnd(world, `ended at step ${at}`);
+    submitAll(simulation);
+    runToEnd(simulation, `crashed at step ${lastStep}`);
   }
 });
 
-const FAULTS: Readonly<Record<string, (world: ClusterSimulation, random: Random) => readonly string[]>> = {
-  'writes are refused': (world) => {
-    world.refuse(world.nodes[world.leader()]!.name, 8 * SECOND);
+/** Injects a fault; returns the jobs that are cancelled by it. */
+type Fault = (simulation: ClusterSimulation, random: Random) => readonly string[];
+
+const FAULTS: Readonly<Record<string, Fault>> = {
+  'writes are refused': (simulation) => {
+    simulation.refuse(simulation.nodes[simulation.leader()]!.name, 8 * SECOND);
     return [];
   },
-  'writes come late': (world) => {
-    world.lateWrites = 0.6;
-    world.later(10 * SECOND, () => {
-      world.lateWrites = 0;
+  'writes come late': (simulation) => {
+    simulation.lateWrites = 0.6;
+    simulation.later(10 * SECOND, () => {
+      simulation.lateWrites = 0;
     });
     return [];
   },
-  'machines are lost': (world, random) => {
-    for (let k = 0; k < 6; k++)
-      world.later(random.below(1_500) * MILLI, () => {
-        const worker = world.anyWorker();
-        if (worker !== undefined) world.killWorker(worker);
+  'machines are lost': (simulation, random) => {
+    for (let lost = 0; lost < 6; lost++)
+      simulation.later(random.below(1_500) * MILLI, () => {
+        const worker = simulation.anyWorker();
+        if (worker !== undefined) simulation.killWorker(worker);
       });
     return [];
   },
-  'jobs are cancelled': (world, random) => {
+  'jobs are cancelled': (simulation, random) => {
     const cancelled = ['run-1', 'run-2', 'run-12', 'run-15'];
     for (const id of cancelled)
-      world.later(random.below(1_200) * MILLI, () => {
-        world.cancel(id);
+      simulation.later(random.below(1_200) * MILLI, () => {
+        simulation.cancel(id);
       });
     return cancelled;
   },
-  'one start of the large gang fails': (world, random) => {
-    world.later(300 * MILLI + random.below(400) * MILLI, () => {
-      const holder = [...world.workers.values()].find((w) => w.tasks.some((t) => t.job === 'run-1'));
-      world.killWorker(holder ?? world.anyWorker()!);
+  'one start of the large gang fails': (simulation, random) => {
+    simulation.later(300 * MILLI + random.below(400) * MILLI, () => {
+      const holder = [...simulation.workers.values()].find((worker) =>
+        worker.tasks.some((task) => task.job === 'run-1'),
+      );
+      simulation.killWorker(holder ?? simulation.anyWorker()!);
     });
     return [];
   },
-  'orders are held up': (world) => {
-    world.ordersLate = { share: 0.5, most: 6 * SECOND };
-    world.later(8 * SECOND, () => {
-      world.ordersLate = null;
+  'commands are delayed': (simulation) => {
+    simulation.ordersLate = { share: 0.5, most: 6 * SECOND };
+    simulation.later(8 * SECOND, () => {
+      simulation.ordersLate = null;
     });
     return [];
   },
 };
 
-for (const [name, fault] of Object.entries(FAULTS))
+for (const [name, injectFault] of Object.entries(FAULTS))
   test(`a bulk start in which ${name}`, () => {
     for (let seed = 1; seed <= 6; seed++) {
-      const world = worldOf(seed * 31);
-      const cancelled = fault(world, new Random(seed));
-      submitAll(world);
-      playToEnd(world, `${name}, seed ${seed}`, cancelled);
+      const simulation = createSimulation(seed * 31);
+      const cancelled = injectFault(simulation, new Random(seed));
+      submitAll(simulation);
+      runToEnd(simulation, `${name}, seed ${seed}`, cancelled);
     }
   });
 
 test('a plan that fails in its middle does not keep later ones from being made', () => {
-  const { operators, stopwatch } = sliced();
+  const { operators, stopwatch } = slicedPlans();
   let calls = 0;
   let failures = 0;
-  const failing = (): number => {
+  const failingStopwatch = (): number => {
     calls++;
     if (calls > 30 && failures < 3 && calls % 7 === 0) {
       failures++;
@@ -188,24 +203,29 @@
     }
     return stopwatch!();
   };
-  const world = worldOf(5, { operators: operators!, stopwatch: failing });
-  submitAll(world);
-  world.runFor(8 * SECOND);
+  const simulation = createSimulation(5, { operators: operators!, stopwatch: failingStopwatch });
+  submitAll(simulation);
+  simulation.runFor(8 * SECOND);
   assert.equal(failures, 3);
   // What was made to fail is logged as an error, and nothing else is wrong.
-  const others = world.broken.filter((what) => !what.includes('made to fail'));
-  world.broken.length = 0;
-  assert.deepEqual(others, []);
-  playToEnd(world, 'after failures');
+  const otherViolations = simulation.broken.filter((violation) => !violation.includes('made to fail'));
+  simulation.broken.length = 0;
+  assert.deepEqual(otherViolations, []);
+  runToEnd(simulation, 'after failures');
 });
 
-const MEETINGS = [
-  ...Object.entries(BASIC_SCENARIOS).map(([name, meeting]) => ({ name, meeting, bounds: FIRST_BOUNDS })),
-  ...Object.entries(EXTENDED_SCENARIOS).map(([name, meeting]) => ({ name, meeting, bounds: SECOND_BOUNDS })),
+const SCENARIOS = [
+  ...Object.entries(BASIC_SCENARIOS).map(([name, scenario]) => ({ name, scenario, bounds: FIRST_BOUNDS })),
+  ...Object.entries(EXTENDED_SCENARIOS).map(([name, scenario]) => ({
+    name,
+    scenario,
+    bounds: SECOND_BOUNDS,
+  })),
 ];
 
-test('the meetings of troubles hold with plans in slices', () => {
-  MEETINGS.forEach(({ name, meeting, bounds }, k) => {
-    checkOutcome(play(200 + k, [meeting], 2, bounds, sliced()), `${name}, seed ${200 + k}`);
+test('the fault scenarios hold with plans in slices', () => {
+  SCENARIOS.forEach(({ name, scenario, bounds }, index) => {
+    const seed = 200 + index;
+    checkOutcome(play(seed, [scenario], 2, bounds, slicedPlans()), `${name}, seed ${seed}`);
   });
 });
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -1,136 +1,151 @@
 /**
- * Old reports that reach a new leader before newer ones. A report with an older leader's token may be a late copy: it can add
- * places to wait for, but does not decide which of two attempts is the true one, nor what a machine holds now.
+ * Old heartbeats that reach a new leader before newer ones. A heartbeat with an older leader's token may be a late copy: it can
+ * add places to wait for, but does not decide which of two attempts is the true one, nor what a machine holds now.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import type { Worker } from '@shaleyoke/emulator/workers-model';
+import { teamQuota, violationsOf } from './scenario-fixtures.js';
 
-const TEAM = (cores: number): string => `[[cluster.teams]]\nname = "t"\ncpus_max = ${cores}.0\n`;
-const TWO_TEAMS = `[[cluster.teams]]\nname = "t"\ncpus_max = 8.0\n\n[[cluster.teams]]\nname = "u"\ncpus_max = 8.0\n`;
+const TWO_TEAMS = `${teamQuota(8, 't')}\n${teamQuota(8, 'u')}`;
 
-const running = (x: Worker): string[] =>
-  x.tasks.filter((t) => t.state === 'running').map((t) => `${t.job}/${t.index}`);
-const holders = (w: ClusterSimulation, task: string): Worker[] =>
-  [...w.workers.values()].filter((x) => x.alive && running(x).includes(task));
+const runningTasks = (worker: Worker): string[] =>
+  worker.tasks.filter((task) => task.state === 'running').map((task) => `${task.job}/${task.index}`);
+
+const holdersOf = (simulation: ClusterSimulation, task: string): Worker[] =>
+  [...simulation.workers.values()].filter((worker) => worker.alive && runningTasks(worker).includes(task));
 
 /**
- * A leader ends; the next one has just read the records, and no worker has come to it but the copies given by `old`. Reports
- * of workers are held back meanwhile.
+ * A leader ends; the next one has just read the records, and has received no heartbeats but the `old` copies. The workers' own
+ * heartbeats are held back meanwhile.
  */
-const nextLeader = (w: ClusterSimulation, old: readonly Heartbeat[]): void => {
-  const won = w.nodes.map(() => false);
-  w.onLog = (n, event) => {
-    if (event === 'leader.state_restored') won[w.nodes.findIndex((x) => x.name === n)] = true;
+const failOver = (simulation: ClusterSimulation, old: readonly Heartbeat[]): void => {
+  const isReady = simulation.nodes.map(() => false);
+  simulation.onLog = (nodeName, event) => {
+    if (event === 'leader.state_restored')
+      isReady[simulation.nodes.findIndex((node) => node.name === nodeName)] = true;
   };
-  for (const x of w.workers.values()) x.muteUntil = w.now + 60 * SECOND;
-  w.crash(w.leader(), 30 * SECOND);
-  for (let i = 0; i < 1_000 && !won.includes(true); i++) w.runFor(25 * MILLI);
-  assert.ok(won.includes(true), 'a new leader is ready');
-  const { scheduler } = w.nodes[w.leader()]!.core!;
-  for (const r of old) assert.equal(scheduler!.respondToHeartbeat(r).kind, 'accepted');
-  for (const x of w.workers.values()) {
-    x.muteUntil = 0;
-    x.node = w.leader();
+  for (const worker of simulation.workers.values()) worker.muteUntil = simulation.now + 60 * SECOND;
+  simulation.crash(simulation.leader(), 30 * SECOND);
+  for (let i = 0; i < 1_000 && !isReady.includes(true); i++) simulation.runFor(25 * MILLI);
+  assert.ok(isReady.includes(true), 'a new leader is ready');
+  const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+  for (const heartbeat of old) assert.equal(scheduler!.respondToHeartbeat(heartbeat).kind, 'accepted');
+  for (const worker of simulation.workers.values()) {
+    worker.muteUntil = 0;
+    worker.node = simulation.leader();
     // From here on in an order that the test chooses.
-    x.nextReport = w.now + 3600 * SECOND;
+    worker.nextReport = simulation.now + 3600 * SECOND;
   }
 };
 
+/** A task that failed on the machine `origin` and runs elsewhere now; `old` is a heartbeat of `origin` that lists it. */
+interface MovedTask {
+  readonly simulation: ClusterSimulation;
+  readonly old: Heartbeat;
+  readonly origin: Worker;
+  readonly task: string;
+}
+
 /** Long tasks on several machines. One of them fails on its machine, and begins anew elsewhere. */
-const moved = (
-  seed: number,
-  shape: 'array' | 'gang',
-): { w: ClusterSimulation; old: Heartbeat; from: Worker; task: string } => {
-  const w = new ClusterSimulation(new Random(seed * 37 + 5), 3, TEAM(40), 40, 5);
-  w.stand(8);
-  w.runFor(3 * SECOND);
+const moveTask = (seed: number, shape: 'array' | 'gang'): MovedTask => {
+  const simulation = new ClusterSimulation(new Random(seed * 37 + 5), 3, teamQuota(40), 40, 5);
+  simulation.stand(8);
+  simulation.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++)
-    w.submit(specOf(`run-${seed}${i}`, { shape, tasks: 3, estimatedRunUs: 900 * SECOND }));
-  w.runFor(20 * SECOND);
-  const from = [...w.workers.values()].find((x) => x.alive && running(x).length > 0)!;
-  const old = w.machines.reportOf(from);
-  const t = from.tasks.find((x) => x.state === 'running')!;
-  const task = `${t.job}/${t.index}`;
-  t.state = 'exited';
-  t.cause = 'error';
-  from.nextReport = w.now;
-  w.runFor(25 * SECOND);
-  const now = holders(w, task);
-  assert.ok(now.length === 1 && now[0] !== from, `seed ${seed}: ${task} has moved`);
-  return { w, old, from, task };
+    simulation.submit(specOf(`run-${seed}${i}`, { shape, tasks: 3, estimatedRunUs: 900 * SECOND }));
+  simulation.runFor(20 * SECOND);
+  const origin = [...simulation.workers.values()].find(
+    (worker) => worker.alive && runningTasks(worker).length > 0,
+  )!;
+  const old = simulation.machines.reportOf(origin);
+  const failing = origin.tasks.find((task) => task.state === 'running')!;
+  const task = `${failing.job}/${failing.index}`;
+  failing.state = 'exited';
+  failing.cause = 'error';
+  origin.nextReport = simulation.now;
+  simulation.runFor(25 * SECOND);
+  const holders = holdersOf(simulation, task);
+  assert.ok(holders.length === 1 && holders[0] !== origin, `seed ${seed}: ${task} has moved`);
+  return { simulation, old, origin, task };
 };
 
-test('healthy work is not stopped since a late copy tells of it elsewhere', () => {
+test('healthy work is not stopped because a late copy of a heartbeat lists it elsewhere', () => {
   for (const shape of ['array', 'gang'] as const)
     for (let seed = 1; seed <= 5; seed++) {
-      const { w, old, from, task } = moved(seed, shape);
-      const before = w.machines.stoppedRunning.length;
-      const now = holders(w, task).map((x) => x.name);
-      nextLeader(w, [old]);
-      for (const x of w.workers.values()) x.nextReport = w.now + (x === from ? 2 * SECOND : 0);
-      w.runFor(40 * SECOND);
-      const what = `${shape}, seed ${seed}`;
-      assert.deepEqual(w.machines.stoppedRunning.slice(before), [], `${what}: stopped without need`);
-      const after = holders(w, task).map((x) => x.name);
-      assert.deepEqual(after, now, `${what}: ${task}`);
-      assert.deepEqual([...new Set(w.broken)], [], what);
+      const { simulation, old, origin, task } = moveTask(seed, shape);
+      const stoppedBefore = simulation.machines.stoppedRunning.length;
+      const holdersBefore = holdersOf(simulation, task).map((worker) => worker.name);
+      failOver(simulation, [old]);
+      for (const worker of simulation.workers.values())
+        worker.nextReport = simulation.now + (worker === origin ? 2 * SECOND : 0);
+      simulation.runFor(40 * SECOND);
+      const description = `${shape}, seed ${seed}`;
+      assert.deepEqual(
+        simulation.machines.stoppedRunning.slice(stoppedBefore),
+        [],
+        `${description}: stopped without need`,
+      );
+      const holdersAfter = holdersOf(simulation, task).map((worker) => worker.name);
+      assert.deepEqual(holdersAfter, holdersBefore, `${description}: ${task}`);
+      assert.deepEqual(violationsOf(simulation), [], description);
     }
 });
 
-test('a task does not begin a third time while the order to stop has not reached its true place', () => {
-  // The true place comes with the new token, and its answers are lost from then on; then the place that the copy had named
-  // tells that it has nothing of the kind. A leader that took the copy for the truth began the task anew (ran_twice).
+test('a task does not begin a third time while the stop command has not reached its true place', () => {
+  // The true place sends the new token, and the answers to it are lost from then on; then the place that the copy had named
+  // reports that it has no such task. A leader that took the copy for the truth began the task anew (ran_twice).
   for (let seed = 1; seed <= 5; seed++) {
-    const { w, old, from, task } = moved(seed, 'array');
-    const [place] = holders(w, task) as [Worker];
-    nextLeader(w, [old]);
-    const { scheduler } = w.nodes[w.leader()]!.core!;
-    // It has heard of the new leader: by an order, or an answer before the records were read.
-    w.machines.orders(place.name, scheduler!.term.firstFencingToken, place.session, []);
-    assert.equal(scheduler!.respondToHeartbeat(w.machines.reportOf(place)).kind, 'accepted');
-    place.deafUntil = w.now + 12 * SECOND;
-    for (const x of w.workers.values()) if (x !== place) x.nextReport = w.now;
-    from.nextReport = w.now;
-    w.runFor(40 * SECOND);
-    assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
+    const { simulation, old, origin, task } = moveTask(seed, 'array');
+    const [holder] = holdersOf(simulation, task) as [Worker];
+    failOver(simulation, [old]);
+    const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+    // It has the new leader's token: by a command, or an answer before the records were read.
+    simulation.machines.orders(holder.name, scheduler!.term.firstFencingToken, holder.session, []);
+    assert.equal(scheduler!.respondToHeartbeat(simulation.machines.reportOf(holder)).kind, 'accepted');
+    holder.deafUntil = simulation.now + 12 * SECOND;
+    for (const worker of simulation.workers.values())
+      if (worker !== holder) worker.nextReport = simulation.now;
+    origin.nextReport = simulation.now;
+    simulation.runFor(40 * SECOND);
+    assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
 });
 
-test("a late copy of one team's tasks does not hide another team's from its limit", () => {
+test("a late copy that lists one team's tasks does not hide another team's from its quota", () => {
   for (let seed = 1; seed <= 4; seed++) {
-    const w = new ClusterSimulation(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
-    w.stand(2);
-    w.runFor(3 * SECOND);
-    w.submit(
+    const simulation = new ClusterSimulation(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
+    simulation.stand(2);
+    simulation.runFor(3 * SECOND);
+    simulation.submit(
       specOf('run-1', { tasks: 8, team: 't', estimatedRunUs: 900 * SECOND, checkpointIntervalUs: SECOND }),
     );
-    w.runFor(15 * SECOND);
-    const old = Array.from({ length: 8 }, () => [...w.workers.values()].map((x) => w.machines.reportOf(x)));
-    // Team u takes the place of team t, and has more waiting than its limit allows.
-    w.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
-    w.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
-    w.runFor(30 * SECOND);
-    const of = (id: string): number =>
-      [...w.workers.values()].reduce(
-        (n, x) => n + running(x).filter((t) => t.startsWith(`${id}/`)).length,
-        0,
-      );
-    assert.equal(of('run-2') + of('run-3'), 8, `seed ${seed}: team u is at its limit`);
+    simulation.runFor(15 * SECOND);
+    const oldRounds = Array.from({ length: 8 }, () =>
+      [...simulation.workers.values()].map((worker) => simulation.machines.reportOf(worker)),
+    );
+    // Team u takes the place of team t, and has more waiting than its quota allows.
+    simulation.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
+    simulation.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
+    simulation.runFor(30 * SECOND);
+    const runningOf = (job: string): number =>
+      [...simulation.workers.values()].flatMap(runningTasks).filter((task) => task.startsWith(`${job}/`))
+        .length;
+    assert.equal(runningOf('run-2') + runningOf('run-3'), 8, `seed ${seed}: team u is at its quota`);
     // From here on there are more machines, and they are up within a second.
-    w.cloud.perZone = 4;
-    w.cloud.bootUs = () => 800 * MILLI;
-    nextLeader(w, []);
-    const { scheduler } = w.nodes[w.leader()]!.core!;
-    for (const copies of old) {
-      for (const r of copies) scheduler!.respondToHeartbeat(r);
-      w.runFor(2 * SECOND);
+    simulation.cloud.perZone = 4;
+    simulation.cloud.bootUs = () => 800 * MILLI;
+    failOver(simulation, []);
+    const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+    for (const heartbeats of oldRounds) {
+      for (const heartbeat of heartbeats) scheduler!.respondToHeartbeat(heartbeat);
+      simulation.runFor(2 * SECOND);
     }
-    assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
+    assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
 });
