--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -1,31 +1,32 @@
 /**
- * The meetings of the operators' second list, each by itself, then pairs and triples of them, on the emulated world. Each rule is
- * judged from the world's own truth; that a meeting took place is counted, not assumed.
+ * The fault scenarios of the operators' second list, each by itself, then pairs and triples of both lists, on the simulated
+ * cluster. Each rule is judged from the simulation's own truth; that a scenario took place is counted, not assumed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
+  EXTENDED_SCENARIOS,
   play,
   SECOND_BOUNDS,
-  EXTENDED_SCENARIOS,
   type Outcome,
 } from '@shaleyoke/emulator/fault-scenarios';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { checkOutcome } from './scenario-assertions.js';
+import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
 
-const NAMES = Object.keys(EXTENDED_SCENARIOS);
-const ALL = { ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS };
-const every = Object.keys(ALL);
+const EXTENDED_NAMES = Object.keys(EXTENDED_SCENARIOS);
+const ALL_SCENARIOS = { ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS };
+const ALL_NAMES = Object.keys(ALL_SCENARIOS);
 
-/** More by hand: `SECOND_SEEDS=1-100 node --import tsx --test packages/core/test/second-meetings.test.ts`. */
-const [from, to] = (process.env['SECOND_SEEDS'] ?? '1-3').split('-').map(Number) as [number, number];
+/** More by hand: `COMBINATION_SEEDS=1-100 node --import tsx --test packages/core/test/fault-scenario-combinations.test.ts`. */
+const [firstSeed, lastSeed] = seedRange('COMBINATION_SEEDS');
 
-/** What must have taken place in three seeds, at least. */
-const TOOK_PLACE: Readonly<Record<string, readonly [string, number][]>> = {
+/** What must have taken place in three seeds, at least, by scenario. */
+const LEAST_COUNTS: Readonly<Record<string, readonly [string, number][]>> = {
   'a question, a repetition or a cancellation meets the end of the last task': [['met the end', 15]],
   'old reports kept for the next leader': [
     ['moved', 3],
@@ -69,160 +70,194 @@
   ],
 };
 
-const counted = (sum: Map<string, number>, o: Outcome): void => {
-  const add = (what: string, n: number): void => {
-    sum.set(what, (sum.get(what) ?? 0) + n);
+const addCounts = (totals: Map<string, number>, { w: simulation, counts }: Outcome): void => {
+  const add = (what: string, count: number): void => {
+    totals.set(what, (totals.get(what) ?? 0) + count);
   };
-  for (const [what, n] of o.counts) add(what, n);
-  for (const [word, n] of o.w.users.looks) add(`looks: ${word}`, n);
-  for (const [key, n] of o.w.unanswered) add(`unanswered: ${key}`, n);
-  add('kept', o.w.keptArrived);
-  for (const [what, n] of Object.entries(o.w.machines.saves)) add(`saves: ${what}`, n);
+  for (const [what, count] of counts) add(what, count);
+  for (const [stage, count] of simulation.users.looks) add(`looks: ${stage}`, count);
+  for (const [key, count] of simulation.unanswered) add(`unanswered: ${key}`, count);
+  add('kept', simulation.keptArrived);
+  for (const [what, count] of Object.entries(simulation.machines.saves)) add(`saves: ${what}`, count);
 };
 
-for (const name of NAMES)
+for (const name of EXTENDED_NAMES)
   test(`${name}: no rule breaks, all work ends, nothing is forgotten`, () => {
-    const sum = new Map<string, number>();
-    for (let seed = from; seed <= to; seed++) {
-      const o = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
-      checkOutcome(o, `seed ${seed}`);
-      counted(sum, o);
+    const totals = new Map<string, number>();
+    for (let seed = firstSeed; seed <= lastSeed; seed++) {
+      const outcome = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
+      checkOutcome(outcome, `seed ${seed}`);
+      addCounts(totals, outcome);
+    }
+    for (const [what, least] of LEAST_COUNTS[name] ?? []) {
+      const count = totals.get(what) ?? 0;
+      assert.ok(count >= least, `${what}: ${count} of ${least}`);
     }
-    for (const [what, least] of TOOK_PLACE[name] ?? [])
-      assert.ok((sum.get(what) ?? 0) >= least, `${what}: ${sum.get(what) ?? 0} of ${least}`);
   });
 
-test('a leader that the state service does not answer starts nothing: others may be told of a cancellation', () => {
-  let called = 0;
-  let before = 0;
+test('a leader that the state service does not answer starts nothing: others may have reported a cancellation', () => {
+  let cancelled = 0;
+  let startedBefore = 0;
   for (let seed = 1; seed <= 6; seed++) {
-    const w = new ClusterSimulation(
-      new Random(seed * 113),
-      3,
-      '[[cluster.teams]]\nname = "t"\ncpus_max = 16.0\n',
-      16,
-      4,
-    );
-    w.stand(4);
-    w.runFor(3 * SECOND);
+    const simulation = new ClusterSimulation(new Random(seed * 113), 3, teamQuota(16), 16, 4);
+    simulation.stand(4);
+    simulation.runFor(3 * SECOND);
     // Short tasks: something is started all the time, on machines that are on record for the job.
     for (let i = 0; i < 4; i++)
-      w.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
-    w.runFor(20 * SECOND);
-    const { starts } = w;
-    w.runFor(5 * SECOND);
-    before += w.starts - starts;
-    w.refuse(w.nodes[w.leader()]!.name, 20 * SECOND);
-    // It learns that with its next renewal.
-    w.runFor(2 * SECOND);
+      simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
+    simulation.runFor(20 * SECOND);
+    const { starts } = simulation;
+    simulation.runFor(5 * SECOND);
+    startedBefore += simulation.starts - starts;
+    simulation.refuse(simulation.nodes[simulation.leader()]!.name, 20 * SECOND);
+    // The leader learns that with its next renewal.
+    simulation.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++) {
-      w.cancel(`run-${seed}${i}`);
-      w.runFor(700 * MILLI);
+      simulation.cancel(`run-${seed}${i}`);
+      simulation.runFor(700 * MILLI);
     }
-    called += w.users.cancelledAt.size;
-    w.runFor(60 * SECOND);
-    assert.deepEqual(w.machines.startedAfter, [], `seed ${seed}`);
-    assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
+    cancelled += simulation.users.cancelledAt.size;
+    simulation.runFor(60 * SECOND);
+    assert.deepEqual(simulation.machines.startedAfter, [], `seed ${seed}`);
+    assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
-  assert.ok(called > 12 && before > 50, `cancelled: ${called}; started in 5 s: ${before}`);
+  assert.ok(
+    cancelled > 12 && startedBefore > 50,
+    `cancelled: ${cancelled}; started in 5 s: ${startedBefore}`,
+  );
 });
 
-test('a right counts from the sending of its renewal, however late that is answered', () => {
-  let won = 0;
+test('the leader lease counts from the sending of its renewal, however late that is answered', () => {
+  let elections = 0;
   for (let seed = 1; seed <= 12; seed++) {
-    const r = new Random(seed * 2_027);
-    const w = new ClusterSimulation(r, 3, undefined, undefined, 4);
-    w.onLog = (_n, event) => {
-      if (event === 'leader.elected') won++;
+    const random = new Random(seed * 2_027);
+    const simulation = new ClusterSimulation(random, 3, undefined, undefined, 4);
+    simulation.onLog = (_node, event) => {
+      if (event === 'leader.elected') elections++;
     };
-    w.runFor(3 * SECOND);
-    for (let i = 0; i < 5; i++) {
-      w.answersSlow = 1_190 * MILLI;
-      w.runFor((4_000 + r.below(3_000)) * MILLI);
-      const i = w.leader();
-      if (i < 0) continue;
+    simulation.runFor(3 * SECOND);
+    for (let round = 0; round < 5; round++) {
+      simulation.answersSlow = 1_190 * MILLI;
+      simulation.runFor((4_000 + random.below(3_000)) * MILLI);
+      const leader = simulation.leader();
+      if (leader < 0) continue;
       // Its last renewal was carried out, and answered late; nothing reaches it from now on.
-      w.network.cut(w.nodes[i]!.name, 'state', 15 * SECOND);
-      w.answersSlow = 0;
-      w.runFor(20 * SECOND);
+      simulation.network.cut(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
+      simulation.answersSlow = 0;
+      simulation.runFor(20 * SECOND);
     }
-    assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
+    assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
-  assert.ok(won > 40, `offices: ${won}`);
+  assert.ok(elections > 40, `elections: ${elections}`);
 });
 
-test('a flood of small jobs beside repeats and odd requests: ends and cancellations are told in time', () => {
-  // Of the smallest site: 25 writes a second for all nodes. A job takes three of them, besides the leader's pages.
-  const all = { done: 0, late: 0, cancelled: 0, slow: 0 };
-  for (let seed = 1; seed <= 2; seed++) {
-    const r = new Random(seed * 521);
-    const w = new ClusterSimulation(r, 3, '[[cluster.teams]]\nname = "t"\ncpus_max = 40.0\n', 40, 6);
-    w.stand(10);
-    w.runFor(3 * SECOND);
-    w.state.writesPerSecond = 25;
-    const ids: string[] = [];
-    w.work.onDone = (id) => {
-      w.later(3 * SECOND, () => {
-        if (w.users.asked.has(id)) return;
-        all.done++;
-        w.poll(id);
-        w.later(SECOND, () => {
-          if (w.stageOf(id) !== 'done') all.late++;
-        });
-      });
-    };
-    for (let t = 0; t < 480; t++) {
-      const spec = specOf(`run-${seed}${String(t).padStart(4, '0')}`, {
-        tasks: 1,
-        estimatedRunUs: (1 + r.below(5)) * SECOND,
+/** Jobs that ended or were cancelled, and how many of them were reported so too late. */
+interface Promptness {
+  done: number;
+  doneReportedLate: number;
+  cancelled: number;
+  cancelledReportedLate: number;
+}
+
+/** Each job that is done, and was not cancelled, is asked for 3 s later, and must be reported within another second. */
+const watchEnds = (simulation: ClusterSimulation, promptness: Promptness): void => {
+  simulation.work.onDone = (id) => {
+    simulation.later(3 * SECOND, () => {
+      if (simulation.users.asked.has(id)) return;
+      promptness.done++;
+      simulation.poll(id);
+      simulation.later(SECOND, () => {
+        if (simulation.stageOf(id) !== 'done') promptness.doneReportedLate++;
       });
-      ids.push(spec.id);
-      w.submit(spec);
-      if (r.chance(0.25))
-        w.later(SECOND + r.below(4_000) * MILLI, () => {
-          w.cancel(spec.id);
-          all.cancelled++;
-          w.later(3 * SECOND, () => {
-            if (!['cancelled', 'done'].includes(w.stageOf(spec.id) ?? '')) all.slow++;
-          });
-        });
-      // What is repeated, and what is odd: jobs that are done are cancelled, and some name no team that there is.
-      const other = ids[r.below(ids.length)]!;
-      const known = w.work.specs.get(other)!;
-      if (r.chance(0.5)) w.submit(known);
-      if (w.stageOf(other) === 'done') w.cancel(other);
-      if (r.chance(0.3)) w.users.submit({ ...spec, id: `run-9${seed}${t}`, team: 'nobody' }, 1_000);
-      w.runFor(250 * MILLI);
-    }
-    w.state.writesPerSecond = Infinity;
-    w.runFor(60 * SECOND);
-    for (const id of ids) w.poll(id);
-    w.runFor(3 * SECOND);
-    assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
+    });
+  };
+};
+
+/** Cancels the job after some seconds; 3 s later it must be reported as cancelled or done. */
+const cancelLater = (
+  simulation: ClusterSimulation,
+  random: Random,
+  id: string,
+  promptness: Promptness,
+): void => {
+  simulation.later(SECOND + random.below(4_000) * MILLI, () => {
+    simulation.cancel(id);
+    promptness.cancelled++;
+    simulation.later(3 * SECOND, () => {
+      if (!['cancelled', 'done'].includes(simulation.stageOf(id) ?? '')) promptness.cancelledReportedLate++;
+    });
+  });
+};
+
+/** Submits four small jobs a second for two minutes, beside repeated and odd requests; returns their ids. */
+const submitFlood = (
+  simulation: ClusterSimulation,
+  random: Random,
+  seed: number,
+  promptness: Promptness,
+): readonly string[] => {
+  const ids: string[] = [];
+  for (let round = 0; round < 480; round++) {
+    const spec = specOf(`run-${seed}${String(round).padStart(4, '0')}`, {
+      tasks: 1,
+      estimatedRunUs: (1 + random.below(5)) * SECOND,
+    });
+    ids.push(spec.id);
+    simulation.submit(spec);
+    if (random.chance(0.25)) cancelLater(simulation, random, spec.id, promptness);
+    // What is repeated, and what is odd: jobs that are done are cancelled, and some name no team that there is.
+    const other = ids[random.below(ids.length)]!;
+    const otherSpec = simulation.work.specs.get(other)!;
+    if (random.chance(0.5)) simulation.submit(otherSpec);
+    if (simulation.stageOf(other) === 'done') simulation.cancel(other);
+    if (random.chance(0.3))
+      simulation.users.submit({ ...spec, id: `run-9${seed}${round}`, team: 'nobody' }, 1_000);
+    simulation.runFor(250 * MILLI);
+  }
+  return ids;
+};
+
+test('a flood of small jobs beside repeats and odd requests: ends and cancellations are reported in time', () => {
+  const promptness: Promptness = { done: 0, doneReportedLate: 0, cancelled: 0, cancelledReportedLate: 0 };
+  for (let seed = 1; seed <= 2; seed++) {
+    const random = new Random(seed * 521);
+    const simulation = new ClusterSimulation(random, 3, teamQuota(40), 40, 6);
+    simulation.stand(10);
+    simulation.runFor(3 * SECOND);
+    // Of the smallest site: 25 writes a second for all nodes. A job takes three of them, besides the leader's pages.
+    simulation.state.writesPerSecond = 25;
+    watchEnds(simulation, promptness);
+    const ids = submitFlood(simulation, random, seed, promptness);
+    simulation.state.writesPerSecond = Infinity;
+    simulation.runFor(60 * SECOND);
+    for (const id of ids) simulation.poll(id);
+    simulation.runFor(3 * SECOND);
+    assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
     assert.deepEqual(
-      ids.filter((id) => !['done', 'cancelled'].includes(w.stageOf(id) ?? '')),
+      ids.filter((id) => !['done', 'cancelled'].includes(simulation.stageOf(id) ?? '')),
       [],
       `seed ${seed}: work that did not end`,
     );
   }
-  assert.ok(all.done > 500 && all.cancelled > 150);
-  assert.ok(all.late <= all.done * 0.02, `told late: ${all.late} of ${all.done}`);
-  assert.ok(all.slow <= all.cancelled * 0.02, `cancelled late: ${all.slow} of ${all.cancelled}`);
+  const { done, doneReportedLate, cancelled, cancelledReportedLate } = promptness;
+  assert.ok(done > 500 && cancelled > 150);
+  assert.ok(doneReportedLate <= done * 0.02, `reported late: ${doneReportedLate} of ${done}`);
+  assert.ok(
+    cancelledReportedLate <= cancelled * 0.02,
+    `cancelled late: ${cancelledReportedLate} of ${cancelled}`,
+  );
 });
 
 test('pairs and triples of both lists: no rule breaks, all work ends, nothing is forgotten', () => {
-  let won = 0;
-  for (let seed = from; seed <= to * 3; seed++) {
-    const r = new Random(seed * 811 + 7);
-    const names = Array.from({ length: 2 + (seed % 2) }, () => every[r.below(every.length)]!);
-    const o = play(
-      2_000 + seed,
-      names.map((n) => ALL[n]!),
-      2,
-      SECOND_BOUNDS,
-    );
-    checkOutcome(o, `seed ${seed}: ${names.join('; ')}`);
-    won += o.won;
+  const lastCombinationSeed = lastSeed * 3;
+  let elections = 0;
+  for (let seed = firstSeed; seed <= lastCombinationSeed; seed++) {
+    const random = new Random(seed * 811 + 7);
+    const names = Array.from({ length: 2 + (seed % 2) }, () => ALL_NAMES[random.below(ALL_NAMES.length)]!);
+    const scenarios = names.map((name) => ALL_SCENARIOS[name]!);
+    const outcome = play(2_000 + seed, scenarios, 2, SECOND_BOUNDS);
+    checkOutcome(outcome, `seed ${seed}: ${names.join('; ')}`);
+    elections += outcome.won;
   }
-  assert.ok(won > to * 3, `offices: ${won}`);
+  assert.ok(elections > lastCombinationSeed, `elections: ${elections}`);
 });
