--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -45,7 +45,7 @@
       return { kind: 'unavailable' };
     }
     const newer = machine.isNewerHeartbeat(heartbeat);
-    // The answer renews the lease if this is no late copy, which can't be told; but a copy shows nothing of now.
+    // The answer renews the lease unless this is a late copy, which can't be ruled out; but a copy shows nothing of now.
     machine.leaseRenewedAt = ctx.now;
     if (newer) {
       machine.address = heartbeat.address;
