--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,182 +1,175 @@
-/** What a new leader reads of its predecessors, and how it hears of jobs from then on. */
+/** Reads the records of earlier leaders when a term begins, and follows changes of job records from then on. */
 import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../codecs/keys.js';
-import type { StoredItem, StoreEvent } from '../domain/key-value-store.js';
+import type { StoredItem, StoreEvent, StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 import type { CancellationFreshness } from './cancellation-freshness.js';
-import type { LeaderTerm } from './leader-term.js';
+import { listAllItems, type ListingTerm } from './paged-list.js';
 
-const PAGE = 500;
-const WATCH_MS = 8_000;
-/** An open watch proves nothing before it is answered: it lasts for so much of what knowledge may be old at most. */
-const WATCH_PART = 0.25;
-/** How often what is known is asked for by itself once the watch is late. */
-const PROBE_EVERY: Micros = SECOND;
+/** What a new leader reads. The jobs come first: workers are answered from then on. */
+const PREFIXES_TO_RESTORE = [JOBS, PLACES, ROSTER, PROGRESS, MACHINES] as const;
 
+/** The longest and the shortest wait of a watch for changes. */
+const MAX_WATCH_MS = 8_000;
+const MIN_WATCH_MS = 100;
+/**
+ * How long a watch waits, as a part of the greatest age that the leader's knowledge of cancellations may have: an open
+ * watch confirms nothing before it is answered.
+ */
+const WATCH_FRACTION_OF_MAX_AGE = 0.25;
+const WATCH_RETRY_DELAY: Micros = 200 * MILLI;
+/** How often changes are requested without waiting, once the watch is late. */
+const PROBE_INTERVAL: Micros = SECOND;
+
+/** What a failover needs of the leader's term. */
+export interface FailoverTerm extends ListingTerm {
+  readonly ctx: Pick<NodeContext, 'now' | 'requestStore' | 'info'>;
+  /** The records of earlier leaders are read. */
+  readonly ready: boolean;
+  /** Ids of the jobs that had not ended when they were listed; set by the failover. */
+  unendedJobs: ReadonlySet<string> | null;
+}
+
+/** Receives what a failover reads. */
 export interface FailoverEvents {
-  /** All that was read; `read` gives the items under a prefix. `timings`: the stored summary, or null. */
+  /** Everything is read; `read` returns the items under a prefix. `timings`: the stored summary, or null. */
   restore(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
-  /** A job's record is there: as read anew, or as the watch tells. */
+  /** A job's record exists: from a list, or from a watch. */
   jobPut(id: string, value: unknown, version: number): void;
-  /** A job's record is gone, by a change of this version or a later one. */
+  /** A job's record was deleted, by a change of this version or a later one. */
   jobDeleted(id: string, version: number): void;
-  /** All jobs there were at a revision: those not among them are gone. */
+  /** All jobs that existed at a revision: those not among them are deleted. */
   jobsListed(ids: ReadonlySet<string>, revision: number): void;
 }
 
-interface Listed {
-  readonly items: StoredItem[];
-  /** Of the first page: what changed later may or may not be in the list. */
-  readonly revision: number;
-  /** When the first page was asked for. */
-  readonly sent: Micros;
-}
-
+/** A new leader's reading of the store, and its watch of job records while the term lasts. */
 export class Failover {
   /**
-   * All changes of jobs up to this revision are in the picture. What tells of them again changes nothing: a watch that
-   * had hung once told of a job's beginning after a list had shown its end.
+   * All changes of jobs up to this revision are applied to the cluster state. A change that is received once more is
+   * ignored: a watch that had hung once reported a job's creation after a list had shown that it had ended.
    */
-  private cursor = 0;
-  private probing = false;
+  private appliedRevision = 0;
+  private isProbing = false;
 
   constructor(
-    private readonly term: LeaderTerm,
+    private readonly term: FailoverTerm,
     private readonly freshness: CancellationFreshness,
-    private readonly host: FailoverEvents,
+    private readonly events: FailoverEvents,
   ) {}
 
-  /** Six reads at any size: the records come in pages. The jobs come first: workers are answered from then on. */
+  /** Reads all records, then calls `restore` and begins to watch. Six reads at any size, since records are packed. */
   start(): void {
-    const lists = new Map<string, StoredItem[]>();
-    const prefixes = [JOBS, PLACES, ROSTER, PROGRESS, MACHINES];
-    const next = (i: number): void => {
-      const prefix = prefixes[i];
-      if (prefix !== undefined) {
-        this.listAll(prefix, ({ items, revision, sent }) => {
-          if (prefix === JOBS) {
-            this.cursor = revision;
-            this.term.unendedJobs = new Set(items.map((it) => idOfActive(it.key)));
-            this.freshness.confirmUpTo(sent);
-          }
-          lists.set(prefix, items);
-          next(i + 1);
-        });
+    const listed = new Map<string, StoredItem[]>();
+    const listNext = (index: number): void => {
+      const prefix = PREFIXES_TO_RESTORE[index];
+      if (prefix === undefined) {
+        this.restore(listed);
         return;
       }
-      this.term.ctx.requestStore({ kind: 'get', key: TIMINGS }, 2, (t) => {
-        if (this.term.stopped) return;
-        this.host.restore((p) => lists.get(p) ?? [], t.kind === 'item' ? t.item : null);
-        // What changed while the rest was read is asked for at once.
-        this.watch(0);
+      listAllItems(this.term, prefix, ({ items, revision, requestedAt }) => {
+        if (prefix === JOBS) {
+          this.appliedRevision = revision;
+          this.term.unendedJobs = new Set(items.map((item) => idOfActive(item.key)));
+          this.freshness.confirmUpTo(requestedAt);
+        }
+        listed.set(prefix, items);
+        listNext(index + 1);
       });
     };
-    next(0);
+    listNext(0);
   }
 
-  private listAll(prefix: string, then: (l: Listed) => void): void {
-    let items: StoredItem[] = [];
-    let first: { revision: number; sent: Micros } | null = null;
-    const page = (after: string | undefined): void => {
-      const sent = this.term.ctx.now;
-      this.term.ctx.requestStore(
-        { kind: 'list', prefix, limit: PAGE, ...(after === undefined ? {} : { after }) },
-        0,
-        (r) => {
-          if (this.term.stopped) return;
-          if (r.kind !== 'items') {
-            this.later(300 * MILLI, () => {
-              page(after);
-            });
-            return;
-          }
-          // However long the others take: a job on this page may have ended since.
-          first ??= { revision: r.revision, sent };
-          items = items.concat(r.items);
-          const last = r.items.at(-1);
-          if (r.more && last !== undefined) page(last.key);
-          else then({ items, ...first });
-        },
-      );
+  /**
+   * Requests changes without waiting when the watch is late, and lists the jobs anew if that fails too. To be called
+   * often: does nothing while the knowledge of cancellations is fresh.
+   */
+  probeIfStale(): void {
+    const { now } = this.term.ctx;
+    if (this.isProbing || !this.term.ready || !this.freshness.isProbeDue(now)) return;
+    this.isProbing = true;
+    const pause = (): void => {
+      this.term.after(PROBE_INTERVAL, () => {
+        this.isProbing = false;
+      });
     };
-    page(undefined);
+    this.requestChanges(0, (succeeded) => {
+      if (succeeded) pause();
+      else this.listJobs(pause);
+    });
   }
 
-  private later(delay: Micros, run: () => void): void {
-    this.term.after(delay, run);
+  private restore(listed: ReadonlyMap<string, readonly StoredItem[]>): void {
+    this.term.ctx.requestStore({ kind: 'get', key: TIMINGS }, 2, (reply) => {
+      if (this.term.stopped) return;
+      this.events.restore((prefix) => listed.get(prefix) ?? [], reply.kind === 'item' ? reply.item : null);
+      // Jobs may have changed while the rest was read.
+      this.watch(0);
+    });
   }
 
   private get watchMs(): number {
-    return Math.min(WATCH_MS, Math.max(100, Math.floor((this.freshness.maxAgeUs * WATCH_PART) / MILLI)));
+    const fraction = Math.floor((this.freshness.maxAgeUs * WATCH_FRACTION_OF_MAX_AGE) / MILLI);
+    return Math.min(MAX_WATCH_MS, Math.max(MIN_WATCH_MS, fraction));
   }
 
   private watch(waitMs = this.watchMs): void {
-    this.follow(waitMs, (ok) => {
-      if (ok) this.watch();
+    this.requestChanges(waitMs, (succeeded) => {
+      if (succeeded) this.watch();
       else
-        this.later(200 * MILLI, () => {
+        this.term.after(WATCH_RETRY_DELAY, () => {
           this.watch();
         });
     });
   }
 
   /**
-   * Asks for all changes since the last that is known. An answer shows what was confirmed before it was asked for,
+   * Requests all changes since the last that was applied. A reply shows what was confirmed before it was requested,
    * whether it waited or not; nothing else does.
    */
-  private follow(waitMs: number, then: (ok: boolean) => void): void {
-    const sent = this.term.ctx.now;
-    const after = this.cursor;
-    this.term.ctx.requestStore({ kind: 'watch', prefix: JOBS, after, waitMs }, 0, (r) => {
+  private requestChanges(waitMs: number, onReply: (succeeded: boolean) => void): void {
+    const requestedAt = this.term.ctx.now;
+    const after = this.appliedRevision;
+    this.term.ctx.requestStore({ kind: 'watch', prefix: JOBS, after, waitMs }, 0, (reply) => {
       if (this.term.stopped) return;
-      if (r.kind === 'events' && r.revision >= after) {
-        for (const e of r.events) if (e.version > this.cursor) this.onJobEvent(e);
-        this.cursor = Math.max(this.cursor, r.revision);
-        this.freshness.confirmUpTo(sent);
-        then(true);
-      } else if (r.kind === 'tooOld') {
-        this.readJobs(() => {
-          then(true);
+      if (reply.kind === 'tooOld') {
+        this.listJobs(() => {
+          onReply(true);
         });
-      } else {
-        if (r.kind === 'events')
-          this.term.ctx.info('watch.revision_regressed', { to: r.revision, from: after });
-        then(false);
+        return;
       }
+      onReply(reply.kind === 'events' && this.applyChanges(reply, after, requestedAt));
     });
   }
 
-  /** To be called often: asks beside a watch that isn't answered, and reads the jobs anew if that isn't either. */
-  probeIfStale(): void {
-    const { now } = this.term.ctx;
-    if (this.probing || !this.term.ready || !this.freshness.isProbeDue(now)) return;
-    this.probing = true;
-    const rest = (): void => {
-      this.later(PROBE_EVERY, () => {
-        this.probing = false;
-      });
-    };
-    this.follow(0, (ok) => {
-      if (ok) rest();
-      else this.readJobs(rest);
-    });
+  /** Returns whether the reply was applied: one of a revision before `after` confirms nothing. */
+  private applyChanges(reply: StoreReply & { kind: 'events' }, after: number, requestedAt: Micros): boolean {
+    if (reply.revision < after) {
+      this.term.ctx.info('watch.revision_regressed', { to: reply.revision, from: after });
+      return false;
+    }
+    for (const event of reply.events) if (event.version > this.appliedRevision) this.applyJobEvent(event);
+    this.appliedRevision = Math.max(this.appliedRevision, reply.revision);
+    this.freshness.confirmUpTo(requestedAt);
+    return true;
   }
 
-  private readJobs(then: () => void): void {
-    this.listAll(JOBS, ({ items, revision, sent }) => {
-      const present = new Set(items.map((it) => idOfActive(it.key)));
-      for (const it of items)
-        if (it.version > this.cursor) this.host.jobPut(idOfActive(it.key), it.value, it.version);
-      this.host.jobsListed(present, revision);
-      this.cursor = Math.max(this.cursor, revision);
-      this.freshness.confirmUpTo(sent);
-      then();
+  private listJobs(onListed: () => void): void {
+    listAllItems(this.term, JOBS, ({ items, revision, requestedAt }) => {
+      const present = new Set(items.map((item) => idOfActive(item.key)));
+      for (const item of items)
+        if (item.version > this.appliedRevision)
+          this.events.jobPut(idOfActive(item.key), item.value, item.version);
+      this.events.jobsListed(present, revision);
+      this.appliedRevision = Math.max(this.appliedRevision, revision);
+      this.freshness.confirmUpTo(requestedAt);
+      onListed();
     });
   }
 
-  private onJobEvent(e: StoreEvent): void {
-    const id = idOfActive(e.key);
-    if (e.kind === 'put') this.host.jobPut(id, e.value, e.version);
-    else this.host.jobDeleted(id, e.version);
+  private applyJobEvent(event: StoreEvent): void {
+    const id = idOfActive(event.key);
+    if (event.kind === 'put') this.events.jobPut(id, event.value, event.version);
+    else this.events.jobDeleted(id, event.version);
   }
 }
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -1,57 +1,75 @@
-/** What a leader knows of jobs, whatever the order in which lists and watches are answered, and how old that counts as. */
+/** A leader's knowledge of jobs, in whatever order lists and watches are answered, and how old it counts as. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
-import { SECOND } from '@shaleyoke/core/domain/time';
+import { SECOND, type Micros } from '@shaleyoke/core/domain/time';
 import { JOBS } from '@shaleyoke/core/codecs/keys';
 import { CancellationFreshness } from '@shaleyoke/core/leadership/cancellation-freshness';
-import { Failover } from '@shaleyoke/core/leadership/failover';
-import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
+import { Failover, type FailoverEvents, type FailoverTerm } from '@shaleyoke/core/leadership/failover';
 import { Random } from '@shaleyoke/emulator/random';
 
-interface Call {
-  readonly op: StoreOperation;
-  readonly then: (r: StoreReply) => void;
+interface StoreCall {
+  readonly operation: StoreOperation;
+  readonly reply: (reply: StoreReply) => void;
 }
 
-/** A leader's picture of jobs, with a state service that answers when and what the test says. */
-class Stage {
+/** Lists besides the one of jobs that a new leader reads. */
+const OTHER_LISTS = 4;
+
+const LOST_REPLY: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: '' };
+
+/** A failover with a state service that answers when and what the test gives. */
+class FailoverFixture {
   now = 100 * SECOND;
-  calls: Call[] = [];
-  later: { at: number; run: () => void }[] = [];
-  readonly logged: string[] = [];
+  calls: StoreCall[] = [];
+  readonly loggedEvents: string[] = [];
+  /** Versions of the jobs that the leader knows. */
   readonly jobs = new Map<string, number>();
   readonly freshness = new CancellationFreshness({
     cancellationDeadlineUs: 40 * SECOND,
     workerLeaseUs: 20 * SECOND,
   });
-  readonly takeover: Failover;
-  private readonly term: { ready: boolean; unendedJobs: ReadonlySet<string> | null };
+  readonly failover: Failover;
+  private timers: { dueAt: Micros; run: () => void }[] = [];
+  private isReady = false;
+  private readonly term: FailoverTerm;
 
   constructor() {
-    const ctx = {
-      state: (op: StoreOperation, _urgency: number, then: (r: StoreReply) => void) => {
-        this.calls.push({ op, then });
+    this.term = this.createTerm();
+    this.failover = new Failover(this.term, this.freshness, this.createEvents());
+  }
+
+  private createTerm(): FailoverTerm {
+    const currentTime = (): Micros => this.now;
+    const isReady = (): boolean => this.isReady;
+    return {
+      ctx: {
+        get now() {
+          return currentTime();
+        },
+        requestStore: (operation, _urgency, reply) => {
+          this.calls.push({ operation, reply });
+        },
+        info: (event) => {
+          this.loggedEvents.push(event);
+        },
       },
-      info: (event: string) => {
-        this.logged.push(event);
+      get ready() {
+        return isReady();
       },
-    };
-    Object.defineProperty(ctx, 'now', { get: () => this.now });
-    const term = {
-      ctx,
       stopped: false,
-      ready: false,
       unendedJobs: null,
-      after: (delay: number, run: () => void) => {
-        this.later.push({ at: this.now + delay, run });
+      after: (delay, run) => {
+        this.timers.push({ dueAt: this.now + delay, run });
       },
     };
-    this.term = term;
-    this.takeover = new Failover(term as unknown as LeaderTerm, this.freshness, {
+  }
+
+  private createEvents(): FailoverEvents {
+    return {
       restore: (read) => {
-        for (const it of read(JOBS)) this.jobs.set(it.key.slice(JOBS.length), it.version);
-        term.ready = true;
+        for (const item of read(JOBS)) this.jobs.set(idOf(item.key), item.version);
+        this.isReady = true;
       },
       jobPut: (id, _value, version) => {
         this.jobs.set(id, version);
@@ -62,200 +80,257 @@
       jobsListed: (ids, revision) => {
         for (const [id, version] of this.jobs) if (!ids.has(id) && version <= revision) this.jobs.delete(id);
       },
-    });
+    };
   }
 
-  get listed(): ReadonlySet<string> | null {
+  get unendedJobs(): ReadonlySet<string> | null {
     return this.term.unendedJobs;
   }
 
-  /** Takes the oldest call of this kind. */
-  take(kind: StoreOperation['kind']): Call {
-    const i = this.calls.findIndex((c) => c.op.kind === kind);
-    assert.ok(i >= 0, `no ${kind} among ${this.calls.map((c) => c.op.kind).join()}`);
-    return this.calls.splice(i, 1)[0]!;
+  /** Removes and returns the oldest open call of this kind. */
+  takeCall(kind: StoreOperation['kind']): StoreCall {
+    const index = this.calls.findIndex((call) => call.operation.kind === kind);
+    const open = this.calls.map((call) => call.operation.kind).join();
+    assert.ok(index >= 0, `no ${kind} among ${open}`);
+    return this.calls.splice(index, 1)[0]!;
   }
 
-  pass(us: number): void {
-    this.now += us;
-    const due = this.later.filter((l) => l.at <= this.now);
-    this.later = this.later.filter((l) => l.at > this.now);
-    for (const l of due) l.run();
+  advance(duration: Micros): void {
+    this.now += duration;
+    const due = this.timers.filter((timer) => timer.dueAt <= this.now);
+    this.timers = this.timers.filter((timer) => timer.dueAt > this.now);
+    for (const timer of due) timer.run();
   }
 
-  /** Has read all there was at this revision. */
+  /** Begins the failover and answers its list of jobs with one page of these, all else with nothing. */
   start(ids: readonly string[], revision: number): void {
-    this.takeover.start();
-    this.take('list').then(items(ids, revision));
-    for (let i = 0; i < 4; i++) this.take('list').then(items([], revision));
-    this.take('get').then({ kind: 'missing', revision });
+    this.failover.start();
+    this.takeCall('list').reply(listOf(ids, revision));
+    this.answerOtherReads(revision);
+  }
+
+  answerOtherReads(revision: number): void {
+    for (let i = 0; i < OTHER_LISTS; i++) this.takeCall('list').reply(listOf([], revision));
+    this.takeCall('get').reply({ kind: 'missing', revision });
+  }
+
+  /** Knowledge that was confirmed at this time is fresh until its greatest age, and no longer. */
+  assertConfirmedAt(confirmedAt: Micros): void {
+    const { maxAgeUs } = this.freshness;
+    assert.ok(
+      this.freshness.isFresh(confirmedAt + maxAgeUs - 1) && !this.freshness.isFresh(confirmedAt + maxAgeUs),
+    );
   }
 }
 
-const items = (ids: readonly string[], revision: number, more = false): StoreReply => ({
+const idOf = (key: string): string => key.slice(JOBS.length);
+const listOf = (ids: readonly string[], revision: number, more = false): StoreReply => ({
   kind: 'items',
   items: ids.map((id) => ({ key: JOBS + id, value: {}, version: revision - 1, lease: null })),
   more,
   revision,
 });
-const put = (id: string, version: number): StoreEvent => ({
+const putEvent = (id: string, version: number): StoreEvent => ({
   kind: 'put',
   key: JOBS + id,
   value: {},
   version,
 });
-const gone = (id: string, version: number): StoreEvent => ({ kind: 'delete', key: JOBS + id, version });
-const events = (list: StoreEvent[], revision: number): StoreReply => ({
+const deleteEvent = (id: string, version: number): StoreEvent => ({
+  kind: 'delete',
+  key: JOBS + id,
+  version,
+});
+const eventsOf = (events: readonly StoreEvent[], revision: number): StoreReply => ({
   kind: 'events',
-  events: list,
+  events,
   revision,
 });
 
-test('knowledge is as old as the request whose answer showed it, however long that took', () => {
-  const s = new Stage();
-  s.start(['a'], 50);
-  const { maxAgeUs: bound } = s.freshness;
-  assert.ok(s.freshness.isFresh(s.now + bound - 1) && !s.freshness.isFresh(s.now + bound));
-  const sent = s.now;
-  const watch = s.take('watch');
-  s.pass(9 * SECOND);
-  watch.then(events([], 60));
-  assert.ok(s.freshness.isFresh(sent + bound - 1) && !s.freshness.isFresh(sent + bound));
+test('knowledge is as old as the request whose reply showed it, however long that took', () => {
+  const fixture = new FailoverFixture();
+  fixture.start(['a'], 50);
+  fixture.assertConfirmedAt(fixture.now);
+  const requestedAt = fixture.now;
+  const watch = fixture.takeCall('watch');
+  fixture.advance(9 * SECOND);
+  watch.reply(eventsOf([], 60));
+  fixture.assertConfirmedAt(requestedAt);
 });
 
-test('of a list in pages the first one counts', () => {
-  const s = new Stage();
-  s.takeover.start();
-  const sent = s.now;
-  const first = s.take('list');
-  s.pass(2 * SECOND);
-  first.then(items(['a'], 50, true));
-  assert.equal(s.listed, null);
-  s.pass(12 * SECOND);
-  s.take('list').then(items(['b'], 70));
-  assert.deepEqual([...s.listed!], ['a', 'b']);
-  const { maxAgeUs: bound } = s.freshness;
-  assert.ok(s.freshness.isFresh(sent + bound - 1) && !s.freshness.isFresh(sent + bound));
-  // What came or went between the pages is asked for from the first one on.
-  for (let i = 0; i < 4; i++) s.take('list').then(items([], 80));
-  s.take('get').then({ kind: 'missing', revision: 80 });
-  const w = s.take('watch').op;
-  assert.ok(w.kind === 'watch' && w.after === 50 && w.waitMs === 0);
+test('a list of several pages is as old as its first page', () => {
+  const fixture = new FailoverFixture();
+  fixture.failover.start();
+  const requestedAt = fixture.now;
+  const firstPage = fixture.takeCall('list');
+  fixture.advance(2 * SECOND);
+  firstPage.reply(listOf(['a'], 50, true));
+  assert.equal(fixture.unendedJobs, null);
+  fixture.advance(12 * SECOND);
+  fixture.takeCall('list').reply(listOf(['b'], 70));
+  assert.deepEqual([...fixture.unendedJobs!], ['a', 'b']);
+  fixture.assertConfirmedAt(requestedAt);
+  // What was created or deleted between the pages is requested from the first one on.
+  fixture.answerOtherReads(80);
+  const watch = fixture.takeCall('watch').operation;
+  assert.ok(watch.kind === 'watch' && watch.after === 50 && watch.waitMs === 0);
 });
 
-test('a watch that tells late of a beginning does not bring back what has ended', () => {
-  const s = new Stage();
-  s.start(['a'], 50);
-  const hung = s.take('watch');
-  s.pass(11 * SECOND);
-  s.takeover.probeIfStale();
-  s.take('watch').then({ kind: 'failed', executed: null, cause: 'silent', reason: '' });
-  // Nothing is told that way either, so that the jobs are listed: b came and went unseen, c came.
-  s.take('list').then(items(['a', 'c'], 90));
-  assert.deepEqual([...s.jobs.keys()], ['a', 'c']);
-  hung.then(events([put('b', 60), put('c', 70)], 75));
-  assert.deepEqual([...s.jobs.keys()], ['a', 'c']);
-  // From here on it follows what is known, not what it was told last.
-  const w = s.take('watch').op;
-  assert.ok(w.kind === 'watch' && w.after === 90);
+test('a watch that reports a creation late does not bring back a job that has ended', () => {
+  const fixture = new FailoverFixture();
+  fixture.start(['a'], 50);
+  const hungWatch = fixture.takeCall('watch');
+  fixture.advance(11 * SECOND);
+  fixture.failover.probeIfStale();
+  fixture.takeCall('watch').reply(LOST_REPLY);
+  // That fails too, so that the jobs are listed: b was created and ended unseen, c was created.
+  fixture.takeCall('list').reply(listOf(['a', 'c'], 90));
+  assert.deepEqual([...fixture.jobs.keys()], ['a', 'c']);
+  hungWatch.reply(eventsOf([putEvent('b', 60), putEvent('c', 70)], 75));
+  assert.deepEqual([...fixture.jobs.keys()], ['a', 'c']);
+  // The next watch continues from what was applied, not from the reply that came last.
+  const watch = fixture.takeCall('watch').operation;
+  assert.ok(watch.kind === 'watch' && watch.after === 90);
 });
 
-test('an answer of a revision that goes back proves nothing', () => {
-  const s = new Stage();
-  s.start(['a'], 50);
-  const sent = s.now;
-  s.pass(SECOND);
-  s.take('watch').then(events([gone('a', 49)], 49));
-  assert.deepEqual([[...s.jobs.keys()], s.logged], [['a'], ['watch.revision_regressed']]);
-  assert.ok(!s.freshness.isFresh(sent + s.freshness.maxAgeUs));
+test('a reply whose revision goes back confirms nothing', () => {
+  const fixture = new FailoverFixture();
+  fixture.start(['a'], 50);
+  const requestedAt = fixture.now;
+  fixture.advance(SECOND);
+  fixture.takeCall('watch').reply(eventsOf([deleteEvent('a', 49)], 49));
+  assert.deepEqual([[...fixture.jobs.keys()], fixture.loggedEvents], [['a'], ['watch.revision_regressed']]);
+  assert.ok(!fixture.freshness.isFresh(requestedAt + fixture.freshness.maxAgeUs));
 });
 
-test('in whatever order lists and watches are answered, the picture never falls behind what it has shown', () => {
-  let repeated = 0;
-  for (let seed = 1; seed <= 60; seed++) {
-    const r = new Random(seed);
-    const s = new Stage();
-    const log: StoreEvent[] = [];
-    const ended = new Set<string>();
-    let revision = 50;
-    const alive = (at: number): string[] => {
-      const ids = new Set<string>();
-      for (const e of log)
-        if (e.version <= at) {
-          if (e.kind === 'put') ids.add(e.key);
-          else ids.delete(e.key);
-        }
-      return [...ids].map((k) => k.slice(JOBS.length));
-    };
-    const listAt = (at: number): StoreReply => ({
+/** The history of job records in a store, from which any call can be answered as of any revision. */
+class JobHistory {
+  revision = 50;
+  readonly events: StoreEvent[] = [];
+  private nextJob = 1;
+
+  constructor(private readonly random: Random) {}
+
+  /** Creates a job or ends one, if there is any. */
+  change(): void {
+    const living = this.idsAt(this.revision);
+    if (this.random.chance(0.5)) this.events.push(putEvent(`j${this.nextJob++}`, ++this.revision));
+    else if (living.length > 0)
+      this.events.push(deleteEvent(living[this.random.below(living.length)]!, ++this.revision));
+  }
+
+  idsAt(revision: number): string[] {
+    const keys = new Set<string>();
+    for (const event of this.events)
+      if (event.version <= revision) {
+        if (event.kind === 'put') keys.add(event.key);
+        else keys.delete(event.key);
+      }
+    return [...keys].map(idOf);
+  }
+
+  listAt(revision: number): StoreReply {
+    return {
       kind: 'items',
-      items: alive(at).map((id) => ({
+      items: this.idsAt(revision).map((id) => ({
         key: JOBS + id,
         value: {},
-        version: log.find((e) => e.key === JOBS + id)!.version,
+        version: this.events.find((event) => event.key === JOBS + id)!.version,
         lease: null,
       })),
       more: false,
-      revision: at,
-    });
-    s.start([], revision);
-    let next = 1;
-    /** The newest revision that an answer was of. */
-    let shown = revision;
-    const open: { call: Call; at: number }[] = [];
-    for (let step = 0; step < 120; step++) {
-      // Changes of jobs, each of its own revision.
-      const living = alive(revision);
-      if (r.chance(0.5)) log.push(put(`j${next++}`, ++revision));
-      else if (living.length > 0) log.push(gone(living[r.below(living.length)]!, ++revision));
-      for (const call of s.calls.splice(0)) open.push({ call, at: revision });
-      // Any open call is answered, by what was true at some moment since it came in.
-      if (open.length > 0 && r.chance(0.5)) {
-        const { call, at } = open.splice(r.below(open.length), 1)[0]!;
-        const then = at + r.below(revision - at + 1);
-        const lost = r.chance(0.2);
-        if (lost) call.then({ kind: 'failed', executed: null, cause: 'silent', reason: '' });
-        else if (call.op.kind === 'watch') {
-          const { after } = call.op;
-          if (r.chance(0.1)) call.then({ kind: 'tooOld' });
-          else {
-            shown = Math.max(shown, then);
-            call.then(
-              events(
-                log.filter((e) => e.version > after && e.version <= then),
-                Math.max(after, then),
-              ),
-            );
-          }
-        } else if (call.op.kind === 'list') {
-          shown = Math.max(shown, then);
-          call.then(listAt(then));
-        }
-        for (const id of ended) if (s.jobs.has(id)) assert.fail(`seed ${seed}: ${id} is back`);
-        for (const e of log)
-          if (e.kind === 'delete' && !s.jobs.has(e.key.slice(JOBS.length)) && e.version <= shown) {
-            ended.add(e.key.slice(JOBS.length));
-            repeated++;
-          }
-      }
-      s.pass(r.below(2_000) * 1_000);
-      s.takeover.probeIfStale();
+      revision,
+    };
+  }
+
+  eventsBetween(after: number, upTo: number): StoreEvent[] {
+    return this.events.filter((event) => event.version > after && event.version <= upTo);
+  }
+}
+
+/** A failover against a generated history, whose calls are answered late, out of order or not at all. */
+class RandomFailover {
+  readonly fixture = new FailoverFixture();
+  readonly history: JobHistory;
+  /** How often a job that the leader knew to have ended was checked to stay so. */
+  endedChecks = 0;
+  private readonly ended = new Set<string>();
+  /** The newest revision that a reply was of. */
+  private shownRevision: number;
+  private readonly openCalls: { call: StoreCall; receivedRevision: number }[] = [];
+
+  constructor(
+    private readonly seed: number,
+    private readonly random: Random,
+  ) {
+    this.history = new JobHistory(random);
+    this.shownRevision = this.history.revision;
+    this.fixture.start([], this.history.revision);
+  }
+
+  step(): void {
+    this.history.change();
+    for (const call of this.fixture.calls.splice(0))
+      this.openCalls.push({ call, receivedRevision: this.history.revision });
+    if (this.openCalls.length > 0 && this.random.chance(0.5)) {
+      this.answerAnyCall();
+      this.checkEndedJobs();
     }
-    // Once all is answered nothing is missing and nothing too much.
-    for (let i = 0; i < 8; i++) {
-      for (const call of [...open.splice(0).map((o) => o.call), ...s.calls.splice(0)])
-        if (call.op.kind === 'watch') {
-          const { after } = call.op;
-          call.then(
-            events(
-              log.filter((e) => e.version > after),
-              revision,
-            ),
-          );
-        } else call.then(listAt(revision));
-      s.pass(SECOND);
+    this.fixture.advance(this.random.below(2_000) * 1_000);
+    this.fixture.failover.probeIfStale();
+  }
+
+  /** Answers any open call by what was true at some moment since it was received. */
+  private answerAnyCall(): void {
+    const index = this.random.below(this.openCalls.length);
+    const { call, receivedRevision } = this.openCalls.splice(index, 1)[0]!;
+    const revision = receivedRevision + this.random.below(this.history.revision - receivedRevision + 1);
+    if (this.random.chance(0.2)) call.reply(LOST_REPLY);
+    else if (call.operation.kind === 'watch') {
+      const { after } = call.operation;
+      if (this.random.chance(0.1)) call.reply({ kind: 'tooOld' });
+      else {
+        this.shownRevision = Math.max(this.shownRevision, revision);
+        call.reply(eventsOf(this.history.eventsBetween(after, revision), Math.max(after, revision)));
+      }
+    } else if (call.operation.kind === 'list') {
+      this.shownRevision = Math.max(this.shownRevision, revision);
+      call.reply(this.history.listAt(revision));
     }
-    assert.deepEqual([...s.jobs.keys()].sort(), alive(revision).sort(), `seed ${seed}`);
   }
-  assert.ok(repeated > 1_000);
+
+  private checkEndedJobs(): void {
+    const { jobs } = this.fixture;
+    for (const id of this.ended) if (jobs.has(id)) assert.fail(`seed ${this.seed}: ${id} is back`);
+    for (const event of this.history.events)
+      if (event.kind === 'delete' && !jobs.has(idOf(event.key)) && event.version <= this.shownRevision) {
+        this.ended.add(idOf(event.key));
+        this.endedChecks++;
+      }
+  }
+
+  /** Answers every open call by the newest revision. */
+  answerAllCalls(): void {
+    const { revision } = this.history;
+    const open = [...this.openCalls.splice(0).map(({ call }) => call), ...this.fixture.calls.splice(0)];
+    for (const call of open)
+      if (call.operation.kind === 'watch')
+        call.reply(eventsOf(this.history.eventsBetween(call.operation.after, revision), revision));
+      else call.reply(this.history.listAt(revision));
+    this.fixture.advance(SECOND);
+  }
+}
+
+test('in whatever order lists and watches are answered, known jobs never fall behind what was shown', () => {
+  let endedChecks = 0;
+  for (let seed = 1; seed <= 60; seed++) {
+    const run = new RandomFailover(seed, new Random(seed));
+    for (let step = 0; step < 120; step++) run.step();
+    // Once all is answered nothing is missing and nothing is left over.
+    for (let round = 0; round < 8; round++) run.answerAllCalls();
+    const expected = run.history.idsAt(run.history.revision).sort();
+    assert.deepEqual([...run.fixture.jobs.keys()].sort(), expected, `seed ${seed}`);
+    endedChecks += run.endedChecks;
+  }
+  assert.ok(endedChecks > 1_000);
 });
