--- /dev/null
+++ b/packages/core/src/leadership/lease-acquisition.ts
@@ -0,0 +1,118 @@
+/** Acquires the leader lease: grants a lease in the key-value store, and claims the leader's key and the next term under it. */
+import { LEAD, TERM } from '../codecs/keys.js';
+import { decodeTerm, encodeLeader, encodeTerm, type TermRecord } from '../codecs/leadership-codec.js';
+import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
+import type { Micros } from '../domain/time.js';
+import { MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import { CancellationFreshness } from './cancellation-freshness.js';
+import type { LeaderLease } from './leader-lease.js';
+
+/** Pause after a request that failed. */
+const RETRY_DELAY: Micros = 300 * MILLI;
+/** Pause after a term's record that can't be read. */
+const UNREADABLE_TERM_DELAY: Micros = SECOND;
+
+/** Where no term's record exists: nobody ever led. */
+const NO_TERM: TermRecord = { number: 0, first: true };
+
+/** Receives the outcome of an attempt. */
+export interface LeaseAcquisitionEvents {
+  /** The lease is held; its length counts from `requestedAt`, when it was asked for. */
+  onAcquired(lease: LeaderLease, requestedAt: Micros): void;
+  /** Another node was faster, or the store did not answer: to be tried again after this delay. */
+  onFailed(retryDelay: Micros): void;
+}
+
+/** A lease that was granted, under which the leader's key is to be claimed. */
+interface GrantedLease {
+  readonly id: number;
+  readonly requestedAt: Micros;
+}
+
+/** Attempts to acquire the leader lease, one at a time. */
+export class LeaseAcquisition {
+  private active = false;
+
+  constructor(
+    private readonly context: NodeContext,
+    private readonly events: LeaseAcquisitionEvents,
+  ) {}
+
+  /** Whether an attempt is under way. */
+  get inProgress(): boolean {
+    return this.active;
+  }
+
+  /** Begins an attempt; exactly one event reports its outcome. */
+  start(): void {
+    this.active = true;
+    const requestedAt = this.context.now;
+    const ttlMs = Math.floor(this.context.settings.tuning.leaderLeaseUs / MILLI);
+    this.context.requestStore({ kind: 'grant', ttlMs }, 0, (reply) => {
+      if (reply.kind === 'granted') this.readTerm({ id: reply.lease, requestedAt });
+      else this.fail(RETRY_DELAY);
+    });
+  }
+
+  private readTerm(granted: GrantedLease): void {
+    this.context.requestStore({ kind: 'get', key: TERM }, 0, (reply) => {
+      if (reply.kind === 'item' || reply.kind === 'missing') this.claim(granted, reply);
+      else this.revokeAndFail(granted, RETRY_DELAY);
+    });
+  }
+
+  private claim(granted: GrantedLease, termReply: StoreReply & { kind: 'item' | 'missing' }): void {
+    const termVersion = termReply.kind === 'item' ? termReply.item.version : 0;
+    const lastTerm = termReply.kind === 'item' ? decodeTerm(termReply.item.value) : NO_TERM;
+    if (lastTerm === null) {
+      this.context.error('leader.term_unreadable');
+      this.revokeAndFail(granted, UNREADABLE_TERM_DELAY);
+      return;
+    }
+    const term: TermRecord = { number: lastTerm.number + 1, first: lastTerm.first };
+    this.context.requestStore(this.claimOf(granted, term, termVersion), 0, (reply) => {
+      if (reply.kind === 'ok') this.succeed(granted, term, reply.revision);
+      else this.revokeAndFail(granted, reply.kind === 'conflict' ? 0 : RETRY_DELAY);
+    });
+  }
+
+  /** Writes the leader's key and the term, unless somebody holds the key or another term has begun. */
+  private claimOf(granted: GrantedLease, term: TermRecord, termVersion: number): StoreOperation {
+    const { member } = this.context.settings;
+    return {
+      kind: 'txn',
+      conditions: [
+        { key: LEAD, version: 0 },
+        { key: TERM, version: termVersion },
+      ],
+      writes: [
+        { kind: 'put', key: LEAD, value: encodeLeader({ member, term: term.number }), lease: granted.id },
+        { kind: 'put', key: TERM, value: encodeTerm(term) },
+      ],
+    };
+  }
+
+  private succeed(granted: GrantedLease, term: TermRecord, keyVersion: number): void {
+    this.active = false;
+    const lease: LeaderLease = {
+      term: term.number,
+      keyVersion,
+      leaseId: granted.id,
+      heldSince: this.context.now,
+      firstTerm: term.first,
+      freshness: new CancellationFreshness(this.context.settings),
+    };
+    this.events.onAcquired(lease, granted.requestedAt);
+  }
+
+  private revokeAndFail(granted: GrantedLease, retryDelay: Micros): void {
+    this.context.requestStore({ kind: 'revoke', lease: granted.id }, 2, () => undefined);
+    this.fail(retryDelay);
+  }
+
+  private fail(retryDelay: Micros): void {
+    this.active = false;
+    this.events.onFailed(retryDelay);
+  }
+}
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -90,15 +90,15 @@
   },
   {
     name: 'the right does not ask for fresh knowledge',
-    file: 'leadership/leader-election.ts',
-    from: 'now < this.leaseValidUntil && this.lease.freshness.isFresh(now);',
-    to: 'now < this.leaseValidUntil;',
+    file: 'leadership/held-lease.ts',
+    from: 'return this.isValid(now) && this.lease.freshness.isFresh(now);',
+    to: 'return this.isValid(now);',
   },
   {
     name: 'the right counts from the answer to a renewal',
-    file: 'leadership/leader-election.ts',
-    from: 'if (this.holdOffUntil <= this.ctx.now) this.extend(sent);',
-    to: 'if (this.holdOffUntil <= this.ctx.now) this.extend(this.ctx.now);',
+    file: 'leadership/held-lease.ts',
+    from: 'if (this.resignedUntil <= this.context.now) this.extend(requestedAt);',
+    to: 'if (this.resignedUntil <= this.context.now) this.extend(this.context.now);',
   },
   {
     name: 'a job ends without its version',
