--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -1,53 +1,68 @@
 /**
  * How old this leader's knowledge of cancellations may be: the one owner of that. Any node confirms cancellations, also
- * while this one leads, so that the office alone says nothing of what users were told meanwhile.
+ * while this one leads, so that holding the leader lease alone shows nothing of what was confirmed to users meanwhile.
  *
  * Whatever renews a worker's lease or starts a task is sent with knowledge of all cancellations that were confirmed
- * until `bound` before. So of a job that was cancelled at t nothing is renewed or started after t + bound without the
- * order to stop it, and what was renewed until then has run out a lease later: within `cancel_s` (docs/safety.md).
+ * until `maxAgeUs` before. So of a job that was cancelled at t nothing is renewed or started after t + `maxAgeUs` without
+ * the command to stop it, and what was renewed until then has expired a lease later: within `cancel_s` (docs/safety.md).
  */
 import type { Settings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
 
+/** The settings that bound the age. */
+type CancellationSettings = Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>;
+
 /** Steady clocks drift apart by up to 0.05%; twice that is taken off every lease. */
 export const CLOCK_DRIFT = 0.001;
 
-/** For what lies between the end of a lease and its tasks being gone. */
-const MARGIN: Micros = SECOND;
-/** Where `cancel_s` leaves less than that no leader could do its work: it is then not kept (see `check-config`). */
+/** Time between the end of a worker's lease and its tasks being gone. */
+const TASK_STOP_MARGIN: Micros = SECOND;
+
+/** The least age that is allowed: where `cancel_s` leaves less it is not kept, since no leader could work (`check-config`). */
 export const LEAST_MAX_AGE: Micros = 3 * SECOND;
 
-/** What `cancel_s` leaves beside a worker's lease, clocks at their worst; the leader's knowledge may be that old. */
-export const maxCancellationAge = (s: Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>): Micros =>
-  Math.floor(
-    (s.cancellationDeadlineUs - s.workerLeaseUs * (1 + 2 * CLOCK_DRIFT) - MARGIN) * (1 - CLOCK_DRIFT),
-  );
+/** Of the greatest age: a probe is due after this part of it, since the watch may never be answered. */
+const PROBE_FRACTION = 1 / 2;
+/** Of the greatest age: after this part of it another node may do better as leader. */
+const LOST_FRACTION = 3 / 2;
+
+/** What `cancel_s` leaves besides a worker's lease, with clocks at their worst: the leader's knowledge may be that old. */
+export const maxCancellationAge = (settings: CancellationSettings): Micros => {
+  const longestLease = settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT);
+  const remaining = settings.cancellationDeadlineUs - longestLease - TASK_STOP_MARGIN;
+  return Math.floor(remaining * (1 - CLOCK_DRIFT));
+};
 
+/** How old a leader's knowledge of confirmed cancellations is. */
 export class CancellationFreshness {
+  /** The greatest age at which the leader may still act. */
   readonly maxAgeUs: Micros;
-  private knownAt: Micros | null = null;
+  private confirmedUpTo: Micros | null = null;
 
-  constructor(settings: Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>) {
+  constructor(settings: CancellationSettings) {
     this.maxAgeUs = Math.max(LEAST_MAX_AGE, maxCancellationAge(settings));
   }
 
-  /** All that was confirmed before is known here; `sent`: when the request was sent whose answer showed it. */
-  confirmUpTo(sent: Micros): void {
-    this.knownAt = Math.max(this.knownAt ?? sent, sent);
+  /** All that was confirmed before is known; `requestedAt`: when the request was sent whose reply showed it. */
+  confirmUpTo(requestedAt: Micros): void {
+    this.confirmedUpTo = Math.max(this.confirmedUpTo ?? requestedAt, requestedAt);
   }
 
+  /** Whether the knowledge is recent enough to act on. */
   isFresh(now: Micros): boolean {
-    return this.knownAt !== null && now < this.knownAt + this.maxAgeUs;
+    return this.confirmedUpTo !== null && now < this.confirmedUpTo + this.maxAgeUs;
   }
 
-  /** Nothing was learned for so long after `since` that another node may do better. */
+  /** Whether nothing was learned for so long, counted from `since` at the earliest, that another node may do better. */
   isLost(now: Micros, since: Micros): boolean {
-    return now >= (this.knownAt ?? since) + Math.floor(this.maxAgeUs * 1.5);
+    return now >= (this.confirmedUpTo ?? since) + Math.floor(this.maxAgeUs * LOST_FRACTION);
   }
 
-  /** Half of the time has passed: time to ask by itself, since what was asked for may never be answered. */
+  /** Whether it is time to request changes without waiting, since the watch may never be answered. */
   isProbeDue(now: Micros): boolean {
-    return this.knownAt !== null && now >= this.knownAt + Math.floor(this.maxAgeUs / 2);
+    return (
+      this.confirmedUpTo !== null && now >= this.confirmedUpTo + Math.floor(this.maxAgeUs * PROBE_FRACTION)
+    );
   }
 }
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -1,75 +1,75 @@
-/** What the parts of one leader's term share: the office, what is known, and whether it is still on. */
+/** What the parts of one leader's term share: its lease, its numbers, the cluster state, and whether it still lasts. */
 import type { Machine } from '../cluster/cluster-model.js';
 import type { NodeContext } from '../node/node-context.js';
 import { ClusterState } from '../cluster/cluster-state.js';
-import type { LeaderElection, LeaderLease } from './leader-election.js';
 import type { Micros } from '../domain/time.js';
+import type { LeaderElection } from './leader-election.js';
+import type { LeaderLease } from './leader-lease.js';
+import { LeaderPermissions } from './leader-permissions.js';
+import { TermNumbers } from './term-numbers.js';
 
-/** Room for raising the token and numbering attempts within a term; products stay below 2^53. */
-const TOKENS_PER_TERM = 2 ** 20;
-const ATTEMPTS_PER_TERM = 2 ** 24;
-/** Report intervals in which workers turn to a new leader. */
-const ACCOUNTING_REPORTS = 3;
-
+/** One leader's term, from its election until it steps down. */
 export class LeaderTerm {
+  /** Number of the term; higher than that of any earlier leader. */
   readonly number: number;
+  /** What the leader knows of jobs, machines and attempts. */
   readonly cluster: ClusterState;
-  /** The records of earlier leaders are read. */
+  /** Whether the records of earlier leaders are read. */
   ready = false;
   /** Before that: the jobs that had not ended when they were listed, which comes first of all; null: not yet listed. */
   unendedJobs: ReadonlySet<string> | null = null;
-  /** The office is lost: whatever still comes back is for nobody. */
+  /** The leader lease is lost: replies and timers that still arrive are dropped. */
   stopped = false;
-  /** Silence is counted from here: from the term's begin or the last return of the right. */
+  /** Missing heartbeats count from here: the beginning of the term, or the last return of the permission to act. */
   leaseHeldSince: Micros;
-  private lastAttempt: number;
+  private readonly numbers: TermNumbers;
+  private readonly permissions: LeaderPermissions;
 
   constructor(
     readonly ctx: NodeContext,
     readonly lease: LeaderLease,
     readonly election: LeaderElection,
-    /** Something changed that a plan may answer to. */
+    /** Requests a scheduling pass: something changed that may change placements. */
     readonly schedulePass: () => void,
   ) {
     this.number = lease.term;
     this.cluster = new ClusterState(ctx);
     this.leaseHeldSince = ctx.now;
-    this.lastAttempt = lease.term * ATTEMPTS_PER_TERM;
+    this.numbers = new TermNumbers(lease.term);
+    this.permissions = new LeaderPermissions(ctx, election, lease);
   }
 
-  /** Whether orders and answers may be given now. */
+  /** Whether commands and confirmations may be sent now. */
   canActAsLeader(): boolean {
-    return this.election.canActAsLeader();
+    return this.permissions.canActAsLeader();
   }
 
-  /** Workers still turn to this new leader. */
-  get inFailoverGracePeriod(): boolean {
-    return this.ctx.now <= this.lease.heldSince + ACCOUNTING_REPORTS * this.ctx.settings.heartbeatIntervalUs;
+  /** Whether tasks may be started now. */
+  canDispatch(): boolean {
+    return this.permissions.canDispatch();
   }
 
-  /**
-   * Whether tasks may be started now. Not while the state service does not answer this node: it may be answering others, who
-   * are told of cancellations, after which nothing of the job may be started. In an outage of all that costs little, for the
-   * right ends soon.
-   */
-  canDispatch(): boolean {
-    return this.canActAsLeader() && this.ctx.storeConnection.downSince === null;
+  /** Whether workers are still finding this new leader. */
+  get inFailoverGracePeriod(): boolean {
+    return this.permissions.inFailoverGracePeriod;
   }
 
-  /** Every token of this term exceeds all of earlier ones. */
+  /** Every fencing token of this term is at least this one, and exceeds all of earlier terms. */
   get firstFencingToken(): number {
-    return this.number * TOKENS_PER_TERM;
+    return this.numbers.firstFencingToken;
   }
 
-  fencingTokenOf(m: Machine): number {
-    return this.firstFencingToken + m.fencingCounter;
+  /** The machine's fencing token now: raised with its counter. */
+  fencingTokenOf(machine: Machine): number {
+    return this.numbers.fencingToken(machine.fencingCounter);
   }
 
+  /** A number that no attempt of this or any earlier term has. */
   nextAttemptNumber(): number {
-    return ++this.lastAttempt;
+    return this.numbers.nextAttemptNumber();
   }
 
-  /** Later, if the office is still held then. */
+  /** Runs a callback after a delay, unless the term has ended by then. */
   after(delay: Micros, run: () => void): void {
     this.ctx.after(delay, () => {
       if (!this.stopped) run();
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -84,8 +84,8 @@
   },
   {
     name: 'starts while the state service does not answer',
-    file: 'leadership/leader-term.ts',
-    from: 'return this.canActAsLeader() && this.ctx.storeConnection.downSince === null;',
+    file: 'leadership/leader-permissions.ts',
+    from: 'return this.canActAsLeader() && this.context.storeConnection.downSince === null;',
     to: 'return this.canActAsLeader();',
   },
   {
