--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,4 +1,4 @@
-/** Machines on record: nothing is started on one that is not, and what is to be deleted is marked first. */
+/** Machines on record: nothing is started on one that is not, and one to be deleted is marked as retiring first. */
 import type { Machine } from '../cluster/cluster-model.js';
 import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
@@ -20,106 +20,113 @@
   preprovisioned: machine.preprovisioned,
 });
 
+/** A mark that any copy of a record has holds: what is being returned must not be used again. */
+const mergeCopies = (record: MachineRecord, other: MachineRecord | undefined): MachineRecord => ({
+  ...record,
+  retiring: record.retiring || other?.retiring === true,
+  preprovisioned: record.preprovisioned || other?.preprovisioned === true,
+});
+
+/** Records of machines in packed pages. */
 export class MachineStore {
   private readonly pages: PackedPages;
   /** Whether all that was on record could be read. */
   isComplete = true;
 
+  /** `roomLimit`: room for records in a page (`pageRoom`). `onUnreadable`: called with the key or name of a record. */
   constructor(
     private readonly writer: FencedWriter,
-    limit: number,
+    roomLimit: number,
     find: (name: string) => Machine | undefined,
     private readonly onUnreadable: (key: string) => void,
   ) {
-    this.pages = new PackedPages(writer, ROSTER, limit, {
+    this.pages = new PackedPages(writer, ROSTER, roomLimit, {
       describe: (name) => {
-        const m = find(name);
-        return m === undefined ? null : encodeMachine(recordOf(m));
+        const machine = find(name);
+        return machine === undefined ? null : encodeMachine(recordOf(machine));
       },
       move: (name, then) => {
-        const m = find(name);
-        if (m === undefined) then(true);
-        else
-          this.write(
-            m,
-            'later',
-            () => {
-              then(true);
-            },
-            () => {
-              then(false);
-            },
-          );
+        const machine = find(name);
+        if (machine === undefined) then(true);
+        else this.move(machine, then);
       },
     });
   }
 
-  /** Machines that an earlier leader recorded, in pages or, by an earlier version, a key a machine. */
-  load(pages: readonly StoredItem[], own: readonly StoredItem[]): Map<string, MachineRecord> {
+  /** Machines that an earlier leader recorded, in pages or, by an earlier version, under a key for each machine. */
+  load(pages: readonly StoredItem[], unpacked: readonly StoredItem[]): Map<string, MachineRecord> {
     const found = new Map<string, MachineRecord>();
-    const take = (name: string, value: unknown): void => {
-      if (value === null) return;
-      const rec = decodeMachine(value);
-      if (rec === null) {
-        this.unreadable(name);
-        return;
-      }
-      // A machine may stand on two pages while one of them is taken apart, or because an older version led
-      // meanwhile. A mark that any of them has holds: what is being returned must not be used again.
-      const other = found.get(name);
-      found.set(name, {
-        ...rec,
-        retiring: rec.retiring || other?.retiring === true,
-        preprovisioned: rec.preprovisioned || other?.preprovisioned === true,
-      });
-    };
-    for (const it of own) take(it.key.slice(MACHINES.length), it.value);
-    for (const it of pages) {
-      const entries = readPage(it.value);
-      if (entries === null) this.unreadable(it.key);
-      for (const [name, value] of Object.entries(entries ?? {})) take(name, value);
+    for (const item of unpacked) this.loadRecord(found, item.key.slice(MACHINES.length), item.value);
+    for (const item of pages) {
+      const entries = readPage(item.value);
+      if (entries === null) this.reportUnreadable(item.key);
+      for (const [name, value] of Object.entries(entries ?? {})) this.loadRecord(found, name, value);
     }
-    for (const it of pages)
-      this.pages.load(it, (name) => {
-        const rec = found.get(name);
-        return rec === undefined ? null : largestMachineRecord(name, rec);
+    for (const item of pages)
+      this.pages.load(item, (name) => {
+        const record = found.get(name);
+        return record === undefined ? null : largestMachineRecord(name, record);
       });
     return found;
   }
 
-  /** What an earlier version wrote moves into pages; its keys go once that is done. */
-  adopt(own: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
-    for (const it of own) {
-      const m = find(it.key.slice(MACHINES.length));
-      if (m === undefined) continue;
-      this.put(m, () => {
-        this.writer.remove(machineKey(m.name));
+  private loadRecord(found: Map<string, MachineRecord>, name: string, value: unknown): void {
+    if (value === null) return;
+    const record = decodeMachine(value);
+    if (record === null) {
+      this.reportUnreadable(name);
+      return;
+    }
+    // A machine may stand on two pages while one of them is emptied, or because an older version led meanwhile.
+    found.set(name, mergeCopies(record, found.get(name)));
+  }
+
+  /** Moves what an earlier version wrote into pages; its keys are removed once that is confirmed. */
+  adopt(unpacked: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
+    for (const item of unpacked) {
+      const machine = find(item.key.slice(MACHINES.length));
+      if (machine === undefined) continue;
+      this.put(machine, () => {
+        this.writer.remove(machineKey(machine.name));
       });
     }
   }
 
-  private unreadable(key: string): void {
+  private reportUnreadable(key: string): void {
     this.isComplete = false;
     this.onUnreadable(key);
   }
 
-  put(m: Machine, done: () => void): void {
-    this.write(m, 'now', done);
+  /** Writes the machine's record, and calls back once the store has confirmed it. */
+  put(machine: Machine, done: () => void): void {
+    this.write(machine, 'now', done);
+  }
+
+  private move(machine: Machine, then: (ok: boolean) => void): void {
+    const onWritten = (): void => {
+      then(true);
+    };
+    const onRefused = (): void => {
+      then(false);
+    };
+    this.write(machine, 'later', onWritten, onRefused);
   }
 
-  private write(m: Machine, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
-    this.pages.put(m.name, largestMachineRecord(m.name, m), urgent, done, refused);
+  private write(machine: Machine, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
+    this.pages.put(machine.name, largestMachineRecord(machine.name, machine), urgent, done, refused);
   }
 
-  /** Moves on with taking apart what is too large or of the version before. */
+  /** Empties the next page that is too large or of the version before. */
   compact(): void {
     this.pages.compact();
   }
 
-  drop(m: Machine): void {
-    this.pages.drop(m.name);
+  /** The machine is gone; the next write of its page leaves it out. */
+  drop(machine: Machine): void {
+    this.pages.drop(machine.name);
   }
 
+  /** Writes pages that still hold machines that were dropped. */
   rewriteStalePages(): void {
     this.pages.rewriteStalePages();
   }
