--- a/packages/core/src/codecs/job-codec.ts
+++ b/packages/core/src/codecs/job-codec.ts
@@ -39,6 +39,7 @@
 /** How a job ended. */
 export interface EndedJobRecord {
   readonly stage: 'done' | 'cancelled';
+  /** How many tasks were done. */
   readonly done: number;
   readonly shape: JobShape;
   /** Time of day of the end; null in records of the version before. */
@@ -68,7 +69,7 @@
   deadlineUs: spec.deadlineUs,
 });
 
-const decodeSpec = (stored: StoredJobSpec, needs: readonly string[]): JobSpec => ({
+const decodeSpec = (stored: StoredJobSpec, dependsOn: readonly string[]): JobSpec => ({
   id: stored.id,
   class: stored.class,
   team: stored.team,
@@ -89,7 +90,7 @@
   checkpointIntervalUs: stored.checkpointUs,
   checkpointDurationUs: stored.saveUs,
   deadlineUs: stored.deadlineUs,
-  dependsOn: needs,
+  dependsOn,
 });
 
 /** The fields without which nothing can be done with a record; an ended job's record has no others. */
@@ -121,24 +122,24 @@
 
 /**
  * The record of a job that has not ended. One that depends on other jobs is recorded in a form that the version before can't
- * read: that version would start it too early. What it can't read it neither starts nor denies.
+ * read: that version would start it too early. What it can't read it neither starts nor reports as unknown.
  */
-export const encodeActiveJob = (spec: JobSpec, at: Micros): unknown => {
+export const encodeActiveJob = (spec: JobSpec, acceptedAt: Micros): unknown => {
   const stored = encodeSpec(spec);
   return spec.dependsOn.length === 0
-    ? { spec: stored, at }
-    : { awaiting: { spec: stored, at, needs: packIds(spec.dependsOn) } };
+    ? { spec: stored, at: acceptedAt }
+    : { awaiting: { spec: stored, at: acceptedAt, needs: packIds(spec.dependsOn) } };
 };
 
-/** Null for what can't be read. */
+/** The record of a job that has not ended; null for what can't be read. */
 export const decodeActiveJob = (value: unknown): ActiveJobRecord | null => {
   if (!isStoredMap(value)) return null;
-  const inner = value['awaiting'];
-  const record = isStoredMap(inner) ? inner : value;
-  const needs = isStoredMap(inner) ? unpackIds(inner['needs']) : [];
+  const awaiting = value['awaiting'];
+  const record = isStoredMap(awaiting) ? awaiting : value;
+  const dependsOn = isStoredMap(awaiting) ? unpackIds(awaiting['needs']) : [];
   const { spec, at } = record;
-  if (needs === null || !isStoredSpec(spec) || typeof at !== 'number') return null;
-  return { spec: decodeSpec(spec, needs), acceptedAt: at };
+  if (dependsOn === null || !isStoredSpec(spec) || typeof at !== 'number') return null;
+  return { spec: decodeSpec(spec, dependsOn), acceptedAt: at };
 };
 
 /**
@@ -148,16 +149,16 @@
 export const encodeEndedJob = (
   spec: JobSpec,
   stage: EndedJobRecord['stage'],
-  done: number,
-  at: Micros,
+  doneTasks: number,
+  endedAt: Micros,
 ): unknown => ({
   stage,
-  done,
+  done: doneTasks,
   spec: { id: spec.id, shape: spec.shape, tasks: spec.tasks, cores: spec.cores },
-  at,
+  at: endedAt,
 });
 
-/** Null for what can't be read. */
+/** The record of a job that has ended; null for what can't be read. */
 export const decodeEndedJob = (value: unknown): EndedJobRecord | null => {
   if (!isStoredMap(value)) return null;
   const { stage, spec, done, at } = value;
--- a/packages/core/src/codecs/leadership-codec.ts
+++ b/packages/core/src/codecs/leadership-codec.ts
@@ -14,20 +14,21 @@
   readonly first: boolean;
 }
 
+/** The value of the leader's key. */
 export const encodeLeader = ({ member, term }: LeaderRecord): unknown => ({ member, term });
 
-/** Null for what can't be read. */
+/** The value of the leader's key; null for what can't be read. */
 export const decodeLeader = (value: unknown): LeaderRecord | null => {
   if (!isStoredMap(value)) return null;
   const { member, term } = value;
   return typeof member === 'string' && typeof term === 'number' ? { member, term } : null;
 };
 
-/** `first` is left out where it does not hold, as older versions always do. */
+/** The term's record. `first` is left out where it does not hold, as older versions always do. */
 export const encodeTerm = ({ number, first }: TermRecord): unknown =>
   first ? { n: number, first: true } : { n: number };
 
-/** Null for what can't be read. */
+/** The term's record; null for what can't be read. */
 export const decodeTerm = (value: unknown): TermRecord | null => {
   if (!isStoredMap(value)) return null;
   const { n, first } = value;
--- a/packages/core/src/codecs/machine-codec.ts
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -2,20 +2,22 @@
 import { bytesOf } from './value-size.js';
 import { isStoredMap } from './stored-map.js';
 
+/** What is on record of a machine. */
 export interface MachineRecord {
+  /** Host and port of the worker. */
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   /** Set before the machine is returned: nothing may be started on it any more. */
   readonly retiring: boolean;
-  /** Was there before this service rented anything. */
+  /** Existed before this service rented anything. */
   readonly preprovisioned: boolean;
 }
 
 const LONGEST_ADDRESS = '255.255.255.255:65535';
 
-/** Marks that are not set are left out: all versions read that as false, and pages are small. */
+/** The stored form. Marks that are not set are left out: all versions read that as false, and pages are small. */
 export const encodeMachine = (record: MachineRecord): unknown => ({
   address: record.address,
   type: record.type,
@@ -25,7 +27,7 @@
   ...(record.preprovisioned ? { standing: true } : {}),
 });
 
-/** Null for what can't be read. */
+/** The record of a machine; null for what can't be read. */
 export const decodeMachine = (value: unknown): MachineRecord | null => {
   if (!isStoredMap(value)) return null;
   const { address, type, zone, spot, retiring, standing } = value;
--- a/packages/core/src/codecs/machine-type-codec.ts
+++ b/packages/core/src/codecs/machine-type-codec.ts
@@ -38,6 +38,7 @@
   Array.isArray(value['zones']) &&
   value['zones'].every((zone) => typeof zone === 'string');
 
+/** The stored form of the machine types. */
 export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
   types.map((type): StoredMachineType => ({
     name: type.name,
@@ -65,7 +66,10 @@
   zones: stored.zones,
 });
 
-/** Null where any of them can't be read: some types would be worse than none, since jobs would be told that they fit nowhere. */
+/**
+ * The machine types; null where any of them can't be read: some types would be worse than none, since jobs would be
+ * refused as fitting nowhere.
+ */
 export const decodeMachineTypes = (value: unknown): readonly MachineType[] | null => {
   if (!Array.isArray(value) || !value.every(isStoredType)) return null;
   return (value as StoredMachineType[]).map(decodeType);
