--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -1,10 +1,9 @@
 /**
- * Progress of one job that is too large for a page, in keys of its own: each part has a share of the done
- * bits, from a byte that it names, and a share of the machines. What holds is what all parts say together.
+ * Progress of one job that is too large for a page, in keys of its own: each part has a share of the done bits, from a byte
+ * that it names, and a share of the machines. What holds is what all parts together contain.
  *
- * The version before reads them too: it takes the bits of part 0 and the machines of all parts. TaskBitset of the
- * other parts it finds at places where no task is, so tasks may be started again, but none counts as done
- * that is not.
+ * The version before reads them too: it takes the bits of part 0 and the machines of all parts. The bits of other parts it
+ * finds at places where no task is, so tasks may be started again, but none counts as done that is not.
  */
 import { progressKey } from '../codecs/keys.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
@@ -12,217 +11,260 @@
 import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
-const FRAME = 160;
+const PART_FRAME_BYTES = 160;
+/** What a machine's name takes besides its letters: quotes and a comma. */
+const NAME_OVERHEAD_BYTES = 3;
+const MIN_PART_ROOM = 16;
+const MIN_BITS_PER_PART_BYTES = 3;
+/** Part of a part's room that bits may take; the rest is for names. */
+const BITS_FRACTION = 1 / 2;
+/** Bytes that a character of base64 holds. */
+const BYTES_PER_BASE64_CHARACTER = 0.75;
 
+/** Characters of base64 that so many bytes take. */
+const base64Length = (bytes: number): number => Math.ceil(bytes / 3) * 4;
+
+/** What the progress of a large job needs of the job. */
 export interface LargeJob {
   readonly id: string;
+  /** Tasks that are done. */
   readonly done: TaskBitset;
+  /** Of these, the tasks that are on record as done. */
   readonly durablyDone: TaskBitset;
+  /** Machines that are on record as holding tasks of the job. */
   recordedMachines: Set<string>;
+  /** There is progress that was not written. */
   progressDirty: boolean;
 }
 
 interface Part {
   /** Machines that are on record here, or are being written. */
-  readonly names: Set<string>;
+  readonly machines: Set<string>;
   bits: string;
 }
 
+/** The parts of one large job's progress. */
 export class LargeProgress {
   /** Bytes of done bits in a part. */
-  private readonly share: number;
+  private readonly bitsPerPart: number;
   private parts: Part[] = [];
   /** Parts from the second on are numbered from here: a new layout never overwrites the keys of another. */
-  private base: number | null = null;
+  private firstNumber: number | null = null;
   /** Parts that differ from what was last sent. */
   private readonly changed = new Set<number>();
-  /** Keys in another layout, to be removed once everything stands in this one. */
-  private readonly foreign = new Map<string, number>();
-  private reshaping: (() => void)[] | null = null;
+  /** Keys in another layout, and their numbers; to be removed once everything is written in this layout. */
+  private readonly otherLayout = new Map<string, number>();
+  /** Writes that wait for the change of layout under way; null while there is none. */
+  private waitingForLayout: (() => void)[] | null = null;
 
+  /**
+   * `roomLimit`: bytes that a part may have. `nameLength`: length of the longest machine name. `currentMachines`: names of
+   * the machines that hold or may hold tasks of the job now.
+   */
   constructor(
     private readonly writer: FencedWriter,
     private readonly job: LargeJob,
-    private readonly limit: number,
+    private readonly roomLimit: number,
     private readonly nameLength: number,
-    /** Machines that hold or may hold tasks of the job now. */
-    private readonly names: () => readonly string[],
+    private readonly currentMachines: () => readonly string[],
   ) {
-    // Half of a part at most is for bits, and the rest for names.
-    this.share = Math.max(3, Math.floor((Math.max(limit - FRAME, 16) / 2) * 0.75));
+    const room = Math.max(roomLimit - PART_FRAME_BYTES, MIN_PART_ROOM);
+    this.bitsPerPart = Math.max(
+      MIN_BITS_PER_PART_BYTES,
+      Math.floor(room * BITS_FRACTION * BYTES_PER_BASE64_CHARACTER),
+    );
   }
 
-  private get namesAPart(): number {
-    const bits = Math.ceil(Math.min(this.share, this.job.done.bytes.length) / 3) * 4;
-    return Math.max(1, Math.floor((this.limit - FRAME - bits) / (this.nameLength + 3)));
+  private get namesPerPart(): number {
+    const bits = base64Length(Math.min(this.bitsPerPart, this.job.done.bytes.length));
+    const room = this.roomLimit - PART_FRAME_BYTES - bits;
+    return Math.max(1, Math.floor(room / (this.nameLength + NAME_OVERHEAD_BYTES)));
   }
 
-  private part(k: number): Part {
-    for (let i = this.parts.length; i <= k; i++) this.parts.push({ names: new Set(), bits: '' });
-    return this.parts[k]!;
+  private part(index: number): Part {
+    for (let i = this.parts.length; i <= index; i++) this.parts.push({ machines: new Set(), bits: '' });
+    return this.parts[index]!;
   }
 
-  private keyOf(k: number): string {
-    return progressKey(this.job.id, k === 0 ? 0 : (this.base ?? 0) + k);
+  private keyOf(index: number): string {
+    return progressKey(this.job.id, index === 0 ? 0 : (this.firstNumber ?? 0) + index);
   }
 
-  /** A key as it was read. `number` is null for a segment of the version before. */
-  adopt(key: string, number: number | null, rec: ProgressRecord, size: number): void {
-    const from = number === 0 ? 0 : rec.from;
-    const k = from === null ? -1 : from / this.share;
-    const fits = size <= this.limit && Buffer.from(rec.bits, 'base64').length <= this.share;
-    const base = number === null || number === 0 ? this.base : number - k;
-    if (number === null || !Number.isInteger(k) || k < 0 || !fits || (this.base ?? base) !== base) {
-      this.foreign.set(key, number ?? 0);
+  /** A key as it was read; `size` in bytes. `number` is null for a segment of the version before. */
+  adopt(key: string, number: number | null, record: ProgressRecord, size: number): void {
+    const from = number === 0 ? 0 : record.from;
+    const index = from === null ? -1 : from / this.bitsPerPart;
+    const fits = size <= this.roomLimit && Buffer.from(record.bits, 'base64').length <= this.bitsPerPart;
+    const firstNumber = number === null || number === 0 ? this.firstNumber : number - index;
+    const isPart = number !== null && Number.isInteger(index) && index >= 0;
+    if (!isPart || !fits || (this.firstNumber ?? firstNumber) !== firstNumber) {
+      this.otherLayout.set(key, number ?? 0);
       return;
     }
-    this.base = base;
-    const p = this.part(k);
-    for (const n of rec.machines) p.names.add(n);
-    p.bits = rec.bits;
+    this.firstNumber = firstNumber;
+    const part = this.part(index);
+    for (const name of record.machines) part.machines.add(name);
+    part.bits = record.bits;
   }
 
-  /** Whether keys stand in a form that has to be written anew. */
+  /** Whether keys are in a layout that has to be written anew. */
   get unsettled(): boolean {
-    return this.foreign.size > 0;
+    return this.otherLayout.size > 0;
+  }
+
+  private bitsOf(index: number): string {
+    return this.job.done.encode(index * this.bitsPerPart, (index + 1) * this.bitsPerPart);
   }
 
-  private bitsOf(k: number): string {
-    return this.job.done.encode(k * this.share, (k + 1) * this.share);
+  /** Assigns every machine to a part, those that have one to the same, and notes which parts must be written. */
+  private assignMachines(): void {
+    const current = new Set(this.currentMachines());
+    const partCount = Math.ceil(this.job.done.bytes.length / this.bitsPerPart);
+    this.part(Math.max(this.parts.length, partCount, 1) - 1);
+    const assigned = this.keepAssigned(current);
+    const capacity = this.namesPerPart;
+    let index = 0;
+    for (const name of current) {
+      if (assigned.has(name)) continue;
+      while (this.part(index).machines.size >= capacity) index++;
+      this.part(index).machines.add(name);
+      this.changed.add(index);
+    }
   }
 
-  /** Gives every machine a part, those that have one the same, and notes which parts must be written. */
-  private assign(): void {
-    const now = new Set(this.names());
-    const room = this.namesAPart;
-    this.part(Math.max(this.parts.length, Math.ceil(this.job.done.bytes.length / this.share), 1) - 1);
-    const at = new Set<string>();
-    this.parts.forEach((p, k) => {
-      for (const n of [...p.names]) {
-        if (now.has(n) && !at.has(n)) at.add(n);
+  /** Removes machines that hold no tasks any more, or stand twice; returns those that keep their part. */
+  private keepAssigned(current: ReadonlySet<string>): ReadonlySet<string> {
+    const assigned = new Set<string>();
+    this.parts.forEach((part, index) => {
+      for (const name of [...part.machines]) {
+        if (current.has(name) && !assigned.has(name)) assigned.add(name);
         else {
-          p.names.delete(n);
-          this.changed.add(k);
+          part.machines.delete(name);
+          this.changed.add(index);
         }
       }
-      if (this.bitsOf(k) !== p.bits) this.changed.add(k);
+      if (this.bitsOf(index) !== part.bits) this.changed.add(index);
     });
-    let k = 0;
-    for (const n of now) {
-      if (at.has(n)) continue;
-      while (this.part(k).names.size >= room) k++;
-      this.part(k).names.add(n);
-      this.changed.add(k);
-    }
+    return assigned;
   }
 
-  /** Writes what changed, and calls back once all of it is on record. */
+  /** Writes what changed, and calls `then` once all of it is on record, or `refused` if the store won't take it. */
   write(urgent: WriteUrgency, then: () => void, refused: () => void): void {
-    if (this.reshaping !== null) {
-      this.reshaping.push(() => {
+    if (this.waitingForLayout !== null) {
+      this.waitingForLayout.push(() => {
         this.write(urgent, then, refused);
       });
       return;
     }
-    if (this.foreign.size > 0) {
-      this.reshape(urgent, then, refused);
+    if (this.otherLayout.size > 0) {
+      this.changeLayout(urgent, then, refused);
       return;
     }
-    this.assign();
-    const parts = new Set(this.changed);
+    this.assignMachines();
+    const indices = new Set(this.changed);
     // Sent already but not confirmed: the caller waits for that too.
-    this.parts.forEach((p, k) => {
-      for (const n of p.names) if (!this.job.recordedMachines.has(n)) parts.add(k);
+    this.parts.forEach((part, index) => {
+      for (const name of part.machines) if (!this.job.recordedMachines.has(name)) indices.add(index);
     });
-    this.put([...parts], urgent, then, refused);
+    this.putParts([...indices], urgent, then, refused);
   }
 
-  private put(parts: readonly number[], urgent: WriteUrgency, then: () => void, refused: () => void): void {
-    let left = parts.length;
+  private putParts(
+    indices: readonly number[],
+    urgent: WriteUrgency,
+    then: () => void,
+    refused: () => void,
+  ): void {
+    let remaining = indices.length;
     let failed = false;
-    if (left === 0) then();
-    for (const k of parts) {
-      this.writer.put(
-        this.keyOf(k),
-        () => this.make(k),
-        (value) => {
-          const rec = decodeProgress(value);
-          if (rec !== null) {
-            this.job.durablyDone.merge(rec.from ?? 0, rec.bits);
-            for (const n of rec.machines) this.job.recordedMachines.add(n);
-          }
-          if (--left === 0 && !failed) then();
-        },
-        {
-          urgent,
-          refused: () => {
-            this.changed.add(k);
-            if (!failed) refused();
-            failed = true;
-          },
-        },
-      );
+    if (remaining === 0) then();
+    for (const index of indices) {
+      const onWritten = (value: unknown): void => {
+        this.applyWritten(decodeProgress(value));
+        if (--remaining === 0 && !failed) then();
+      };
+      const onRefused = (): void => {
+        this.changed.add(index);
+        if (!failed) refused();
+        failed = true;
+      };
+      const options = { urgent, refused: onRefused };
+      this.writer.put(this.keyOf(index), () => this.encodePart(index), onWritten, options);
     }
   }
 
-  private make(k: number): unknown {
+  private applyWritten(record: ProgressRecord | null): void {
+    if (record === null) return;
+    this.job.durablyDone.merge(record.from ?? 0, record.bits);
+    for (const name of record.machines) this.job.recordedMachines.add(name);
+  }
+
+  private encodePart(index: number): unknown {
     this.job.progressDirty = false;
-    this.assign();
-    const p = this.part(k);
+    this.assignMachines();
+    const part = this.part(index);
     // Whoever is left out counts as not on record from now on: the write may be executed at any moment.
-    const all = new Set(this.parts.flatMap((x) => [...x.names]));
-    for (const n of [...this.job.recordedMachines]) if (!all.has(n)) this.job.recordedMachines.delete(n);
-    p.bits = this.bitsOf(k);
-    this.changed.delete(k);
-    return encodeProgress({ machines: [...p.names], bits: p.bits, from: k * this.share });
+    const named = new Set(this.parts.flatMap((other) => [...other.machines]));
+    for (const name of [...this.job.recordedMachines])
+      if (!named.has(name)) this.job.recordedMachines.delete(name);
+    part.bits = this.bitsOf(index);
+    this.changed.delete(index);
+    return encodeProgress({
+      machines: [...part.machines],
+      bits: part.bits,
+      from: index * this.bitsPerPart,
+    });
   }
 
   /**
-   * From another layout into this one, in keys that none had before: all further parts are written first,
-   * then part 0, which may hold less from then on; what is left over goes last. A crash in between leaves
-   * everything on record somewhere.
+   * From another layout into this one, in keys that none had before: all further parts are written first, then part 0,
+   * which may hold less from then on; what is left over is removed last. A crash in between leaves everything on record
+   * somewhere.
    */
-  private reshape(urgent: WriteUrgency, then: () => void, refused: () => void): void {
-    this.reshaping = [];
-    const old = new Map(this.foreign);
-    this.parts.forEach((_, k) => {
-      if (k > 0) old.set(this.keyOf(k), (this.base ?? 0) + k);
-    });
-    this.base = Math.max(0, ...old.values());
-    this.parts = [];
-    this.changed.clear();
-    this.assign();
-    const over = (run: () => void): void => {
-      const waiting = this.reshaping ?? [];
-      this.reshaping = null;
-      run();
-      for (const w of waiting) w();
+  private changeLayout(urgent: WriteUrgency, then: () => void, refused: () => void): void {
+    this.waitingForLayout = [];
+    const oldKeys = this.beginLayout();
+    const onFailed = (): void => {
+      for (const [key, number] of oldKeys) this.otherLayout.set(key, number);
+      this.endLayoutChange(refused);
     };
-    const failed = (): void => {
-      for (const [key, n] of old) this.foreign.set(key, n);
-      over(refused);
+    const onAllWritten = (): void => {
+      this.otherLayout.clear();
+      for (const key of oldKeys.keys()) if (key !== this.keyOf(0)) this.writer.remove(key);
+      this.endLayoutChange(then);
     };
-    const last = (): void => {
-      this.put(
-        [0],
-        urgent,
-        () => {
-          this.foreign.clear();
-          for (const key of old.keys()) if (key !== this.keyOf(0)) this.writer.remove(key);
-          over(then);
-        },
-        failed,
-      );
+    const putFirst = (): void => {
+      this.putParts([0], urgent, onAllWritten, onFailed);
     };
-    const further = this.parts.map((_, k) => k).filter((k) => k > 0);
-    if (further.length === 0) last();
-    else this.put(further, urgent, last, failed);
+    const further = this.parts.map((_, index) => index).filter((index) => index > 0);
+    if (further.length === 0) putFirst();
+    else this.putParts(further, urgent, putFirst, onFailed);
+  }
+
+  /** Begins a layout in new keys; returns all keys of the old ones with their numbers. */
+  private beginLayout(): ReadonlyMap<string, number> {
+    const oldKeys = new Map(this.otherLayout);
+    this.parts.forEach((_, index) => {
+      if (index > 0) oldKeys.set(this.keyOf(index), (this.firstNumber ?? 0) + index);
+    });
+    this.firstNumber = Math.max(0, ...oldKeys.values());
+    this.parts = [];
+    this.changed.clear();
+    this.assignMachines();
+    return oldKeys;
+  }
+
+  private endLayoutChange(report: () => void): void {
+    const waiting = this.waitingForLayout ?? [];
+    this.waitingForLayout = null;
+    report();
+    for (const write of waiting) write();
   }
 
-  /** All keys of the job, to be removed with it. */
+  /** All keys of the job's progress, to be removed with it. */
   keys(): string[] {
     const count = Math.max(this.parts.length, 1);
-    const own = Array.from({ length: count }, (_, k) => this.keyOf(k));
-    return [...new Set([...own, ...this.foreign.keys()])];
+    const ownKeys = Array.from({ length: count }, (_, index) => this.keyOf(index));
+    return [...new Set([...ownKeys, ...this.otherLayout.keys()])];
   }
 }
