--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -13,59 +13,74 @@
 
 const NAMES = ['n0', 'n1', 'n2'];
 
-/** A loaded world, who leads in it, and what is logged from now on. */
-const loaded = (seed: number): { w: ClusterSimulation; leader: string; others: string[]; log: string[] } => {
-  const w = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
-  w.runFor(3 * SECOND);
+/** A cluster whose machines run tasks. */
+interface LoadedCluster {
+  readonly simulation: ClusterSimulation;
+  readonly leader: string;
+  readonly others: readonly string[];
+  readonly log: string[];
+}
+
+/** A loaded cluster, who leads it, and what is logged from now on. */
+const loadedCluster = (seed: number): LoadedCluster => {
+  const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
+  simulation.runFor(3 * SECOND);
   for (let i = 0; i < 10; i++)
-    w.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
-  w.runFor(60 * SECOND);
-  const leader = w.nodes.find((n) => n.core?.leads())!.name;
+    simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
+  simulation.runFor(60 * SECOND);
+  const leader = simulation.nodes.find((node) => node.core?.leads())!.name;
   const log: string[] = [];
-  w.onLog = (node, event) => log.push(`${node} ${event}`);
-  return { w, leader, others: NAMES.filter((n) => n !== leader), log };
+  simulation.onLog = (node, event) => log.push(`${node} ${event}`);
+  return { simulation, leader, others: NAMES.filter((name) => name !== leader), log };
 };
 
-const sessions = (w: ClusterSimulation): number =>
-  [...w.workers.values()].reduce((n, x) => n + x.session - 1, 0);
+/** How often a worker's lease expired, so that it began another agent epoch. */
+const countExpiredLeases = (simulation: ClusterSimulation): number =>
+  [...simulation.workers.values()].reduce((count, worker) => count + worker.session - 1, 0);
 
-test('two nodes lose the state service: workers come to the third, and no lease runs out', () => {
-  // The circle, seen at fleet size: a node that could not read who leads sent workers back to the leader that had
-  // been deposed; the new leader heard none, resigned, and all leases ran out.
-  for (const refused of [false, true])
+test('two nodes lose the state service: workers come to the third, and no lease expires', () => {
+  // Seen in a large cluster: a node that could not read who leads sent workers back to the leader that had been
+  // deposed; the new leader received no heartbeats, resigned, and all leases expired.
+  for (const peersAreCut of [false, true])
     for (let seed = 1; seed <= 4; seed++) {
-      const { w, leader, others, log } = loaded(seed);
-      const busy = [...w.workers.values()].filter((x) => x.tasks.length > 0).length;
+      const { simulation, leader, others, log } = loadedCluster(seed);
+      const busy = [...simulation.workers.values()].filter((worker) => worker.tasks.length > 0).length;
       assert.ok(busy >= 20, `${busy} busy workers`);
-      for (const n of [leader, others[0]!]) w.network.cut(n, 'state', 60 * SECOND);
-      // Where peers don't hear each other either, the old name runs out by itself.
-      if (refused) for (const a of NAMES) for (const b of NAMES) if (a < b) w.network.cut(a, b, 60 * SECOND);
-      w.runFor(12 * SECOND);
-      assert.equal(w.nodes.find((n) => n.core?.leads())?.name, others[1]);
-      w.runFor(75 * SECOND);
-      assert.deepEqual([...new Set(w.broken)], [], `seed ${seed}`);
-      assert.equal(sessions(w), 0, `seed ${seed}, refused ${refused}: leases that ran out`);
+      for (const name of [leader, others[0]!]) simulation.network.cut(name, 'state', 60 * SECOND);
+      // Where peers don't reach each other either, the name of the old leader expires by itself.
+      if (peersAreCut)
+        for (const one of NAMES)
+          for (const other of NAMES) if (one < other) simulation.network.cut(one, other, 60 * SECOND);
+      simulation.runFor(12 * SECOND);
+      assert.equal(simulation.nodes.find((node) => node.core?.leads())?.name, others[1]);
+      simulation.runFor(75 * SECOND);
+      assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
       assert.equal(
-        log.filter((l) => l.endsWith('leader.elected')).length,
+        countExpiredLeases(simulation),
+        0,
+        `seed ${seed}, peers cut ${peersAreCut}: leases that expired`,
+      );
+      assert.equal(
+        log.filter((line) => line.endsWith('leader.elected')).length,
         1,
-        'the office changes hands once',
+        'the leader lease changes hands once',
       );
     }
 });
 
-test('a leader that lost the state service alone decides nothing once its right is over', () => {
-  // Seen at fleet size: 33 s after another had won, the deposed one rented 56 machines for what it took as lost.
-  for (const refused of [false, true]) {
-    const { w, leader, others, log } = loaded(7);
-    w.network.cut(leader, 'state', 60 * SECOND);
-    if (refused) for (const o of others) w.network.cut(leader, o, 60 * SECOND);
-    w.runFor(7 * SECOND);
-    assert.ok(others.some((o) => w.nodes.find((n) => n.name === o)!.core!.leads()));
+test('a leader that lost the state service alone decides nothing once its lease has expired', () => {
+  // Seen in a large cluster: 33 s after another was elected, the deposed one rented 56 machines for what it took as lost.
+  for (const peersAreCut of [false, true]) {
+    const { simulation, leader, others, log } = loadedCluster(7);
+    simulation.network.cut(leader, 'state', 60 * SECOND);
+    if (peersAreCut) for (const other of others) simulation.network.cut(leader, other, 60 * SECOND);
+    simulation.runFor(7 * SECOND);
+    assert.ok(others.some((name) => simulation.nodes.find((node) => node.name === name)!.core!.leads()));
     log.length = 0;
-    // More than can run: there is something to rent for.
-    for (let i = 20; i < 24; i++) w.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
-    w.runFor(50 * SECOND);
-    const acts = [
+    // More than can run: there is a reason to scale out.
+    for (let i = 20; i < 24; i++) simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
+    simulation.runFor(50 * SECOND);
+    const decisions = [
       'autoscaler.scale_out_requested',
       'machine.lease_expired',
       'machine.retired',
@@ -73,31 +88,31 @@
       'leader.resigned',
     ];
     assert.deepEqual(
-      log.filter((l) => acts.some((a) => l === `${leader} ${a}`)),
+      log.filter((line) => decisions.some((event) => line === `${leader} ${event}`)),
       [],
     );
     assert.ok(
-      log.some((l) => l.endsWith('autoscaler.scale_out_requested')),
-      'the new leader rents',
+      log.some((line) => line.endsWith('autoscaler.scale_out_requested')),
+      'the new leader scales out',
     );
-    // What is told by a peer ends the office at once; else it lasts until the state service answers again.
-    assert.equal(log.filter((l) => l === `${leader} leader.suspended`).length > 0, refused);
-    w.runFor(30 * SECOND);
-    assert.deepEqual([...new Set(w.broken)], []);
-    assert.equal(sessions(w), 0);
+    // A peer's message ends the term at once; else it lasts until the state service answers again.
+    assert.equal(log.filter((line) => line === `${leader} leader.suspended`).length > 0, peersAreCut);
+    simulation.runFor(30 * SECOND);
+    assert.deepEqual([...new Set(simulation.broken)], []);
+    assert.equal(countExpiredLeases(simulation), 0);
   }
 });
 
-// ---- one node by itself --------------------------------------------------------------------------
-
-interface Alone {
+/** One node without peers or a state service, fed by the test. */
+interface IsolatedNode {
   feed(atS: number, input: Input): CoreEffect[];
-  /** Where a worker is sent that reports now. */
-  sentTo(atS: number): string | null;
-  tell(atS: number, member: string, term: number): void;
+  /** The leader to which a worker is redirected that sends a heartbeat now. */
+  redirectTarget(atS: number): string | null;
+  /** A peer's message that it leads in this term. */
+  claimFrom(atS: number, member: string, term: number): void;
 }
 
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   machine: 'm-1',
   address: 'm-1',
   type: 'box',
@@ -110,102 +125,102 @@
   tasks: [],
 };
 
-/** A node whose state service answers nothing but what the test says. */
-const alone = (): Alone => {
+/** A node whose state service answers nothing but what the test feeds. */
+const isolatedNode = (): IsolatedNode => {
   const core = new Core(settingsFor('n0', NAMES, '[[cluster.teams]]\nname = "t"\n'), () => 0);
   const feed = (atS: number, input: Input): CoreEffect[] => core.step(atS * SECOND, input);
   feed(0, { kind: 'start', wallUs: 0 });
   return {
     feed,
-    sentTo: (atS) => {
-      const out = feed(atS, { kind: 'heartbeat', request: 1, heartbeat: REPORT });
-      const a = out.find((e) => e.kind === 'heartbeatResponse')?.answer;
-      assert.notEqual(a?.kind, 'accepted');
-      return a?.kind === 'redirect' ? a.leader : null;
+    redirectTarget: (atS) => {
+      const out = feed(atS, { kind: 'heartbeat', request: 1, heartbeat: HEARTBEAT });
+      const answer = out.find((effect) => effect.kind === 'heartbeatResponse')?.answer;
+      assert.notEqual(answer?.kind, 'accepted');
+      return answer?.kind === 'redirect' ? answer.leader : null;
     },
-    tell: (atS, member, term) => {
+    claimFrom: (atS, member, term) => {
       feed(atS, { kind: 'peerMessage', message: { kind: 'progress', member, term, jobs: [] } });
     },
   };
 };
 
-test('a node names the leader that it has lately had word of, and no other', () => {
-  const n = alone();
-  assert.equal(n.sentTo(1), null);
-  n.tell(2, 'n1', 5);
-  assert.equal(n.sentTo(3), 'n1');
-  n.tell(4, 'n2', 6);
-  assert.equal(n.sentTo(4), 'n2');
-  // Held back on its way: of an office that is over.
-  n.tell(5, 'n1', 5);
-  assert.equal(n.sentTo(5), 'n2');
-  n.tell(8, 'n2', 6);
-  assert.equal(n.sentTo(13), 'n2');
-  // No word for a whole lease.
-  assert.equal(n.sentTo(15), null);
-  n.tell(16, 'n2', 6);
-  assert.equal(n.sentTo(16), 'n2');
-  n.tell(17, 'somebody', 9);
-  assert.equal(n.sentTo(17), 'n2', 'only peers are listened to');
+test('a node names the leader that was confirmed within a lease, and no other', () => {
+  const node = isolatedNode();
+  assert.equal(node.redirectTarget(1), null);
+  node.claimFrom(2, 'n1', 5);
+  assert.equal(node.redirectTarget(3), 'n1');
+  node.claimFrom(4, 'n2', 6);
+  assert.equal(node.redirectTarget(4), 'n2');
+  // Held back on its way: of a term that is over.
+  node.claimFrom(5, 'n1', 5);
+  assert.equal(node.redirectTarget(5), 'n2');
+  node.claimFrom(8, 'n2', 6);
+  assert.equal(node.redirectTarget(13), 'n2');
+  // No message for a whole lease.
+  assert.equal(node.redirectTarget(15), null);
+  node.claimFrom(16, 'n2', 6);
+  assert.equal(node.redirectTarget(16), 'n2');
+  node.claimFrom(17, 'somebody', 9);
+  assert.equal(node.redirectTarget(17), 'n2', 'only claims of peers count');
 });
 
-test('the end of an office that the state service tells of is not undone by a late word of it', () => {
-  const n = alone();
-  const look = n.feed(1, { kind: 'timer' });
-  assert.ok(look.every((e) => e.kind !== 'heartbeatResponse'));
-  n.tell(1, 'n1', 5);
-  assert.equal(n.sentTo(1), 'n1');
-  // The first call of a node is its look at the leader's key.
-  n.feed(2, { kind: 'storeReply', call: 1, reply: { kind: 'missing', revision: 9 } });
-  n.tell(2, 'n1', 5);
-  assert.equal(n.sentTo(2), null);
-  n.tell(3, 'n2', 6);
-  assert.equal(n.sentTo(3), 'n2');
+test('the end of a term that the state service shows is not undone by a late message of its leader', () => {
+  const node = isolatedNode();
+  const firstEffects = node.feed(1, { kind: 'timer' });
+  assert.ok(firstEffects.every((effect) => effect.kind !== 'heartbeatResponse'));
+  node.claimFrom(1, 'n1', 5);
+  assert.equal(node.redirectTarget(1), 'n1');
+  // The first call of a node reads the leader's key.
+  node.feed(2, { kind: 'storeReply', call: 1, reply: { kind: 'missing', revision: 9 } });
+  node.claimFrom(2, 'n1', 5);
+  assert.equal(node.redirectTarget(2), null);
+  node.claimFrom(3, 'n2', 6);
+  assert.equal(node.redirectTarget(3), 'n2');
 });
 
 test('users of a node that lost the state service are answered at once, and again once it is back', () => {
-  // Seen at fleet size: polls waited for one call after the other to a silent service, until their users gave up.
-  const w = new ClusterSimulation(new Random(5), 1);
-  w.runFor(3 * SECOND);
-  w.submit(specOf('run-1', { tasks: 2 }));
-  w.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
-  w.runFor(40 * SECOND);
-  w.poll('run-1');
-  w.runFor(2 * SECOND);
-  assert.equal(w.stageOf('run-1'), 'done');
-  w.network.cut('n0', 'state', 20 * SECOND);
+  // Seen in a large cluster: polls waited for one call after the other to a silent service, until their users gave up.
+  const simulation = new ClusterSimulation(new Random(5), 1);
+  simulation.runFor(3 * SECOND);
+  simulation.submit(specOf('run-1', { tasks: 2 }));
+  simulation.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
+  simulation.runFor(40 * SECOND);
+  simulation.poll('run-1');
+  simulation.runFor(2 * SECOND);
+  assert.equal(simulation.stageOf('run-1'), 'done');
+  simulation.network.cut('n0', 'state', 20 * SECOND);
   const answers: { kind: string; after: number }[] = [];
-  const ask = (id: string): void => {
-    const at = w.now;
-    w.users.host.ask(0, { kind: 'poll', id }, (a) =>
-      answers.push({ kind: a?.kind ?? 'none', after: w.now - at }),
+  const poll = (id: string): void => {
+    const askedAt = simulation.now;
+    simulation.users.host.ask(0, { kind: 'poll', id }, (answer) =>
+      answers.push({ kind: answer?.kind ?? 'none', after: simulation.now - askedAt }),
     );
   };
   for (let i = 0; i < 18; i++) {
-    ask('run-2');
-    w.runFor(SECOND);
+    poll('run-2');
+    simulation.runFor(SECOND);
   }
   assert.equal(answers.length, 18);
-  assert.ok(answers.every((a) => a.kind === 'unavailable'));
+  assert.ok(answers.every((answer) => answer.kind === 'unavailable'));
   // Only those who came before the loss was known waited, and never as long as a user does.
-  assert.ok(answers.every((a) => a.after < 1.6 * SECOND));
-  assert.ok(answers.slice(3).every((a) => a.after < 0.01 * SECOND));
+  assert.ok(answers.every((answer) => answer.after < 1.6 * SECOND));
+  assert.ok(answers.slice(3).every((answer) => answer.after < 0.01 * SECOND));
   answers.length = 0;
-  // What is known to have ended is told all the same.
-  ask('run-1');
+  // What is known to have ended is answered all the same.
+  poll('run-1');
   assert.deepEqual(
-    answers.map((a) => a.kind),
+    answers.map((answer) => answer.kind),
     ['view'],
   );
-  w.runFor(6 * SECOND);
+  simulation.runFor(6 * SECOND);
   answers.length = 0;
-  ask('run-2');
-  w.runFor(SECOND);
+  poll('run-2');
+  simulation.runFor(SECOND);
   assert.deepEqual(
-    answers.map((a) => a.kind),
+    answers.map((answer) => answer.kind),
     ['view'],
   );
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(simulation.broken, []);
 });
 
 test('one lost call among answered ones is no lost link', () => {
@@ -223,29 +238,29 @@
 
 test('a leader that got no answers for long reads what was cancelled meanwhile before it acts again', () => {
   // Found by a generated history (ran_cancelled): only the answers of the state service were lost, so that the leader's
-  // renewals went on being executed and its office never ended; back in its right it started a job cancelled 46 s before.
+  // renewals went on being executed and its lease never expired; able to act again it started a job cancelled 46 s before.
   for (let seed = 1; seed <= 6; seed++) {
-    const w = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
-    w.runFor(3 * SECOND);
+    const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
+    simulation.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
-      w.submit(
+      simulation.submit(
         specOf(`run-${i}`, { tasks: 3, estimatedRunUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }),
       );
-    w.runFor(30 * SECOND);
-    const leader = w.nodes.findIndex((n) => n.core?.leads());
-    w.network.cutOneWay('state', `n${leader}`, 60 * SECOND);
-    w.runFor(3 * SECOND);
-    const other = w.users.host;
+    simulation.runFor(30 * SECOND);
+    const leader = simulation.nodes.findIndex((node) => node.core?.leads());
+    simulation.network.cutOneWay('state', `n${leader}`, 60 * SECOND);
+    simulation.runFor(3 * SECOND);
+    const usersHost = simulation.users.host;
     for (let i = 0; i < 4; i++) {
-      w.users.asked.add(`run-${i}`);
-      other.ask((leader + 1) % 3, { kind: 'cancel', id: `run-${i}` }, (a) => {
-        assert.equal(a?.kind, 'view');
-        w.users.cancelledAt.set(`run-${i}`, w.now);
+      simulation.users.asked.add(`run-${i}`);
+      usersHost.ask((leader + 1) % 3, { kind: 'cancel', id: `run-${i}` }, (answer) => {
+        assert.equal(answer?.kind, 'view');
+        simulation.users.cancelledAt.set(`run-${i}`, simulation.now);
       });
     }
-    w.runFor(90 * SECOND);
-    assert.equal(w.users.cancelledAt.size, 4);
-    assert.ok(w.nodes.some((n) => n.core?.leads()));
-    assert.deepEqual([...new Set(w.broken)].slice(0, 3), [], `seed ${seed}`);
+    simulation.runFor(90 * SECOND);
+    assert.equal(simulation.users.cancelledAt.size, 4);
+    assert.ok(simulation.nodes.some((node) => node.core?.leads()));
+    assert.deepEqual([...new Set(simulation.broken)].slice(0, 3), [], `seed ${seed}`);
   }
 });
