--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -23,8 +23,8 @@
 
 const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
 
-/** A store that loses requests and answers, and carries some out late. */
-class Store {
+/** A store that loses requests and replies, and executes some late. */
+class UnreliableStore {
   readonly items = new Map<string, StoredItem>();
   revision = 1;
   largest = 0;
@@ -32,133 +32,138 @@
   transactions = 0;
   refusals = 0;
   limits = { valueBytes: 16 * 1024, ops: 16 };
-  /** Nothing is carried out any more after so many transactions. */
-  diesAfter = Infinity;
+  /** Nothing is executed any more after so many transactions. */
+  stopsAfter = Infinity;
   private late: { at: number; run: () => void }[] = [];
 
   constructor(
-    readonly ctx: NodeContext,
+    readonly context: NodeContext,
     readonly random: Random,
-    public trouble: number,
+    public failureRate: number,
   ) {
     this.items.set(LEAD, { key: LEAD, value: {}, version: 1, lease: null });
   }
 
-  private apply(op: StoreOperation): StoreReply {
-    if (op.kind === 'get') {
-      const item = this.items.get(op.key);
+  private apply(operation: StoreOperation): StoreReply {
+    if (operation.kind === 'get') {
+      const item = this.items.get(operation.key);
       return item === undefined ? { kind: 'missing', revision: this.revision } : { kind: 'item', item };
     }
-    if (op.kind !== 'txn') throw new Error(op.kind);
-    if (this.transactions >= this.diesAfter)
+    if (operation.kind !== 'txn') throw new Error(operation.kind);
+    if (this.transactions >= this.stopsAfter)
       return { kind: 'failed', executed: null, cause: 'silent', reason: 'dead' };
     if (
-      op.writes.length > this.limits.ops ||
-      op.writes.some((w) => w.kind === 'put' && bytesOf(w.value) > this.limits.valueBytes)
+      operation.writes.length > this.limits.ops ||
+      operation.writes.some((write) => write.kind === 'put' && bytesOf(write.value) > this.limits.valueBytes)
     ) {
       this.refusals++;
       return { kind: 'refused', reason: '400' };
     }
     this.transactions++;
-    const failed = op.conditions
-      .filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version)
-      .map((c) => c.key);
+    const failed = operation.conditions
+      .filter(({ key, version }) => (this.items.get(key)?.version ?? 0) !== version)
+      .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed, revision: this.revision };
     this.revision++;
-    for (const w of op.writes) this.write(w);
+    for (const write of operation.writes) this.write(write);
     return { kind: 'ok', revision: this.revision };
   }
 
-  private write(w: StoreWrite): void {
+  private write(write: StoreWrite): void {
     this.puts++;
-    if (w.kind === 'delete') {
-      this.items.delete(w.key);
+    if (write.kind === 'delete') {
+      this.items.delete(write.key);
       return;
     }
-    const value: unknown = JSON.parse(JSON.stringify(w.value));
+    const value: unknown = JSON.parse(JSON.stringify(write.value));
     this.largest = Math.max(this.largest, JSON.stringify(value).length);
-    this.items.set(w.key, { key: w.key, value, version: this.revision, lease: null });
+    this.items.set(write.key, { key: write.key, value, version: this.revision, lease: null });
   }
 
-  runFor(length: number): void {
-    const end = this.ctx.now + length;
-    while (this.ctx.now < end) {
-      this.ctx.now += 5_000;
-      this.ctx.runDueTimers();
-      for (const l of this.late.filter((x) => x.at <= this.ctx.now)) l.run();
-      this.late = this.late.filter((x) => x.at > this.ctx.now);
-      const out = this.ctx.out;
-      this.ctx.out = [];
-      for (const e of out) {
-        if (e.kind !== 'storeRequest') continue;
+  runFor(duration: number): void {
+    const end = this.context.now + duration;
+    while (this.context.now < end) {
+      this.context.now += 5_000;
+      this.context.runDueTimers();
+      for (const call of this.late.filter(({ at }) => at <= this.context.now)) call.run();
+      this.late = this.late.filter(({ at }) => at > this.context.now);
+      const effects = this.context.out;
+      this.context.out = [];
+      for (const effect of effects) {
+        if (effect.kind !== 'storeRequest') continue;
         const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
         const fate = this.random.next();
-        if (fate >= this.trouble) this.ctx.storeReplied(e.call, this.apply(e.op));
+        if (fate >= this.failureRate) this.context.storeReplied(effect.call, this.apply(effect.op));
         else {
-          if (fate < this.trouble / 3) this.apply(e.op);
-          else if (fate < this.trouble / 1.5) {
-            const op = e.op;
-            const at = this.ctx.now + this.random.below(20) * SECOND;
+          if (fate < this.failureRate / 3) this.apply(effect.op);
+          else if (fate < this.failureRate / 1.5) {
+            const { op } = effect;
+            const at = this.context.now + this.random.below(20) * SECOND;
             this.late.push({ at, run: () => this.apply(op) });
           }
-          this.ctx.storeReplied(e.call, failed);
+          this.context.storeReplied(effect.call, failed);
         }
       }
     }
   }
 
   under(prefix: string): StoredItem[] {
-    return [...this.items.values()].filter((i) => i.key.startsWith(prefix));
+    return [...this.items.values()].filter((item) => item.key.startsWith(prefix));
   }
 }
 
+/** A store with a node and a writer that use it. */
 const setUp = (seed: number, trouble: number, from = settings) => {
-  const ctx = new NodeContext(from, () => 0);
-  const store = new Store(ctx, new Random(seed), trouble);
-  const writer = new FencedWriter(ctx, 1, () => assert.fail('fenced'));
-  return { ctx, store, writer };
+  const context = new NodeContext(from, () => 0);
+  const store = new UnreliableStore(context, new Random(seed), trouble);
+  const writer = new FencedWriter(context, 1, () => assert.fail('fenced'));
+  return { context, store, writer };
 };
 
 test('no late, lost or doubled write ever takes back what was confirmed', () => {
   for (let seed = 1; seed <= 12; seed++) {
-    const r = new Random(seed * 31);
+    const random = new Random(seed * 31);
     const { store, writer } = setUp(seed, 0.4);
-    const now = new Map<string, number>();
+    const current = new Map<string, number>();
     const confirmed = new Map<string, number>();
     const pages = new PackedPages(writer, 'q/', 2_000, {
-      describe: (id) => ({ n: now.get(id) ?? -1, pad: 'x'.repeat(r.below(60)) }),
-      move: () => assert.fail('nothing to take apart'),
+      describe: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
+      move: () => assert.fail('nothing to empty'),
     });
     const stored = (id: string): number | undefined => {
-      for (const it of store.under('q/')) {
-        const rec = readPage(it.value)?.[id] as { n: number } | undefined;
-        if (rec !== undefined) return rec.n;
+      for (const item of store.under('q/')) {
+        const record = readPage(item.value)?.[id] as { n: number } | undefined;
+        if (record !== undefined) return record.n;
       }
       return undefined;
     };
     for (let step = 0; step < 150; step++) {
-      const id = `run-${r.below(40)}`;
-      if (r.chance(0.15) && now.has(id)) {
+      const id = `run-${random.below(40)}`;
+      if (random.chance(0.15) && current.has(id)) {
         pages.drop(id);
-        now.delete(id);
+        current.delete(id);
         confirmed.delete(id);
       } else {
-        now.set(id, step);
+        current.set(id, step);
         pages.put(id, 100, 'now', () => {
-          if (now.has(id)) confirmed.set(id, Math.max(step, confirmed.get(id) ?? 0));
+          if (current.has(id)) confirmed.set(id, Math.max(step, confirmed.get(id) ?? 0));
         });
       }
-      store.runFor(r.below(600) * 1_000);
-      for (const [k, n] of confirmed)
-        if (now.has(k))
-          assert.ok((stored(k) ?? -1) >= n, `seed ${seed} step ${step}: ${k} ${stored(k)} < ${n}`);
+      store.runFor(random.below(600) * 1_000);
+      for (const [key, value] of confirmed)
+        if (current.has(key))
+          assert.ok(
+            (stored(key) ?? -1) >= value,
+            `seed ${seed} step ${step}: ${key} ${stored(key)} < ${value}`,
+          );
     }
-    store.trouble = 0;
+    store.failureRate = 0;
     pages.rewriteStalePages();
     store.runFor(60 * SECOND);
-    for (const [id, n] of now) assert.equal(stored(id), n);
-    for (const it of store.under('q/'))
-      for (const id of Object.keys(readPage(it.value) ?? {})) assert.ok(now.has(id), 'dropped, yet kept');
+    for (const [id, n] of current) assert.equal(stored(id), n);
+    for (const item of store.under('q/'))
+      for (const id of Object.keys(readPage(item.value) ?? {}))
+        assert.ok(current.has(id), 'dropped, yet stored');
     assert.ok(store.largest <= 2_000);
   }
 });
@@ -177,19 +182,19 @@
 };
 
 test('a thousand machines and their jobs take few writes, and come back whole', () => {
-  const { ctx, store, writer } = setUp(1, 0);
+  const { context, store, writer } = setUp(1, 0);
   const machines = new Map<string, Machine>();
   const jobs = new Map<string, ActiveJob>();
   const job = (id: string): ActiveJob | undefined => jobs.get(id);
-  const find = (n: string): Machine | undefined => machines.get(n);
-  const roster = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+  const find = (name: string): Machine | undefined => machines.get(name);
+  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
     assert.fail('unreadable'),
   );
-  const book = new ProgressStore(ctx, writer, job, find);
+  const progressStore = new ProgressStore(context, writer, job, find);
   for (let i = 0; i < 1_000; i++) {
     const m = machine(i);
     machines.set(m.name, m);
-    roster.put(m, () => undefined);
+    machineStore.put(m, () => undefined);
   }
   let placed = 0;
   const all = [...machines.values()];
@@ -215,7 +220,7 @@
       });
     }
     for (let k = 0; k < tasks; k += 3) j.done.add(k);
-    book.recordPlacement(j, () => placed++);
+    progressStore.recordPlacement(j, () => placed++);
   }
   store.runFor(10 * SECOND);
   assert.equal(placed, 200);
@@ -231,7 +236,7 @@
   ).load(store.under('r/'), []);
   assert.equal(found.size, 1_000);
   const again = new Map([...jobs.values()].map((j) => [j.id, new ActiveJob(j.spec, 1, j.acceptedAt, 0)]));
-  new ProgressStore(next.ctx, next.writer, (id) => again.get(id), find).load(
+  new ProgressStore(next.context, next.writer, (id) => again.get(id), find).load(
     store.under('q/'),
     store.under('p/'),
     again.values(),
@@ -245,7 +250,7 @@
 });
 
 test('records of the version before are read and moved; what can not be read is never taken for absence', () => {
-  const { ctx, store, writer } = setUp(1, 0);
+  const { context, store, writer } = setUp(1, 0);
   const bits = new TaskBitset(4);
   bits.add(2);
   const put = (key: string, value: unknown): void => {
@@ -260,14 +265,14 @@
   const jobs = new Map(
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
-  const find = (n: string): Machine | undefined => (n === m.name ? m : undefined);
-  const roster = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+  const find = (name: string): Machine | undefined => (name === m.name ? m : undefined);
+  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
     assert.fail('unreadable'),
   );
-  assert.equal(roster.load([], store.under('h/')).get(m.name)?.retiring, true);
-  roster.adopt(store.under('h/'), find);
-  const book = new ProgressStore(ctx, writer, (id) => jobs.get(id), find);
-  book.load(store.under('q/'), store.under('p/'), jobs.values(), true);
+  assert.equal(machineStore.load([], store.under('h/')).get(m.name)?.retiring, true);
+  machineStore.adopt(store.under('h/'), find);
+  const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
+  progressStore.load(store.under('q/'), store.under('p/'), jobs.values(), true);
   store.runFor(5 * SECOND);
   assert.deepEqual([...store.under('h/'), ...store.under('p/')], []);
   assert.equal(store.items.get('q/3')!.value, 'torn');
@@ -280,10 +285,15 @@
   );
 });
 
-const lower = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n', 'value_kb = 2.0\ntxn_ops = 5');
+const lowerLimits = settingsFor(
+  'n0',
+  ['n0'],
+  '[[cluster.teams]]\nname = "t"\n',
+  'value_kb = 2.0\ntxn_ops = 5',
+);
 
 /** What the version before leaves: pages of up to 16 KiB, `p/` for a job of very many tasks, all fields. */
-const leftByOld = (store: Store) => {
+const writeFormerRecords = (store: UnreliableStore) => {
   const machines = Array.from({ length: 240 }, (_, i) => machine(i));
   const put = (key: string, value: unknown): void => {
     assert.ok(bytesOf(value) <= 16 * 1024, key);
@@ -305,14 +315,14 @@
       { address: m.address, type: 'box', zone: 'a', spot: false, retiring, standing: !retiring },
     ];
   });
-  const want = new Map<string, { names: string[]; done: number[]; tasks: number }>();
+  const expected = new Map<string, { names: string[]; done: number[]; tasks: number }>();
   for (let i = 0; i < 90; i++) {
     const tasks = 1 + ((i * 37) % 240);
     const names = Array.from(
       { length: Math.min(tasks, 60) },
       (_, k) => machines[(i * 11 + k * 3) % 240]!.name,
     );
-    want.set(`run-${i}`, { names, done: [...Array(tasks).keys()].filter((k) => k % 4 === 1), tasks });
+    expected.set(`run-${i}`, { names, done: [...Array(tasks).keys()].filter((k) => k % 4 === 1), tasks });
   }
   const entry = ([id, w]: [string, { names: string[]; done: number[]; tasks: number }]): [
     string,
@@ -322,7 +332,7 @@
     for (const d of w.done) bits.add(d);
     return [id, { machines: w.names, bits: bits.encode(0, bits.bytes.length) }];
   };
-  page('q/', [...want], 14, entry);
+  page('q/', [...expected], 14, entry);
   // 16 KiB: a segment of that version held 9,216 bytes, and its place followed from its number alone.
   const big = new TaskBitset(100_000);
   const done = [5, 70_000, 73_727, 73_728, 73_735, 99_999];
@@ -330,71 +340,74 @@
   const names = machines.slice(0, 200).map((m) => m.name);
   put('p/run-900', { machines: names, bits: big.encode(0, 9_216) });
   put('p/run-900/1', { machines: [], bits: big.encode(9_216, 18_432) });
-  want.set('run-900', { names, done, tasks: 100_000 });
-  return { machines, want };
+  expected.set('run-900', { names, done, tasks: 100_000 });
+  return { machines, expected };
 };
 
-test('under lower limits all that the version before left is taken apart, and no crash on the way loses any', () => {
+test('under lower limits all pages that the version before left are emptied, and no crash on the way loses a record', () => {
   let steps = 1;
-  for (let dies = 0; dies <= steps; dies += 1 + Math.floor(dies / 12)) {
-    const first = setUp(1, 0, lower);
+  for (let stopsAfter = 0; stopsAfter <= steps; stopsAfter += 1 + Math.floor(stopsAfter / 12)) {
+    const first = setUp(1, 0, lowerLimits);
     const { store } = first;
     store.limits = { valueBytes: 2_048, ops: 5 };
-    const { machines, want } = leftByOld(store);
+    const { machines, expected } = writeFormerRecords(store);
     for (const leader of [0, 1]) {
-      const { ctx, writer } = leader === 0 ? first : setUp(2, 0, lower);
-      const at = leader === 0 ? store : new Store(ctx, new Random(1), 0);
-      if (at !== store) {
-        for (const [k, v] of store.items) at.items.set(k, v);
-        at.revision = store.revision;
-        at.limits = store.limits;
+      const { context, writer } = leader === 0 ? first : setUp(2, 0, lowerLimits);
+      const current = leader === 0 ? store : new UnreliableStore(context, new Random(1), 0);
+      if (current !== store) {
+        for (const [key, item] of store.items) current.items.set(key, item);
+        current.revision = store.revision;
+        current.limits = store.limits;
       }
-      at.diesAfter = leader === 0 ? dies : Infinity;
+      current.stopsAfter = leader === 0 ? stopsAfter : Infinity;
       const own = new Map(
         machines.map((m) => [m.name, new Machine(m.name, m.address, 'box', 'a', false, 0)]),
       );
       for (const m of own.values()) m.awaitingReconciliation = true;
-      const find = (n: string): Machine | undefined => own.get(n);
+      const find = (name: string): Machine | undefined => own.get(name);
       const jobs = new Map(
-        [...want].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
+        [...expected].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
       );
-      const roster = new MachineStore(writer, pageRoom(lower.maxValueBytes), find, assert.fail);
-      const found = roster.load(at.under('r/'), at.under('h/'));
+      const machineStore = new MachineStore(writer, pageRoom(lowerLimits.maxValueBytes), find, assert.fail);
+      const found = machineStore.load(current.under('r/'), current.under('h/'));
       assert.equal(found.size, 240);
       for (const [name, rec] of found) {
         const m = own.get(name)!;
         m.preprovisioned = rec.preprovisioned;
         m.retirementReason = rec.retiring ? 'was retiring' : null;
-        assert.equal(rec.retiring, Number(name.slice(2)) % 17 === 0, `dies ${dies}: ${name}`);
+        assert.equal(rec.retiring, Number(name.slice(2)) % 17 === 0, `stops after ${stopsAfter}: ${name}`);
       }
-      const book = new ProgressStore(ctx, writer, (id) => jobs.get(id), find);
-      book.load(at.under('q/'), at.under('p/'), jobs.values(), true);
-      for (const [id, w] of want) {
+      const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
+      progressStore.load(current.under('q/'), current.under('p/'), jobs.values(), true);
+      for (const [id, w] of expected) {
         const job = jobs.get(id)!;
-        assert.equal(job.done.count, w.done.length, `dies ${dies} leader ${leader}: ${id}`);
+        assert.equal(job.done.count, w.done.length, `stops after ${stopsAfter} leader ${leader}: ${id}`);
         for (const d of w.done) assert.ok(job.done.has(d), `${id}/${d}`);
         for (const n of w.names)
-          assert.ok(job.unreconciledMachines.has(n), `dies ${dies} leader ${leader}: ${id} ${n}`);
+          assert.ok(
+            job.unreconciledMachines.has(n),
+            `stops after ${stopsAfter} leader ${leader}: ${id} ${n}`,
+          );
       }
       for (let i = 0; i < 250; i++) {
-        roster.compact();
-        book.compact(jobs.values());
-        at.runFor(SECOND / 4);
+        machineStore.compact();
+        progressStore.compact(jobs.values());
+        current.runFor(SECOND / 4);
       }
       if (leader === 0) continue;
-      steps = Math.max(steps, store.transactions + at.transactions);
-      assert.equal(at.refusals, 0);
-      for (const it of [...at.under('q/'), ...at.under('r/'), ...at.under('p/')])
-        assert.ok(bytesOf(it.value) <= 2_048, `${it.key}: ${bytesOf(it.value)} bytes`);
-      for (const it of [...at.under('q/'), ...at.under('r/')])
-        if (!/\/s/.test(it.key)) assert.deepEqual(it.value, { entries: {} }, it.key);
+      steps = Math.max(steps, store.transactions + current.transactions);
+      assert.equal(current.refusals, 0);
+      for (const item of [...current.under('q/'), ...current.under('r/'), ...current.under('p/')])
+        assert.ok(bytesOf(item.value) <= 2_048, `${item.key}: ${bytesOf(item.value)} bytes`);
+      for (const item of [...current.under('q/'), ...current.under('r/')])
+        if (!/\/s/.test(item.key)) assert.deepEqual(item.value, { entries: {} }, item.key);
     }
   }
   assert.ok(steps > 20, `${steps} steps`);
 });
 
 test('a write that the service refuses is found, reported and kept from blocking the others', () => {
-  const { ctx, store, writer } = setUp(1, 0);
+  const { context, store, writer } = setUp(1, 0);
   store.limits = { valueBytes: 700, ops: 3 };
   let refused = 0;
   const done: number[] = [];
@@ -428,25 +441,25 @@
     pages.compact();
     store.runFor(SECOND / 2);
   }
-  const stored = new Set(store.under('q/').flatMap((it) => Object.keys(readPage(it.value) ?? {})));
+  const stored = new Set(store.under('q/').flatMap((item) => Object.keys(readPage(item.value) ?? {})));
   assert.equal(stored.size, 40);
-  assert.ok(ctx.now > 0 && store.under('q/').every((it) => bytesOf(it.value) <= 700));
+  assert.ok(context.now > 0 && store.under('q/').every((item) => bytesOf(item.value) <= 700));
 });
 
 test('a machine left out of a record on its way counts as not on record until it is written again', () => {
   // Else a start there between the making of a record and its confirmation would be on no record, and the
   // next leader could start the task again elsewhere.
-  const { ctx, store, writer } = setUp(1, 0);
+  const { context, store, writer } = setUp(1, 0);
   const m = machine(1);
   const job = new ActiveJob(specOf('run-1'), 1, 0, 0);
-  const find = (n: string): Machine | undefined => (n === m.name ? m : undefined);
-  const book = new ProgressStore(ctx, writer, (id) => (id === job.id ? job : undefined), find);
+  const find = (name: string): Machine | undefined => (name === m.name ? m : undefined);
+  const progressStore = new ProgressStore(context, writer, (id) => (id === job.id ? job : undefined), find);
   job.recordedMachines.add(m.name);
-  book.recordPlacement(job, () => undefined);
-  ctx.now += SECOND;
-  ctx.runDueTimers();
+  progressStore.recordPlacement(job, () => undefined);
+  context.now += SECOND;
+  context.runDueTimers();
   assert.ok(
-    ctx.out.some((e) => e.kind === 'storeRequest'),
+    context.out.some((e) => e.kind === 'storeRequest'),
     'on its way',
   );
   assert.ok(!job.recordedMachines.has(m.name));
