--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -168,47 +168,47 @@
   }
 });
 
-const machine = (i: number): Machine => {
-  const m = new Machine(
-    `m-${String(i).padStart(6, '0')}`,
-    `10.1.${i >> 8}.${i & 255}:9000`,
+const createMachine = (index: number): Machine => {
+  const machine = new Machine(
+    `m-${String(index).padStart(6, '0')}`,
+    `10.1.${index >> 8}.${index & 255}:9000`,
     'box',
     'a',
     false,
     0,
   );
-  m.recorded = 'yes';
-  return m;
+  machine.recorded = 'yes';
+  return machine;
 };
 
 test('a thousand machines and their jobs take few writes, and come back whole', () => {
   const { context, store, writer } = setUp(1, 0);
   const machines = new Map<string, Machine>();
   const jobs = new Map<string, ActiveJob>();
-  const job = (id: string): ActiveJob | undefined => jobs.get(id);
+  const findJob = (id: string): ActiveJob | undefined => jobs.get(id);
   const find = (name: string): Machine | undefined => machines.get(name);
   const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
     assert.fail('unreadable'),
   );
-  const progressStore = new ProgressStore(context, writer, job, find);
+  const progressStore = new ProgressStore(context, writer, findJob, find);
   for (let i = 0; i < 1_000; i++) {
-    const m = machine(i);
-    machines.set(m.name, m);
-    machineStore.put(m, () => undefined);
+    const machine = createMachine(i);
+    machines.set(machine.name, machine);
+    machineStore.put(machine, () => undefined);
   }
   let placed = 0;
   const all = [...machines.values()];
   for (let i = 0; i < 200; i++) {
     const tasks = i === 0 ? 60_000 : 1 + (i % 80);
-    const j = new ActiveJob(specOf(`run-${i}`, { tasks }), 1, i, 0);
-    jobs.set(j.id, j);
-    for (let k = 0; k < Math.min(tasks, 80); k++) {
-      const m = all[(i * 7 + k) % all.length]!;
-      j.liveAttempts.set(k, {
-        job: j,
-        index: k,
+    const job = new ActiveJob(specOf(`run-${i}`, { tasks }), 1, i, 0);
+    jobs.set(job.id, job);
+    for (let index = 0; index < Math.min(tasks, 80); index++) {
+      const machine = all[(i * 7 + index) % all.length]!;
+      job.liveAttempts.set(index, {
+        job,
+        index,
         number: 1,
-        machine: m,
+        machine,
         agentEpoch: 1,
         state: 'running',
         fencingToken: 1,
@@ -219,8 +219,8 @@
         stopping: null,
       });
     }
-    for (let k = 0; k < tasks; k += 3) j.done.add(k);
-    progressStore.recordPlacement(j, () => placed++);
+    for (let index = 0; index < tasks; index += 3) job.done.add(index);
+    progressStore.recordPlacement(job, () => placed++);
   }
   store.runFor(10 * SECOND);
   assert.equal(placed, 200);
@@ -235,17 +235,20 @@
     assert.fail,
   ).load(store.under('r/'), []);
   assert.equal(found.size, 1_000);
-  const again = new Map([...jobs.values()].map((j) => [j.id, new ActiveJob(j.spec, 1, j.acceptedAt, 0)]));
-  new ProgressStore(next.context, next.writer, (id) => again.get(id), find).load(
+  const restoredJobs = new Map(
+    [...jobs.values()].map((job) => [job.id, new ActiveJob(job.spec, 1, job.acceptedAt, 0)]),
+  );
+  new ProgressStore(next.context, next.writer, (id) => restoredJobs.get(id), find).load(
     store.under('q/'),
     store.under('p/'),
-    again.values(),
+    restoredJobs.values(),
     true,
   );
-  for (const j of jobs.values()) {
-    const a = again.get(j.id)!;
-    assert.equal(a.done.count, j.done.count);
-    for (const x of j.liveAttempts.values()) assert.ok(a.recordedMachines.has(x.machine.name));
+  for (const job of jobs.values()) {
+    const restored = restoredJobs.get(job.id)!;
+    assert.equal(restored.done.count, job.done.count);
+    for (const attempt of job.liveAttempts.values())
+      assert.ok(restored.recordedMachines.has(attempt.machine.name));
   }
 });
 
@@ -259,17 +262,17 @@
   put('h/m-000001', { address: '10.1.0.1:9000', type: 'box', zone: 'a', spot: false, retiring: true });
   put('p/run-1', { machines: ['m-000001'], bits: bits.encode(0, 1) });
   put('q/3', 'torn');
-  const m = machine(1);
-  m.retirementReason = 'was retiring';
-  m.awaitingReconciliation = true;
+  const machine = createMachine(1);
+  machine.retirementReason = 'was retiring';
+  machine.awaitingReconciliation = true;
   const jobs = new Map(
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
-  const find = (name: string): Machine | undefined => (name === m.name ? m : undefined);
+  const find = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
   const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
     assert.fail('unreadable'),
   );
-  assert.equal(machineStore.load([], store.under('h/')).get(m.name)?.retiring, true);
+  assert.equal(machineStore.load([], store.under('h/')).get(machine.name)?.retiring, true);
   machineStore.adopt(store.under('h/'), find);
   const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
   progressStore.load(store.under('q/'), store.under('p/'), jobs.values(), true);
@@ -277,11 +280,11 @@
   assert.deepEqual([...store.under('h/'), ...store.under('p/')], []);
   assert.equal(store.items.get('q/3')!.value, 'torn');
   const job = jobs.get('run-1')!;
-  assert.ok(job.done.has(2) && job.unreconciledMachines.has(m.name) && !job.progressUnreadable);
+  assert.ok(job.done.has(2) && job.unreconciledMachines.has(machine.name) && !job.progressUnreadable);
   assert.ok(jobs.get('run-2')!.progressUnreadable, 'its place may have been on the page that is torn');
   assert.deepEqual(
     (readPage(store.items.get('q/s0')!.value) as Record<string, { machines: string[] }>)['run-1']!.machines,
-    [m.name],
+    [machine.name],
   );
 });
 
@@ -294,7 +297,7 @@
 
 /** What the version before leaves: pages of up to 16 KiB, `p/` for a job of very many tasks, all fields. */
 const writeFormerRecords = (store: UnreliableStore) => {
-  const machines = Array.from({ length: 240 }, (_, i) => machine(i));
+  const machines = Array.from({ length: 240 }, (_, i) => createMachine(i));
   const put = (key: string, value: unknown): void => {
     assert.ok(bytesOf(value) <= 16 * 1024, key);
     store.items.set(key, { key, value, version: 2, lease: null });
@@ -308,11 +311,11 @@
     for (let n = 0; n * a < all.length; n++)
       put(`${prefix}${n}`, { entries: Object.fromEntries(all.slice(n * a, (n + 1) * a).map(entry)) });
   };
-  page('r/', machines, 110, (m) => {
-    const retiring = Number(m.name.slice(2)) % 17 === 0;
+  page('r/', machines, 110, (machine) => {
+    const retiring = Number(machine.name.slice(2)) % 17 === 0;
     return [
-      m.name,
-      { address: m.address, type: 'box', zone: 'a', spot: false, retiring, standing: !retiring },
+      machine.name,
+      { address: machine.address, type: 'box', zone: 'a', spot: false, retiring, standing: !retiring },
     ];
   });
   const expected = new Map<string, { names: string[]; done: number[]; tasks: number }>();
@@ -337,7 +340,7 @@
   const big = new TaskBitset(100_000);
   const done = [5, 70_000, 73_727, 73_728, 73_735, 99_999];
   for (const d of done) big.add(d);
-  const names = machines.slice(0, 200).map((m) => m.name);
+  const names = machines.slice(0, 200).map((machine) => machine.name);
   put('p/run-900', { machines: names, bits: big.encode(0, 9_216) });
   put('p/run-900/1', { machines: [], bits: big.encode(9_216, 18_432) });
   expected.set('run-900', { names, done, tasks: 100_000 });
@@ -361,9 +364,12 @@
       }
       current.stopsAfter = leader === 0 ? stopsAfter : Infinity;
       const own = new Map(
-        machines.map((m) => [m.name, new Machine(m.name, m.address, 'box', 'a', false, 0)]),
+        machines.map((machine) => [
+          machine.name,
+          new Machine(machine.name, machine.address, 'box', 'a', false, 0),
+        ]),
       );
-      for (const m of own.values()) m.awaitingReconciliation = true;
+      for (const machine of own.values()) machine.awaitingReconciliation = true;
       const find = (name: string): Machine | undefined => own.get(name);
       const jobs = new Map(
         [...expected].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
@@ -372,9 +378,9 @@
       const found = machineStore.load(current.under('r/'), current.under('h/'));
       assert.equal(found.size, 240);
       for (const [name, rec] of found) {
-        const m = own.get(name)!;
-        m.preprovisioned = rec.preprovisioned;
-        m.retirementReason = rec.retiring ? 'was retiring' : null;
+        const machine = own.get(name)!;
+        machine.preprovisioned = rec.preprovisioned;
+        machine.retirementReason = rec.retiring ? 'was retiring' : null;
         assert.equal(rec.retiring, Number(name.slice(2)) % 17 === 0, `stops after ${stopsAfter}: ${name}`);
       }
       const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
@@ -450,11 +456,11 @@
   // Else a start there between the making of a record and its confirmation would be on no record, and the
   // next leader could start the task again elsewhere.
   const { context, store, writer } = setUp(1, 0);
-  const m = machine(1);
+  const machine = createMachine(1);
   const job = new ActiveJob(specOf('run-1'), 1, 0, 0);
-  const find = (name: string): Machine | undefined => (name === m.name ? m : undefined);
+  const find = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
   const progressStore = new ProgressStore(context, writer, (id) => (id === job.id ? job : undefined), find);
-  job.recordedMachines.add(m.name);
+  job.recordedMachines.add(machine.name);
   progressStore.recordPlacement(job, () => undefined);
   context.now += SECOND;
   context.runDueTimers();
@@ -462,7 +468,7 @@
     context.out.some((e) => e.kind === 'storeRequest'),
     'on its way',
   );
-  assert.ok(!job.recordedMachines.has(m.name));
+  assert.ok(!job.recordedMachines.has(machine.name));
   store.runFor(SECOND);
-  assert.ok(!job.recordedMachines.has(m.name));
+  assert.ok(!job.recordedMachines.has(machine.name));
 });
