--- /dev/null
+++ b/packages/core/src/api/client-responder.ts
@@ -0,0 +1,58 @@
+/** Delivers the response to a request to its sender: a client of the HTTP API, or a feature of this process. */
+import type { ClientResponse, InternalResponse } from '../domain/client-api.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { JobCache, KnownJob } from './job-cache.js';
+
+/** Seconds after which clients are asked to repeat a request that could not be answered. */
+const RETRY_AFTER_S = 1;
+
+/** Receives the response to a request that a feature of this process has made. */
+export type InternalCallback = (response: InternalResponse) => void;
+
+/** Tells a client that its request can't be answered now. */
+export type UnavailableResponse = ClientResponse & { readonly kind: 'unavailable' };
+
+/** A response that asks the client to repeat its request. */
+export const unavailable = (problem: string): UnavailableResponse => ({
+  kind: 'unavailable',
+  retryAfterS: RETRY_AFTER_S,
+  problem,
+});
+
+/** The response while the state service gives no usable answer. */
+export const storeUnavailable = (): UnavailableResponse => unavailable('state service not answering');
+
+/** Responds to requests by their numbers. */
+export class ClientResponder {
+  /** Callbacks of requests made within this process; these requests have numbers below zero. */
+  private readonly internalCallbacks = new Map<number, InternalCallback>();
+  private lastInternalRequest = 0;
+
+  constructor(
+    private readonly context: NodeContext,
+    private readonly cache: JobCache,
+  ) {}
+
+  /** Registers a request made within this process, and returns its number. */
+  registerInternal(callback: InternalCallback): number {
+    const request = --this.lastInternalRequest;
+    this.internalCallbacks.set(request, callback);
+    return request;
+  }
+
+  /** Responds to a request. Only internal requests can be answered with `taken`. */
+  respond(request: number, response: InternalResponse): void {
+    const callback = this.internalCallbacks.get(request);
+    if (callback !== undefined) {
+      this.internalCallbacks.delete(request);
+      callback(response);
+    } else if (response.kind !== 'taken') {
+      this.context.emit({ kind: 'clientResponse', request, answer: response });
+    }
+  }
+
+  /** Responds with the job's present view. `created`: the request has created the job. */
+  respondWithJob(request: number, id: string, job: KnownJob, created = false): void {
+    this.respond(request, { kind: 'view', created, view: this.cache.viewOf(id, job) });
+  }
+}
--- /dev/null
+++ b/packages/core/src/api/request-urgency.ts
@@ -0,0 +1,5 @@
+/** How urgent the requests to the state service are that clients wait for. */
+import type { RequestUrgency } from '../domain/effects.js';
+
+/** Urgency of all requests that the client API makes to the state service. */
+export const CLIENT_REQUEST_URGENCY: RequestUrgency = 1;
--- /dev/null
+++ b/packages/core/src/api/submission-rules.ts
@@ -0,0 +1,43 @@
+/** The rules by which a submitted job is judged on its own: its team's limits, the machine types, the record's size. */
+import { bytesOf } from '../codecs/value-size.js';
+import type { ClientResponse } from '../domain/client-api.js';
+import type { JobSpec } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
+import { fitsSomewhere } from '../domain/resources.js';
+import type { Settings } from '../domain/settings.js';
+import { unavailable } from './client-responder.js';
+
+/** Bytes of a stored value that are kept free beside a job's record. */
+const RECORD_RESERVE_BYTES = 128;
+
+/** What the rules are checked against. */
+export interface SubmissionLimits {
+  readonly settings: Settings;
+  readonly types: ReadonlyMap<string, MachineType>;
+}
+
+/** Why a submission can't be accepted. */
+export type Rejection = ClientResponse & { readonly kind: 'malformed' | 'impossible' | 'unavailable' };
+
+const impossible = (problem: string): Rejection => ({ kind: 'impossible', problem });
+
+/** How many tasks have to run at the same time: those of an array may run one after the other. */
+const concurrentTasksOf = (spec: JobSpec): number => (spec.shape === 'array' ? 1 : spec.tasks);
+
+/** Why the job can never run, or can't be judged now; null if it may be accepted. */
+export const rejectionOf = (spec: JobSpec, { settings, types }: SubmissionLimits): Rejection | null => {
+  const team = settings.teams.find((candidate) => candidate.name === spec.team);
+  if (team === undefined) return impossible('unknown team');
+  const tasks = concurrentTasksOf(spec);
+  const exceedsCores = team.maxCores > 0 && spec.cores * tasks > team.maxCores;
+  const exceedsGpus = team.maxGpus > 0 && spec.gpus * tasks > team.maxGpus;
+  if (exceedsCores || exceedsGpus) return impossible("more than the team's limit");
+  if (types.size === 0) return unavailable('machine types not known yet');
+  return fitsSomewhere(spec, types) ? null : impossible('fits no allowed machine type');
+};
+
+/** Why the job's record can't be stored; null if it can. */
+export const recordRejectionOf = (record: unknown, { settings }: SubmissionLimits): Rejection | null =>
+  bytesOf(record) > settings.maxValueBytes - RECORD_RESERVE_BYTES
+    ? { kind: 'malformed', problem: 'description too long' }
+    : null;
--- /dev/null
+++ b/packages/core/src/api/submission.ts
@@ -0,0 +1,132 @@
+/** Accepts jobs: creates a job's record by compare-and-swap, so that a repeated submission is an idempotent request. */
+import { encodeActiveJob } from '../codecs/job-codec.js';
+import { activeKey, endedKey } from '../codecs/keys.js';
+import type { ClientRequest, ClientResponse, ExtraWrites } from '../domain/client-api.js';
+import type { JobSpec } from '../domain/job.js';
+import type { StoreOperation } from '../domain/key-value-store.js';
+import type { NodeContext } from '../node/node-context.js';
+import { storeUnavailable, unavailable, type ClientResponder } from './client-responder.js';
+import { checkDependencies } from './dependency-check.js';
+import type { JobCache, KnownActiveJob } from './job-cache.js';
+import type { JobLookup } from './job-lookup.js';
+import type { LinearizableReads } from './linearizable-reads.js';
+import { CLIENT_REQUEST_URGENCY } from './request-urgency.js';
+import { recordRejectionOf, rejectionOf } from './submission-rules.js';
+
+/** A request to accept a job. */
+export type SubmitRequest = ClientRequest & { readonly kind: 'submit' };
+
+/** A job that has passed all checks. */
+interface CheckedSubmission {
+  readonly request: number;
+  readonly spec: JobSpec;
+  /** The job's record as it is stored. */
+  readonly record: unknown;
+  readonly extraWrites: ExtraWrites | undefined;
+}
+
+const acceptTransaction = ({ spec, record, extraWrites }: CheckedSubmission): StoreOperation => ({
+  kind: 'txn',
+  conditions: [
+    { key: activeKey(spec.id), version: 0 },
+    { key: endedKey(spec.id), version: 0 },
+    ...(extraWrites?.conditions ?? []),
+  ],
+  writes: [{ kind: 'put', key: activeKey(spec.id), value: record }, ...(extraWrites?.writes ?? [])],
+});
+
+/** Handles submissions; they are answered only after the write. */
+export class SubmissionHandler {
+  constructor(
+    private readonly context: NodeContext,
+    private readonly cache: JobCache,
+    private readonly lookups: JobLookup,
+    private readonly reads: LinearizableReads,
+    private readonly responder: ClientResponder,
+  ) {}
+
+  /** Accepts the job, or answers with its state if it was accepted before. */
+  submit(request: number, submission: SubmitRequest): void {
+    if (this.respondIfKnown(request, submission)) return;
+    const { spec, extraWrites } = submission;
+    if (spec === null) {
+      const problem = submission.problem ?? 'malformed';
+      this.reject(request, submission.id, { kind: 'malformed', problem });
+      return;
+    }
+    const rejection = rejectionOf(spec, this.context);
+    if (rejection !== null) {
+      this.reject(request, submission.id, rejection);
+      return;
+    }
+    const record = encodeActiveJob(spec, this.context.wallNow);
+    const recordRejection = recordRejectionOf(record, this.context);
+    if (recordRejection !== null) {
+      this.reject(request, submission.id, recordRejection);
+      return;
+    }
+    checkDependencies(spec.dependsOn, this.cache, this.lookups, (result) => {
+      if (result.kind === 'valid') this.accept({ request, spec, record, extraWrites });
+      else if (result.kind === 'unknown') {
+        this.responder.respond(request, unavailable('named jobs can not be looked up'));
+      } else this.reject(request, submission.id, { kind: 'impossible', problem: result.problem });
+    });
+  }
+
+  /** Answers a submission of a job that is cached; returns whether it was. */
+  private respondIfKnown(request: number, { id, extraWrites }: SubmitRequest): boolean {
+    const known = id === null ? undefined : this.cache.get(id);
+    if (known === undefined || id === null) return false;
+    if (known.kind === 'ended') {
+      this.responder.respondWithJob(request, id, known);
+      return true;
+    }
+    if (extraWrites !== undefined) return false;
+    // Acceptance is permanent: a validation finds the present state. The accepting transaction would find it as well, but
+    // writes that fail count against the limit, and clients that repeat themselves used up the writes of others.
+    this.reads.poll(request, id);
+    return true;
+  }
+
+  /** A known job is answered with its state whatever the body says; only if it is unknown the body is judged. */
+  private reject(request: number, id: string | null, rejection: ClientResponse): void {
+    if (id === null || rejection.kind === 'unavailable') this.responder.respond(request, rejection);
+    else this.reads.respondFromLookup(request, id, rejection);
+  }
+
+  private accept(submission: CheckedSubmission): void {
+    this.context.requestStore(acceptTransaction(submission), CLIENT_REQUEST_URGENCY, (reply) => {
+      if (reply.kind === 'ok') this.respondAccepted(submission, reply.revision);
+      else if (reply.kind === 'conflict') this.respondToConflict(submission, reply.failed);
+      else this.responder.respond(submission.request, storeUnavailable());
+    });
+  }
+
+  private respondAccepted({ request, spec, extraWrites }: CheckedSubmission, revision: number): void {
+    const { id, dependsOn } = spec;
+    const job: KnownActiveJob = { kind: 'active', version: revision, spec };
+    this.cache.remember(id, job);
+    this.context.info('job.accepted', {
+      job: id,
+      class: spec.class,
+      tasks: spec.tasks,
+      ...(dependsOn.length > 0 ? { needs: dependsOn } : {}),
+    });
+    if (extraWrites === undefined) {
+      this.reads.respondCreated(request, job);
+      return;
+    }
+    // A feature's client is answered with what was written just now, and asks for the job's state later.
+    const view = this.cache.viewOf(id, job);
+    this.responder.respond(request, { kind: 'view', created: true, view, revision });
+  }
+
+  private respondToConflict(
+    { request, spec, extraWrites }: CheckedSubmission,
+    failed: readonly string[],
+  ): void {
+    const isTaken = extraWrites?.conditions.some((condition) => failed.includes(condition.key)) === true;
+    if (isTaken) this.responder.respond(request, { kind: 'taken', keys: failed });
+    else this.reads.respondFromLookup(request, spec.id, unavailable('record changed meanwhile'));
+  }
+}
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -114,41 +114,37 @@
   },
   {
     name: 'a cancellation without the version',
-    file: 'api/job-service.ts',
-    from: 'conditions: [{ key: activeKey(id), version: k.version }],',
+    file: 'api/cancellation.ts',
+    from: 'conditions: [{ key: activeKey(id), version: job.version }],',
     to: 'conditions: [],',
   },
   {
     name: 'an acceptance that does not look for the end',
-    file: 'api/job-service.ts',
-    from: '          { key: endedKey(spec.id), version: 0 },\n',
+    file: 'api/submission.ts',
+    from: '    { key: endedKey(spec.id), version: 0 },\n',
     to: '',
   },
   {
     name: 'a poll is answered from memory',
-    file: 'api/job-service.ts',
+    file: 'api/linearizable-reads.ts',
     from: `    if (known?.kind === 'ended') {
-      this.show(request, id, known);
+      this.responder.respondWithJob(request, id, known);
       return;
     }
-    this.requeue(id, [{ request }]);`,
+    this.enqueue(id, [request]);`,
     to: `    if (known !== undefined) {
-      this.show(request, id, known);
+      this.responder.respondWithJob(request, id, known);
       return;
     }
-    this.requeue(id, [{ request }]);`,
+    this.enqueue(id, [request]);`,
   },
   {
     name: 'a repeated submission is answered from memory',
-    file: 'api/job-service.ts',
-    from: `      this.poll(request, id);
-      return;
-    }
-    // A known job`,
-    to: `      this.show(request, id, known);
-      return;
-    }
-    // A known job`,
+    file: 'api/submission.ts',
+    from: `    this.reads.poll(request, id);
+    return true;`,
+    to: `    this.responder.respondWithJob(request, id, known);
+    return true;`,
   },
   {
     name: 'results are forgotten before they are written',
