--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -209,19 +209,19 @@
   log.length = 0;
   w.crash(a, 8 * SECOND);
   w.runFor(7 * SECOND);
-  for (const by of [leader, b]) assert.ok(log.includes(`n${by} member.suspected n${a}`));
+  for (const by of [leader, b]) assert.ok(log.includes(`n${by} peer.suspected n${a}`));
   w.runFor(6 * SECOND);
-  for (const by of [leader, b]) assert.ok(log.includes(`n${by} member.restarted n${a}`));
+  for (const by of [leader, b]) assert.ok(log.includes(`n${by} peer.restarted n${a}`));
   log.length = 0;
   w.network.cut(`n${leader}`, `n${b}`, 10 * SECOND);
   w.runFor(14 * SECOND);
   assert.deepEqual(
-    log.filter((l) => l.includes('member.')).sort(),
+    log.filter((l) => l.includes('peer.')).sort(),
     [
-      `n${b} member.heard n${leader}`,
-      `n${b} member.suspected n${leader}`,
-      `n${leader} member.heard n${b}`,
-      `n${leader} member.suspected n${b}`,
+      `n${b} peer.alive n${leader}`,
+      `n${b} peer.suspected n${leader}`,
+      `n${leader} peer.alive n${b}`,
+      `n${leader} peer.suspected n${b}`,
     ].sort(),
   );
   assert.deepEqual(
@@ -242,14 +242,14 @@
     w.runFor(10 * SECOND);
     const log: string[] = [];
     w.onLog = (node, event, fields) => {
-      if (event.startsWith('member.')) log.push(`${node} ${event} ${String(fields['of'])}`);
+      if (event.startsWith('peer.')) log.push(`${node} ${event} ${String(fields['of'])}`);
     };
     // Its old number is its time of day then; the new one is `back` behind it.
     w.wallStart = 60 * SECOND - w.now - back * MILLI;
     w.crash(2, 50 * MILLI);
     w.runFor(4 * SECOND);
     for (const other of ['n0', 'n1', 'n3', 'n4'])
-      assert.ok(log.includes(`${other} member.restarted n2`), `${back} ms back: ${log.join('; ')}`);
+      assert.ok(log.includes(`${other} peer.restarted n2`), `${back} ms back: ${log.join('; ')}`);
     assert.equal(log.filter((l) => l.includes('suspected')).length, 0, log.join('; '));
     assert.deepEqual(w.broken, []);
   }
