--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -1,52 +1,76 @@
 /**
- * Withdraws the jobs after a cancelled one: a few a transaction, each by compare-and-set on its own record,
- * all of them queued at once, so that a chain takes no round trip a level. What a crash leaves undone the
- * next leader finds anew, since it is told by the records alone.
+ * Cancels the jobs that depend on a cancelled one: a few in each transaction, each by compare-and-swap on its own record.
+ * All of them are queued at once, so that a chain of dependencies needs no round trip for each level. What a crash leaves
+ * undone the next leader finds again, since it follows from the records alone.
  */
 import type { NodeContext } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
-import type { VersionCondition, StoreWrite } from '../domain/key-value-store.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import type { StoreOperation, StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { encodeEndedJob } from '../codecs/job-codec.js';
 
+/** Writes that the cancellation of one job takes. */
+const WRITES_PER_JOB = 2;
+/** Urgency of writing the cancellations. */
+const WRITE_URGENCY = 1;
+/** After which time a transaction that was refused is repeated with fewer jobs. */
+const REFUSED_RETRY_US: Micros = SECOND;
+/** After which time a transaction that got no usable answer is repeated. */
+const FAILED_RETRY_US: Micros = 300 * MILLI;
+
+/** What the propagation needs of the leader, and reports to it. */
 export interface PropagationEvents {
+  /** Version of the leader lease's key; all writes depend on it. */
   readonly leadVersion: number;
+  /** Whether the leader's term still goes on. */
   active(): boolean;
+  /** Another leader has been elected. */
   fenced(): void;
+  /** The job's record now states its cancellation. */
   withdrawn(job: ActiveJob): void;
-  /** Its record changed meanwhile: find out how it ended. */
+  /** The job's record changed meanwhile: its outcome has to be read. */
   moved(job: ActiveJob): void;
 }
 
+/** Writes the cancellation of jobs whose dependencies failed. */
 export class DependencyFailurePropagation {
   private queue: ActiveJob[] = [];
+  /** Whether a transaction is under way or scheduled. */
   private busy = false;
-  private most: number;
+  /** Most jobs in one transaction. */
+  private batchLimit: number;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly context: NodeContext,
     private readonly host: PropagationEvents,
   ) {
-    this.most = Math.max(1, Math.floor(ctx.settings.maxTransactionOperations / 2));
+    this.batchLimit = Math.max(1, Math.floor(context.settings.maxTransactionOperations / WRITES_PER_JOB));
   }
 
+  /** Queues jobs for cancellation. */
   add(jobs: readonly ActiveJob[]): void {
     this.queue.push(...jobs);
     if (!this.busy) this.flush();
   }
 
-  private later(delay: number): void {
-    this.ctx.after(delay, () => {
+  private flushAfter(delay: Micros): void {
+    this.context.after(delay, () => {
       if (this.host.active()) this.flush();
     });
   }
 
   private flush(): void {
-    this.queue = this.queue.filter((j) => j.phase === 'active');
-    const batch = this.queue.slice(0, this.most);
+    this.queue = this.queue.filter((job) => job.phase === 'active');
+    const batch = this.queue.slice(0, this.batchLimit);
     this.busy = batch.length > 0;
     if (batch.length === 0) return;
+    this.context.requestStore(this.cancellationOf(batch), WRITE_URGENCY, (reply) => {
+      if (this.host.active()) this.handleReply(batch, reply);
+    });
+  }
+
+  private cancellationOf(batch: readonly ActiveJob[]): StoreOperation {
     const conditions: VersionCondition[] = [{ key: LEAD, version: this.host.leadVersion }];
     const writes: StoreWrite[] = [];
     for (const job of batch) {
@@ -56,26 +80,30 @@
         {
           kind: 'put',
           key: endedKey(job.id),
-          value: encodeEndedJob(job.spec, 'cancelled', 0, this.ctx.wallNow),
+          value: encodeEndedJob(job.spec, 'cancelled', 0, this.context.wallNow),
         },
       );
     }
-    this.ctx.requestStore({ kind: 'txn', conditions, writes }, 1, (r) => {
-      if (!this.host.active()) return;
-      if (r.kind === 'ok') {
-        for (const job of batch) this.host.withdrawn(job);
-        this.flush();
-      } else if (r.kind === 'conflict' && r.failed.includes(LEAD)) this.host.fenced();
-      else if (r.kind === 'conflict') {
-        // Its user cancelled it too, or an earlier try of this was executed after all.
-        const moved = new Set(r.failed);
-        this.queue = this.queue.filter((j) => !moved.has(activeKey(j.id)));
-        for (const job of batch) if (moved.has(activeKey(job.id))) this.host.moved(job);
-        this.flush();
-      } else if (r.kind === 'refused') {
-        this.most = Math.max(1, Math.floor(this.most / 2));
-        this.later(SECOND);
-      } else this.later(300 * MILLI);
-    });
+    return { kind: 'txn', conditions, writes };
+  }
+
+  private handleReply(batch: readonly ActiveJob[], reply: StoreReply): void {
+    if (reply.kind === 'ok') {
+      for (const job of batch) this.host.withdrawn(job);
+      this.flush();
+    } else if (reply.kind === 'conflict') {
+      if (reply.failed.includes(LEAD)) this.host.fenced();
+      else this.handleConflict(batch, new Set(reply.failed));
+    } else if (reply.kind === 'refused') {
+      this.batchLimit = Math.max(1, Math.floor(this.batchLimit / 2));
+      this.flushAfter(REFUSED_RETRY_US);
+    } else this.flushAfter(FAILED_RETRY_US);
+  }
+
+  /** Records moved: their users cancelled the jobs too, or an earlier try of this transaction was executed after all. */
+  private handleConflict(batch: readonly ActiveJob[], failedKeys: ReadonlySet<string>): void {
+    this.queue = this.queue.filter((job) => !failedKeys.has(activeKey(job.id)));
+    for (const job of batch) if (failedKeys.has(activeKey(job.id))) this.host.moved(job);
+    this.flush();
   }
 }
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,57 +1,80 @@
-/** Reads how jobs ended, a few at a time: after taking over, every job that something still waits for. */
+/** Reads how jobs ended, a few at a time: after a failover, every ended job that another one still depends on. */
 import type { NodeContext } from '../node/node-context.js';
 import type { JobOutcome } from './dependencies.js';
 import { endedKey } from '../codecs/keys.js';
+import type { StoredItem } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { decodeEndedJob } from '../codecs/job-codec.js';
 
-const AT_ONCE = 6;
+/** Most records that are read at the same time. */
+const MAX_CONCURRENT_READS = 6;
+/** Urgency of reading a record. */
+const READ_URGENCY = 1;
+/** After which time a record that could not be decoded is read again. */
+const UNREADABLE_RETRY_US: Micros = 10 * SECOND;
+/** After which time a record that is not there yet is read again. */
+const MISSING_RETRY_US: Micros = 400 * MILLI;
+
+/** Finds out how jobs ended whose records this leader has not written itself. */
 
 export class DependencyOutcomeResolver {
-  private readonly asked = new Set<string>();
+  /** Jobs that are queued or being read. */
+  private readonly requested = new Set<string>();
   private readonly queue: string[] = [];
-  private under = 0;
+  private readsInFlight = 0;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly context: NodeContext,
+    /** Whether this leader's term still goes on. */
     private readonly active: () => boolean,
-    /** Whether somebody still waits for it, and it has left the jobs that have not ended. */
-    private readonly open: (id: string) => boolean,
-    private readonly found: (id: string, end: JobOutcome) => void,
+    /** Whether another job still depends on it, and it is no longer among the jobs that have not ended. */
+    private readonly isAwaited: (id: string) => boolean,
+    /** Receives the outcome that a record holds. */
+    private readonly onResolved: (id: string, outcome: JobOutcome) => void,
   ) {}
 
+  /** Reads the record of an ended job, repeatedly until it is there or no longer needed. */
   ask(id: string): void {
-    if (this.asked.has(id)) return;
-    this.asked.add(id);
+    if (this.requested.has(id)) return;
+    this.requested.add(id);
     this.queue.push(id);
-    this.next();
+    this.startReads();
   }
 
-  private next(): void {
-    while (this.under < AT_ONCE) {
+  private startReads(): void {
+    while (this.readsInFlight < MAX_CONCURRENT_READS) {
       const id = this.queue.shift();
       if (id === undefined) return;
-      this.under++;
+      this.readsInFlight++;
       this.read(id);
     }
   }
 
   private read(id: string): void {
-    this.ctx.requestStore({ kind: 'get', key: endedKey(id) }, 1, (r) => {
+    this.context.requestStore({ kind: 'get', key: endedKey(id) }, READ_URGENCY, (reply) => {
       if (!this.active()) return;
-      this.under--;
-      this.asked.delete(id);
-      const rec = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
-      if (rec !== null) this.found(id, { stage: rec.stage, at: rec.endedAt });
-      else {
-        if (r.kind === 'item') this.ctx.error('job.record_unreadable', { job: id });
-        // Not there: it has not ended yet, and this leader is still to hear that it was accepted.
-        const delay: Micros = r.kind === 'item' ? 10 * SECOND : 400 * MILLI;
-        this.ctx.after(delay, () => {
-          if (this.active() && this.open(id)) this.ask(id);
-        });
-      }
-      this.next();
+      this.readsInFlight--;
+      this.requested.delete(id);
+      if (reply.kind === 'item') this.decode(id, reply.item);
+      // Not there: the job has not ended yet, and this leader has still to learn that it was accepted.
+      else this.retryAfter(id, MISSING_RETRY_US);
+      this.startReads();
+    });
+  }
+
+  private decode(id: string, item: StoredItem): void {
+    const record = decodeEndedJob(item.value);
+    if (record !== null) {
+      this.onResolved(id, { stage: record.stage, at: record.endedAt });
+      return;
+    }
+    this.context.error('job.record_unreadable', { job: id });
+    this.retryAfter(id, UNREADABLE_RETRY_US);
+  }
+
+  private retryAfter(id: string, delay: Micros): void {
+    this.context.after(delay, () => {
+      if (this.active() && this.isAwaited(id)) this.ask(id);
     });
   }
 }
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,29 +1,43 @@
-/** How jobs end: results counted, the record moved from `j/` to `t/`, and what others had to hear of it. */
+/** How jobs end: counts completed tasks, moves the record from `j/` to `t/`, and notifies what depends on it. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import type { JobOutcome } from './dependencies.js';
 import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
+import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { encodeEndedJob, decodeEndedJob } from '../codecs/job-codec.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
+/** Urgency of reading and writing the records of ending jobs. */
+const RECORD_URGENCY = 1;
+/** After which time the end of a job is written again that the state service refused. */
+const REFUSED_RETRY_US: Micros = 5 * SECOND;
+/** After which time the end of a job is written again that got no usable answer. */
+const FAILED_RETRY_US: Micros = 200 * MILLI;
+/** After which time the record of an ended job is read again. */
+const CONFIRM_RETRY_US: Micros = 300 * MILLI;
+
+/** What is notified of the end of jobs. */
 export interface CompletionEvents {
-  /** Polls on this node are answered from now on by how the job ended. */
+  /** The outcome is recorded: polls on this node are answered with it from now on. */
   told(id: string, stage: 'done' | 'cancelled', done: number): void;
-  /** It waits for nothing any more, and its end is known, or to be read from its record. */
+  /** The job has ended; a null outcome has still to be read from its record. */
   ended(job: ActiveJob, end: JobOutcome | null): void;
-  stop(a: TaskAttempt): void;
-  /** Its progress need not be kept any more. */
+  /** The attempt has to be stopped, as its job has ended. */
+  stop(attempt: TaskAttempt): void;
+  /** The job's progress need not be stored any more. */
   dropProgress(job: ActiveJob): void;
-  /** Nothing of it is left anywhere. */
+  /** The job has ended, and no attempt of it is left on any machine. */
   forget(job: ActiveJob): void;
 }
 
+/** Ends the jobs of one leader's term. */
 export class JobCompletion {
   constructor(
     private readonly term: LeaderTerm,
     private readonly host: CompletionEvents,
   ) {}
 
+  /** Records that a task is complete, and ends its job if that was the last one. */
   markDone(job: ActiveJob, index: number): void {
     if (index >= job.spec.tasks) return;
     let added = false;
@@ -40,93 +54,95 @@
   }
 
   /**
-   * Its record moved: mostly because its user cancelled it. Nothing of it is started from here on. Jobs that
-   * need it go by what its record says, which is read if that is not known.
+   * The job's record moved, mostly because its user cancelled it. None of its tasks is started from here on. Jobs that
+   * depend on it follow the outcome in its record, which is read if `stage` is null.
    */
   ended(job: ActiveJob, stage: 'done' | 'cancelled' | null): void {
     if (job.phase === 'ended') return;
-    const { ctx } = this.term;
+    const { ctx: context } = this.term;
     job.phase = 'ended';
     job.cancelled = stage !== 'done';
-    ctx.info('job.dependency_failed', {
+    context.info('job.dependency_failed', {
       job: job.id,
       live: job.liveAttempts.size,
       doomed: job.dependencyFailed,
     });
-    this.host.ended(job, stage === null ? null : { stage, at: ctx.wallNow });
-    for (const a of [...job.liveAttempts.values()]) this.host.stop(a);
+    this.host.ended(job, stage === null ? null : { stage, at: context.wallNow });
+    for (const attempt of [...job.liveAttempts.values()]) this.host.stop(attempt);
     this.host.dropProgress(job);
     this.dropIfEmpty(job);
     this.term.schedulePass();
   }
 
+  /** Forgets the job if it has ended and none of its attempts is left. */
   dropIfEmpty(job: ActiveJob): void {
     if (job.phase === 'ended' && job.liveAttempts.size === 0) this.host.forget(job);
   }
 
-  /** Written at once, not gathered: a poll three seconds later must see it. */
+  /** Writes the end of a complete job, at once and not batched with others: a poll three seconds later must see it. */
   finish(job: ActiveJob): void {
     if (job.phase !== 'active' || this.term.stopped) return;
-    const { ctx, lease: office, election: leadership } = this.term;
     job.phase = 'finishing';
-    const at = ctx.wallNow;
-    ctx.requestStore(
-      {
-        kind: 'txn',
-        conditions: [
-          { key: LEAD, version: office.keyVersion },
-          { key: activeKey(job.id), version: job.version },
-        ],
-        writes: [
-          { kind: 'delete', key: activeKey(job.id) },
-          {
-            kind: 'put',
-            key: endedKey(job.id),
-            value: encodeEndedJob(job.spec, 'done', job.spec.tasks, ctx.wallNow),
-          },
-        ],
-      },
-      1,
-      (r) => {
-        if (this.term.stopped) return;
-        if (r.kind === 'ok') {
-          job.phase = 'ended';
-          this.host.told(job.id, 'done', job.spec.tasks);
-          ctx.info('job.completed', { job: job.id, afterS: (ctx.wallNow - job.acceptedAt) / SECOND });
-          this.host.dropProgress(job);
-          this.host.ended(job, { stage: 'done', at });
-          this.dropIfEmpty(job);
-          return;
-        }
-        if (r.kind === 'conflict' && r.failed.includes(LEAD)) {
-          leadership.stepDown('fenced');
-          return;
-        }
-        if (r.kind === 'conflict') {
-          // Its record moved: cancelled, or an earlier try of this write was executed after all.
-          this.confirm(job);
-          return;
-        }
-        job.phase = 'active';
-        ctx.after(r.kind === 'refused' ? 5 * SECOND : 200 * MILLI, () => {
-          this.finish(job);
-        });
-      },
-    );
+    const endedAt = this.term.ctx.wallNow;
+    this.term.ctx.requestStore(this.endTransaction(job, endedAt), RECORD_URGENCY, (reply) => {
+      if (!this.term.stopped) this.handleEndReply(job, endedAt, reply);
+    });
+  }
+
+  private endTransaction(job: ActiveJob, endedAt: Micros): StoreOperation {
+    const endedRecord = encodeEndedJob(job.spec, 'done', job.spec.tasks, endedAt);
+    return {
+      kind: 'txn',
+      conditions: [
+        { key: LEAD, version: this.term.lease.keyVersion },
+        { key: activeKey(job.id), version: job.version },
+      ],
+      writes: [
+        { kind: 'delete', key: activeKey(job.id) },
+        { kind: 'put', key: endedKey(job.id), value: endedRecord },
+      ],
+    };
+  }
+
+  private handleEndReply(job: ActiveJob, endedAt: Micros, reply: StoreReply): void {
+    if (reply.kind === 'ok') {
+      this.completeEnd(job, endedAt);
+      return;
+    }
+    if (reply.kind === 'conflict') {
+      if (reply.failed.includes(LEAD)) this.term.election.stepDown('fenced');
+      // The job's record moved: it was cancelled, or an earlier try of this write was executed after all.
+      else this.confirm(job);
+      return;
+    }
+    job.phase = 'active';
+    this.term.ctx.after(reply.kind === 'refused' ? REFUSED_RETRY_US : FAILED_RETRY_US, () => {
+      this.finish(job);
+    });
+  }
+
+  private completeEnd(job: ActiveJob, endedAt: Micros): void {
+    const { ctx: context } = this.term;
+    job.phase = 'ended';
+    this.host.told(job.id, 'done', job.spec.tasks);
+    context.info('job.completed', { job: job.id, afterS: (context.wallNow - job.acceptedAt) / SECOND });
+    this.host.dropProgress(job);
+    this.host.ended(job, { stage: 'done', at: endedAt });
+    this.dropIfEmpty(job);
   }
 
-  /** Reads how a job ended whose record moved without this leader's doing. */
+  /** Reads how a job ended whose record was moved by another node, or by an earlier try of this leader. */
   confirm(job: ActiveJob): void {
-    this.term.ctx.requestStore({ kind: 'get', key: endedKey(job.id) }, 1, (r) => {
+    this.term.ctx.requestStore({ kind: 'get', key: endedKey(job.id) }, RECORD_URGENCY, (reply) => {
       if (this.term.stopped) return;
-      if (r.kind === 'item') {
-        const rec = decodeEndedJob(r.item.value);
+      if (reply.kind === 'item') {
+        const record = decodeEndedJob(reply.item.value);
         if (job.phase !== 'ended') job.phase = 'active';
-        if (rec?.stage === 'done') this.host.told(job.id, 'done', rec.done);
-        this.ended(job, rec?.stage ?? null);
+        if (record?.stage === 'done') this.host.told(job.id, 'done', record.done);
+        this.ended(job, record?.stage ?? null);
         return;
       }
-      this.term.after(300 * MILLI, () => {
+      this.term.after(CONFIRM_RETRY_US, () => {
         this.confirm(job);
       });
     });
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -103,13 +103,13 @@
   {
     name: 'a job ends without its version',
     file: 'jobs/job-completion.ts',
-    from: '          { key: activeKey(job.id), version: job.version },\n',
+    from: '        { key: activeKey(job.id), version: job.version },\n',
     to: '',
   },
   {
     name: 'a job ends without the office',
     file: 'jobs/job-completion.ts',
-    from: '          { key: LEAD, version: office.keyVersion },\n',
+    from: '        { key: LEAD, version: this.term.lease.keyVersion },\n',
     to: '',
   },
   {
