--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependencies.ts
@@ -1,88 +1,93 @@
 /**
- * Which jobs wait for which. A job is held until the record of each job that it needs says `done`; it is
- * doomed once one of them, directly or through others, is cancelled. Both are final: records of ended jobs
- * never change.
+ * The dependency graph of jobs (a DAG). A job is blocked until the records of all its dependencies state `done`; it fails
+ * once one of them, direct or transitive, is cancelled. Both are final: records of ended jobs never change.
  *
- * There are no cycles: a job names only jobs that were accepted before it, never itself, and what it names
- * never changes. So the versions of the jobs' records, which are those of their acceptance, order the graph.
+ * There are no cycles: a job names only jobs that were accepted before it, never itself, and its dependencies never change.
+ * So the versions of the jobs' records, which are those of their acceptance, are a topological order of the graph.
  */
 import { latestFinish, type ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 
+/** How a job ended, as its record states. */
 export interface JobOutcome {
   readonly stage: 'done' | 'cancelled';
-  /** Time of day; null where the record doesn't say. */
+  /** Time of day of the end; null where the record doesn't state it. */
   readonly at: Micros | null;
 }
 
+/** What the graph needs of the leader, and reports to it. */
 export interface DependencyEvents {
   /** A job that has not ended as far as the leader knows. */
   job(id: string): ActiveJob | undefined;
-  /** Reads the record of an ended job; answers by `ended`, in time. */
+  /** Reads the record of an ended job; its outcome is passed to `DependencyGraph.ended` later. */
   resolve(id: string): void;
+  /** All dependencies of the job are done. */
   released(job: ActiveJob): void;
-  /** These can never run: their records are to say so. `cause`: the cancelled job. */
+  /** These jobs can never run, and their cancellation has to be written. `cause`: id of the cancelled dependency. */
   doomed(jobs: readonly ActiveJob[], cause: string): void;
-  /** Predicted time from a job's release to its end. */
+  /** Predicted time from the moment when a job's dependencies are met to its end. */
   expected(job: ActiveJob): Micros;
+  /** Present time of day. */
   readonly wallNow: Micros;
 }
 
+/** Dependencies between the jobs that have not ended. */
 export class DependencyGraph {
-  /** Jobs that have not ended, by the job that they need. */
+  /** Jobs that have not ended, by the id of a dependency. */
   private readonly dependents = new Map<string, Set<ActiveJob>>();
+  /** Dependencies that are not done yet, by blocked job. */
   private readonly unmet = new Map<ActiveJob, Set<string>>();
-  /** Ends of needed jobs, as their records say, while anything still depends on them. */
-  private readonly ends = new Map<string, JobOutcome>();
-  private stale = false;
+  /** Outcomes of dependencies, as their records state, while any job still depends on them. */
+  private readonly outcomes = new Map<string, JobOutcome>();
+  /** Whether inherited priorities and deadlines have to be computed anew. */
+  private inheritanceStale = false;
 
   constructor(private readonly host: DependencyEvents) {}
 
-  /** How many jobs are held. */
+  /** How many jobs are blocked. */
   get blockedCount(): number {
     return this.unmet.size;
   }
 
-  /** What a held job still waits for. */
+  /** The dependencies that a blocked job still waits for. */
   waitsFor(job: ActiveJob): readonly string[] {
     return [...(this.unmet.get(job) ?? [])];
   }
 
-  /** Jobs that directly need this one and have not ended. */
+  /** Jobs that depend directly on this one and have not ended. */
   needing(id: string): Iterable<ActiveJob> {
     return this.dependents.get(id) ?? [];
   }
 
+  /** Whether any job that has not ended depends directly on this one. */
   needed(id: string): boolean {
     return this.dependents.has(id);
   }
 
-  /** Whether its end is not known yet, but something waits for it. */
+  /** Whether another job depends on this one, whose outcome is not known yet. */
   open(id: string): boolean {
-    return this.dependents.has(id) && !this.ends.has(id);
+    return this.dependents.has(id) && !this.outcomes.has(id);
   }
 
+  /** Adds a job: it is blocked, released at once, or fails, depending on the outcomes known so far. */
   add(job: ActiveJob): void {
-    const needs = job.spec.dependsOn;
-    if (needs.length === 0) return;
-    this.stale = true;
+    const { dependsOn } = job.spec;
+    if (dependsOn.length === 0) return;
+    this.inheritanceStale = true;
     const unmet = new Set<string>();
-    let cause: string | null = null;
-    for (const n of needs) {
-      const others = this.dependents.get(n) ?? new Set();
-      this.dependents.set(n, others.add(job));
-      const end = this.ends.get(n);
-      if (end?.stage === 'done') {
-        job.dependenciesMetAt = Math.max(
-          job.dependenciesMetAt ?? job.acceptedAt,
-          end.at ?? this.host.wallNow,
-        );
+    let failedDependency: string | null = null;
+    for (const id of dependsOn) {
+      const dependents = this.dependents.get(id) ?? new Set();
+      this.dependents.set(id, dependents.add(job));
+      const outcome = this.outcomes.get(id);
+      if (outcome?.stage === 'done') {
+        this.recordMet(job, outcome);
         continue;
       }
-      unmet.add(n);
-      const needed = this.host.job(n);
-      if (end?.stage === 'cancelled' || needed?.dependencyFailed === true) cause = n;
-      else if (needed === undefined || needed.phase === 'ended') this.host.resolve(n);
+      unmet.add(id);
+      const dependency = this.host.job(id);
+      if (outcome?.stage === 'cancelled' || dependency?.dependencyFailed === true) failedDependency = id;
+      else if (dependency === undefined || dependency.phase === 'ended') this.host.resolve(id);
     }
     if (unmet.size === 0) {
       this.host.released(job);
@@ -90,24 +95,29 @@
     }
     job.blockedOnDependencies = true;
     this.unmet.set(job, unmet);
-    if (cause !== null) this.doom([job], cause);
+    if (failedDependency !== null) this.propagateFailure([job], failedDependency);
   }
 
-  /** The record of a job says how it ended. */
-  ended(id: string, end: JobOutcome): void {
+  /** A job's other times count from the moment when the last of its dependencies is done. */
+  private recordMet(job: ActiveJob, outcome: JobOutcome): void {
+    const metAt = outcome.at ?? this.host.wallNow;
+    job.dependenciesMetAt = Math.max(job.dependenciesMetAt ?? job.acceptedAt, metAt);
+  }
+
+  /** Records the outcome of a job, and releases or fails the jobs that depend on it. */
+  ended(id: string, outcome: JobOutcome): void {
     const dependents = this.dependents.get(id);
-    if (dependents === undefined || this.ends.has(id)) return;
-    this.ends.set(id, end);
-    this.stale = true;
-    if (end.stage === 'cancelled') {
-      this.doom([...dependents], id);
+    if (dependents === undefined || this.outcomes.has(id)) return;
+    this.outcomes.set(id, outcome);
+    this.inheritanceStale = true;
+    if (outcome.stage === 'cancelled') {
+      this.propagateFailure([...dependents], id);
       return;
     }
     for (const job of [...dependents]) {
       const unmet = this.unmet.get(job);
       if (unmet?.delete(id) !== true) continue;
-      // The other times of a job count from the moment when the last that it needs is done.
-      job.dependenciesMetAt = Math.max(job.dependenciesMetAt ?? job.acceptedAt, end.at ?? this.host.wallNow);
+      this.recordMet(job, outcome);
       if (unmet.size > 0) continue;
       this.unmet.delete(job);
       job.blockedOnDependencies = false;
@@ -115,64 +125,76 @@
     }
   }
 
-  /** These and all that need them, directly or through others, in one go. */
-  private doom(first: readonly ActiveJob[], cause: string): void {
-    const found: ActiveJob[] = [];
-    const next = [...first];
-    for (let job = next.pop(); job !== undefined; job = next.pop()) {
+  /** Marks these jobs and all that depend on them, directly or transitively, as failed, and reports them together. */
+  private propagateFailure(first: readonly ActiveJob[], cause: string): void {
+    const failed: ActiveJob[] = [];
+    const pending = [...first];
+    for (let job = pending.pop(); job !== undefined; job = pending.pop()) {
       if (job.dependencyFailed || job.phase === 'ended') continue;
       job.dependencyFailed = true;
-      found.push(job);
-      next.push(...(this.dependents.get(job.id) ?? []));
+      failed.push(job);
+      pending.push(...(this.dependents.get(job.id) ?? []));
     }
-    if (found.length > 0) this.host.doomed(found, cause);
+    if (failed.length > 0) this.host.doomed(failed, cause);
   }
 
-  /** The job has ended, however: it waits for nothing any more. */
+  /** Removes a job that has ended, whatever its outcome, as a dependent of others. */
   remove(job: ActiveJob): void {
     this.unmet.delete(job);
-    for (const n of job.spec.dependsOn) {
-      const others = this.dependents.get(n);
-      if (others?.delete(job) !== true) continue;
-      this.stale = true;
-      if (others.size > 0) continue;
-      this.dependents.delete(n);
-      this.ends.delete(n);
+    for (const id of job.spec.dependsOn) {
+      const dependents = this.dependents.get(id);
+      if (dependents?.delete(job) !== true) continue;
+      this.inheritanceStale = true;
+      if (dependents.size > 0) continue;
+      this.dependents.delete(id);
+      this.outcomes.delete(id);
     }
   }
 
   /**
-   * A job counts with the highest priority of those that need it, and has to be done in time for them:
-   * worked backwards from the last jobs' due times, the latest accepted first. Linear in the edges.
+   * Computes inherited priorities and deadlines, if the graph has changed or `force` is set. A job has the highest priority
+   * of those that depend on it, and has to be done in time for them: worked backwards from the due times of the last
+   * jobs, the latest accepted first. Linear in the number of dependencies, apart from the sorting.
    */
   refresh(force: boolean): void {
-    if (!this.stale && !force) return;
-    this.stale = false;
-    const linked = new Set<ActiveJob>();
-    for (const [id, others] of this.dependents) {
-      const needed = this.host.job(id);
-      if (needed !== undefined) linked.add(needed);
-      for (const job of others) linked.add(job);
-    }
+    if (!this.inheritanceStale && !force) return;
+    this.inheritanceStale = false;
+    const linked = this.linkedJobs();
     for (const job of linked) {
       job.priority = job.spec.priority;
       job.deadlineChain = null;
     }
-    for (const job of [...linked].sort((a, b) => b.version - a.version)) {
-      const { deadlineChain: chain } = job;
-      const due = chain === null ? Infinity : latestFinish(chain);
-      const own = job.spec.deadlineUs === null ? Infinity : job.acceptedAt + job.spec.deadlineUs;
-      const last = own <= due ? job : chain?.last;
-      for (const n of job.spec.dependsOn) {
-        const needed = this.host.job(n);
-        if (needed === undefined) continue;
-        if (job.priority > needed.priority) needed.priority = job.priority;
-        if (last === undefined || last.spec.deadlineUs === null) continue;
-        const tail = (own <= due ? 0 : (chain?.tail ?? 0)) + this.host.expected(job);
-        const link = { last, tail };
-        if (needed.deadlineChain === null || latestFinish(link) < latestFinish(needed.deadlineChain))
-          needed.deadlineChain = link;
-      }
+    for (const job of [...linked].sort((first, second) => second.version - first.version))
+      this.inheritFrom(job);
+  }
+
+  /** All jobs that have not ended and that depend on another one, or that another one depends on. */
+  private linkedJobs(): Set<ActiveJob> {
+    const linked = new Set<ActiveJob>();
+    for (const [id, dependents] of this.dependents) {
+      const dependency = this.host.job(id);
+      if (dependency !== undefined) linked.add(dependency);
+      for (const job of dependents) linked.add(job);
+    }
+    return linked;
+  }
+
+  /** Passes the job's priority and its tightest deadline on to its dependencies. */
+  private inheritFrom(job: ActiveJob): void {
+    const { deadlineChain: chain } = job;
+    const inheritedDue = chain === null ? Infinity : latestFinish(chain);
+    const ownDue = job.spec.deadlineUs === null ? Infinity : job.acceptedAt + job.spec.deadlineUs;
+    const last = ownDue <= inheritedDue ? job : chain?.last;
+    for (const id of job.spec.dependsOn) {
+      const dependency = this.host.job(id);
+      if (dependency === undefined) continue;
+      if (job.priority > dependency.priority) dependency.priority = job.priority;
+      if (last === undefined || last.spec.deadlineUs === null) continue;
+      const tailAfterJob = ownDue <= inheritedDue ? 0 : (chain?.tail ?? 0);
+      const link = { last, tail: tailAfterJob + this.host.expected(job) };
+      const { deadlineChain } = dependency;
+      if (deadlineChain === null || latestFinish(link) < latestFinish(deadlineChain))
+        dependency.deadlineChain = link;
     }
   }
 }
