--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,138 +1,179 @@
-/** Sends this node's beats, takes those of the others, and logs what that changes. */
+/** Sends this node's heartbeats to its peers, receives theirs, and logs what changes. */
 import type { NodeContext } from '../node/node-context.js';
-import type { PeerHeartbeat } from '../domain/peer.js';
+import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
 import { PeerFailureDetector, type PeerChange } from './peer-failure-detector.js';
 
-/** A peer's word counts for an interruption of this node's own link only if it got an answer so long after that began. */
-const AFTER: Micros = 500 * MILLI;
-/** A peer's good answer that is older than that says nothing of now. */
-const STALE: Micros = 5 * SECOND;
-/** A worker that has not come for so many of its intervals is none that reaches this node. */
-const REPORTS = 2.5;
+/** A peer's answer shows that the state service is up only if it came so long after this node's own link was lost. */
+const MIN_TIME_AFTER_LOSS: Micros = 500 * MILLI;
+/** A peer's good answer that is older than that shows nothing of the present. */
+const MAX_ANSWER_AGE: Micros = 5 * SECOND;
+/** A worker without a heartbeat for so many of its intervals does not reach this node any more. */
+const WORKER_EXPIRY_INTERVALS = 2.5;
 
+/** What one peer reports of another, as it is logged. */
+interface PeerReport {
+  readonly by: string;
+  readonly suspected: boolean;
+  /** How long ago that peer received a heartbeat of the other. */
+  readonly agoS: number;
+}
+
+/** Exchanges heartbeats with the other controllers. */
 export class PeerHeartbeats {
-  readonly members: PeerFailureDetector;
-  /** Workers that came, and when they last did. */
-  private readonly workers = new Map<string, Micros>();
+  private readonly failureDetector: PeerFailureDetector;
+  /** When each worker last sent a heartbeat to this node, by machine name. */
+  private readonly workerContacts = new Map<string, Micros>();
   private incarnation = 0;
   private startedAt: Micros = 0;
+  /** When the next heartbeat is due. */
   private dueAt: Micros = 0;
+  /** How late this node's timers fire. */
   private lateUs: Micros = 0;
-  /** When a peer first had a good answer during the present interruption of this node's link; null: none had. */
-  private elsewhereAt: Micros | null = null;
+  /** When a peer was first found to be served during the present loss of this node's link; null: none was. */
+  private peerServedAt: Micros | null = null;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly context: NodeContext,
     private readonly settings: MembershipSettings,
-    /** The term of the office that is held with right now; null: none. */
+    /** The term that this node leads at present; null: none. */
     private readonly term: () => number | null,
   ) {
-    this.members = new PeerFailureDetector(
+    this.failureDetector = new PeerFailureDetector(
       settings,
-      ctx.settings.peers.map((p) => p.member),
-      () => ctx.now,
+      context.settings.peers.map((peer) => peer.member),
+      () => context.now,
     );
   }
 
-  /** `wallUs`: time of day; a process that starts later on the same node has a later one. */
+  /** Starts sending. `wallUs`: time of day; a process that starts later on the same node has a later one. */
   start(wallUs: Micros): void {
     this.incarnation = Math.max(1, Math.floor(wallUs / MILLI));
-    this.startedAt = this.ctx.now;
-    this.dueAt = this.ctx.now;
+    this.startedAt = this.context.now;
+    this.dueAt = this.context.now;
     this.tick();
   }
 
-  receive(b: PeerHeartbeat): void {
-    this.outbid(b);
-    this.tell(this.members.receive(b));
-    const since = this.ctx.storeConnection.downSince;
-    if (since === null || this.members.peerWithStoreAnswerAfter(since + AFTER) === null)
-      this.elsewhereAt = null;
-    else this.elsewhereAt ??= this.ctx.now;
+  /** Takes a peer's heartbeat. */
+  receive(heartbeat: PeerHeartbeat): void {
+    this.raiseIncarnationAbove(heartbeat);
+    this.logChange(this.failureDetector.receive(heartbeat));
+    const lostAt = this.context.storeConnection.downSince;
+    if (
+      lostAt === null ||
+      this.failureDetector.peerWithStoreAnswerAfter(lostAt + MIN_TIME_AFTER_LOSS) === null
+    )
+      this.peerServedAt = null;
+    else this.peerServedAt ??= this.context.now;
   }
 
   /**
-   * The time of day may lie behind that of the process before, which may have ended a moment ago: its number is then as high
-   * as ours or higher, and peers would drop our beats for seconds. What they say of this name that we can't have told them
-   * ourselves was of that process.
+   * The time of day may be behind that of the process before, which may have ended a moment ago: its incarnation is then as
+   * high as ours or higher, and peers would drop our heartbeats for seconds. What they report of this member that we can't
+   * have sent ourselves was sent by that process.
    */
-  private outbid(b: PeerHeartbeat): void {
-    for (const o of b.peers) {
-      if (o.member !== this.ctx.settings.member) continue;
-      const before = o.incarnation === this.incarnation && o.ageUs > this.ctx.now - this.startedAt;
-      if (o.incarnation > this.incarnation || before) this.incarnation = o.incarnation + 1;
+  private raiseIncarnationAbove({ peers }: PeerHeartbeat): void {
+    const { now, settings } = this.context;
+    for (const { member, incarnation, ageUs } of peers) {
+      if (member !== settings.member) continue;
+      const sentBeforeStart = incarnation === this.incarnation && ageUs > now - this.startedAt;
+      if (incarnation > this.incarnation || sentBeforeStart) this.incarnation = incarnation + 1;
     }
   }
 
-  /** A worker reported to this node, whatever it was answered. */
+  /** Records a worker's heartbeat to this node, whatever the response to it. */
   recordWorkerContact(machine: string): void {
-    this.workers.set(machine, this.ctx.now);
+    this.workerContacts.set(machine, this.context.now);
   }
 
   /**
-   * Whether a peer is served by the state service while this node is not: then it is no outage, and users are better
-   * off elsewhere. At the end of an outage some node is always answered first: so it takes a call of this node that was
-   * sent after that and failed as well.
+   * Whether the state service answers a peer while it does not answer this node: then it is no outage, and clients are
+   * better served elsewhere. At the end of an outage some node is always answered first: so it also takes a request of this
+   * node that was sent after that and failed as well.
    */
   isStoreServingPeers(): boolean {
-    const { storeConnection: link, now } = this.ctx;
-    if (link.downSince === null || this.elsewhereAt === null) return false;
+    const { storeConnection, now } = this.context;
+    if (storeConnection.downSince === null || this.peerServedAt === null) return false;
     return (
-      link.lastFailureSentAt > this.elsewhereAt && this.members.peerWithStoreAnswerAfter(now - STALE) !== null
+      storeConnection.lastFailureSentAt > this.peerServedAt &&
+      this.failureDetector.peerWithStoreAnswerAfter(now - MAX_ANSWER_AGE) !== null
     );
   }
 
   private tick(): void {
-    const { ctx } = this;
-    // What was late once is doubted for a while: the next beats of others may still be on their way in.
-    this.lateUs = Math.max(ctx.now - this.dueAt, Math.floor(this.lateUs / 2));
-    for (const c of this.members.suspectSilentPeers(this.lateUs)) this.tell(c);
-    const oldest = ctx.now - REPORTS * ctx.settings.heartbeatIntervalUs;
-    for (const [machine, at] of this.workers) if (at < oldest) this.workers.delete(machine);
-    const message = this.members.composeHeartbeat({
-      member: ctx.settings.member,
+    const { context } = this;
+    const { heartbeatIntervalUs } = this.settings;
+    // A delay counts for a while longer: the next heartbeats of the peers may still be on their way in.
+    this.lateUs = Math.max(context.now - this.dueAt, Math.floor(this.lateUs / 2));
+    for (const change of this.failureDetector.suspectSilentPeers(this.lateUs)) this.logChange(change);
+    this.expireWorkerContacts();
+    const message = this.failureDetector.composeHeartbeat(this.ownStatus());
+    for (const { member } of context.settings.peers) context.emit({ kind: 'peerMessage', member, message });
+    this.dueAt = context.now + heartbeatIntervalUs;
+    context.after(heartbeatIntervalUs, () => {
+      this.tick();
+    });
+  }
+
+  private expireWorkerContacts(): void {
+    const { now, settings } = this.context;
+    const oldest = now - WORKER_EXPIRY_INTERVALS * settings.heartbeatIntervalUs;
+    for (const [machine, contactAt] of this.workerContacts)
+      if (contactAt < oldest) this.workerContacts.delete(machine);
+  }
+
+  private ownStatus(): PeerStatus {
+    const { now, settings, storeConnection } = this.context;
+    const { lastSuccessAt } = storeConnection;
+    return {
+      member: settings.member,
       incarnation: this.incarnation,
       term: this.term(),
-      storeAnswerAgeUs:
-        ctx.storeConnection.lastSuccessAt === 0 ? null : ctx.now - ctx.storeConnection.lastSuccessAt,
+      storeAnswerAgeUs: lastSuccessAt === 0 ? null : now - lastSuccessAt,
       timerDelayUs: this.lateUs,
-      workerCount: this.workers.size,
-    });
-    for (const p of ctx.settings.peers) ctx.emit({ kind: 'peerMessage', member: p.member, message });
-    this.dueAt = ctx.now + this.settings.heartbeatIntervalUs;
-    ctx.after(this.settings.heartbeatIntervalUs, () => {
-      this.tick();
-    });
+      workerCount: this.workerContacts.size,
+    };
   }
 
-  private tell(c: PeerChange | null): void {
-    if (c === null) return;
-    const { ctx } = this;
-    if (c.kind === 'suspected') {
-      const m = this.members.all.get(c.member);
-      // What others say of it is evidence to read, not to act on.
-      const also = [...this.members.all.values()].flatMap((x) =>
-        (x.beat?.peers ?? [])
-          .filter((o) => o.member === c.member)
-          .map((o) => ({
-            by: x.name,
-            suspected: o.suspected,
-            agoS: (o.ageUs + ctx.now - x.heardAt) / SECOND,
-          })),
-      );
-      ctx.info('peer.suspected', {
-        of: c.member,
-        silentS: c.silent / SECOND,
-        limitS: c.limit / SECOND,
-        incarnation: m?.incarnation,
-        ownLateS: this.lateUs / SECOND,
-        others: also,
-      });
-    } else if (c.kind === 'heard')
-      ctx.info('peer.alive', { of: c.member, ...(c.after === null ? {} : { afterS: c.after / SECOND }) });
-    else ctx.info('peer.restarted', { of: c.member, incarnation: c.incarnation });
+  private logChange(change: PeerChange | null): void {
+    if (change === null) return;
+    const { context } = this;
+    const { member: of } = change;
+    switch (change.kind) {
+      case 'suspected':
+        context.info('peer.suspected', {
+          of,
+          silentS: change.silentUs / SECOND,
+          limitS: change.limitUs / SECOND,
+          incarnation: this.failureDetector.peers.get(of)?.incarnation,
+          ownLateS: this.lateUs / SECOND,
+          others: this.reportsOf(of),
+        });
+        return;
+      case 'alive':
+        context.info('peer.alive', {
+          of,
+          ...(change.silentUs === null ? {} : { afterS: change.silentUs / SECOND }),
+        });
+        return;
+      case 'restarted':
+        context.info('peer.restarted', { of, incarnation: change.incarnation });
+    }
+  }
+
+  /** What the other peers report of a member: evidence for whoever reads the log, which nothing acts on. */
+  private reportsOf(member: string): readonly PeerReport[] {
+    const { now } = this.context;
+    return [...this.failureDetector.peers.values()].flatMap((peer) =>
+      (peer.lastHeartbeat?.peers ?? [])
+        .filter((report) => report.member === member)
+        .map((report) => ({
+          by: peer.name,
+          suspected: report.suspected,
+          agoS: (report.ageUs + now - peer.lastReceivedAt) / SECOND,
+        })),
+    );
   }
 }
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -64,7 +64,7 @@
     w.send(70 * SECOND, 0, beatOf('p', 61));
     w.to(71 * SECOND);
     assert.equal(w.members.levelOf('p'), 'alive');
-    assert.equal(w.changes.at(-1)?.kind, 'heard');
+    assert.equal(w.changes.at(-1)?.kind, 'alive');
   }
 });
 
@@ -86,7 +86,7 @@
     w.to(last + 13 * SECOND);
     const c = w.changes.at(-1);
     assert.equal(c?.kind, 'suspected', 'but not for ever');
-    if (c?.kind === 'suspected') least = Math.min(least, c.limit);
+    if (c?.kind === 'suspected') least = Math.min(least, c.limitUs);
   }
   assert.ok(least > 3 * SECOND);
 });
@@ -103,7 +103,7 @@
 
 test('beats that were held back, or of a process that was replaced, tell nothing', () => {
   const w = new Watch();
-  assert.equal(w.members.receive(beatOf('p', 5))?.kind, 'heard');
+  assert.equal(w.members.receive(beatOf('p', 5))?.kind, 'alive');
   assert.equal(w.members.receive(beatOf('p', 4)), null);
   assert.equal(w.members.receive(beatOf('p', 5)), null);
   assert.equal(w.members.receive(beatOf('stranger', 9)), null);
@@ -112,7 +112,7 @@
   assert.equal(w.members.suspectSilentPeers(0).length, 1);
   assert.equal(w.members.receive(beatOf('p', 6)), null);
   assert.equal(w.members.levelOf('p'), 'suspected', 'a late beat refutes nothing');
-  assert.equal(w.members.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'heard');
+  assert.equal(w.members.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
 });
 
 test('a process whose clock is behind that of the one before is heard all the same, a burst of old beats is not', () => {
