--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -1,4 +1,4 @@
-/** The users' interface: submissions in, views of jobs out. */
+/** The HTTP API of clients: decodes submissions, routes requests, encodes responses. */
 import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec, JobView, Priority, JobShape } from '@shaleyoke/core/domain/job';
 import {
@@ -16,11 +16,13 @@
   type Fields,
 } from './body.js';
 
+/** Shapes of jobs by their names on the wire. */
 export const SHAPES: ReadonlyMap<string, JobShape> = new Map([
   ['array', 'array'],
   ['group', 'gang'],
   ['service', 'service'],
 ]);
+/** Priorities by their names on the wire. */
 export const PRIORITIES: ReadonlyMap<string, Priority> = new Map([
   ['critical', 3],
   ['urgent', 2],
@@ -28,85 +30,92 @@
   ['best_effort', 0],
 ]);
 
+/** Most tasks of one job. */
 const MAX_TASKS = 100_000;
-const ID = /^run-[0-9]{1,32}$/;
+/** Longest text that names a class, team or image. */
+const MAX_NAME_LENGTH = 200;
+const JOB_ID = /^run-[0-9]{1,32}$/;
 
-export const validId = (id: string): boolean => ID.test(id);
+/** Whether a text is the id of a job. */
+export const validId = (id: string): boolean => JOB_ID.test(id);
 
-const nonEmpty = (f: Fields, name: string): string => {
-  const v = text(f, name);
-  if (v === '' || v.length > 200) throw new MalformedMessageError(`${name}: empty or too long`);
-  return v;
+const nonEmpty = (fields: Fields, name: string): string => {
+  const value = text(fields, name);
+  if (value === '' || value.length > MAX_NAME_LENGTH)
+    throw new MalformedMessageError(`${name}: empty or too long`);
+  return value;
 };
 
-/** Jobs to be done before this one: named more than once, they count once. */
-const decodeNeeds = (f: Fields, id: string): string[] => {
-  const v = f['awaits'];
-  if (v === null || v === undefined) return [];
-  const needs = new Set<string>();
-  for (const n of list(v, 'awaits')) {
-    if (typeof n !== 'string' || !validId(n))
+/** Ids of the jobs that have to be done before this one; duplicates are dropped. */
+const decodeDependencies = (fields: Fields, id: string): string[] => {
+  const value = fields['awaits'];
+  if (value === null || value === undefined) return [];
+  const dependencies = new Set<string>();
+  for (const dependency of list(value, 'awaits')) {
+    if (typeof dependency !== 'string' || !validId(dependency))
       throw new MalformedMessageError('awaits: not a list of job ids');
-    if (n === id) throw new MalformedMessageError('awaits: names the job itself');
-    needs.add(n);
+    if (dependency === id) throw new MalformedMessageError('awaits: names the job itself');
+    dependencies.add(dependency);
   }
-  return [...needs];
+  return [...dependencies];
 };
 
-export const decodeSpec = (f: Fields): JobSpec => {
-  const id = text(f, 'ref');
+/** Decodes the description of a job. Throws `MalformedMessageError`. */
+export const decodeSpec = (fields: Fields): JobSpec => {
+  const id = text(fields, 'ref');
   if (!validId(id)) throw new MalformedMessageError('ref: not a job id');
-  const tasks = f['parts'];
+  const tasks = fields['parts'];
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
     throw new MalformedMessageError(`parts: not a count from 1 to ${MAX_TASKS}`);
-  const cores = amount(f, 'cores');
-  const models = f['models'];
+  const cores = amount(fields, 'cores');
+  const models = fields['models'];
   const types =
     models === null || models === undefined
       ? null
-      : list(models, 'models').map((m) => {
-          if (typeof m !== 'string') throw new MalformedMessageError('models: not a list of texts');
-          return m;
+      : list(models, 'models').map((model) => {
+          if (typeof model !== 'string') throw new MalformedMessageError('models: not a list of texts');
+          return model;
         });
   return {
     id,
-    class: nonEmpty(f, 'bundle'),
-    team: nonEmpty(f, 'owner'),
-    shape: oneOf(SHAPES, f, 'shape'),
-    priority: oneOf(PRIORITIES, f, 'urgency'),
+    class: nonEmpty(fields, 'bundle'),
+    team: nonEmpty(fields, 'owner'),
+    shape: oneOf(SHAPES, fields, 'shape'),
+    priority: oneOf(PRIORITIES, fields, 'urgency'),
     tasks,
     cores,
-    gpus: amount(f, 'gpus'),
-    memoryGb: amount(f, 'memory_gb'),
-    image: nonEmpty(f, 'build'),
-    imageGb: amount(f, 'image_gb'),
+    gpus: amount(fields, 'gpus'),
+    memoryGb: amount(fields, 'memory_gb'),
+    image: nonEmpty(fields, 'build'),
+    imageGb: amount(fields, 'image_gb'),
     machineTypes: types,
-    zone: optionalText(f, 'hall'),
-    sameZone: flag(f, 'same_place'),
-    spreadAcrossZones: flag(f, 'scatter'),
-    spot: flag(f, 'loaners'),
-    estimatedRunUs: duration(f, 'expect_s'),
-    checkpointIntervalUs: duration(f, 'snapshot_s'),
-    checkpointDurationUs: duration(f, 'flush_s'),
-    deadlineUs: f['due_s'] === null || f['due_s'] === undefined ? null : duration(f, 'due_s'),
-    dependsOn: decodeNeeds(f, id),
+    zone: optionalText(fields, 'hall'),
+    sameZone: flag(fields, 'same_place'),
+    spreadAcrossZones: flag(fields, 'scatter'),
+    spot: flag(fields, 'loaners'),
+    estimatedRunUs: duration(fields, 'expect_s'),
+    checkpointIntervalUs: duration(fields, 'snapshot_s'),
+    checkpointDurationUs: duration(fields, 'flush_s'),
+    deadlineUs: fields['due_s'] === null || fields['due_s'] === undefined ? null : duration(fields, 'due_s'),
+    dependsOn: decodeDependencies(fields, id),
   };
 };
 
+/** Decodes a submission; one that is malformed carries its problem, and its id if that is readable. */
 export const decodeSubmission = (bytes: Uint8Array): ClientRequest => {
   let id: string | null = null;
   try {
-    const f = asFields(decodeBody(bytes), 'submission');
-    const ref = f['ref'];
+    const fields = asFields(decodeBody(bytes), 'submission');
+    const ref = fields['ref'];
     if (typeof ref === 'string' && validId(ref)) id = ref;
-    return { kind: 'submit', id, spec: decodeSpec(f), problem: null };
-  } catch (e) {
-    if (!(e instanceof MalformedMessageError)) throw e;
-    return { kind: 'submit', id, spec: null, problem: e.message };
+    return { kind: 'submit', id, spec: decodeSpec(fields), problem: null };
+  } catch (error) {
+    if (!(error instanceof MalformedMessageError)) throw error;
+    return { kind: 'submit', id, spec: null, problem: error.message };
   }
 };
 
-/** Which request a method and path name; a status where there is none. */
+/** The request that a method and a path name, or the status with which they are refused. */
 export type Route =
   | { readonly kind: 'submit' | 'report' | 'health' }
   | { readonly kind: 'poll' | 'cancel'; readonly id: string }
@@ -115,53 +124,56 @@
 const only = (allowed: string, method: string, route: Route): Route =>
   method === allowed ? route : { kind: 'refused', status: 405 };
 
+/** Finds the request that a method and a URL name. */
 export const route = (method: string, url: string): Route => {
   const path = url.split('?', 1)[0]!;
   if (path === '/api/jobs') return only('POST', method, { kind: 'submit' });
   if (path === '/v1/report') return only('POST', method, { kind: 'report' });
   if (path === '/healthz') return only('GET', method, { kind: 'health' });
-  const m = /^\/api\/jobs\/([^/]+)(\/abort)?$/.exec(path);
-  if (m !== null) {
-    return m[2] === undefined
-      ? only('GET', method, { kind: 'poll', id: m[1]! })
-      : only('POST', method, { kind: 'cancel', id: m[1]! });
+  const match = /^\/api\/jobs\/([^/]+)(\/abort)?$/.exec(path);
+  if (match !== null) {
+    return match[2] === undefined
+      ? only('GET', method, { kind: 'poll', id: match[1]! })
+      : only('POST', method, { kind: 'cancel', id: match[1]! });
   }
   return { kind: 'refused', status: 404 };
 };
 
 const STAGES = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
 
-const view = (v: JobView): unknown => ({
-  ref: v.id,
-  stage: STAGES[v.stage],
-  done: v.done,
-  running: v.running,
+const encodeView = (view: JobView): unknown => ({
+  ref: view.id,
+  stage: STAGES[view.stage],
+  done: view.done,
+  running: view.running,
 });
 
+/** An HTTP response. */
 export interface HttpAnswer {
   readonly status: number;
   readonly body: Buffer;
   readonly retryAfterS?: number;
 }
 
-const problem = (status: number, error: string, retryAfterS?: number): HttpAnswer => ({
+const encodeProblem = (status: number, error: string, retryAfterS?: number): HttpAnswer => ({
   status,
   body: encodeBody({ error }),
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
-export const encodeClientResponse = (a: ClientResponse): HttpAnswer => {
-  switch (a.kind) {
+/** Encodes the response to a client. */
+export const encodeClientResponse = (response: ClientResponse): HttpAnswer => {
+  switch (response.kind) {
     case 'view':
-      return { status: a.created ? 201 : 200, body: encodeBody(view(a.view)) };
+      return { status: response.created ? 201 : 200, body: encodeBody(encodeView(response.view)) };
     case 'malformed':
-      return problem(400, a.problem);
+      return encodeProblem(400, response.problem);
     case 'impossible':
-      return problem(422, a.problem);
+      return encodeProblem(422, response.problem);
     case 'absent':
-      return problem(404, 'no such job');
+      return encodeProblem(404, 'no such job');
     case 'unavailable':
-      return problem(503, a.problem, a.retryAfterS);
+      return encodeProblem(503, response.problem, response.retryAfterS);
     case 'healthy':
       return { status: 200, body: encodeBody({}) };
   }
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface: machine types, renting, returning, listing. */
+/** The HTTP API of the cloud: machine types, and creating, deleting and listing machines. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
@@ -14,6 +14,7 @@
   text,
 } from './body.js';
 
+/** An HTTP request that is to be made. */
 export interface HttpCall {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -27,13 +28,14 @@
 ]);
 
 const texts = (value: unknown, what: string): string[] =>
-  list(value, what).map((v) => {
-    if (typeof v !== 'string') throw new MalformedMessageError(`${what}: not texts`);
-    return v;
+  list(value, what).map((item) => {
+    if (typeof item !== 'string') throw new MalformedMessageError(`${what}: not texts`);
+    return item;
   });
 
-export const encodeCloudOperation = (op: CloudOperation): HttpCall => {
-  switch (op.kind) {
+/** Encodes a request to the cloud. */
+export const encodeCloudOperation = (operation: CloudOperation): HttpCall => {
+  switch (operation.kind) {
     case 'types':
       return { method: 'GET', path: '/flavors', body: null };
     case 'rent':
@@ -41,78 +43,83 @@
         method: 'POST',
         path: '/hosts',
         body: encodeBody({
-          booking: op.request,
-          model: op.type,
-          hall: op.zone,
-          loaners: op.spot,
-          count: op.count,
+          booking: operation.request,
+          model: operation.type,
+          hall: operation.zone,
+          loaners: operation.spot,
+          count: operation.count,
         }),
       };
     case 'delete':
-      return { method: 'POST', path: '/hosts/delete', body: encodeBody({ berths: op.machines }) };
+      return { method: 'POST', path: '/hosts/delete', body: encodeBody({ berths: operation.machines }) };
     case 'list':
       return {
         method: 'GET',
-        path: `/hosts?since=${encodeURIComponent(op.after)}&page=${op.limit}`,
+        path: `/hosts?since=${encodeURIComponent(operation.after)}&page=${operation.limit}`,
         body: null,
       };
   }
 };
 
 const decodeType = (value: unknown): MachineType => {
-  const f = asFields(value, 'model');
+  const fields = asFields(value, 'model');
   return {
-    name: text(f, 'sku'),
-    cores: amount(f, 'cores'),
-    gpus: f['gpus'] === undefined || f['gpus'] === null ? 0 : amount(f, 'gpus'),
-    memoryGb: amount(f, 'memory_gb'),
-    imageCacheGb: amount(f, 'cache_gb'),
-    imagePullGbPerS: amount(f, 'pull_gb_per_s'),
-    price: amount(f, 'rate'),
-    spotPrice: amount(f, 'market_price'),
-    bootUs: micros(amount(f, 'startup_s')),
-    zones: texts(f['halls'], 'halls'),
+    name: text(fields, 'sku'),
+    cores: amount(fields, 'cores'),
+    gpus: fields['gpus'] === undefined || fields['gpus'] === null ? 0 : amount(fields, 'gpus'),
+    memoryGb: amount(fields, 'memory_gb'),
+    imageCacheGb: amount(fields, 'cache_gb'),
+    imagePullGbPerS: amount(fields, 'pull_gb_per_s'),
+    price: amount(fields, 'rate'),
+    spotPrice: amount(fields, 'market_price'),
+    bootUs: micros(amount(fields, 'startup_s')),
+    zones: texts(fields['halls'], 'halls'),
   };
 };
 
 const decodeMachine = (value: unknown): ListedMachine => {
-  const f = asFields(value, 'berth');
+  const fields = asFields(value, 'berth');
   return {
-    name: text(f, 'ref'),
-    address: text(f, 'address'),
-    type: text(f, 'model'),
-    zone: text(f, 'hall'),
-    spot: flag(f, 'loaners'),
-    state: oneOf(STATES, f, 'stage'),
-    ageUs: micros(amount(f, 'age_s')),
+    name: text(fields, 'ref'),
+    address: text(fields, 'address'),
+    type: text(fields, 'model'),
+    zone: text(fields, 'hall'),
+    spot: flag(fields, 'loaners'),
+    state: oneOf(STATES, fields, 'stage'),
+    ageUs: micros(amount(fields, 'age_s')),
   };
 };
 
-export const decodeCloudReply = (op: CloudOperation, status: number, bytes: Uint8Array): CloudReply => {
+/** Decodes the reply to a request; one that is malformed counts as failed. */
+export const decodeCloudReply = (
+  operation: CloudOperation,
+  status: number,
+  bytes: Uint8Array,
+): CloudReply => {
   try {
     const body = bytes.length === 0 ? {} : decodeBody(bytes);
-    if (status === 503 && op.kind === 'rent') {
+    if (status === 503 && operation.kind === 'rent') {
       const error = asFields(body, 'answer')['error'];
       return error === 'no capacity' ? { kind: 'noCapacity' } : { kind: 'failed', reason: 'trouble' };
     }
     if (status !== 200) return { kind: 'failed', reason: `status ${status}` };
-    if (op.kind === 'delete') return { kind: 'deleted' };
-    const f = asFields(body, 'answer');
-    switch (op.kind) {
+    if (operation.kind === 'delete') return { kind: 'deleted' };
+    const fields = asFields(body, 'answer');
+    switch (operation.kind) {
       case 'types':
-        return { kind: 'types', types: list(f['models'], 'models').map(decodeType) };
+        return { kind: 'types', types: list(fields['models'], 'models').map(decodeType) };
       case 'rent':
-        return { kind: 'rented', machines: texts(f['berths'], 'berths') };
+        return { kind: 'rented', machines: texts(fields['berths'], 'berths') };
       case 'list':
         return {
           kind: 'listed',
-          machines: list(f['berths'], 'berths').map(decodeMachine),
-          more: flag(f, 'more'),
+          machines: list(fields['berths'], 'berths').map(decodeMachine),
+          more: flag(fields, 'more'),
         };
     }
-  } catch (e) {
-    if (e instanceof MalformedMessageError)
-      return { kind: 'failed', reason: `malformed answer: ${e.message}` };
-    throw e;
+  } catch (error) {
+    if (error instanceof MalformedMessageError)
+      return { kind: 'failed', reason: `malformed answer: ${error.message}` };
+    throw error;
   }
 };
--- a/packages/protocol/src/key-value-store.ts
+++ b/packages/protocol/src/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The state service's interface. */
+/** The HTTP API of the consensus-backed key-value store. */
 import type {
   StoredItem,
   StoreEvent,
@@ -18,20 +18,21 @@
 } from './body.js';
 import type { HttpCall } from './cloud.js';
 
-const encodeWrite = (w: StoreWrite): unknown =>
-  w.kind === 'put'
-    ? { set: w.key, data: w.value, ...(w.lease === undefined ? {} : { permit: w.lease }) }
-    : { remove: w.key };
+const encodeWrite = (write: StoreWrite): unknown =>
+  write.kind === 'put'
+    ? { set: write.key, data: write.value, ...(write.lease === undefined ? {} : { permit: write.lease }) }
+    : { remove: write.key };
 
-export const encodeStoreOperation = (op: StoreOperation): HttpCall => {
-  switch (op.kind) {
+/** Encodes a request to the store. */
+export const encodeStoreOperation = (operation: StoreOperation): HttpCall => {
+  switch (operation.kind) {
     case 'get':
-      return { method: 'GET', path: `/kv/${op.key}`, body: null };
+      return { method: 'GET', path: `/kv/${operation.key}`, body: null };
     case 'list': {
-      const since = op.after === undefined ? '' : `&since=${encodeURIComponent(op.after)}`;
+      const since = operation.after === undefined ? '' : `&since=${encodeURIComponent(operation.after)}`;
       return {
         method: 'GET',
-        path: `/kv?under=${encodeURIComponent(op.prefix)}${since}&page=${op.limit}`,
+        path: `/kv?under=${encodeURIComponent(operation.prefix)}${since}&page=${operation.limit}`,
         body: null,
       };
     }
@@ -40,72 +41,77 @@
         method: 'POST',
         path: '/txn',
         body: encodeBody({
-          when: op.conditions.map((c) => ({ key: c.key, stamp: c.version })),
-          writes: op.writes.map(encodeWrite),
+          when: operation.conditions.map((condition) => ({ key: condition.key, stamp: condition.version })),
+          writes: operation.writes.map(encodeWrite),
         }),
       };
     case 'grant':
-      return { method: 'POST', path: '/grants', body: encodeBody({ life_ms: op.ttlMs }) };
+      return { method: 'POST', path: '/grants', body: encodeBody({ life_ms: operation.ttlMs }) };
     case 'renew':
-      return { method: 'POST', path: `/grants/${op.lease}/touch`, body: encodeBody({}) };
+      return { method: 'POST', path: `/grants/${operation.lease}/touch`, body: encodeBody({}) };
     case 'revoke':
-      return { method: 'DELETE', path: `/grants/${op.lease}`, body: null };
+      return { method: 'DELETE', path: `/grants/${operation.lease}`, body: null };
     case 'watch':
       return {
         method: 'GET',
-        path: `/follow?under=${encodeURIComponent(op.prefix)}&since=${op.after}&wait_ms=${op.waitMs}`,
+        path: `/follow?under=${encodeURIComponent(operation.prefix)}&since=${operation.after}&wait_ms=${operation.waitMs}`,
         body: null,
       };
   }
 };
 
 const decodeItem = (value: unknown): StoredItem => {
-  const f = asFields(value, 'row');
-  const lease = f['permit'];
+  const fields = asFields(value, 'row');
+  const lease = fields['permit'];
   return {
-    key: text(f, 'key'),
-    value: f['data'],
-    version: integer(f, 'stamp'),
+    key: text(fields, 'key'),
+    value: fields['data'],
+    version: integer(fields, 'stamp'),
     lease: typeof lease === 'number' ? lease : null,
   };
 };
 
 const decodeEvent = (value: unknown): StoreEvent => {
-  const f = asFields(value, 'event');
-  return typeof f['remove'] === 'string'
-    ? { kind: 'delete', key: f['remove'], version: integer(f, 'stamp') }
-    : { kind: 'put', key: text(f, 'set'), value: f['data'], version: integer(f, 'stamp') };
+  const fields = asFields(value, 'event');
+  return typeof fields['remove'] === 'string'
+    ? { kind: 'delete', key: fields['remove'], version: integer(fields, 'stamp') }
+    : { kind: 'put', key: text(fields, 'set'), value: fields['data'], version: integer(fields, 'stamp') };
 };
 
-const decodeOk = (op: StoreOperation, body: unknown): StoreReply => {
-  const f = () => asFields(body, 'answer');
-  switch (op.kind) {
+const decodeOk = (operation: StoreOperation, body: unknown): StoreReply => {
+  const readFields = () => asFields(body, 'answer');
+  switch (operation.kind) {
     case 'get':
       return { kind: 'item', item: decodeItem(body) };
     case 'list':
       return {
         kind: 'items',
-        items: list(f()['rows'], 'rows').map(decodeItem),
-        more: flag(f(), 'more'),
-        revision: integer(f(), 'ledger'),
+        items: list(readFields()['rows'], 'rows').map(decodeItem),
+        more: flag(readFields(), 'more'),
+        revision: integer(readFields(), 'ledger'),
       };
     case 'txn':
-      return { kind: 'ok', revision: integer(f(), 'ledger') };
+      return { kind: 'ok', revision: integer(readFields(), 'ledger') };
     case 'grant':
-      return { kind: 'granted', lease: integer(f(), 'permit') };
+      return { kind: 'granted', lease: integer(readFields(), 'permit') };
     case 'renew':
     case 'revoke':
       return { kind: 'ok', revision: 0 };
     case 'watch':
       return {
         kind: 'events',
-        events: list(f()['events'], 'events').map(decodeEvent),
-        revision: integer(f(), 'ledger'),
+        events: list(readFields()['events'], 'events').map(decodeEvent),
+        revision: integer(readFields(), 'ledger'),
       };
   }
 };
 
-export const decodeStoreReply = (op: StoreOperation, status: number, bytes: Uint8Array): StoreReply => {
+/** Decodes the reply to a request; one that is malformed counts as failed, and may have been executed. */
+export const decodeStoreReply = (
+  operation: StoreOperation,
+  status: number,
+  bytes: Uint8Array,
+): StoreReply => {
   try {
     if (status === 429 || status === 503)
       return {
@@ -115,23 +121,29 @@
         reason: `status ${status}`,
       };
     const body = bytes.length === 0 ? {} : decodeBody(bytes);
-    if (status === 200) return decodeOk(op, body);
-    if (status === 404 && op.kind === 'get')
+    if (status === 200) return decodeOk(operation, body);
+    if (status === 404 && operation.kind === 'get')
       return { kind: 'missing', revision: integer(asFields(body, 'answer'), 'ledger') };
-    if (status === 404 && (op.kind === 'renew' || op.kind === 'revoke')) return { kind: 'noLease' };
-    if (status === 409 && op.kind === 'txn') {
-      const f = asFields(body, 'answer');
-      const failed = list(f['failed'], 'failed').filter((k): k is string => typeof k === 'string');
-      return { kind: 'conflict', failed, revision: integer(f, 'ledger') };
+    if (status === 404 && (operation.kind === 'renew' || operation.kind === 'revoke'))
+      return { kind: 'noLease' };
+    if (status === 409 && operation.kind === 'txn') {
+      const fields = asFields(body, 'answer');
+      const failed = list(fields['failed'], 'failed').filter((key): key is string => typeof key === 'string');
+      return { kind: 'conflict', failed, revision: integer(fields, 'ledger') };
     }
-    if (status === 410 && op.kind === 'watch') return { kind: 'tooOld' };
-    if (status === 400 && op.kind === 'txn' && asFields(body, 'answer')['error'] === 'no such lease')
+    if (status === 410 && operation.kind === 'watch') return { kind: 'tooOld' };
+    if (status === 400 && operation.kind === 'txn' && asFields(body, 'answer')['error'] === 'no such lease')
       return { kind: 'noLease' };
     if (status === 400) return { kind: 'refused', reason: 'malformed or beyond the limits' };
     return { kind: 'failed', executed: null, cause: 'refused', reason: `status ${status}` };
-  } catch (e) {
-    if (e instanceof MalformedMessageError)
-      return { kind: 'failed', executed: null, cause: 'refused', reason: `malformed answer: ${e.message}` };
-    throw e;
+  } catch (error) {
+    if (error instanceof MalformedMessageError)
+      return {
+        kind: 'failed',
+        executed: null,
+        cause: 'refused',
+        reason: `malformed answer: ${error.message}`,
+      };
+    throw error;
   }
 };
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -1,14 +1,16 @@
 /**
- * Between the controllers: Avro over HTTP on the peers' address, each kind of message on a path of its own. The version
- * before knows the first path only and answers 404 on the other: it is asked nothing that it doesn't know.
+ * Messages between the controllers: Avro over HTTP on the peers' address, each kind of message on a path of its own. The
+ * version before serves the first path only and answers 404 on the other, so it receives nothing that it doesn't know.
  */
 import avro from 'avsc';
 import type { PeerHeartbeat, PeerMessage, ProgressUpdate } from '@shaleyoke/core/domain/peer';
 
+/** Path for progress updates. */
 export const PROGRESS_PATH = '/peer/v1';
+/** Path for heartbeats. */
 export const BEAT_PATH = '/peer/v2/beat';
 
-const progress = avro.Type.forSchema({
+const progressType = avro.Type.forSchema({
   type: 'record',
   name: 'Progress',
   fields: [
@@ -32,7 +34,7 @@
   ],
 });
 
-const beat = avro.Type.forSchema({
+const heartbeatType = avro.Type.forSchema({
   type: 'record',
   name: 'Beat',
   fields: [
@@ -62,15 +64,15 @@
   ],
 });
 
-/** A progress update as Avro has it. */
+/** A progress update as it is encoded in Avro. */
 interface ProgressRecord {
   readonly member: string;
   readonly term: number;
   readonly notes: readonly { readonly id: string; readonly done: number; readonly running: number }[];
 }
 
-/** A heartbeat as Avro has it. */
-interface BeatRecord {
+/** A heartbeat as it is encoded in Avro. */
+interface HeartbeatRecord {
   readonly member: string;
   readonly incarnation: number;
   readonly seq: number;
@@ -99,7 +101,7 @@
   jobs: record.notes.map(({ id, done, running }) => ({ id, done, running })),
 });
 
-const toBeatRecord = (message: PeerHeartbeat): BeatRecord => ({
+const toHeartbeatRecord = (message: PeerHeartbeat): HeartbeatRecord => ({
   member: message.member,
   incarnation: message.incarnation,
   seq: message.sequence,
@@ -115,7 +117,7 @@
   })),
 });
 
-const fromBeatRecord = (record: BeatRecord): PeerHeartbeat => ({
+const fromHeartbeatRecord = (record: HeartbeatRecord): PeerHeartbeat => ({
   kind: 'beat',
   member: record.member,
   incarnation: record.incarnation,
@@ -132,28 +134,30 @@
   })),
 });
 
+/** An HTTP request that is to be made to a peer. */
 export interface PeerCall {
   readonly path: string;
   readonly body: Buffer;
 }
 
+/** Encodes a message to a peer. */
 export const encodePeer = (message: PeerMessage): PeerCall =>
   message.kind === 'progress'
-    ? { path: PROGRESS_PATH, body: progress.toBuffer(toProgressRecord(message)) }
-    : { path: BEAT_PATH, body: beat.toBuffer(toBeatRecord(message)) };
+    ? { path: PROGRESS_PATH, body: progressType.toBuffer(toProgressRecord(message)) }
+    : { path: BEAT_PATH, body: heartbeatType.toBuffer(toHeartbeatRecord(message)) };
 
-/** Which kind a path carries; null for one that is not known. */
+/** The kind of messages that a path carries; null for an unknown path. */
 export const peerKind = (path: string): PeerMessage['kind'] | null => {
   if (path === PROGRESS_PATH) return 'progress';
   return path === BEAT_PATH ? 'beat' : null;
 };
 
-/** Null for bytes that are no message: they are logged and dropped. */
+/** Decodes a message of a peer; null for bytes that are none, which the caller logs and drops. */
 export const decodePeer = (kind: PeerMessage['kind'], bytes: Buffer): PeerMessage | null => {
   try {
     return kind === 'progress'
-      ? fromProgressRecord(progress.fromBuffer(bytes) as ProgressRecord)
-      : fromBeatRecord(beat.fromBuffer(bytes) as BeatRecord);
+      ? fromProgressRecord(progressType.fromBuffer(bytes) as ProgressRecord)
+      : fromHeartbeatRecord(heartbeatType.fromBuffer(bytes) as HeartbeatRecord);
   } catch {
     return null;
   }
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,4 +1,4 @@
-/** Workers: their reports, the answers to them, and direct orders. */
+/** The HTTP API between workers and the leader: heartbeats, the responses to them, and commands sent directly. */
 import type {
   ExitCause,
   WorkerCommand,
@@ -23,6 +23,7 @@
   text,
 } from './body.js';
 
+/** States of tasks by their names on the wire. */
 export const STATES: ReadonlyMap<string, TaskState> = new Map([
   ['pulling', 'fetching'],
   ['gathering', 'waiting'],
@@ -30,6 +31,7 @@
   ['flushing', 'saving'],
   ['exited', 'exited'],
 ]);
+/** Causes of exits by their names on the wire. */
 export const CAUSES: ReadonlyMap<string, ExitCause> = new Map([
   ['done', 'done'],
   ['stopped', 'stopped'],
@@ -41,8 +43,10 @@
   ['no_such', 'unknown'],
 ]);
 
+/** The name of a task on the wire. */
 export const taskName = (job: string, index: number): string => `${job}/${index}`;
 
+/** Splits the name of a task. Throws `MalformedMessageError`. */
 export const splitTask = (name: string): { job: string; index: number } => {
   const cut = name.lastIndexOf('/');
   const index = Number(name.slice(cut + 1));
@@ -51,73 +55,80 @@
 };
 
 const decodeTask = (value: unknown): ReportedTask => {
-  const f = asFields(value, 'part');
-  const state = oneOf(STATES, f, 'stage');
+  const fields = asFields(value, 'part');
+  const state = oneOf(STATES, fields, 'stage');
   return {
-    ...splitTask(text(f, 'part')),
-    attempt: integer(f, 'try'),
+    ...splitTask(text(fields, 'part')),
+    attempt: integer(fields, 'try'),
     state,
-    cause: state === 'exited' ? oneOf(CAUSES, f, 'cause') : null,
-    checkpointed: f['saved'] === true,
+    cause: state === 'exited' ? oneOf(CAUSES, fields, 'cause') : null,
+    checkpointed: fields['saved'] === true,
   };
 };
 
+/** Decodes the heartbeat of a worker. Throws `MalformedMessageError`. */
 export const decodeHeartbeat = (value: unknown): Heartbeat => {
-  const f = asFields(value, 'report');
-  const notice = optionalAmount(f, 'recall_s');
+  const fields = asFields(value, 'report');
+  const notice = optionalAmount(fields, 'recall_s');
   return {
-    machine: text(f, 'berth'),
-    address: text(f, 'address'),
-    type: text(f, 'model'),
-    zone: text(f, 'hall'),
-    spot: flag(f, 'loaners'),
-    agentEpoch: integer(f, 'shift'),
-    sequence: integer(f, 'tally'),
-    fencingToken: integer(f, 'baton'),
+    machine: text(fields, 'berth'),
+    address: text(fields, 'address'),
+    type: text(fields, 'model'),
+    zone: text(fields, 'hall'),
+    spot: flag(fields, 'loaners'),
+    agentEpoch: integer(fields, 'shift'),
+    sequence: integer(fields, 'tally'),
+    fencingToken: integer(fields, 'baton'),
     terminationNoticeUs: notice === null ? null : micros(notice),
-    tasks: list(f['parts'], 'parts').map(decodeTask),
+    tasks: list(fields['parts'], 'parts').map(decodeTask),
   };
 };
 
-const encodeOrder = (o: WorkerCommand): unknown => {
-  const part = taskName(o.job, o.index);
-  switch (o.op) {
+const encodeCommand = (command: WorkerCommand): unknown => {
+  const part = taskName(command.job, command.index);
+  switch (command.op) {
     case 'start':
-      return { verb: 'launch', part, try: o.attempt };
+      return { verb: 'launch', part, try: command.attempt };
     case 'stop':
-      return { verb: 'kill', part, try: o.attempt, leeway_s: seconds(o.graceUs) };
+      return { verb: 'kill', part, try: command.attempt, leeway_s: seconds(command.graceUs) };
     case 'forget':
-      return { verb: 'clear', part, try: o.attempt };
+      return { verb: 'clear', part, try: command.attempt };
   }
 };
 
-export const encodeHeartbeatResponse = (a: HeartbeatResponse): { status: number; body: Buffer } => {
-  switch (a.kind) {
+/** Encodes the response to a heartbeat. */
+export const encodeHeartbeatResponse = (response: HeartbeatResponse): { status: number; body: Buffer } => {
+  switch (response.kind) {
     case 'accepted':
       return {
         status: 200,
-        body: encodeBody({ baton: a.fencingToken, orders: a.commands.map(encodeOrder) }),
+        body: encodeBody({ baton: response.fencingToken, orders: response.commands.map(encodeCommand) }),
       };
     case 'redirect':
-      return { status: 421, body: encodeBody(a.leader === null ? {} : { foreman: a.leader }) };
+      return { status: 421, body: encodeBody(response.leader === null ? {} : { foreman: response.leader }) };
     case 'unavailable':
       return { status: 503, body: encodeBody({ error: 'not entitled to answer reports now' }) };
   }
 };
 
+/** Path on a worker to which commands are sent. */
 export const COMMANDS_PATH = '/orders';
 
-export const encodeCommands = (token: number, session: number, orders: readonly WorkerCommand[]): Buffer =>
-  encodeBody({ baton: token, shift: session, orders: orders.map(encodeOrder) });
+/** Encodes commands for one worker. */
+export const encodeCommands = (
+  fencingToken: number,
+  agentEpoch: number,
+  commands: readonly WorkerCommand[],
+): Buffer => encodeBody({ baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) });
 
-/** A malformed answer counts as none: whether the orders were executed stays open. */
+/** Decodes the reply to commands. A malformed one counts as lost: whether the commands were executed stays open. */
 export const decodeCommandReply = (status: number, bytes: Uint8Array): CommandReply => {
   if (status !== 200 && status !== 409) return { kind: 'lost', heartbeat: null };
   try {
-    const report = decodeHeartbeat(decodeBody(bytes));
-    return { kind: status === 200 ? 'executed' : 'refused', heartbeat: report };
-  } catch (e) {
-    if (e instanceof MalformedMessageError) return { kind: 'lost', heartbeat: null };
-    throw e;
+    const heartbeat = decodeHeartbeat(decodeBody(bytes));
+    return { kind: status === 200 ? 'executed' : 'refused', heartbeat };
+  } catch (error) {
+    if (error instanceof MalformedMessageError) return { kind: 'lost', heartbeat: null };
+    throw error;
   }
 };
