--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -12,7 +12,7 @@
 import { encodeActiveJob, decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 
-const seed = { seed: 20261, numRuns: 300 };
+const PROPERTY_OPTIONS = { seed: 20261, numRuns: 300 };
 
 const submission = {
   ref: 'run-000412',
@@ -36,20 +36,20 @@
   due_s: 900,
 };
 
-test('a submission is read whole, in whole microseconds', () => {
-  const r = decodeSubmission(encodeBody(submission));
-  assert.equal(r.kind === 'submit' ? r.problem : '', null);
-  assert.equal(r.kind === 'submit' ? r.spec?.shape : '', 'gang');
-  assert.equal(r.kind === 'submit' ? r.spec?.estimatedRunUs : 0, 240_000_000);
-  assert.equal(r.kind === 'submit' ? r.spec?.zone : '', null);
+test('a submission is decoded completely, with durations in whole microseconds', () => {
+  const request = decodeSubmission(encodeBody(submission));
+  assert.equal(request.kind === 'submit' ? request.problem : '', null);
+  assert.equal(request.kind === 'submit' ? request.spec?.shape : '', 'gang');
+  assert.equal(request.kind === 'submit' ? request.spec?.estimatedRunUs : 0, 240_000_000);
+  assert.equal(request.kind === 'submit' ? request.spec?.zone : '', null);
 });
 
-test('every required field of a submission is missed, and wrong values are named', () => {
+test('a submission without a required field, or with a wrong value, is malformed, and the missing field is named', () => {
   for (const name of Object.keys(submission)) {
     if (['models', 'due_s'].includes(name)) continue;
-    const broken = Object.fromEntries(Object.entries(submission).filter(([k]) => k !== name));
-    const r = decodeSubmission(encodeBody(broken));
-    assert.ok(r.kind === 'submit' && r.spec === null && r.problem!.includes(name), name);
+    const broken = Object.fromEntries(Object.entries(submission).filter(([field]) => field !== name));
+    const request = decodeSubmission(encodeBody(broken));
+    assert.ok(request.kind === 'submit' && request.spec === null && request.problem!.includes(name), name);
   }
   const wrong: [string, unknown][] = [
     ['parts', 0],
@@ -65,13 +65,13 @@
     ['scatter', 1],
   ];
   for (const [name, value] of wrong) {
-    const r = decodeSubmission(encodeBody({ ...submission, [name]: value }));
-    assert.ok(r.kind === 'submit' && r.spec === null, `${name}=${String(value)}`);
+    const request = decodeSubmission(encodeBody({ ...submission, [name]: value }));
+    assert.ok(request.kind === 'submit' && request.spec === null, `${name}=${String(value)}`);
   }
 });
 
 test('whatever a field is replaced by, a submission is malformed, or what is accepted is read back from its record', () => {
-  const odd = fc.oneof(
+  const replacement = fc.oneof(
     fc.constantFrom<unknown>(
       null,
       '',
@@ -110,95 +110,95 @@
   );
   let accepted = 0;
   fc.assert(
-    fc.property(fc.constantFrom(...Object.keys(submission), 'hall', 'awaits'), odd, (name, value) => {
-      const r = decodeSubmission(encodeBody({ ...submission, [name]: value }));
-      assert.equal(r.kind, 'submit');
-      if (r.kind !== 'submit' || r.spec === null) return;
+    fc.property(fc.constantFrom(...Object.keys(submission), 'hall', 'awaits'), replacement, (name, value) => {
+      const request = decodeSubmission(encodeBody({ ...submission, [name]: value }));
+      assert.equal(request.kind, 'submit');
+      if (request.kind !== 'submit' || request.spec === null) return;
       accepted++;
-      // The state service keeps what JSON can say.
-      const kept = JSON.parse(JSON.stringify(decodeBody(encodeBody(encodeActiveJob(r.spec, 5))))) as unknown;
-      assert.deepEqual(decodeActiveJob(kept)?.spec, r.spec, `${name}: ${String(value)}`);
+      // The state service stores what JSON can express.
+      const stored = JSON.parse(
+        JSON.stringify(decodeBody(encodeBody(encodeActiveJob(request.spec, 5)))),
+      ) as unknown;
+      assert.deepEqual(decodeActiveJob(stored)?.spec, request.spec, `${name}: ${String(value)}`);
     }),
-    { ...seed, numRuns: 3_000 },
+    { ...PROPERTY_OPTIONS, numRuns: 3_000 },
   );
   assert.ok(accepted > 300, `accepted: ${accepted}`);
 });
 
-test('no bytes, however odd, break a decoder', () => {
+test('no bytes make a decoder throw anything but MalformedMessageError', () => {
   fc.assert(
-    fc.property(fc.oneof(fc.uint8Array({ maxLength: 200 }), fc.anything().map(safely)), (bytes) => {
-      const r = decodeSubmission(bytes);
-      assert.equal(r.kind, 'submit');
-      for (const op of [
+    fc.property(fc.oneof(fc.uint8Array({ maxLength: 200 }), fc.anything().map(encodeOrInvalid)), (bytes) => {
+      const request = decodeSubmission(bytes);
+      assert.equal(request.kind, 'submit');
+      for (const operation of [
         { kind: 'types' },
         { kind: 'list', after: '', limit: 1 },
         { kind: 'rent', request: 'r', type: 't', zone: 'z', spot: false, count: 1 },
       ] as const)
-        for (const status of [200, 400, 503]) decodeCloudReply(op, status, bytes);
-      for (const op of [
+        for (const status of [200, 400, 503]) decodeCloudReply(operation, status, bytes);
+      for (const operation of [
         { kind: 'get', key: 'k' },
         { kind: 'list', prefix: 'k', limit: 1 },
         { kind: 'txn', conditions: [], writes: [] },
         { kind: 'grant', ttlMs: 1 },
         { kind: 'watch', prefix: 'k', after: 0, waitMs: 1 },
       ] as const)
-        for (const status of [200, 400, 404, 409, 410, 500]) decodeStoreReply(op, status, bytes);
+        for (const status of [200, 400, 404, 409, 410, 500]) decodeStoreReply(operation, status, bytes);
       for (const status of [200, 409, 500]) decodeCommandReply(status, bytes);
       for (const kind of ['progress', 'beat'] as const) decodePeer(kind, Buffer.from(bytes));
       try {
         decodeHeartbeat(decodeBody(bytes));
-      } catch (e) {
-        assert.ok(e instanceof MalformedMessageError);
+      } catch (error) {
+        assert.ok(error instanceof MalformedMessageError);
       }
     }),
-    seed,
+    PROPERTY_OPTIONS,
   );
 });
 
-const safely = (v: unknown): Uint8Array => {
+const encodeOrInvalid = (value: unknown): Uint8Array => {
   try {
-    return encode(v);
+    return encode(value);
   } catch {
     return new Uint8Array([0xc1]);
   }
 };
 
-test('peer messages survive the way there', () => {
+test('progress updates are decoded as they were encoded', () => {
   const note = fc.record(
     { id: fc.string(), done: fc.nat(100_000), running: fc.nat(100_000) },
     { noNullPrototype: true },
   );
   fc.assert(
     fc.property(fc.string(), fc.nat(), fc.array(note, { maxLength: 40 }), (member, term, jobs) => {
-      assert.deepEqual(
-        decodePeer('progress', encodePeer({ kind: 'progress', member, term, jobs: jobs }).body),
-        {
-          kind: 'progress',
-          member,
-          term,
-          jobs,
-        },
-      );
+      assert.deepEqual(decodePeer('progress', encodePeer({ kind: 'progress', member, term, jobs }).body), {
+        kind: 'progress',
+        member,
+        term,
+        jobs,
+      });
     }),
-    seed,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('sets of done tasks survive being written in segments', () => {
+test('sets of completed tasks are restored from segments', () => {
   fc.assert(
-    fc.property(fc.integer({ min: 1, max: 3000 }), fc.array(fc.nat(2999)), (size, picks) => {
-      const a = new TaskBitset(size);
-      for (const p of picks) a.add(p % size);
-      const b = new TaskBitset(size);
-      for (let from = 0; from < a.bytes.length; from += 64) b.merge(from, a.encode(from, from + 64));
-      assert.deepEqual(b.bytes, a.bytes);
-      assert.equal(b.count, a.count);
+    fc.property(fc.integer({ min: 1, max: 3000 }), fc.array(fc.nat(2999)), (size, tasks) => {
+      const original = new TaskBitset(size);
+      for (const task of tasks) original.add(task % size);
+      const restored = new TaskBitset(size);
+      for (let from = 0; from < original.bytes.length; from += 64)
+        restored.merge(from, original.encode(from, from + 64));
+      assert.deepEqual(restored.bytes, original.bytes);
+      assert.equal(restored.count, original.count);
     }),
-    seed,
+    PROPERTY_OPTIONS,
   );
 });
 
-test('paths and methods', () => {
+test('paths and methods are routed', () => {
   assert.deepEqual(route('GET', '/api/jobs/run-1'), { kind: 'poll', id: 'run-1' });
   assert.deepEqual(route('POST', '/api/jobs/run-1/abort'), { kind: 'cancel', id: 'run-1' });
   assert.deepEqual(route('GET', '/api/jobs'), { kind: 'refused', status: 405 });
@@ -206,25 +206,25 @@
   assert.deepEqual(route('GET', '/nothing'), { kind: 'refused', status: 404 });
 });
 
-test('named jobs are read once each; what is no list of other job ids is malformed', () => {
-  const needs = (awaits: unknown): readonly string[] | null => {
-    const r = decodeSubmission(encodeBody({ ...submission, awaits }));
-    return r.kind === 'submit' && r.spec !== null ? r.spec.dependsOn : null;
+test('dependencies are decoded without duplicates; anything but a list of other job ids is malformed', () => {
+  const dependenciesOf = (awaits: unknown): readonly string[] | null => {
+    const request = decodeSubmission(encodeBody({ ...submission, awaits }));
+    return request.kind === 'submit' && request.spec !== null ? request.spec.dependsOn : null;
   };
-  assert.deepEqual(needs(undefined), []);
-  assert.deepEqual(needs(null), []);
-  assert.deepEqual(needs([]), []);
-  assert.deepEqual(needs(['run-2', 'run-1', 'run-2']), ['run-2', 'run-1']);
+  assert.deepEqual(dependenciesOf(undefined), []);
+  assert.deepEqual(dependenciesOf(null), []);
+  assert.deepEqual(dependenciesOf([]), []);
+  assert.deepEqual(dependenciesOf(['run-2', 'run-1', 'run-2']), ['run-2', 'run-1']);
   for (const wrong of ['run-1', {}, 7, [7], ['job-1'], ['run-'], [null], ['run-000412'], ['run-1', 'x']])
-    assert.equal(needs(wrong), null, JSON.stringify(wrong));
+    assert.equal(dependenciesOf(wrong), null, JSON.stringify(wrong));
 });
 
-test('beats survive the way there, on a path that the version before refuses', () => {
-  const heard = fc.record(
+test('heartbeats are decoded as they were encoded, on a path that the version before refuses', () => {
+  const peerStatus = fc.record(
     { member: fc.string(), incarnation: fc.nat(), ageUs: fc.nat(), suspected: fc.boolean() },
     { noNullPrototype: true },
   );
-  const beat = fc.record(
+  const heartbeat = fc.record(
     {
       kind: fc.constant('beat' as const),
       member: fc.string(),
@@ -234,21 +234,26 @@
       storeAnswerAgeUs: fc.option(fc.integer({ min: 0, max: 2 ** 45 })),
       timerDelayUs: fc.nat(),
       workerCount: fc.nat(10_000),
-      peers: fc.array(heard, { maxLength: 9 }),
+      peers: fc.array(peerStatus, { maxLength: 9 }),
     },
     { noNullPrototype: true },
   );
   fc.assert(
-    fc.property(beat, (b) => {
-      const { path, body } = encodePeer(b);
+    fc.property(heartbeat, (message) => {
+      const { path, body } = encodePeer(message);
       assert.notEqual(path, '/peer/v1');
       assert.equal(peerKind(path), 'beat');
-      assert.deepEqual(decodePeer('beat', body), b);
+      assert.deepEqual(decodePeer('beat', body), message);
       assert.ok(
-        body.length < 100 + 9 * 40 + 4 * (b.member.length + b.peers.reduce((n, o) => n + o.member.length, 0)),
+        body.length <
+          100 +
+            9 * 40 +
+            4 *
+              (message.member.length +
+                message.peers.reduce((length, peer) => length + peer.member.length, 0)),
       );
     }),
-    seed,
+    PROPERTY_OPTIONS,
   );
   assert.equal(peerKind('/peer/v3'), null);
 });
@@ -268,12 +273,12 @@
   assert.equal(decodePeer('progress', bytes.subarray(0, 9)), null);
 });
 
-test('bodies that nest as deep as a body can are refused like any other, and end nothing', () => {
+test('bodies that are nested as deeply as possible are refused like any other, and do not end the process', () => {
   // A parser that calls itself for each level ended a whole process once (docs/incidents/nested-body.md).
   const lists = Buffer.concat([Buffer.alloc(65_000, 0x91), Buffer.from([0xc0])]);
   const maps = Buffer.concat([Buffer.alloc(60_000, Buffer.from([0x81, 0xa1, 0x61])), Buffer.from([0xc0])]);
   for (const body of [lists, maps]) {
-    const r = decodeSubmission(body);
-    assert.equal(r.kind === 'submit' ? r.spec : 'none', null);
+    const request = decodeSubmission(body);
+    assert.equal(request.kind === 'submit' ? request.spec : 'none', null);
   }
 });
