--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -74,7 +74,7 @@
   assert.deepEqual(request, { kind: 'submit', id: 'run-412', spec, problem: null });
 });
 
-test('answers to users', () => {
+test('responses to clients', () => {
   const view = { id: 'run-1', done: 3, running: 2 };
   const words = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
   for (const stage of ['queued', 'running', 'done', 'cancelled'] as const) {
@@ -98,7 +98,7 @@
   assert.deepEqual(bodyOf(encodeClientResponse({ kind: 'healthy' }).body), {});
 });
 
-const REPORT_BODY = {
+const HEARTBEAT_BODY = {
   berth: 'm-1',
   address: '10.1.0.7:90',
   model: 'g8',
@@ -130,7 +130,7 @@
   cause: 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'noRoom' | 'busy' | 'unknown',
   checkpointed = false,
 ) => ({ job: 'run-1', index, attempt: 50 + index, state: 'exited', cause, checkpointed }) as const;
-const REPORT: Heartbeat = {
+const HEARTBEAT: Heartbeat = {
   machine: 'm-1',
   address: '10.1.0.7:90',
   type: 'g8',
@@ -156,18 +156,24 @@
   ],
 };
 
-test("a worker's report, as it comes by itself and in answer to orders", () => {
-  assert.deepEqual(decodeHeartbeat(REPORT_BODY), REPORT);
-  assert.deepEqual(decodeHeartbeat({ ...REPORT_BODY, recall_s: null }), {
-    ...REPORT,
+test("a worker's heartbeat, sent by itself and in reply to commands", () => {
+  assert.deepEqual(decodeHeartbeat(HEARTBEAT_BODY), HEARTBEAT);
+  assert.deepEqual(decodeHeartbeat({ ...HEARTBEAT_BODY, recall_s: null }), {
+    ...HEARTBEAT,
     terminationNoticeUs: null,
   });
-  assert.deepEqual(decodeCommandReply(200, encodeBody(REPORT_BODY)), { kind: 'executed', heartbeat: REPORT });
-  assert.deepEqual(decodeCommandReply(409, encodeBody(REPORT_BODY)), { kind: 'refused', heartbeat: REPORT });
-  assert.deepEqual(decodeCommandReply(503, encodeBody(REPORT_BODY)), { kind: 'lost', heartbeat: null });
+  assert.deepEqual(decodeCommandReply(200, encodeBody(HEARTBEAT_BODY)), {
+    kind: 'executed',
+    heartbeat: HEARTBEAT,
+  });
+  assert.deepEqual(decodeCommandReply(409, encodeBody(HEARTBEAT_BODY)), {
+    kind: 'refused',
+    heartbeat: HEARTBEAT,
+  });
+  assert.deepEqual(decodeCommandReply(503, encodeBody(HEARTBEAT_BODY)), { kind: 'lost', heartbeat: null });
 });
 
-test('answers to reports, and orders', () => {
+test('responses to heartbeats, and commands', () => {
   const id = { job: 'run-1', index: 4, attempt: 50 };
   const orders = [
     { op: 'start', ...id },
@@ -239,7 +245,7 @@
   }
 });
 
-test('answers of the key-value store', () => {
+test('replies of the key-value store', () => {
   const get = { kind: 'get', key: 'k' } as const;
   const list = { kind: 'list', prefix: 'k', limit: 1 } as const;
   const txn = { kind: 'txn', conditions: [], writes: [] } as const;
@@ -287,7 +293,7 @@
     assert.deepEqual(decodeStoreReply(operation, status, encodeBody(body)), reply);
 });
 
-test('requests to the cloud, and its answers', () => {
+test('requests to the cloud, and its replies', () => {
   const rent = { kind: 'rent', request: 'r-7-1', type: 'g8', zone: 'a', spot: true, count: 4 } as const;
   const rented = encodeCloudOperation(rent);
   assert.deepEqual([rented.method, rented.path], ['POST', '/hosts']);
