--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -2,7 +2,12 @@
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import { endedKey, JOBS, TIMINGS, TYPES } from '@shaleyoke/core/codecs/keys';
+import {
+  endedJobKey,
+  ACTIVE_JOBS_PREFIX,
+  RUNTIME_SUMMARY_KEY,
+  MACHINE_TYPES_KEY,
+} from '@shaleyoke/core/codecs/keys';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { isMonth } from './calendar.js';
 import { explainJob, standingOf } from './explain.js';
@@ -181,10 +186,10 @@
   const at = open(host, o);
   const { service } = at;
   const facts = {
-    active: await service.list(JOBS),
-    ended: await service.get(endedKey(id)),
-    types: await service.get(TYPES),
-    timings: await service.get(TIMINGS),
+    active: await service.list(ACTIVE_JOBS_PREFIX),
+    ended: await service.get(endedJobKey(id)),
+    types: await service.get(MACHINE_TYPES_KEY),
+    timings: await service.get(RUNTIME_SUMMARY_KEY),
   };
   host.print(explainJob(id, facts, await allBooks(service), at.budgets, host.now()).join('\n'));
 };
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -4,7 +4,7 @@
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
-import { JOBS } from '@shaleyoke/core/codecs/keys';
+import { ACTIVE_JOBS_PREFIX } from '@shaleyoke/core/codecs/keys';
 import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { probableCost } from './estimate.js';
 import { spentOf, tooDear, type Standing } from './limits.js';
@@ -78,7 +78,7 @@
   const specs = new Map<string, JobSpec>();
   for (const it of facts.active) {
     const rec = decodeActiveJob(it.value);
-    if (rec !== null) specs.set(it.key.slice(JOBS.length), rec.spec);
+    if (rec !== null) specs.set(it.key.slice(ACTIVE_JOBS_PREFIX.length), rec.spec);
   }
   const spec = specs.get(id);
   if (spec === undefined) {
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -80,7 +80,8 @@
       job: (id) => estate.jobs.get(id),
       jobs: () => estate.jobs.values(),
       links,
-      estimate: (job) => probableCost(job.spec, term.ctx.types, estate.runtimeEstimates, settings.quantile),
+      estimate: (job) =>
+        probableCost(job.spec, term.context.types, estate.runtimeEstimates, settings.quantile),
       monthBefore: (owner, month) => this.calendar(owner).before(month),
     });
     this.store = new Store(
@@ -105,7 +106,7 @@
   }
 
   private get wall(): Micros {
-    return this.term.ctx.wallNow;
+    return this.term.context.wallNow;
   }
 
   // ---- beginning ---------------------------------------------------------------------------------
@@ -122,7 +123,7 @@
     const { found, books } = this;
     if (!this.coreReady || found === null || this.entered || this.store.blind !== null) return;
     this.entered = true;
-    const { cluster: estate, ctx } = this.term;
+    const { cluster: estate, context: ctx } = this.term;
     books.at(this.wall);
     // Long without books, because nobody had them switched on: that time is on no record.
     const gap = this.wall - (found.w ?? -Infinity) > LONGEST_GAP;
@@ -157,7 +158,7 @@
     for (const it of items) {
       const owner = it.key.slice(LIMITS.length);
       const record = readLimit(it.value);
-      if (record === null) this.term.ctx.error('budgets.limit_unreadable', { key: it.key });
+      if (record === null) this.term.context.error('budgets.limit_unreadable', { key: it.key });
       else if (this.settings.owners.has(owner)) this.limits.note(owner, record);
     }
   }
@@ -174,7 +175,7 @@
   }
 
   private rate(m: Machine): Money | null {
-    const type = this.term.ctx.types.get(m.type);
+    const type = this.term.context.types.get(m.type);
     return type === undefined ? null : rateOf(m.spot ? type.spotPrice : type.price);
   }
 
@@ -191,7 +192,7 @@
   private see(m: Machine, holding: boolean): void {
     const rate = this.rate(m);
     if (rate === null || this.books.has(m.name) || this.ghost(m)) return;
-    const from = holding ? this.since : Math.max(this.since, m.provisionedAt + this.term.ctx.wallOffset);
+    const from = holding ? this.since : Math.max(this.since, m.provisionedAt + this.term.context.wallOffset);
     this.books.machine(m.name, rate, from, holding);
     if (!holding && m.up) this.books.update(m.name, rate, true);
   }
@@ -200,7 +201,7 @@
     if (!this.entered) return;
     this.books.at(this.wall);
     this.see(a.machine, false);
-    const type = this.term.ctx.types.get(a.machine.type);
+    const type = this.term.context.types.get(a.machine.type);
     if (type === undefined) return;
     this.books.update(a.machine.name, this.rate(a.machine)!, true);
     this.books.run(a.machine.name, this.jobOf(a.job), a.index, a.number, weightOf(a.job.spec, type));
@@ -223,7 +224,7 @@
    * the owner's.
    */
   private unseenUs(a: TaskAttempt): Micros {
-    const { now, settings } = this.term.ctx;
+    const { now, settings } = this.term.context;
     const last = Math.max(this.heard.get(a.machine.name) ?? 0, a.runningAt ?? 0);
     return Math.max(0, Math.round(now - last - LATE * settings.heartbeatIntervalUs));
   }
@@ -245,11 +246,12 @@
    * the platform's. So its worker keeps the word until the books have it too.
    */
   private keep(job: string, index: number, no: number): void {
-    if (this.books.ranFor(job, index, no) > 0) this.unwritten.set(keptKey(job, index, no), this.term.ctx.now);
+    if (this.books.ranFor(job, index, no) > 0)
+      this.unwritten.set(keptKey(job, index, no), this.term.context.now);
   }
 
   retainsResult(exit: ReportedTask): boolean {
-    const { ctx, lease: office } = this.term;
+    const { context: ctx, lease: office } = this.term;
     if (this.store.blind !== null) return false;
     if (!this.entered) return ctx.now - office.heldSince < READING;
     const since = this.unwritten.get(keptKey(exit.job, exit.index, exit.attempt));
@@ -280,11 +282,11 @@
   admissionHold(job: ActiveJob): AdmissionHold | null {
     if (this.store.blind !== null) return null;
     if (!this.entered)
-      return this.term.ctx.now - this.term.lease.heldSince < READING
+      return this.term.context.now - this.term.lease.heldSince < READING
         ? { reason: 'budgets are being read', transient: true }
         : null;
     // Without prices nothing can be said about what it costs; nothing can be placed then either.
-    if (this.term.ctx.types.size === 0) return { reason: 'prices are not known yet', transient: true };
+    if (this.term.context.types.size === 0) return { reason: 'prices are not known yet', transient: true };
     const reason = this.limits.holds(job);
     return reason === null ? null : { reason, transient: false };
   }
@@ -292,7 +294,7 @@
   // ---- the sweep ---------------------------------------------------------------------------------
 
   maintain(entitled: boolean): void {
-    const { ctx, cluster: estate, lease: office } = this.term;
+    const { context: ctx, cluster: estate, lease: office } = this.term;
     if (this.store.blind !== null) {
       this.complain();
       this.giveUp();
@@ -341,7 +343,7 @@
   }
 
   private complain(): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (ctx.now - this.complainedAt < COMPLAIN_EVERY) return;
     this.complainedAt = ctx.now;
     ctx.error('budgets.stopped', { key: this.store.blind, effect: 'nothing is accounted or held back' });
@@ -353,7 +355,7 @@
       const s = this.limits.standing(owner);
       if (s.limit.soft === null || spentOf(s) < s.limit.soft || this.told.get(owner) === s.month) continue;
       this.told.set(owner, s.month);
-      this.term.ctx.info('budgets.soft_limit_reached', {
+      this.term.context.info('budgets.soft_limit_reached', {
         owner,
         month: s.month,
         spent: formatMoney(spentOf(s)),
@@ -364,7 +366,7 @@
   }
 
   private rereadLimits(): void {
-    this.limitsAt = this.term.ctx.now + LIMITS_EVERY;
+    this.limitsAt = this.term.context.now + LIMITS_EVERY;
     this.store.list(LIMITS, '', (items) => {
       this.takeLimits(items);
     });
@@ -374,7 +376,7 @@
 
   private closeMonths(): void {
     const { books } = this;
-    this.monthsAt = this.term.ctx.now + MONTHS_EVERY;
+    this.monthsAt = this.term.context.now + MONTHS_EVERY;
     if (books.holding) return;
     books.advance();
     for (const owner of this.settings.owners.keys()) {
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -127,7 +127,7 @@
     const chain = new Set([first]);
     const next = [first];
     for (let job = next.pop(); job !== undefined; job = next.pop()) {
-      const linked = [...this.host.links.needing(job.id)];
+      const linked = [...this.host.links.dependentsOf(job.id)];
       for (const n of job.spec.dependsOn) {
         const needed = this.host.job(n);
         if (needed !== undefined) linked.push(needed);
@@ -164,7 +164,7 @@
    */
   holds(job: ActiveJob): string | null {
     const linked =
-      job.spec.dependsOn.length > 0 || !this.host.links.needing(job.id)[Symbol.iterator]().next().done;
+      job.spec.dependsOn.length > 0 || !this.host.links.dependentsOf(job.id)[Symbol.iterator]().next().done;
     const chain = linked ? this.chainOf(job) : [job];
     const open = chain.filter((j) => !this.committed(j));
     if (open.length === 0) return null;
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -4,7 +4,7 @@
  * versions that they replace.
  */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
-import { LEAD } from '@shaleyoke/core/codecs/keys';
+import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
 import type { VersionCondition, StoredItem, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -74,7 +74,7 @@
     marks: Marks,
     private readonly changesPerS: number,
   ) {
-    const { maxValueBytes: valueBytes } = term.ctx.settings;
+    const { maxValueBytes: valueBytes } = term.context.settings;
     this.room = pageRoom(valueBytes);
     this.accounts = new Accounts(books, marks, valueBytes, HEAD_REST);
   }
@@ -82,9 +82,9 @@
   // ---- reading -----------------------------------------------------------------------------------
 
   load(then: (found: Found) => void): void {
-    if (this.term.ctx.settings.maxTransactionOperations < LEAST_OPS) {
-      this.term.ctx.error('budgets.transaction_too_small', {
-        txnOps: this.term.ctx.settings.maxTransactionOperations,
+    if (this.term.context.settings.maxTransactionOperations < LEAST_OPS) {
+      this.term.context.error('budgets.transaction_too_small', {
+        txnOps: this.term.context.settings.maxTransactionOperations,
         least: LEAST_OPS,
       });
       this.blind = 'cluster.state.txn_ops';
@@ -115,7 +115,7 @@
 
   private goBlind(key: string, then: (found: Found) => void): void {
     this.blind = key;
-    this.term.ctx.error('budgets.unreadable', { key });
+    this.term.context.error('budgets.unreadable', { key });
     then({ w: null, limits: [] });
   }
 
@@ -197,8 +197,8 @@
 
   /** A record as it is now; tried until the state service answers. */
   get(key: string, then: (item: StoredItem | null) => void): void {
-    this.term.ctx.requestStore({ kind: 'get', key }, 1, (r) => {
-      if (this.term.stopped) return;
+    this.term.context.requestStore({ kind: 'get', key }, 1, (r) => {
+      if (this.term.hasEnded) return;
       if (r.kind === 'item') then(r.item);
       else if (r.kind === 'missing') then(null);
       else
@@ -216,8 +216,8 @@
     found: StoredItem[] = [],
   ): void {
     const op = { kind: 'list', prefix, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
-    this.term.ctx.requestStore(op, 1, (r) => {
-      if (this.term.stopped) return;
+    this.term.context.requestStore(op, 1, (r) => {
+      if (this.term.hasEnded) return;
       if (r.kind !== 'items') {
         this.term.after(RETRY, () => {
           this.list(prefix, after, then, found);
@@ -244,7 +244,7 @@
 
   /** Whether a flush may begin: none is under way, and the rate of changes allows it. */
   get ready(): boolean {
-    return this.blind === null && !this.busy && this.term.ctx.now >= this.due;
+    return this.blind === null && !this.busy && this.term.context.now >= this.due;
   }
 
   /** Puts a record of an owner with the next head, in the same transaction; `done` once that is surely written. */
@@ -255,21 +255,21 @@
   /** Writes the books as they are now. All must be accounted up to `w`; `written` once all of it is on record. */
   flush(w: Micros, written: () => void): void {
     this.busy = true;
-    const began = this.term.ctx.now;
+    const began = this.term.context.now;
     this.flushNo++;
     const extra = this.extra.shift();
     // Pages of owners that this transaction has to hold: a closed statement never stands without its mark.
     const touched = new Set<number>();
     if (extra !== undefined) this.touch(touched, extra.owner);
-    const ops = this.term.ctx.settings.maxTransactionOperations - 1 - (extra === undefined ? 0 : 1);
+    const ops = this.term.context.settings.maxTransactionOperations - 1 - (extra === undefined ? 0 : 1);
     const journal = this.append(ops, touched);
     const open = this.packing.pack(this.stillOpen(), this.room);
     const parts = this.accounts.parts();
     const owners = this.ownersToWrite(parts, touched, ops - journal.length);
     const head = this.head(w, parts.get(0)!);
-    if (bytesOf(head) > this.term.ctx.settings.maxValueBytes - 128) {
+    if (bytesOf(head) > this.term.context.settings.maxValueBytes - 128) {
       this.goBlind(HEAD, () => undefined);
-      this.term.ctx.error('budgets.too_many_owners', { bytes: bytesOf(head) });
+      this.term.context.error('budgets.too_many_owners', { bytes: bytesOf(head) });
       return;
     }
     const first: StoreWrite[] = [
@@ -400,7 +400,7 @@
   private sendOpen(pages: Packed[], then: () => void): void {
     const batch: Packed[] = [];
     let bytes = 0;
-    while (pages.length > 0 && batch.length < this.term.ctx.settings.maxTransactionOperations) {
+    while (pages.length > 0 && batch.length < this.term.context.settings.maxTransactionOperations) {
       const size = Buffer.byteLength(pages[0]!.text) + 256;
       if (batch.length > 0 && bytes + size > MAX_BYTES) break;
       bytes += size;
@@ -422,17 +422,17 @@
 
   /** Tried with the same values until it is surely written: what comes after it rests on that. */
   private send(writes: readonly StoreWrite[], what: 'head' | 'open', then: () => void): void {
-    const { ctx, lease: office, election: leadership } = this.term;
+    const { context: ctx, lease: office, election: leadership } = this.term;
     const conditions: VersionCondition[] = [
-      { key: LEAD, version: office.keyVersion },
+      { key: LEADER_KEY, version: office.keyVersion },
       ...writes.map((x) => ({ key: x.key, version: this.versions.get(x.key) ?? 0 })),
     ];
     ctx.requestStore({ kind: 'txn', conditions, writes }, 2, (r) => {
-      if (this.term.stopped) return;
+      if (this.term.hasEnded) return;
       if (r.kind === 'ok') {
         for (const x of writes) this.versions.set(x.key, r.revision);
         then();
-      } else if (r.kind === 'conflict' && r.failed.includes(LEAD)) leadership.stepDown('fenced');
+      } else if (r.kind === 'conflict' && r.failed.includes(LEADER_KEY)) leadership.stepDown('fenced');
       else if (r.kind === 'conflict') {
         // An earlier try was executed after all, or came late: nobody else writes these keys.
         this.reread([...writes.map((x) => x.key)], () => {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -5,7 +5,7 @@
 import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Feature } from '@shaleyoke/core/feature-api';
-import { JOBS, LEAD, ROSTER } from '@shaleyoke/core/codecs/keys';
+import { ACTIVE_JOBS_PREFIX, LEADER_KEY, MACHINE_PAGES_PREFIX } from '@shaleyoke/core/codecs/keys';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
 import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
 import { runController, type FeatureListener } from '@shaleyoke/controller/run-controller';
@@ -147,13 +147,13 @@
   console.log(JSON.stringify(printedSettings(settings), null, 2));
 });
 withFiles('leader', 'show who leads').action((o: FileOptions) => {
-  show(o, LEAD);
+  show(o, LEADER_KEY);
 });
 withFiles('jobs', 'list the jobs that have not ended').action((o: FileOptions) => {
-  show(o, JOBS);
+  show(o, ACTIVE_JOBS_PREFIX);
 });
 withFiles('machines', 'list the machines on record').action((o: FileOptions) => {
-  show(o, ROSTER);
+  show(o, MACHINE_PAGES_PREFIX);
 });
 
 program
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,7 +1,10 @@
 /** Settings that contradict each other, each with the field and the remedy. */
 import type { Settings, Team } from '@shaleyoke/core/domain/settings';
 import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
-import { LEAST_MAX_AGE, maxCancellationAge } from '@shaleyoke/core/leadership/cancellation-freshness';
+import {
+  MIN_CANCELLATION_AGE_LIMIT,
+  maxCancellationAge,
+} from '@shaleyoke/core/leadership/cancellation-freshness';
 
 /**
  *
@@ -22,8 +25,8 @@
 const cancellationContradictions = (settings: Settings): Contradiction[] => {
   const { cancellationDeadlineUs, workerLeaseUs } = settings;
   const maxAge = maxCancellationAge(settings);
-  if (maxAge >= LEAST_MAX_AGE) return [];
-  const least = cancellationDeadlineUs + LEAST_MAX_AGE - maxAge;
+  if (maxAge >= MIN_CANCELLATION_AGE_LIMIT) return [];
+  const least = cancellationDeadlineUs + MIN_CANCELLATION_AGE_LIMIT - maxAge;
   return [
     {
       level: 'error',
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -5,7 +5,10 @@
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { LEAST_MAX_AGE, maxCancellationAge } from '@shaleyoke/core/leadership/cancellation-freshness';
+import {
+  MIN_CANCELLATION_AGE_LIMIT,
+  maxCancellationAge,
+} from '@shaleyoke/core/leadership/cancellation-freshness';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
 test('the leader lease never outgrows half of what cancel_s leaves beside lease_s', () => {
@@ -86,7 +89,7 @@
     assert.deepEqual(contradictions({ ...bad, cancellationDeadlineUs: least }), []);
     assert.equal(contradictions({ ...bad, cancellationDeadlineUs: least - SECOND / 2 }).length, 1);
   }
-  assert.ok(maxCancellationAge(good) > LEAST_MAX_AGE);
+  assert.ok(maxCancellationAge(good) > MIN_CANCELLATION_AGE_LIMIT);
 });
 
 test('limits below guarantees and a node among its own peers are warned of', () => {
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -6,7 +6,7 @@
 import type { PeerMessage } from '@shaleyoke/core/domain/peer';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { encodePeer } from '@shaleyoke/protocol/peers';
+import { encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { COMMANDS_PATH, decodeCommandReply, encodeCommands } from '@shaleyoke/protocol/workers';
 import { Context, Effect, Layer } from 'effect';
 
@@ -71,7 +71,7 @@
     sendToPeer: (member, message) => {
       const peer = settings.peers.find((candidate) => candidate.member === member);
       if (peer === undefined) return Effect.void;
-      const call = { method: 'POST', ...encodePeer(message) } as const;
+      const call = { method: 'POST', ...encodePeerMessage(message) } as const;
       return Effect.asVoid(callHttp(peerAgent, peer.address, call, PEER_TIMEOUT));
     },
     setRole: (isLeader) => {
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -6,8 +6,8 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
 import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
-import { decodeSubmission, encodeClientResponse, route } from '@shaleyoke/protocol/client-api';
-import { decodePeer, peerKind } from '@shaleyoke/protocol/peers';
+import { decodeSubmission, encodeClientResponse, routeRequest } from '@shaleyoke/protocol/client-api';
+import { decodePeerMessage, peerMessageKindOf } from '@shaleyoke/protocol/peers';
 import { decodeHeartbeat, encodeHeartbeatResponse } from '@shaleyoke/protocol/workers';
 import type { Effect } from 'effect';
 
@@ -56,7 +56,7 @@
 
   /** A request of a user, a worker or a health check. */
   handlePublic({ method, url, body }: ServerRequest, respond: Respond): void {
-    const target = route(method, url);
+    const target = routeRequest(method, url);
     switch (target.kind) {
       case 'refused':
         respond(emptyResponse(target.status));
@@ -79,12 +79,12 @@
 
   /** A message of another controller. */
   handlePeer({ url, body }: ServerRequest, respond: Respond): void {
-    const kind = peerKind(url);
+    const kind = peerMessageKindOf(url);
     if (kind === null) {
       respond(emptyResponse(404));
       return;
     }
-    const message = decodePeer(kind, body);
+    const message = decodePeerMessage(kind, body);
     if (message === null) {
       this.log.write('error', 'peer.message_malformed', { bytes: body.length });
       respond(emptyResponse(400));
--- a/packages/core/src/api/cancellation.ts
+++ b/packages/core/src/api/cancellation.ts
@@ -1,6 +1,6 @@
 /** Cancels jobs: moves the record of an active job to that of an ended one, by compare-and-swap on its version. */
 import { encodeEndedJob } from '../codecs/job-codec.js';
-import { activeKey, endedKey } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { NodeContext } from '../node/node-context.js';
 import { storeUnavailable, type ClientResponder } from './client-responder.js';
 import type { JobCache, KnownActiveJob, KnownEndedJob } from './job-cache.js';
@@ -43,10 +43,10 @@
     this.context.requestStore(
       {
         kind: 'txn',
-        conditions: [{ key: activeKey(id), version: job.version }],
+        conditions: [{ key: activeJobKey(id), version: job.version }],
         writes: [
-          { kind: 'delete', key: activeKey(id) },
-          { kind: 'put', key: endedKey(id), value: endedRecord },
+          { kind: 'delete', key: activeJobKey(id) },
+          { kind: 'put', key: endedJobKey(id), value: endedRecord },
         ],
       },
       CLIENT_REQUEST_URGENCY,
--- a/packages/core/src/api/job-lookup.ts
+++ b/packages/core/src/api/job-lookup.ts
@@ -1,6 +1,6 @@
 /** Reads the records of jobs from the state service. */
 import { decodeActiveJob, decodeEndedJob } from '../codecs/job-codec.js';
-import { activeKey, endedKey } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { JobCache, KnownEndedJob, KnownJob } from './job-cache.js';
@@ -21,7 +21,7 @@
 
   /** Reads a job's record: first that of an active job, then that of an ended one, as records only ever move that way. */
   lookup(id: string, callback: LookupCallback): void {
-    this.context.requestStore({ kind: 'get', key: activeKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
+    this.context.requestStore({ kind: 'get', key: activeJobKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
       if (reply.kind === 'item') callback(this.readActive(id, reply.item));
       else if (reply.kind === 'missing') this.lookupEnded(id, callback);
       else callback({ kind: 'unknown' });
@@ -29,7 +29,7 @@
   }
 
   private lookupEnded(id: string, callback: LookupCallback): void {
-    this.context.requestStore({ kind: 'get', key: endedKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
+    this.context.requestStore({ kind: 'get', key: endedJobKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
       if (reply.kind === 'item') callback(this.readEnded(id, reply.item));
       else callback({ kind: reply.kind === 'missing' ? 'absent' : 'unknown' });
     });
--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -2,7 +2,7 @@
  * Answers polls from cached records, validated in the state service: an answer that is not final must be no older than
  * what any other node has answered. Polls that arrive within a short time share one transaction.
  */
-import { activeKey, endedKey, idOfActive } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey, jobIdOfActiveKey } from '../codecs/keys.js';
 import type { ClientResponse } from '../domain/client-api.js';
 import type { VersionCondition } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
@@ -211,11 +211,11 @@
     { requests, keys }: BatchedPolls,
     failed: ReadonlySet<string>,
   ): void {
-    if (failed.has(activeKey(id)) || failed.has(endedKey(id))) {
+    if (failed.has(activeJobKey(id)) || failed.has(endedJobKey(id))) {
       this.readJob(id, requests);
       return;
     }
-    const changedDependencies = keys.filter((key) => failed.has(key)).map(idOfActive);
+    const changedDependencies = keys.filter((key) => failed.has(key)).map(jobIdOfActiveKey);
     if (changedDependencies.length > 0) this.readDependencies(changedDependencies, id, requests);
     else this.enqueue(id, requests);
   }
--- a/packages/core/src/api/submission.ts
+++ b/packages/core/src/api/submission.ts
@@ -1,6 +1,6 @@
 /** Accepts jobs: creates a job's record by compare-and-swap, so that a repeated submission is an idempotent request. */
 import { encodeActiveJob } from '../codecs/job-codec.js';
-import { activeKey, endedKey } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { ClientRequest, ClientResponse, ExtraWrites } from '../domain/client-api.js';
 import type { JobSpec } from '../domain/job.js';
 import type { StoreOperation } from '../domain/key-value-store.js';
@@ -28,11 +28,11 @@
 const acceptTransaction = ({ spec, record, extraWrites }: CheckedSubmission): StoreOperation => ({
   kind: 'txn',
   conditions: [
-    { key: activeKey(spec.id), version: 0 },
-    { key: endedKey(spec.id), version: 0 },
+    { key: activeJobKey(spec.id), version: 0 },
+    { key: endedJobKey(spec.id), version: 0 },
     ...(extraWrites?.conditions ?? []),
   ],
-  writes: [{ kind: 'put', key: activeKey(spec.id), value: record }, ...(extraWrites?.writes ?? [])],
+  writes: [{ kind: 'put', key: activeJobKey(spec.id), value: record }, ...(extraWrites?.writes ?? [])],
 });
 
 /** Handles submissions; they are answered only after the write. */
--- a/packages/core/src/api/validation-basis.ts
+++ b/packages/core/src/api/validation-basis.ts
@@ -1,5 +1,5 @@
 /** What the answer to a poll rests on, worked out from the cached records. */
-import { activeKey, endedKey } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { VersionCondition } from '../domain/key-value-store.js';
 import type { JobCache, KnownEndedJob, KnownJob } from './job-cache.js';
 
@@ -22,8 +22,8 @@
 
 /** The conditions under which a job has never been accepted. */
 const absenceConditions = (id: string): readonly VersionCondition[] => [
-  { key: activeKey(id), version: 0 },
-  { key: endedKey(id), version: 0 },
+  { key: activeJobKey(id), version: 0 },
+  { key: endedJobKey(id), version: 0 },
 ];
 
 /**
@@ -46,7 +46,7 @@
       cache.remember(id, CANCELLED_BY_DEPENDENCY);
       return { kind: 'final', job: CANCELLED_BY_DEPENDENCY };
     }
-    conditions.push({ key: activeKey(next.id), version: job.version });
+    conditions.push({ key: activeJobKey(next.id), version: job.version });
     for (const dependencyId of job.spec.dependsOn) {
       if (visited.has(dependencyId)) continue;
       visited.add(dependencyId);
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -144,7 +144,7 @@
   }
 
   /** Indices of up to `limit` tasks that neither completed nor have a live attempt. */
-  takeWaiting(limit: number): number[] {
+  nextWaiting(limit: number): number[] {
     const indices: number[] = [];
     let first: number | null = null;
     for (let i = this.firstWaiting; i < this.spec.tasks && indices.length < limit; i++) {
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -37,9 +37,9 @@
   /** Run times learned so far. */
   readonly runtimeEstimates = new RuntimeEstimates();
 
-  constructor(readonly ctx: NodeContext) {
+  constructor(readonly context: NodeContext) {
     const machines = new MachineRegistry();
-    this.usageTotals = new UsageTotals(machines, () => ctx.types);
+    this.usageTotals = new UsageTotals(machines, () => context.types);
     machines.observer = this.usageTotals;
     this.machines = machines;
   }
@@ -51,7 +51,7 @@
     if (spec.shape === 'service') return UNBOUNDED_RUN_TIME;
     const progressKey = spec.shape === 'gang' ? GANG_PROGRESS : attempt.index;
     const checkpointed = job.checkpointedProgress.get(progressKey) ?? 0;
-    const elapsed = checkpointed + (runningAt === null ? 0 : this.ctx.now - runningAt);
+    const elapsed = checkpointed + (runningAt === null ? 0 : this.context.now - runningAt);
     return this.runtimeEstimates.remaining(spec.class, attempt.machine.type, spec.estimatedRunUs, elapsed);
   }
 
@@ -64,7 +64,7 @@
   isStartable(job: ActiveJob): boolean {
     if (job.phase !== 'active' || job.gangBroken || job.isComplete || job.waitingCount <= 0) return false;
     if (job.progressUnreadable || job.blockedOnDependencies || job.admissionHold !== null) return false;
-    if (job.retryNotBefore > this.ctx.now) return false;
+    if (job.retryNotBefore > this.context.now) return false;
     if (job.spec.shape === 'gang' && job.liveAttempts.size > 0) return false;
     for (const name of job.unreconciledMachines)
       if (this.machines.get(name)?.awaitingReconciliation === true) return false;
@@ -76,7 +76,7 @@
    * who keep machines pre-provisioned pay for capacity anyway; those who start from nothing pay by use.
    */
   isCostSensitive(): boolean {
-    const { costSensitivity } = this.ctx.settings.tuning;
+    const { costSensitivity } = this.context.settings.tuning;
     if (costSensitivity !== 'auto') return costSensitivity === 'on';
     return !this.usageTotals.anyPreprovisioned;
   }
@@ -85,7 +85,7 @@
   slackOf(job: ActiveJob): Micros | null {
     const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
     const runTime = this.expectedRunTime(job, checkpointed);
-    return latestStart(job, this.ctx.settings.objectives, this.ctx.wallNow, runTime, SETUP);
+    return latestStart(job, this.context.settings.objectives, this.context.wallNow, runTime, SETUP);
   }
 
   /** From when a job may start to its end: its run, its image, and what lies between one job and the next. */
@@ -93,7 +93,7 @@
     const { spec } = job;
     const runTime = this.expectedRunTime(job, 0);
     let pullRate = 0;
-    for (const type of this.ctx.types.values())
+    for (const type of this.context.types.values())
       if (typeAllowed(spec, type) && type.imagePullGbPerS > 0)
         pullRate = Math.max(pullRate, type.imagePullGbPerS);
     const pullTime = pullRate > 0 ? Math.round((spec.imageGb / pullRate) * SECOND) : 0;
@@ -115,7 +115,7 @@
   /** How much sooner the job has to finish for a machine to be provisioned: it grows with the job's slack. */
   scaleOutThreshold(job: ActiveJob): Micros {
     if (!this.isCostSensitive()) return 0;
-    const { scaleOutThresholdUs } = this.ctx.settings.tuning;
+    const { scaleOutThresholdUs } = this.context.settings.tuning;
     const slack = this.slackOf(job);
     if (slack === null) return scaleOutThresholdUs;
     return scaleOutThresholdUs + Math.min(scaleOutThresholdUs, Math.round(slack * THRESHOLD_SHARE_OF_SLACK));
@@ -123,7 +123,7 @@
 
   /** Which work may be preempted, as things are now. */
   preemptionPolicy(): PreemptionPolicy {
-    const { teams } = this.ctx.settings;
+    const { teams } = this.context.settings;
     const guaranteed = guaranteedJobs([...this.jobs.values()], teams);
     return { teams, usage: this.usageTotals.teamUsage(), isGuaranteed: (job) => guaranteed.has(job) };
   }
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -1,5 +1,5 @@
 /** Teams' quotas: limits, guarantees, and the fair-share order of their jobs. */
-import { AMOUNT_SLACK } from './amount-slack.js';
+import { AMOUNT_TOLERANCE } from '../domain/resources.js';
 import type { ActiveJob, Machine } from './cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
@@ -13,11 +13,12 @@
 
 /** Whether the usage is no more than the team is guaranteed. */
 export const isWithinGuarantee = (team: Team, usage: TeamUsage): boolean =>
-  usage.cores <= team.guaranteedCores + AMOUNT_SLACK && usage.gpus <= team.guaranteedGpus + AMOUNT_SLACK;
+  usage.cores <= team.guaranteedCores + AMOUNT_TOLERANCE &&
+  usage.gpus <= team.guaranteedGpus + AMOUNT_TOLERANCE;
 
 /** How many tasks that take `each` fit below the limit. A limit of 0 means there is none. */
 const tasksBelow = (limit: number, used: number, each: number): number =>
-  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + AMOUNT_SLACK) / each);
+  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + AMOUNT_TOLERANCE) / each);
 
 /** Usage by team, for a plan that counts its own starts on top. */
 export class QuotaUsage {
@@ -50,7 +51,7 @@
   }
 
   /** How many more tasks of this kind the team's limits allow; none for an unknown team. */
-  room(spec: JobSpec, team: Team | undefined): number {
+  remainingTasks(spec: JobSpec, team: Team | undefined): number {
     if (team === undefined) return 0;
     const usedCores = (this.cores.get(spec.team) ?? 0) + this.unverified.cores;
     const usedGpus = (this.gpus.get(spec.team) ?? 0) + this.unverified.gpus;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -43,7 +43,7 @@
     const endpoints = new Map<string, FeatureEndpoint>();
     for (const feature of this.features) {
       const endpoint = feature.serve?.({
-        ctx: this.context,
+        context: this.context,
         submitRequest: (body, then) => {
           this.jobService.ask(body, then);
         },
--- a/packages/core/src/domain/resources.ts
+++ b/packages/core/src/domain/resources.ts
@@ -10,15 +10,15 @@
 }
 
 /** Amounts are decimals; sums of them are compared with this tolerance. */
-const TOLERANCE = 1e-6;
+export const AMOUNT_TOLERANCE = 1e-6;
 /** How often something that needs nothing at all fits. */
 const FITS_ANY_TIMES = 1_000;
 
 /** Whether what is needed fits into what is free. */
 export const fits = (need: Readonly<Amounts>, free: Readonly<Amounts>): boolean =>
-  need.cores <= free.cores + TOLERANCE &&
-  need.gpus <= free.gpus + TOLERANCE &&
-  need.memoryGb <= free.memoryGb + TOLERANCE;
+  need.cores <= free.cores + AMOUNT_TOLERANCE &&
+  need.gpus <= free.gpus + AMOUNT_TOLERANCE &&
+  need.memoryGb <= free.memoryGb + AMOUNT_TOLERANCE;
 
 /** Adds an amount to a total, in place. */
 export const addTo = (total: Amounts, amount: Readonly<Amounts>): void => {
@@ -35,7 +35,7 @@
 };
 
 const timesOf = (need: number, free: number): number =>
-  need > 0 ? Math.floor((free + TOLERANCE) / need) : Infinity;
+  need > 0 ? Math.floor((free + AMOUNT_TOLERANCE) / need) : Infinity;
 
 /** How many times `need` fits into `free`. */
 export const timesFits = (need: Readonly<Amounts>, free: Readonly<Amounts>): number => {
--- a/packages/core/src/feature-api.ts
+++ b/packages/core/src/feature-api.ts
@@ -37,12 +37,12 @@
 /** How jobs depend on each other, as far as the leader knows. */
 export interface DependencyLinks {
   /** Jobs that directly depend on this one and have not ended. */
-  needing(id: string): Iterable<ActiveJob>;
+  dependentsOf(id: string): Iterable<ActiveJob>;
 }
 
 /** What a feature may use on any controller, whoever leads. */
 export interface NodeServices {
-  readonly ctx: NodeContext;
+  readonly context: NodeContext;
   /** Submits a request on the same path as a user of this controller. */
   submitRequest(body: ClientRequest, then: (response: InternalResponse) => void): void;
 }
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -5,7 +5,7 @@
  */
 import type { NodeContext } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
+import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { encodeEndedJob } from '../codecs/job-codec.js';
@@ -24,13 +24,13 @@
   /** Version of the leader lease's key; all writes depend on it. */
   readonly leadVersion: number;
   /** Whether the leader's term still goes on. */
-  active(): boolean;
+  isActive(): boolean;
   /** Another leader has been elected. */
-  fenced(): void;
+  onFenced(): void;
   /** The job's record now states its cancellation. */
-  withdrawn(job: ActiveJob): void;
+  cancelled(job: ActiveJob): void;
   /** The job's record changed meanwhile: its outcome has to be read. */
-  moved(job: ActiveJob): void;
+  recordMoved(job: ActiveJob): void;
 }
 
 /** Writes the cancellation of jobs whose dependencies failed. */
@@ -56,7 +56,7 @@
 
   private flushAfter(delay: Micros): void {
     this.context.after(delay, () => {
-      if (this.host.active()) this.flush();
+      if (this.host.isActive()) this.flush();
     });
   }
 
@@ -66,20 +66,20 @@
     this.busy = batch.length > 0;
     if (batch.length === 0) return;
     this.context.requestStore(this.cancellationOf(batch), WRITE_URGENCY, (reply) => {
-      if (this.host.active()) this.handleReply(batch, reply);
+      if (this.host.isActive()) this.handleReply(batch, reply);
     });
   }
 
   private cancellationOf(batch: readonly ActiveJob[]): StoreOperation {
-    const conditions: VersionCondition[] = [{ key: LEAD, version: this.host.leadVersion }];
+    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.host.leadVersion }];
     const writes: StoreWrite[] = [];
     for (const job of batch) {
-      conditions.push({ key: activeKey(job.id), version: job.version });
+      conditions.push({ key: activeJobKey(job.id), version: job.version });
       writes.push(
-        { kind: 'delete', key: activeKey(job.id) },
+        { kind: 'delete', key: activeJobKey(job.id) },
         {
           kind: 'put',
-          key: endedKey(job.id),
+          key: endedJobKey(job.id),
           value: encodeEndedJob(job.spec, 'cancelled', 0, this.context.wallNow),
         },
       );
@@ -89,10 +89,10 @@
 
   private handleReply(batch: readonly ActiveJob[], reply: StoreReply): void {
     if (reply.kind === 'ok') {
-      for (const job of batch) this.host.withdrawn(job);
+      for (const job of batch) this.host.cancelled(job);
       this.flush();
     } else if (reply.kind === 'conflict') {
-      if (reply.failed.includes(LEAD)) this.host.fenced();
+      if (reply.failed.includes(LEADER_KEY)) this.host.onFenced();
       else this.handleConflict(batch, new Set(reply.failed));
     } else if (reply.kind === 'refused') {
       this.batchLimit = Math.max(1, Math.floor(this.batchLimit / 2));
@@ -102,8 +102,8 @@
 
   /** Records moved: their users cancelled the jobs too, or an earlier try of this transaction was executed after all. */
   private handleConflict(batch: readonly ActiveJob[], failedKeys: ReadonlySet<string>): void {
-    this.queue = this.queue.filter((job) => !failedKeys.has(activeKey(job.id)));
-    for (const job of batch) if (failedKeys.has(activeKey(job.id))) this.host.moved(job);
+    this.queue = this.queue.filter((job) => !failedKeys.has(activeJobKey(job.id)));
+    for (const job of batch) if (failedKeys.has(activeJobKey(job.id))) this.host.recordMoved(job);
     this.flush();
   }
 }
--- a/packages/core/src/jobs/dependencies.ts
+++ b/packages/core/src/jobs/dependency-graph.ts
@@ -13,7 +13,7 @@
 export interface JobOutcome {
   readonly stage: 'done' | 'cancelled';
   /** Time of day of the end; null where the record doesn't state it. */
-  readonly at: Micros | null;
+  readonly endedAt: Micros | null;
 }
 
 /** What the graph needs of the leader, and reports to it. */
@@ -21,13 +21,13 @@
   /** A job that has not ended as far as the leader knows. */
   job(id: string): ActiveJob | undefined;
   /** Reads the record of an ended job; its outcome is passed to `DependencyGraph.ended` later. */
-  resolve(id: string): void;
+  readOutcome(id: string): void;
   /** All dependencies of the job are done. */
-  released(job: ActiveJob): void;
+  dependenciesMet(job: ActiveJob): void;
   /** These jobs can never run, and their cancellation has to be written. `cause`: id of the cancelled dependency. */
-  doomed(jobs: readonly ActiveJob[], cause: string): void;
+  dependencyFailed(jobs: readonly ActiveJob[], cause: string): void;
   /** Predicted time from the moment when a job's dependencies are met to its end. */
-  expected(job: ActiveJob): Micros;
+  expectedDuration(job: ActiveJob): Micros;
   /** Present time of day. */
   readonly wallNow: Micros;
 }
@@ -51,22 +51,22 @@
   }
 
   /** The dependencies that a blocked job still waits for. */
-  waitsFor(job: ActiveJob): readonly string[] {
+  unmetDependencies(job: ActiveJob): readonly string[] {
     return [...(this.unmet.get(job) ?? [])];
   }
 
   /** Jobs that depend directly on this one and have not ended. */
-  needing(id: string): Iterable<ActiveJob> {
+  dependentsOf(id: string): Iterable<ActiveJob> {
     return this.dependents.get(id) ?? [];
   }
 
   /** Whether any job that has not ended depends directly on this one. */
-  needed(id: string): boolean {
+  hasDependents(id: string): boolean {
     return this.dependents.has(id);
   }
 
   /** Whether another job depends on this one, whose outcome is not known yet. */
-  open(id: string): boolean {
+  isAwaitingOutcome(id: string): boolean {
     return this.dependents.has(id) && !this.outcomes.has(id);
   }
 
@@ -88,10 +88,10 @@
       unmet.add(id);
       const dependency = this.host.job(id);
       if (outcome?.stage === 'cancelled' || dependency?.dependencyFailed === true) failedDependency = id;
-      else if (dependency === undefined || dependency.phase === 'ended') this.host.resolve(id);
+      else if (dependency === undefined || dependency.phase === 'ended') this.host.readOutcome(id);
     }
     if (unmet.size === 0) {
-      this.host.released(job);
+      this.host.dependenciesMet(job);
       return;
     }
     job.blockedOnDependencies = true;
@@ -101,12 +101,12 @@
 
   /** A job's other times count from the moment when the last of its dependencies is done. */
   private recordMet(job: ActiveJob, outcome: JobOutcome): void {
-    const metAt = outcome.at ?? this.host.wallNow;
+    const metAt = outcome.endedAt ?? this.host.wallNow;
     job.dependenciesMetAt = Math.max(job.dependenciesMetAt ?? job.acceptedAt, metAt);
   }
 
   /** Records the outcome of a job, and releases or fails the jobs that depend on it. */
-  ended(id: string, outcome: JobOutcome): void {
+  recordOutcome(id: string, outcome: JobOutcome): void {
     const dependents = this.dependents.get(id);
     if (dependents === undefined || this.outcomes.has(id)) return;
     this.outcomes.set(id, outcome);
@@ -122,7 +122,7 @@
       if (unmet.size > 0) continue;
       this.unmet.delete(job);
       job.blockedOnDependencies = false;
-      this.host.released(job);
+      this.host.dependenciesMet(job);
     }
   }
 
@@ -136,7 +136,7 @@
       failed.push(job);
       pending.push(...(this.dependents.get(job.id) ?? []));
     }
-    if (failed.length > 0) this.host.doomed(failed, cause);
+    if (failed.length > 0) this.host.dependencyFailed(failed, cause);
   }
 
   /** Removes a job that has ended, whatever its outcome, as a dependent of others. */
@@ -157,7 +157,7 @@
    * of those that depend on it, and has to be done in time for them: worked backwards from the due times of the last
    * jobs, the latest accepted first. Linear in the number of dependencies, apart from the sorting.
    */
-  refresh(force: boolean): void {
+  refreshInheritance(force: boolean): void {
     if (!this.inheritanceStale && !force) return;
     this.inheritanceStale = false;
     const linked = this.linkedJobs();
@@ -192,7 +192,7 @@
       if (job.priority > dependency.priority) dependency.priority = job.priority;
       if (last === undefined || last.spec.deadlineUs === null) continue;
       const tailAfterJob = ownDue <= inheritedDue ? 0 : (chain?.tail ?? 0);
-      const link = { last, tail: tailAfterJob + this.host.expected(job) };
+      const link = { last, tail: tailAfterJob + this.host.expectedDuration(job) };
       const { deadlineChain } = dependency;
       if (deadlineChain === null || latestFinish(link) < latestFinish(deadlineChain))
         dependency.deadlineChain = link;
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,7 +1,7 @@
 /** Reads how jobs ended, a few at a time: after a failover, every ended job that another one still depends on. */
 import type { NodeContext } from '../node/node-context.js';
-import type { JobOutcome } from './dependencies.js';
-import { endedKey } from '../codecs/keys.js';
+import type { JobOutcome } from './dependency-graph.js';
+import { endedJobKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { decodeEndedJob } from '../codecs/job-codec.js';
@@ -34,7 +34,7 @@
   ) {}
 
   /** Reads the record of an ended job, repeatedly until it is there or no longer needed. */
-  ask(id: string): void {
+  resolve(id: string): void {
     if (this.requested.has(id)) return;
     this.requested.add(id);
     this.queue.push(id);
@@ -51,7 +51,7 @@
   }
 
   private read(id: string): void {
-    this.context.requestStore({ kind: 'get', key: endedKey(id) }, READ_URGENCY, (reply) => {
+    this.context.requestStore({ kind: 'get', key: endedJobKey(id) }, READ_URGENCY, (reply) => {
       if (!this.active()) return;
       this.readsInFlight--;
       this.requested.delete(id);
@@ -65,7 +65,7 @@
   private decode(id: string, item: StoredItem): void {
     const record = decodeEndedJob(item.value);
     if (record !== null) {
-      this.onResolved(id, { stage: record.stage, at: record.endedAt });
+      this.onResolved(id, { stage: record.stage, endedAt: record.endedAt });
       return;
     }
     this.context.error('job.record_unreadable', { job: id });
@@ -74,7 +74,7 @@
 
   private retryAfter(id: string, delay: Micros): void {
     this.context.after(delay, () => {
-      if (this.active() && this.isAwaited(id)) this.ask(id);
+      if (this.active() && this.isAwaited(id)) this.resolve(id);
     });
   }
 }
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,7 +1,7 @@
 /** How jobs end: counts completed tasks, moves the record from `j/` to `t/`, and notifies what depends on it. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
-import type { JobOutcome } from './dependencies.js';
-import { activeKey, endedKey, LEAD } from '../codecs/keys.js';
+import type { JobOutcome } from './dependency-graph.js';
+import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { encodeEndedJob, decodeEndedJob } from '../codecs/job-codec.js';
@@ -19,7 +19,7 @@
 /** What is notified of the end of jobs. */
 export interface CompletionEvents {
   /** The outcome is recorded: polls on this node are answered with it from now on. */
-  told(id: string, stage: 'done' | 'cancelled', done: number): void;
+  recordTerminalState(id: string, stage: 'done' | 'cancelled', done: number): void;
   /** The job has ended; a null outcome has still to be read from its record. */
   ended(job: ActiveJob, end: JobOutcome | null): void;
   /** The attempt has to be stopped, as its job has ended. */
@@ -48,7 +48,7 @@
     if (!added) return;
     job.consecutiveFailures = 0;
     job.progressDirty = true;
-    this.term.ctx.debug('task.completed', { job: job.id, task: index, done: job.done.count });
+    this.term.context.debug('task.completed', { job: job.id, task: index, done: job.done.count });
     if (job.isComplete) this.finish(job);
     this.term.schedulePass();
   }
@@ -57,17 +57,17 @@
    * The job's record moved, mostly because its user cancelled it. None of its tasks is started from here on. Jobs that
    * depend on it follow the outcome in its record, which is read if `stage` is null.
    */
-  ended(job: ActiveJob, stage: 'done' | 'cancelled' | null): void {
+  recordEnd(job: ActiveJob, stage: 'done' | 'cancelled' | null): void {
     if (job.phase === 'ended') return;
-    const { ctx: context } = this.term;
+    const { context: context } = this.term;
     job.phase = 'ended';
     job.cancelled = stage !== 'done';
-    context.info('job.dependency_failed', {
+    context.info('job.ended', {
       job: job.id,
       live: job.liveAttempts.size,
       doomed: job.dependencyFailed,
     });
-    this.host.ended(job, stage === null ? null : { stage, at: context.wallNow });
+    this.host.ended(job, stage === null ? null : { stage, endedAt: context.wallNow });
     for (const attempt of [...job.liveAttempts.values()]) this.host.stop(attempt);
     this.host.dropProgress(job);
     this.dropIfEmpty(job);
@@ -81,11 +81,11 @@
 
   /** Writes the end of a complete job, at once and not batched with others: a poll three seconds later must see it. */
   finish(job: ActiveJob): void {
-    if (job.phase !== 'active' || this.term.stopped) return;
+    if (job.phase !== 'active' || this.term.hasEnded) return;
     job.phase = 'finishing';
-    const endedAt = this.term.ctx.wallNow;
-    this.term.ctx.requestStore(this.endTransaction(job, endedAt), RECORD_URGENCY, (reply) => {
-      if (!this.term.stopped) this.handleEndReply(job, endedAt, reply);
+    const endedAt = this.term.context.wallNow;
+    this.term.context.requestStore(this.endTransaction(job, endedAt), RECORD_URGENCY, (reply) => {
+      if (!this.term.hasEnded) this.handleEndReply(job, endedAt, reply);
     });
   }
 
@@ -94,12 +94,12 @@
     return {
       kind: 'txn',
       conditions: [
-        { key: LEAD, version: this.term.lease.keyVersion },
-        { key: activeKey(job.id), version: job.version },
+        { key: LEADER_KEY, version: this.term.lease.keyVersion },
+        { key: activeJobKey(job.id), version: job.version },
       ],
       writes: [
-        { kind: 'delete', key: activeKey(job.id) },
-        { kind: 'put', key: endedKey(job.id), value: endedRecord },
+        { kind: 'delete', key: activeJobKey(job.id) },
+        { kind: 'put', key: endedJobKey(job.id), value: endedRecord },
       ],
     };
   }
@@ -110,40 +110,40 @@
       return;
     }
     if (reply.kind === 'conflict') {
-      if (reply.failed.includes(LEAD)) this.term.election.stepDown('fenced');
+      if (reply.failed.includes(LEADER_KEY)) this.term.election.stepDown('fenced');
       // The job's record moved: it was cancelled, or an earlier try of this write was executed after all.
-      else this.confirm(job);
+      else this.readOutcome(job);
       return;
     }
     job.phase = 'active';
-    this.term.ctx.after(reply.kind === 'refused' ? REFUSED_RETRY_US : FAILED_RETRY_US, () => {
+    this.term.context.after(reply.kind === 'refused' ? REFUSED_RETRY_US : FAILED_RETRY_US, () => {
       this.finish(job);
     });
   }
 
   private completeEnd(job: ActiveJob, endedAt: Micros): void {
-    const { ctx: context } = this.term;
+    const { context: context } = this.term;
     job.phase = 'ended';
-    this.host.told(job.id, 'done', job.spec.tasks);
+    this.host.recordTerminalState(job.id, 'done', job.spec.tasks);
     context.info('job.completed', { job: job.id, afterS: (context.wallNow - job.acceptedAt) / SECOND });
     this.host.dropProgress(job);
-    this.host.ended(job, { stage: 'done', at: endedAt });
+    this.host.ended(job, { stage: 'done', endedAt: endedAt });
     this.dropIfEmpty(job);
   }
 
   /** Reads how a job ended whose record was moved by another node, or by an earlier try of this leader. */
-  confirm(job: ActiveJob): void {
-    this.term.ctx.requestStore({ kind: 'get', key: endedKey(job.id) }, RECORD_URGENCY, (reply) => {
-      if (this.term.stopped) return;
+  readOutcome(job: ActiveJob): void {
+    this.term.context.requestStore({ kind: 'get', key: endedJobKey(job.id) }, RECORD_URGENCY, (reply) => {
+      if (this.term.hasEnded) return;
       if (reply.kind === 'item') {
         const record = decodeEndedJob(reply.item.value);
         if (job.phase !== 'ended') job.phase = 'active';
-        if (record?.stage === 'done') this.host.told(job.id, 'done', record.done);
-        this.ended(job, record?.stage ?? null);
+        if (record?.stage === 'done') this.host.recordTerminalState(job.id, 'done', record.done);
+        this.recordEnd(job, record?.stage ?? null);
         return;
       }
       this.term.after(CONFIRM_RETRY_US, () => {
-        this.confirm(job);
+        this.readOutcome(job);
       });
     });
   }
--- a/packages/core/src/leader/admission-holds.ts
+++ b/packages/core/src/leader/admission-holds.ts
@@ -12,7 +12,7 @@
   constructor(
     private readonly term: LeaderTerm,
     private readonly features: FeatureRegistry,
-    private readonly autoscaler: Pick<Autoscaler, 'noteArrival'>,
+    private readonly autoscaler: Pick<Autoscaler, 'recordArrival'>,
   ) {}
 
   /** Asks again for every job, the oldest first: the reason for a hold may have passed. */
@@ -29,14 +29,14 @@
     const hold = job.hasStarted || job.blockedOnDependencies ? null : this.features.admissionHold(job);
     const former = job.admissionHold;
     if (hold === null ? former === null : hold.reason === former?.reason) return;
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     // Holds that pass with a change of leader were once logged for every job that had not begun, each time.
     const wasLogged = former !== null && !former.transient;
     if (hold !== null && !hold.transient && !wasLogged)
       ctx.info('job.admission_held', { job: job.id, reason: hold.reason });
     if (hold === null) {
       if (wasLogged) ctx.info('job.admission_released', { job: job.id, after: former.reason });
-      if (ctx.wallNow - job.acceptedAt < NEW_ARRIVAL) this.autoscaler.noteArrival(job.spec);
+      if (ctx.wallNow - job.acceptedAt < NEW_ARRIVAL) this.autoscaler.recordArrival(job.spec);
     }
     job.admissionHold = hold;
     this.term.schedulePass();
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -11,7 +11,7 @@
   tasks: number;
 }
 
-const poolsOf = ({ ctx, cluster }: LeaderTerm): Record<string, PoolSummary> => {
+const poolsOf = ({ context: ctx, cluster }: LeaderTerm): Record<string, PoolSummary> => {
   const pools: Record<string, PoolSummary> = {};
   for (const machine of cluster.machines.values()) {
     const key = `${machine.type}/${machine.zone}${machine.spot ? '/spot' : ''}`;
@@ -44,6 +44,6 @@
 
 /** Logs the free capacity of each pool and the waiting jobs of each class. */
 export const logClusterSummary = (term: LeaderTerm): void => {
-  if (!term.ctx.verbose) return;
-  term.ctx.debug('cluster.summarized', { fleet: poolsOf(term), waiting: waitingOf(term) });
+  if (!term.context.verbose) return;
+  term.context.debug('cluster.summarized', { fleet: poolsOf(term), waiting: waitingOf(term) });
 };
--- a/packages/core/src/leader/feature-registry.ts
+++ b/packages/core/src/leader/feature-registry.ts
@@ -32,7 +32,7 @@
   /** Notifies every feature, in the order in which they were switched on. */
   notify(event: (feature: FeatureTerm) => void): void {
     for (const { name, term } of this.registered)
-      this.term.ctx.guard(name, () => {
+      this.term.context.guard(name, () => {
         event(term);
       });
   }
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -67,7 +67,7 @@
   }
 
   private scheduleRound(): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const dueAt = ctx.now + INTERVAL;
     this.term.after(INTERVAL, () => {
       this.parts.health.recordTimer(ctx.now, dueAt, !this.term.inFailoverGracePeriod);
@@ -87,7 +87,7 @@
     const canAct = this.term.canActAsLeader();
     failureDetector.recordLeaseState(canAct);
     if (this.isDue(EVERY.progressMessage)) progressPublisher.publish(this.isDue(EVERY.fullProgressMessage));
-    if (this.resignIfBlind() || !this.term.ready) return;
+    if (this.resignIfBlind() || !this.term.isRestored) return;
     if (canAct && this.resignIfOverloaded()) return;
     if (canAct) this.maintainMachines();
     this.storeProgress();
@@ -118,7 +118,7 @@
    * workers connect to it, and a leader that resigned stays the next time, for if all are slow none is better.
    */
   private mayResign(): boolean {
-    const { ctx, election } = this.term;
+    const { context: ctx, election } = this.term;
     const { now, settings } = ctx;
     const { resignedAt } = election;
     if (settings.peers.length === 0 || this.term.inFailoverGracePeriod) return false;
@@ -133,15 +133,15 @@
   private maintainMachines(): void {
     const { failureDetector, autoscaler, attempts, planner } = this.parts;
     failureDetector.expireLeases();
-    failureDetector.retireSilentMachines();
-    autoscaler.sweep(planner.machinesInPlan);
+    failureDetector.retireUnresponsiveMachines();
+    autoscaler.scaleIn(planner.machinesInPlan);
     for (const machine of this.term.cluster.machines.values())
-      if (machine.queuedCommands.length > 0) attempts.pump(machine);
-    attempts.checkGangs();
+      if (machine.queuedCommands.length > 0) attempts.dispatchQueued(machine);
+    attempts.breakIncompleteGangs();
   }
 
   private storeProgress(): void {
-    const { now, settings } = this.term.ctx;
+    const { now, settings } = this.term.context;
     if (now - this.progressStoredAt < settings.tuning.progressIntervalUs) return;
     this.progressStoredAt = now;
     this.parts.progressStore.flush(this.term.cluster.jobs.values());
@@ -158,7 +158,7 @@
 
   private maintainRecords(): void {
     const { writer, machineStore, progressStore } = this.parts;
-    const { cluster, ctx } = this.term;
+    const { cluster, context: ctx } = this.term;
     // Pages of the version before, or too large, are taken apart while nothing else waits to be written.
     if (writer.backlog < ctx.settings.maxTransactionOperations) {
       machineStore.compact();
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -27,10 +27,10 @@
     const startsNow = steps.filter((step) => step.start <= planNow && step.slot.machine !== null);
     if (startsNow.length === 0) return;
     if (job.spec.shape === 'gang' && startsNow.length !== steps.length) return;
-    const team = this.term.ctx.settings.teams.find(({ name }) => name === job.spec.team);
-    const chosen = this.machinesFor(job, startsNow).slice(0, usage.room(job.spec, team));
+    const team = this.term.context.settings.teams.find(({ name }) => name === job.spec.team);
+    const chosen = this.machinesFor(job, startsNow).slice(0, usage.remainingTasks(job.spec, team));
     if (chosen.length === 0) return;
-    const indices = job.takeWaiting(chosen.length);
+    const indices = job.nextWaiting(chosen.length);
     if (job.spec.shape === 'gang' && indices.length !== job.spec.tasks) return;
     usage.add(job.spec, indices.length);
     this.attempts.begin(
@@ -51,7 +51,7 @@
     };
     for (const step of steps) {
       const machine = this.term.cluster.machines.get(step.slot.machine!);
-      const type = this.term.ctx.types.get(step.slot.type.name);
+      const type = this.term.context.types.get(step.slot.type.name);
       if (machine === undefined || type === undefined || !machine.isUsable()) continue;
       if (!placeAllowed(spec, machine.type, machine.zone, machine.spot)) continue;
       const room = free.get(machine) ?? machine.freeOf(type);
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -93,7 +93,7 @@
   /** Names of the machines that the plan uses. */
   neededMachines(): ReadonlySet<string> {
     const needed = new Set<string>();
-    for (const { used, machine } of this.decision.picture.slots)
+    for (const { used, machine } of this.decision.snapshot.slots)
       if (used && machine !== null) needed.add(machine);
     return needed;
   }
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -8,7 +8,7 @@
 import type { QueueOrder } from '../scheduling/queue-order.js';
 import { PlacementSearch, type SearchLimits } from '../scheduling/placement-search.js';
 import type { TaskGroup } from '../scheduling/plan-input.js';
-import type { DependencyGraph } from '../jobs/dependencies.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -83,8 +83,8 @@
 
   /** Makes a plan for all that waits, once the pause after the last one is over. */
   schedulePass(): void {
-    const { ctx } = this.term;
-    if (this.passScheduled || !this.term.ready || this.term.stopped) {
+    const { context: ctx } = this.term;
+    if (this.passScheduled || !this.term.isRestored || this.term.hasEnded) {
       this.passOwed = true;
       return;
     }
@@ -94,7 +94,7 @@
     ctx.after(delay, () => {
       this.passScheduled = false;
       this.passOwed = false;
-      if (!this.term.stopped) this.runPass();
+      if (!this.term.hasEnded) this.runPass();
     });
   }
 
@@ -116,7 +116,8 @@
       return;
     }
     this.urgentPassScheduled = false;
-    if (this.term.ready && this.term.canDispatch() && this.term.ctx.types.size > 0) this.begin(true, null);
+    if (this.term.isRestored && this.term.canDispatch() && this.term.context.types.size > 0)
+      this.begin(true, null);
   }
 
   /**
@@ -136,7 +137,7 @@
   }
 
   private runPass(): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (ctx.types.size === 0) return;
     if (this.current !== null) {
       this.passOwed = true;
@@ -177,14 +178,14 @@
 
   /** `onFinished` is called once the whole plan is carried out. */
   private begin(urgentOnly: boolean, onFinished: OnFinished | null): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const { snapshotBuilder, autoscaler } = this.parts;
     const clock = new PlanClock(ctx.stopwatch);
     this.refreshDeadlineChains();
     const waiting = this.waitingGroups.collect(urgentOnly);
     const groupsUs = clock.elapsed();
     const hypothetical = urgentOnly ? [] : this.hypotheticalGroups();
-    const snapshot = snapshotBuilder.picture(autoscaler.rentable(), autoscaler.kinds());
+    const snapshot = snapshotBuilder.build(autoscaler.availableOffers(), autoscaler.recentSpecs());
     const snapshotUs = clock.elapsed();
     const search = new PlacementSearch(
       snapshot,
@@ -199,26 +200,30 @@
   }
 
   private refreshDeadlineChains(): void {
-    const { now } = this.term.ctx;
+    const { now } = this.term.context;
     const isOld = now - this.deadlineChainsAt > DEADLINE_CHAINS_MAX_AGE;
-    this.parts.dependencies.refresh(isOld);
+    this.parts.dependencies.refreshInheritance(isOld);
     if (isOld) this.deadlineChainsAt = now;
   }
 
   /** Groups of no real tasks: capacity reserved for urgent work, for arrivals, and for stages to come. */
   private hypotheticalGroups(): TaskGroup[] {
     const { autoscaler } = this.parts;
-    return [...autoscaler.kept(), ...autoscaler.headroom(), ...this.waitingGroups.upcomingStages()];
+    return [
+      ...autoscaler.reservedForUrgent(),
+      ...autoscaler.headroom(),
+      ...this.waitingGroups.upcomingStages(),
+    ];
   }
 
   private searchLimits(): SearchLimits {
-    const { tuning } = this.term.ctx.settings;
+    const { tuning } = this.term.context.settings;
     return {
       budgetUs: tuning.searchBudgetUs,
       width: tuning.shortlistSize,
       depth: tuning.rolloutDepth,
       toleranceUs: tuning.makespanToleranceUs,
-      skipWhenPlenty: this.comparisonsCutShort,
+      skipWhenUncontended: this.comparisonsCutShort,
     };
   }
 
@@ -267,9 +272,10 @@
     if (!run.urgentOnly) {
       const before = run.clock.elapsed();
       this.parts.preemptionPlanner.preempt(run.steps);
-      this.parts.autoscaler.rentFor(decision);
+      this.parts.autoscaler.scaleOutFor(decision);
       this.machinesInPlan = run.neededMachines();
-      this.comparisonsCutShort = decision.fellBack || (this.comparisonsCutShort && decision.searched === 0);
+      this.comparisonsCutShort =
+        decision.budgetExceeded || (this.comparisonsCutShort && decision.candidatesSearched === 0);
       run.cost.commitUs += run.clock.elapsed() - before;
       this.logPlan(run);
     }
@@ -280,14 +286,14 @@
   private logPlan(run: PlanRun): void {
     const { decision, waiting } = run;
     if (waiting.groups.length === 0) return;
-    this.term.ctx.debug('plan.completed', {
+    this.term.context.debug('plan.completed', {
       ...run.cost,
       groups: waiting.groups.length,
-      overflow: decision.overflow,
+      overflow: decision.backfilledGroups,
       steps: decision.steps.length,
-      searched: decision.searched,
-      fellBack: decision.fellBack,
-      looks: decision.looks,
+      searched: decision.candidatesSearched,
+      fellBack: decision.budgetExceeded,
+      looks: decision.placementsExamined,
       slices: run.sliceCount,
     });
   }
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -24,7 +24,7 @@
   publish(all: boolean): void {
     // A leader that was deposed without noticing would else pass for the leader with peers that know less.
     if (!this.term.canActAsLeader()) return;
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     // Sent without any counts too: it announces the leader, also to peers that can't reach the store.
     const message = {
       kind: 'progress',
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -37,7 +37,7 @@
 
   /** The leader has stepped down: nothing is written or decided any more. */
   stop(): void {
-    this.term.stopped = true;
+    this.term.hasEnded = true;
     this.election.onRenewed = null;
     this.parts.writer.stop();
     this.parts.features.notify((feature) => {
--- a/packages/core/src/leader/state-restoration.ts
+++ b/packages/core/src/leader/state-restoration.ts
@@ -2,9 +2,16 @@
 import type { JobService } from '../api/job-service.js';
 import { ActiveJob } from '../cluster/cluster-model.js';
 import { decodeActiveJob } from '../codecs/job-codec.js';
-import { idOfActive, JOBS, MACHINES, PLACES, PROGRESS, ROSTER } from '../codecs/keys.js';
+import {
+  jobIdOfActiveKey,
+  ACTIVE_JOBS_PREFIX,
+  FORMER_MACHINES_PREFIX,
+  PROGRESS_PAGES_PREFIX,
+  LARGE_PROGRESS_PREFIX,
+  MACHINE_PAGES_PREFIX,
+} from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
-import type { DependencyGraph } from '../jobs/dependencies.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { JobCompletion } from '../jobs/job-completion.js';
 import type { FailoverEvents } from '../leadership/failover.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -50,7 +57,7 @@
     this.parts.records.loadRuntimeEstimates(runtimeEstimates);
     this.restoreMachines(itemsUnder);
     this.restoreJobs(itemsUnder);
-    this.term.ready = true;
+    this.term.isRestored = true;
     heartbeats.replayEarlyHeartbeats();
     for (const machine of cluster.machines.values()) if (machine.up) machines.persist(machine);
     features.notify((feature) => {
@@ -66,7 +73,10 @@
   private restoreMachines(itemsUnder: ItemsUnder): void {
     const { machineStore, machines } = this.parts;
     const known = this.term.cluster.machines;
-    for (const [name, record] of machineStore.load(itemsUnder(ROSTER), itemsUnder(MACHINES))) {
+    for (const [name, record] of machineStore.load(
+      itemsUnder(MACHINE_PAGES_PREFIX),
+      itemsUnder(FORMER_MACHINES_PREFIX),
+    )) {
       const machine = known.get(name) ?? machines.add(name, record);
       machine.recorded = 'yes';
       machine.preprovisioned = record.preprovisioned;
@@ -75,19 +85,25 @@
       machine.awaitingReconciliation = true;
       if (record.retiring) machines.retire(machine, 'was retiring');
     }
-    machineStore.adopt(itemsUnder(MACHINES), (name) => known.get(name));
+    machineStore.adopt(itemsUnder(FORMER_MACHINES_PREFIX), (name) => known.get(name));
   }
 
   private restoreJobs(itemsUnder: ItemsUnder): void {
     const { dependencies, progressStore, machineStore } = this.parts;
     const { jobs } = this.term.cluster;
-    for (const item of itemsUnder(JOBS)) this.add(idOfActive(item.key), item.value, item.version, false);
+    for (const item of itemsUnder(ACTIVE_JOBS_PREFIX))
+      this.add(jobIdOfActiveKey(item.key), item.value, item.version, false);
     for (const job of jobs.values()) dependencies.add(job);
-    progressStore.load(itemsUnder(PLACES), itemsUnder(PROGRESS), jobs.values(), machineStore.isComplete);
+    progressStore.load(
+      itemsUnder(PROGRESS_PAGES_PREFIX),
+      itemsUnder(LARGE_PROGRESS_PREFIX),
+      jobs.values(),
+      machineStore.isComplete,
+    );
   }
 
   private logRestored(): void {
-    const { cluster, number, ctx } = this.term;
+    const { cluster, number, context: ctx } = this.term;
     ctx.info('leader.state_restored', {
       term: number,
       jobs: cluster.jobs.size,
@@ -102,18 +118,18 @@
 
   jobDeleted(id: string, version: number): void {
     const job = this.term.cluster.jobs.get(id);
-    if (job?.phase === 'active' && job.version < version) this.parts.completion.ended(job, null);
+    if (job?.phase === 'active' && job.version < version) this.parts.completion.recordEnd(job, null);
   }
 
   jobsListed(ids: ReadonlySet<string>, revision: number): void {
     for (const job of [...this.term.cluster.jobs.values()])
       if (!ids.has(job.id) && job.phase === 'active' && job.version <= revision)
-        this.parts.completion.ended(job, null);
+        this.parts.completion.recordEnd(job, null);
   }
 
   /** `arrived`: the job was accepted in this term, and is no record of an earlier one. */
   private add(id: string, value: unknown, version: number, arrived: boolean): void {
-    const { ctx, cluster } = this.term;
+    const { context: ctx, cluster } = this.term;
     if (cluster.jobs.has(id)) return;
     const record = decodeActiveJob(value);
     if (record === null) {
@@ -131,12 +147,13 @@
 
   private admit(job: ActiveJob): void {
     const { dependencies, holds, autoscaler, planner } = this.parts;
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     dependencies.add(job);
     holds.update(job);
     if (job.blockedOnDependencies)
-      ctx.info('job.blocked_on_dependencies', { job: job.id, for: dependencies.waitsFor(job) });
-    else if (job.spec.dependsOn.length === 0 && job.admissionHold === null) autoscaler.noteArrival(job.spec);
+      ctx.info('job.blocked_on_dependencies', { job: job.id, for: dependencies.unmetDependencies(job) });
+    else if (job.spec.dependsOn.length === 0 && job.admissionHold === null)
+      autoscaler.recordArrival(job.spec);
     ctx.debug('job.discovered', { job: job.id, class: job.spec.class });
     if (autoscaler.mustStartAtOnce(job.spec)) planner.scheduleUrgentPass();
   }
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -6,7 +6,7 @@
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import type { Feature } from '../feature-api.js';
-import { DependencyGraph, type DependencyEvents } from '../jobs/dependencies.js';
+import { DependencyGraph, type DependencyEvents } from '../jobs/dependency-graph.js';
 import { DependencyFailurePropagation } from '../jobs/dependency-failure-propagation.js';
 import { DependencyOutcomeResolver } from '../jobs/dependency-outcome-resolver.js';
 import { JobCompletion } from '../jobs/job-completion.js';
@@ -112,7 +112,7 @@
     this.machines.retireWhenEmpty(machine, reason, latest);
   };
 
-  private readonly isActive = (): boolean => !this.term.stopped;
+  private readonly isActive = (): boolean => !this.term.hasEnded;
 
   private createProgressStore(): ProgressStore {
     const { jobs } = this.term.cluster;
@@ -128,16 +128,16 @@
 
   private createAttempts(): AttemptLifecycle {
     return new AttemptLifecycle(this.term, {
-      place: (job, then, refused) => {
+      recordPlacement: (job, then, refused) => {
         this.progressStore.recordPlacement(job, then, refused);
       },
-      report: (machine, heartbeat) => {
+      heartbeatReceived: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
-      released: (job) => {
+      attemptReleased: (job) => {
         this.completion.dropIfEmpty(job);
       },
-      ended: (attempt, exit) => {
+      attemptEnded: (attempt, exit) => {
         this.features.notify((feature) => {
           feature.attemptEnded(attempt, exit);
         });
@@ -148,11 +148,11 @@
 
   private createMachines(): MachineLifecycle {
     return new MachineLifecycle(this.term, this.machineStore, {
-      remove: (name) => {
-        this.autoscaler.remove(name);
+      deleteMachine: (name) => {
+        this.autoscaler.deleteMachine(name);
       },
-      end: this.endAttempt,
-      gone: (machine) => {
+      endAttempt: this.endAttempt,
+      machineRemoved: (machine) => {
         this.features.notify((feature) => {
           feature.machineRemoved(machine);
         });
@@ -164,25 +164,25 @@
     const { term, machines } = this;
     return new Autoscaler(this.context, {
       term: term.number,
-      standing: new PreprovisionedMachines(term, this.machineStore, this.writer, term.schedulePass),
+      preprovisioned: new PreprovisionedMachines(term, this.machineStore, this.writer, term.schedulePass),
       machines: () => term.cluster.machines.values(),
       find: this.findMachine,
-      rented: (name, type, zone, spot, since) => {
+      recordProvisioned: (name, type, zone, spot, since) => {
         machines.recordProvisioned(name, type, zone, spot, since);
       },
-      listed: (machine) => {
+      recordListed: (machine) => {
         machines.recordListed(machine);
       },
-      gone: (machine, reason) => {
+      remove: (machine, reason) => {
         machines.remove(machine, reason);
       },
       retire: (machine, reason) => {
         machines.retire(machine, reason);
       },
-      changed: term.schedulePass,
-      active: this.isActive,
-      entitled: () => term.canActAsLeader(),
-      thrifty: () => term.cluster.isCostSensitive(),
+      schedulePass: term.schedulePass,
+      isActive: this.isActive,
+      canActAsLeader: () => term.canActAsLeader(),
+      isCostSensitive: () => term.cluster.isCostSensitive(),
     });
   }
 
@@ -197,22 +197,22 @@
         const job = cluster.jobs.get(id);
         return job?.phase === 'ended' ? undefined : job;
       },
-      resolve: (id) => {
-        this.outcomeResolver.ask(id);
+      readOutcome: (id) => {
+        this.outcomeResolver.resolve(id);
       },
-      released: (job) => {
+      dependenciesMet: (job) => {
         this.holds.update(job);
-        if (!term.ready) return;
+        if (!term.isRestored) return;
         const heldS = (job.waitingSince - job.acceptedAt) / SECOND;
         context.info('job.dependencies_met', { job: job.id, heldS });
-        if (context.wallNow - job.waitingSince < NEW_ARRIVAL) this.autoscaler.noteArrival(job.spec);
+        if (context.wallNow - job.waitingSince < NEW_ARRIVAL) this.autoscaler.recordArrival(job.spec);
         term.schedulePass();
       },
-      doomed: (jobs, cause) => {
+      dependencyFailed: (jobs, cause) => {
         context.info('dependencies.failure_propagated', { cause, jobs: jobs.map((job) => job.id) });
         this.failurePropagation.add(jobs);
       },
-      expected: (job) => cluster.expectedDuration(job),
+      expectedDuration: (job) => cluster.expectedDuration(job),
     };
   }
 
@@ -221,9 +221,9 @@
     return new DependencyOutcomeResolver(
       this.context,
       this.isActive,
-      (id) => this.dependencies.open(id) && (jobs.get(id)?.phase ?? 'ended') === 'ended',
+      (id) => this.dependencies.isAwaitingOutcome(id) && (jobs.get(id)?.phase ?? 'ended') === 'ended',
       (id, outcome) => {
-        this.dependencies.ended(id, outcome);
+        this.dependencies.recordOutcome(id, outcome);
       },
     );
   }
@@ -231,13 +231,13 @@
   private createCompletion(): JobCompletion {
     const { jobs } = this.term.cluster;
     return new JobCompletion(this.term, {
-      told: (id, stage, done) => {
+      recordTerminalState: (id, stage, done) => {
         this.jobService.recordTerminalState(id, stage, done);
       },
       ended: (job, outcome) => {
         this.dependencies.remove(job);
-        if (outcome !== null) this.dependencies.ended(job.id, outcome);
-        else if (this.dependencies.open(job.id)) this.outcomeResolver.ask(job.id);
+        if (outcome !== null) this.dependencies.recordOutcome(job.id, outcome);
+        else if (this.dependencies.isAwaitingOutcome(job.id)) this.outcomeResolver.resolve(job.id);
       },
       stop: (attempt) => {
         this.attempts.stop(attempt, 0);
@@ -261,31 +261,31 @@
       markDone: (job, index) => {
         this.completion.markDone(job, index);
       },
-      running: (attempt) => {
+      taskRunning: (attempt) => {
         this.features.notify((feature) => {
           feature.taskRunning(attempt);
         });
       },
-      exited: (job, exit) => {
+      unknownAttemptExited: (job, exit) => {
         this.features.notify((feature) => {
           feature.unknownAttemptExited(job, exit);
         });
       },
-      keeps: (exit) => !this.features.isEmpty && this.features.retainsResult(exit),
+      mustRetain: (exit) => !this.features.isEmpty && this.features.retainsResult(exit),
     });
   }
 
   private createFailurePropagation(): DependencyFailurePropagation {
     return new DependencyFailurePropagation(this.context, {
       leadVersion: this.lease.keyVersion,
-      active: this.isActive,
-      fenced: this.stepDownAsFenced,
-      withdrawn: (job) => {
+      isActive: this.isActive,
+      onFenced: this.stepDownAsFenced,
+      cancelled: (job) => {
         this.jobService.recordTerminalState(job.id, 'cancelled', 0, job.spec.shape === 'service');
-        this.completion.ended(job, 'cancelled');
+        this.completion.recordEnd(job, 'cancelled');
       },
-      moved: (job) => {
-        this.completion.confirm(job);
+      recordMoved: (job) => {
+        this.completion.readOutcome(job);
       },
     });
   }
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,13 +1,14 @@
 /** Waiting work as groups of equal tasks, in the order in which a plan considers them. */
-import { stagesAhead } from '../scheduling/look-ahead.js';
+import { upcomingStages } from '../scheduling/upcoming-stages.js';
 import type { QueueOrder } from '../scheduling/queue-order.js';
 import { gpuKind, taskKind, type TaskGroup } from '../scheduling/plan-input.js';
 import type { BackfillWork } from '../scheduling/placement-search.js';
-import type { DependencyGraph } from '../jobs/dependencies.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
 import type { Team } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
+import { GANG_PROGRESS } from '../cluster/task-attempt.js';
 import { STAGE_HANDOVER } from '../cluster/cluster-state.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -41,7 +42,7 @@
     private readonly term: LeaderTerm,
     private readonly parts: WaitingParts,
   ) {
-    this.teams = new Map(term.ctx.settings.teams.map((team) => [team.name, team]));
+    this.teams = new Map(term.context.settings.teams.map((team) => [team.name, team]));
   }
 
   /** All work that may start within the quotas of its teams; with `urgentOnly` only what must start at once. */
@@ -57,7 +58,7 @@
     for (const job of order) {
       if (urgentOnly && !this.parts.autoscaler.mustStartAtOnce(job.spec)) continue;
       const kind = gpuKind(job.spec);
-      if (taken[kind]! >= this.term.ctx.settings.tuning.maxGroupsPerPlan) {
+      if (taken[kind]! >= this.term.context.settings.tuning.maxGroupsPerPlan) {
         beyond.push(job);
         continue;
       }
@@ -104,9 +105,9 @@
     limit: number,
     skipped = 0,
   ): TaskGroup | null {
-    const { ctx, cluster } = this.term;
+    const { context: ctx, cluster } = this.term;
     const spec = job.priority === job.spec.priority ? job.spec : { ...job.spec, priority: job.priority };
-    const room = usage.room(spec, this.teams.get(spec.team));
+    const room = usage.remainingTasks(spec, this.teams.get(spec.team));
     const waiting = job.waitingCount - skipped;
     const count = Math.min(waiting, room, spec.shape === 'gang' ? Infinity : limit);
     if (count <= 0 || (spec.shape === 'gang' && count < spec.tasks)) return null;
@@ -117,7 +118,7 @@
       count,
       zones: job.tasksByZone(),
       avoid: new Set(job.failuresByMachine.keys()),
-      checkpointedProgress: job.checkpointedProgress.get(-1) ?? 0,
+      checkpointedProgress: job.checkpointedProgress.get(GANG_PROGRESS) ?? 0,
       scaleOutThreshold: cluster.scaleOutThreshold(job),
       allowedDelay: cluster.allowedDelay(job),
       reserve: spec.priority > lowest || hasReservation || this.parts.queueOrder.hasTurn(job),
@@ -131,7 +132,7 @@
   /** Hypothetical groups for blocked jobs whose dependencies will be met before a new machine could boot. */
   upcomingStages(): TaskGroup[] {
     const { dependencies } = this.parts;
-    const { ctx, cluster } = this.term;
+    const { context: ctx, cluster } = this.term;
     if (dependencies.blockedCount === 0) return [];
     const { now } = ctx;
     let longestBoot = 0;
@@ -142,7 +143,7 @@
         left = Math.max(left, cluster.remainingRunTime(attempt));
       return now + left + STAGE_HANDOVER;
     };
-    const ahead = stagesAhead(
+    const ahead = upcomingStages(
       cluster.jobs.values(),
       dependencies,
       (id) => cluster.jobs.get(id),
--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -20,7 +20,7 @@
 const TASK_STOP_MARGIN: Micros = SECOND;
 
 /** The least age that is allowed: where `cancel_s` leaves less it is not kept, since no leader could work (`check-config`). */
-export const LEAST_MAX_AGE: Micros = 3 * SECOND;
+export const MIN_CANCELLATION_AGE_LIMIT: Micros = 3 * SECOND;
 
 /** Of the greatest age: a probe is due after this part of it, since the watch may never be answered. */
 const PROBE_FRACTION = 1 / 2;
@@ -41,7 +41,7 @@
   private confirmedUpTo: Micros | null = null;
 
   constructor(settings: CancellationSettings) {
-    this.maxAgeUs = Math.max(LEAST_MAX_AGE, maxCancellationAge(settings));
+    this.maxAgeUs = Math.max(MIN_CANCELLATION_AGE_LIMIT, maxCancellationAge(settings));
   }
 
   /** All that was confirmed before is known; `requestedAt`: when the request was sent whose reply showed it. */
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,5 +1,13 @@
 /** Reads the records of earlier leaders when a term begins, and follows changes of job records from then on. */
-import { idOfActive, MACHINES, JOBS, PLACES, PROGRESS, ROSTER, TIMINGS } from '../codecs/keys.js';
+import {
+  jobIdOfActiveKey,
+  FORMER_MACHINES_PREFIX,
+  ACTIVE_JOBS_PREFIX,
+  PROGRESS_PAGES_PREFIX,
+  LARGE_PROGRESS_PREFIX,
+  MACHINE_PAGES_PREFIX,
+  RUNTIME_SUMMARY_KEY,
+} from '../codecs/keys.js';
 import type { StoredItem, StoreEvent, StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
@@ -8,7 +16,13 @@
 import { listAllItems, type ListingTerm } from './paged-list.js';
 
 /** What a new leader reads. The jobs come first: workers are answered from then on. */
-const PREFIXES_TO_RESTORE = [JOBS, PLACES, ROSTER, PROGRESS, MACHINES] as const;
+const PREFIXES_TO_RESTORE = [
+  ACTIVE_JOBS_PREFIX,
+  PROGRESS_PAGES_PREFIX,
+  MACHINE_PAGES_PREFIX,
+  LARGE_PROGRESS_PREFIX,
+  FORMER_MACHINES_PREFIX,
+] as const;
 
 /** The longest and the shortest wait of a watch for changes. */
 const MAX_WATCH_MS = 8_000;
@@ -24,11 +38,11 @@
 
 /** What a failover needs of the leader's term. */
 export interface FailoverTerm extends ListingTerm {
-  readonly ctx: Pick<NodeContext, 'now' | 'requestStore' | 'info'>;
+  readonly context: Pick<NodeContext, 'now' | 'requestStore' | 'info'>;
   /** The records of earlier leaders are read. */
-  readonly ready: boolean;
+  readonly isRestored: boolean;
   /** Ids of the jobs that had not ended when they were listed; set by the failover. */
-  unendedJobs: ReadonlySet<string> | null;
+  activeJobIds: ReadonlySet<string> | null;
 }
 
 /** Receives what a failover reads. */
@@ -68,9 +82,9 @@
         return;
       }
       listAllItems(this.term, prefix, ({ items, revision, requestedAt }) => {
-        if (prefix === JOBS) {
+        if (prefix === ACTIVE_JOBS_PREFIX) {
           this.appliedRevision = revision;
-          this.term.unendedJobs = new Set(items.map((item) => idOfActive(item.key)));
+          this.term.activeJobIds = new Set(items.map((item) => jobIdOfActiveKey(item.key)));
           this.freshness.confirmUpTo(requestedAt);
         }
         listed.set(prefix, items);
@@ -85,8 +99,8 @@
    * often: does nothing while the knowledge of cancellations is fresh.
    */
   probeIfStale(): void {
-    const { now } = this.term.ctx;
-    if (this.isProbing || !this.term.ready || !this.freshness.isProbeDue(now)) return;
+    const { now } = this.term.context;
+    if (this.isProbing || !this.term.isRestored || !this.freshness.isProbeDue(now)) return;
     this.isProbing = true;
     const pause = (): void => {
       this.term.after(PROBE_INTERVAL, () => {
@@ -100,8 +114,8 @@
   }
 
   private restore(listed: ReadonlyMap<string, readonly StoredItem[]>): void {
-    this.term.ctx.requestStore({ kind: 'get', key: TIMINGS }, 2, (reply) => {
-      if (this.term.stopped) return;
+    this.term.context.requestStore({ kind: 'get', key: RUNTIME_SUMMARY_KEY }, 2, (reply) => {
+      if (this.term.hasEnded) return;
       this.events.restore((prefix) => listed.get(prefix) ?? [], reply.kind === 'item' ? reply.item : null);
       // Jobs may have changed while the rest was read.
       this.watch(0);
@@ -128,24 +142,28 @@
    * whether it waited or not; nothing else does.
    */
   private requestChanges(waitMs: number, onReply: (succeeded: boolean) => void): void {
-    const requestedAt = this.term.ctx.now;
+    const requestedAt = this.term.context.now;
     const after = this.appliedRevision;
-    this.term.ctx.requestStore({ kind: 'watch', prefix: JOBS, after, waitMs }, 0, (reply) => {
-      if (this.term.stopped) return;
-      if (reply.kind === 'tooOld') {
-        this.listJobs(() => {
-          onReply(true);
-        });
-        return;
-      }
-      onReply(reply.kind === 'events' && this.applyChanges(reply, after, requestedAt));
-    });
+    this.term.context.requestStore(
+      { kind: 'watch', prefix: ACTIVE_JOBS_PREFIX, after, waitMs },
+      0,
+      (reply) => {
+        if (this.term.hasEnded) return;
+        if (reply.kind === 'tooOld') {
+          this.listJobs(() => {
+            onReply(true);
+          });
+          return;
+        }
+        onReply(reply.kind === 'events' && this.applyChanges(reply, after, requestedAt));
+      },
+    );
   }
 
   /** Returns whether the reply was applied: one of a revision before `after` confirms nothing. */
   private applyChanges(reply: StoreReply & { kind: 'events' }, after: number, requestedAt: Micros): boolean {
     if (reply.revision < after) {
-      this.term.ctx.info('watch.revision_regressed', { to: reply.revision, from: after });
+      this.term.context.info('watch.revision_regressed', { to: reply.revision, from: after });
       return false;
     }
     for (const event of reply.events) if (event.version > this.appliedRevision) this.applyJobEvent(event);
@@ -155,11 +173,11 @@
   }
 
   private listJobs(onListed: () => void): void {
-    listAllItems(this.term, JOBS, ({ items, revision, requestedAt }) => {
-      const present = new Set(items.map((item) => idOfActive(item.key)));
+    listAllItems(this.term, ACTIVE_JOBS_PREFIX, ({ items, revision, requestedAt }) => {
+      const present = new Set(items.map((item) => jobIdOfActiveKey(item.key)));
       for (const item of items)
         if (item.version > this.appliedRevision)
-          this.events.jobPut(idOfActive(item.key), item.value, item.version);
+          this.events.jobPut(jobIdOfActiveKey(item.key), item.value, item.version);
       this.events.jobsListed(present, revision);
       this.appliedRevision = Math.max(this.appliedRevision, revision);
       this.freshness.confirmUpTo(requestedAt);
@@ -168,7 +186,7 @@
   }
 
   private applyJobEvent(event: StoreEvent): void {
-    const id = idOfActive(event.key);
+    const id = jobIdOfActiveKey(event.key);
     if (event.kind === 'put') this.events.jobPut(id, event.value, event.version);
     else this.events.jobDeleted(id, event.version);
   }
--- a/packages/core/src/leadership/leader-key-watch.ts
+++ b/packages/core/src/leadership/leader-key-watch.ts
@@ -1,5 +1,5 @@
 /** Follows the leader's key while this node does not lead, until nobody holds it. */
-import { LEAD } from '../codecs/keys.js';
+import { LEADER_KEY } from '../codecs/keys.js';
 import { decodeLeader } from '../codecs/leadership-codec.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
@@ -34,7 +34,7 @@
   start(): void {
     if (this.active || !this.events.shouldWatch()) return;
     this.active = true;
-    this.context.requestStore({ kind: 'get', key: LEAD }, 0, (reply) => {
+    this.context.requestStore({ kind: 'get', key: LEADER_KEY }, 0, (reply) => {
       if (reply.kind === 'item') this.onLeaderRead(reply.item);
       else if (reply.kind === 'missing') {
         this.knownLeader.forget();
@@ -75,7 +75,7 @@
     const watchedLeader = this.knownLeader.last;
     const { leaderLeaseUs } = this.context.settings.tuning;
     const waitMs = Math.floor((leaderLeaseUs * WATCH_FRACTION_OF_LEASE) / MILLI);
-    this.context.requestStore({ kind: 'watch', prefix: LEAD, after, waitMs }, 0, (reply) => {
+    this.context.requestStore({ kind: 'watch', prefix: LEADER_KEY, after, waitMs }, 0, (reply) => {
       if (reply.kind !== 'events') {
         this.resumeAfter(reply.kind === 'tooOld' ? 0 : WATCH_RETRY_DELAY);
         return;
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -15,28 +15,28 @@
   /** What the leader knows of jobs, machines and attempts. */
   readonly cluster: ClusterState;
   /** Whether the records of earlier leaders are read. */
-  ready = false;
+  isRestored = false;
   /** Before that: the jobs that had not ended when they were listed, which comes first of all; null: not yet listed. */
-  unendedJobs: ReadonlySet<string> | null = null;
+  activeJobIds: ReadonlySet<string> | null = null;
   /** The leader lease is lost: replies and timers that still arrive are dropped. */
-  stopped = false;
+  hasEnded = false;
   /** Missing heartbeats count from here: the beginning of the term, or the last return of the permission to act. */
   leaseHeldSince: Micros;
   private readonly numbers: TermNumbers;
   private readonly permissions: LeaderPermissions;
 
   constructor(
-    readonly ctx: NodeContext,
+    readonly context: NodeContext,
     readonly lease: LeaderLease,
     readonly election: LeaderElection,
     /** Requests a scheduling pass: something changed that may change placements. */
     readonly schedulePass: () => void,
   ) {
     this.number = lease.term;
-    this.cluster = new ClusterState(ctx);
-    this.leaseHeldSince = ctx.now;
+    this.cluster = new ClusterState(context);
+    this.leaseHeldSince = context.now;
     this.numbers = new TermNumbers(lease.term);
-    this.permissions = new LeaderPermissions(ctx, election, lease);
+    this.permissions = new LeaderPermissions(context, election, lease);
   }
 
   /** Whether commands and confirmations may be sent now. */
@@ -71,8 +71,8 @@
 
   /** Runs a callback after a delay, unless the term has ended by then. */
   after(delay: Micros, run: () => void): void {
-    this.ctx.after(delay, () => {
-      if (!this.stopped) run();
+    this.context.after(delay, () => {
+      if (!this.hasEnded) run();
     });
   }
 }
--- a/packages/core/src/leadership/lease-acquisition.ts
+++ b/packages/core/src/leadership/lease-acquisition.ts
@@ -1,5 +1,5 @@
 /** Acquires the leader lease: grants a lease in the key-value store, and claims the leader's key and the next term under it. */
-import { LEAD, TERM } from '../codecs/keys.js';
+import { LEADER_KEY, TERM_KEY } from '../codecs/keys.js';
 import { decodeTerm, encodeLeader, encodeTerm, type TermRecord } from '../codecs/leadership-codec.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
@@ -56,7 +56,7 @@
   }
 
   private readTerm(granted: GrantedLease): void {
-    this.context.requestStore({ kind: 'get', key: TERM }, 0, (reply) => {
+    this.context.requestStore({ kind: 'get', key: TERM_KEY }, 0, (reply) => {
       if (reply.kind === 'item' || reply.kind === 'missing') this.claim(granted, reply);
       else this.revokeAndFail(granted, RETRY_DELAY);
     });
@@ -83,12 +83,17 @@
     return {
       kind: 'txn',
       conditions: [
-        { key: LEAD, version: 0 },
-        { key: TERM, version: termVersion },
+        { key: LEADER_KEY, version: 0 },
+        { key: TERM_KEY, version: termVersion },
       ],
       writes: [
-        { kind: 'put', key: LEAD, value: encodeLeader({ member, term: term.number }), lease: granted.id },
-        { kind: 'put', key: TERM, value: encodeTerm(term) },
+        {
+          kind: 'put',
+          key: LEADER_KEY,
+          value: encodeLeader({ member, term: term.number }),
+          lease: granted.id,
+        },
+        { kind: 'put', key: TERM_KEY, value: encodeTerm(term) },
       ],
     };
   }
--- a/packages/core/src/leadership/paged-list.ts
+++ b/packages/core/src/leadership/paged-list.ts
@@ -11,9 +11,9 @@
 
 /** What reading a list needs of the leader's term. */
 export interface ListingTerm {
-  readonly ctx: Pick<NodeContext, 'now' | 'requestStore'>;
+  readonly context: Pick<NodeContext, 'now' | 'requestStore'>;
   /** The leader lease is lost: replies that still arrive are dropped. */
-  readonly stopped: boolean;
+  readonly hasEnded: boolean;
   /** Runs a callback after a delay, unless the term has ended by then. */
   after(delay: Micros, run: () => void): void;
 }
@@ -36,15 +36,15 @@
   let items: StoredItem[] = [];
   let firstPage: { revision: number; requestedAt: Micros } | null = null;
   const requestPage = (after: string | undefined): void => {
-    const requestedAt = term.ctx.now;
+    const requestedAt = term.context.now;
     const operation: StoreOperation = {
       kind: 'list',
       prefix,
       limit: PAGE_ITEMS,
       ...(after === undefined ? {} : { after }),
     };
-    term.ctx.requestStore(operation, 0, (reply) => {
-      if (term.stopped) return;
+    term.context.requestStore(operation, 0, (reply) => {
+      if (term.hasEnded) return;
       if (reply.kind !== 'items') {
         term.after(RETRY_DELAY, () => {
           requestPage(after);
--- a/packages/core/src/machines/autoscaler-host.ts
+++ b/packages/core/src/machines/autoscaler-host.ts
@@ -8,23 +8,23 @@
 export interface AutoscalerHost {
   /** Number of the leader's term: part of the names of requests. */
   readonly term: number;
-  readonly standing: Pick<PreprovisionedMachines, 'isOpen' | 'canProvision' | 'recordFirstList'>;
+  readonly preprovisioned: Pick<PreprovisionedMachines, 'isOpen' | 'canProvision' | 'recordFirstList'>;
   machines(): Iterable<Machine>;
   find(name: string): Machine | undefined;
   /** The cloud granted a machine that was requested at `since`. */
-  rented(name: string, type: string, zone: string, spot: boolean, since: Micros): void;
+  recordProvisioned(name: string, type: string, zone: string, spot: boolean, since: Micros): void;
   /** The cloud lists a machine. */
-  listed(machine: ListedMachine): void;
+  recordListed(machine: ListedMachine): void;
   /** The machine and everything on it are gone for sure. */
-  gone(machine: Machine, reason: string): void;
+  remove(machine: Machine, reason: string): void;
   /** Takes the machine out of use and has it deleted. */
   retire(machine: Machine, reason: string): void;
   /** What is known of the cloud changed: a plan may answer to that. */
-  changed(): void;
+  schedulePass(): void;
   /** Whether the term still lasts; after it no answer counts. */
-  active(): boolean;
+  isActive(): boolean;
   /** Whether anything may be decided now. */
-  entitled(): boolean;
+  canActAsLeader(): boolean;
   /** Whether capacity is to be saved. */
-  thrifty(): boolean;
+  isCostSensitive(): boolean;
 }
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -37,7 +37,7 @@
     private readonly ctx: NodeContext,
     private readonly host: AutoscalerHost,
   ) {
-    this.forecast = new DemandForecast(ctx, () => host.thrifty());
+    this.forecast = new DemandForecast(ctx, () => host.isCostSensitive());
     this.offers = new CapacityOffers(ctx);
     this.scaleOut = new ScaleOut(ctx, host, this.offers);
     this.deletions = new DeletionQueue(ctx, host, this.offers);
@@ -54,7 +54,7 @@
 
   private refreshTypes(): void {
     this.ctx.after(TYPES_INTERVAL, () => {
-      if (!this.host.active()) return;
+      if (!this.host.isActive()) return;
       this.ctx.requestCloud({ kind: 'types' }, TYPES_URGENCY, (reply) => {
         if (reply.kind === 'types' && reply.types.length > 0)
           this.ctx.types = new Map(reply.types.map((type) => [type.name, type]));
@@ -66,12 +66,12 @@
   // ---- demand ------------------------------------------------------------------------------------
 
   /** A job arrived that may begin at once. */
-  noteArrival(spec: JobSpec): void {
+  recordArrival(spec: JobSpec): void {
     this.forecast.recordArrival(spec);
   }
 
   /** The largest recent job of each class that came lately. */
-  kinds(): JobSpec[] {
+  recentSpecs(): JobSpec[] {
     return this.forecast.recentSpecs();
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Room kept free for work that must start sooner than the tasks end that others would put there. */
-  kept(): TaskGroup[] {
+  reservedForUrgent(): TaskGroup[] {
     return this.forecast.reservedForUrgent();
   }
 
@@ -93,16 +93,16 @@
   // ---- scale-out ---------------------------------------------------------------------------------
 
   /** What can be provisioned now, by type, zone and kind. */
-  rentable(): CapacityOffer[] {
+  availableOffers(): CapacityOffer[] {
     return this.offers.available();
   }
 
   /** Provisions the machines that the plan used and that are not there. */
-  rentFor(decision: Decision): void {
+  scaleOutFor(decision: Decision): void {
     // First the machines that are there are listed and put on record: what is pre-provisioned is never returned.
     if (this.inventory.awaitsFirstList) return;
-    const { standing: preprovisioned } = this.host;
-    const { rented: wanted } = decision.picture;
+    const { preprovisioned: preprovisioned } = this.host;
+    const { provisioned: wanted } = decision.snapshot;
     if (preprovisioned.isOpen && wanted.size > 0) preprovisioned.recordFirstList([]);
     if (!preprovisioned.canProvision) return;
     for (const [capacity, count] of wanted) if (count > 0) this.scaleOut.request(capacity, count);
@@ -111,14 +111,14 @@
   // ---- scale-in ----------------------------------------------------------------------------------
 
   /** Deletes a machine that is on record as retiring; everything on it is gone once that is answered. */
-  remove(name: string): void {
+  deleteMachine(name: string): void {
     this.deletions.add(name);
   }
 
   /** Retires machines that never boot, and idle ones. `needed` are those that the plan counts on. */
-  sweep(needed: ReadonlySet<string>): void {
+  scaleIn(needed: ReadonlySet<string>): void {
     const { now, settings } = this.ctx;
-    const idleFactor = this.host.thrifty() ? 1 : IDLE_FACTOR_WITHOUT_COST_PRESSURE;
+    const idleFactor = this.host.isCostSensitive() ? 1 : IDLE_FACTOR_WITHOUT_COST_PRESSURE;
     const maxIdle = settings.tuning.idleScaleInUs * idleFactor;
     for (const machine of this.host.machines()) {
       if (machine.retirementReason !== null) continue;
--- a/packages/core/src/machines/cloud-inventory.ts
+++ b/packages/core/src/machines/cloud-inventory.ts
@@ -20,7 +20,7 @@
 
 type InventoryHost = Pick<
   AutoscalerHost,
-  'standing' | 'machines' | 'find' | 'listed' | 'gone' | 'changed' | 'active'
+  'preprovisioned' | 'machines' | 'find' | 'recordListed' | 'remove' | 'schedulePass' | 'isActive'
 >;
 
 /** Lists the cloud's machines again and again, and compares them with the cluster state. */
@@ -53,7 +53,7 @@
   /** Lists the machines after the name `after`, page by page, adding them to `seen`. */
   private listFrom(after: string, seen: ListedMachine[], startedAt: Micros): void {
     this.ctx.requestCloud({ kind: 'list', after, limit: PAGE_SIZE }, URGENCY, (reply) => {
-      if (!this.host.active()) return;
+      if (!this.host.isActive()) return;
       const interval = this.pollInterval(seen.length);
       if (reply.kind === 'listed') {
         seen.push(...reply.machines);
@@ -63,10 +63,10 @@
           return;
         }
         this.compare(seen, startedAt);
-        this.host.changed();
+        this.host.schedulePass();
       }
       this.ctx.after(interval, () => {
-        if (this.host.active()) this.poll();
+        if (this.host.isActive()) this.poll();
       });
     });
   }
@@ -92,7 +92,7 @@
       this.recordListed(machine);
     }
     this.isFirstListPending = false;
-    const { standing: preprovisioned } = this.host;
+    const { preprovisioned: preprovisioned } = this.host;
     if (preprovisioned.isOpen)
       preprovisioned.recordFirstList([...this.host.machines()].filter((machine) => names.has(machine.name)));
     // It shows every machine that was listed before the longest lag and still exists.
@@ -100,19 +100,19 @@
     for (const machine of [...this.host.machines()]) {
       const { firstListedAt } = machine;
       if (!names.has(machine.name) && firstListedAt !== null && firstListedAt < startedAt - maxAge)
-        this.host.gone(machine, 'unlisted');
+        this.host.remove(machine, 'unlisted');
     }
   }
 
   private recordListed(listed: ListedMachine): void {
-    this.host.listed(listed);
+    this.host.recordListed(listed);
     const machine = this.host.find(listed.name);
     if (machine === undefined) return;
     machine.firstListedAt ??= this.ctx.now;
     machine.lastListedAt = this.ctx.now;
     if (listed.state === 'failed') {
       // A failed machine stopped by itself; it stays listed until it is deleted.
-      this.host.gone(machine, 'failed');
+      this.host.remove(machine, 'failed');
       this.remove(listed.name);
     }
   }
--- a/packages/core/src/machines/deletion-queue.ts
+++ b/packages/core/src/machines/deletion-queue.ts
@@ -17,7 +17,7 @@
 
   constructor(
     private readonly ctx: NodeContext,
-    private readonly host: Pick<AutoscalerHost, 'find' | 'gone' | 'active'>,
+    private readonly host: Pick<AutoscalerHost, 'find' | 'remove' | 'isActive'>,
     private readonly offers: CapacityOffers,
   ) {}
 
@@ -33,13 +33,13 @@
     const batch = this.queued.slice(0, MAX_BATCH);
     this.ctx.requestCloud({ kind: 'delete', machines: batch }, URGENCY, (reply) => {
       this.inFlight = false;
-      if (!this.host.active()) return;
+      if (!this.host.isActive()) return;
       if (reply.kind === 'deleted') {
         this.recordDeleted(batch);
         this.flush();
       } else
         this.ctx.after(RETRY_DELAY, () => {
-          if (this.host.active()) this.flush();
+          if (this.host.isActive()) this.flush();
         });
     });
   }
@@ -50,7 +50,7 @@
       const machine = this.host.find(name);
       if (machine === undefined) continue;
       this.offers.recordFreed(machine);
-      this.host.gone(machine, 'deleted');
+      this.host.remove(machine, 'deleted');
     }
   }
 }
--- a/packages/core/src/machines/demand-forecast.ts
+++ b/packages/core/src/machines/demand-forecast.ts
@@ -119,7 +119,10 @@
       const { times, largest } = arrivals;
       const isRecent = (times.at(-1) ?? -Infinity) >= this.ctx.now - ARRIVAL_WINDOW;
       if (!isRecent || !this.mustStartAtOnce(largest)) continue;
-      groups.push({ ...this.hypotheticalGroup(largest, this.urgentTasks(arrivals)), kept: true });
+      groups.push({
+        ...this.hypotheticalGroup(largest, this.urgentTasks(arrivals)),
+        reservedForUrgent: true,
+      });
     }
     return groups;
   }
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -59,13 +59,13 @@
 
   /** The age of heartbeats counts anew from when the leader lease was regained: meanwhile no worker was answered. */
   recordLeaseState(holdsLease: boolean): void {
-    if (holdsLease && !this.heldLease) this.term.leaseHeldSince = this.term.ctx.now;
+    if (holdsLease && !this.heldLease) this.term.leaseHeldSince = this.term.context.now;
     this.heldLease = holdsLease;
   }
 
   /** A worker that was not answered for its lease, clock drift included, has dropped its tasks. */
   expireLeases(): void {
-    const { ctx, cluster } = this.term;
+    const { context: ctx, cluster } = this.term;
     const leaseUs = Math.ceil(ctx.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT)) + LEASE_MARGIN;
     for (const machine of cluster.machines.values()) {
       if (ctx.now <= machine.leaseRenewedAt + leaseUs || !isExpected(machine)) continue;
@@ -84,8 +84,8 @@
    * A silent machine is deleted: the cloud's answer proves that everything on it is gone, much sooner than its lease does. Not
    * so when many are silent at once: then the network is at fault, or this node.
    */
-  retireSilentMachines(): void {
-    const { ctx, cluster, election } = this.term;
+  retireUnresponsiveMachines(): void {
+    const { context: ctx, cluster, election } = this.term;
     const { heartbeatIntervalUs, tuning } = ctx.settings;
     const suspicionUs = Math.max(tuning.machineSuspicionUs, SUSPICION_INTERVALS * heartbeatIntervalUs);
     const survey = this.surveyOverdue(suspicionUs);
@@ -106,13 +106,13 @@
 
   /** Time since the last heartbeat, as far as it was this leader that should have received one. */
   private heartbeatAge(machine: Machine): Micros {
-    return this.term.ctx.now - Math.max(machine.lastHeartbeatAt, this.term.leaseHeldSince);
+    return this.term.context.now - Math.max(machine.lastHeartbeatAt, this.term.leaseHeldSince);
   }
 
   private surveyOverdue(suspicionUs: Micros): OverdueSurvey {
     // Machines that are merely overdue count too: those of a zone that is cut off become silent one after the other, and the
     // first third of them would be deleted before the rest shows that it is the network.
-    const overdueUs = OVERDUE_INTERVALS * this.term.ctx.settings.heartbeatIntervalUs;
+    const overdueUs = OVERDUE_INTERVALS * this.term.context.settings.heartbeatIntervalUs;
     const zones = new Map<string, ZoneCounts>();
     let expected = 0;
     let quiet = 0;
@@ -139,7 +139,7 @@
    * any staying until the machines' leases have run out.
    */
   private shouldResign({ expected, quiet }: OverdueSurvey): boolean {
-    const { ctx, election } = this.term;
+    const { context: ctx, election } = this.term;
     const { resignedAt } = election;
     const resignedLately =
       resignedAt !== null && ctx.now - resignedAt < LEASES_BETWEEN_RESIGNATIONS * ctx.settings.workerLeaseUs;
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -14,11 +14,11 @@
 /** What the machines' life needs of the other parts of the scheduler, and what it reports to them. */
 export interface MachineEvents {
   /** Deletes a machine that is on record as retiring. */
-  remove(name: string): void;
+  deleteMachine(name: string): void;
   /** The attempt is surely not on its machine any more. */
-  end(attempt: TaskAttempt): void;
+  endAttempt(attempt: TaskAttempt): void;
   /** The machine is gone for sure. */
-  gone(machine: Machine): void;
+  machineRemoved(machine: Machine): void;
 }
 
 /** What a machine is known by when it is added. */
@@ -47,7 +47,7 @@
 
   /** Adds a machine to the cluster state; not yet on record. */
   add(name: string, { address, type, zone, spot }: MachineDescription): Machine {
-    const machine = new Machine(name, address, type, zone, spot, this.term.ctx.now);
+    const machine = new Machine(name, address, type, zone, spot, this.term.context.now);
     this.machines.set(name, machine);
     return machine;
   }
@@ -58,9 +58,9 @@
     const known = this.machines.get(name);
     if (known !== undefined) return known;
     if (this.removedAt.has(name)) return null;
-    if (this.term.ready && this.isStale(heartbeat)) return null;
+    if (this.term.isRestored && this.isStale(heartbeat)) return null;
     // Never on record, so no leader ever put anything on it.
-    this.term.ctx.info('machine.registered', { machine: name, type, zone });
+    this.term.context.info('machine.registered', { machine: name, type, zone });
     return this.add(name, heartbeat);
   }
 
@@ -72,7 +72,7 @@
    */
   private isStale(heartbeat: Heartbeat): boolean {
     if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;
-    this.term.ctx.info('heartbeat.stale', {
+    this.term.context.info('heartbeat.stale', {
       machine: heartbeat.machine,
       session: heartbeat.agentEpoch,
       tasks: heartbeat.tasks.length,
@@ -93,7 +93,7 @@
   /** Puts a machine on record, unless it is already, or is being put there. */
   persist(machine: Machine): void {
     // Before the machine records are read, their pages would be overwritten.
-    if (machine.recorded !== 'no' || !this.term.ready) return;
+    if (machine.recorded !== 'no' || !this.term.isRestored) return;
     machine.recorded = 'writing';
     this.store.put(machine, () => {
       machine.recorded = 'yes';
@@ -114,12 +114,12 @@
     if (machine === undefined) {
       if (this.removedAt.has(name)) return;
       if (listed.state === 'failed') {
-        this.events.remove(name);
+        this.events.deleteMachine(name);
         return;
       }
       machine = this.add(name, listed);
-      machine.provisionedAt = this.term.ctx.now - listed.ageUs;
-      this.term.ctx.info('machine.discovered', { machine: name, type: listed.type, zone: listed.zone });
+      machine.provisionedAt = this.term.context.now - listed.ageUs;
+      this.term.context.info('machine.discovered', { machine: name, type: listed.type, zone: listed.zone });
     }
     if (machine.address === '') machine.address = listed.address;
   }
@@ -127,7 +127,7 @@
   /** The machine and everything on it are gone for sure. */
   remove(machine: Machine, reason: string): void {
     if (!this.machines.has(machine.name)) return;
-    this.term.ctx.info('machine.removed', {
+    this.term.context.info('machine.removed', {
       machine: machine.name,
       reason,
       tasks: machine.attempts.size,
@@ -137,14 +137,14 @@
     machine.up = false;
     machine.awaitingReconciliation = false;
     machine.retirementReason ??= reason;
-    for (const attempt of [...machine.attempts.values()]) this.events.end(attempt);
-    this.events.gone(machine);
+    for (const attempt of [...machine.attempts.values()]) this.events.endAttempt(attempt);
+    this.events.machineRemoved(machine);
     this.store.drop(machine);
     this.term.schedulePass();
   }
 
   private rememberRemoved(name: string): void {
-    this.removedAt.set(name, this.term.ctx.now);
+    this.removedAt.set(name, this.term.context.now);
     if (this.removedAt.size <= MAX_REMOVED_NAMES) return;
     const oldest = this.removedAt.keys().next().value!;
     this.removedAt.delete(oldest);
@@ -155,7 +155,7 @@
     if (machine.deletionRequested) return;
     machine.deletionRequested = true;
     machine.retirementReason ??= reason;
-    this.term.ctx.info('machine.retired', {
+    this.term.context.info('machine.retired', {
       machine: machine.name,
       reason,
       tasks: machine.attempts.size,
@@ -163,13 +163,13 @@
     machine.recorded = 'writing';
     this.store.put(machine, () => {
       machine.recorded = 'yes';
-      this.events.remove(machine.name);
+      this.events.deleteMachine(machine.name);
     });
   }
 
   /** Retires a machine once it is empty, or at `latest`. */
   retireWhenEmpty(machine: Machine, reason: string, latest: Micros): void {
-    if (machine.attempts.size === 0 || this.term.ctx.now >= latest) {
+    if (machine.attempts.size === 0 || this.term.context.now >= latest) {
       this.retire(machine, reason);
       return;
     }
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -5,7 +5,7 @@
  * provisioned ones, and returned those that were idle.
  */
 import type { Machine } from '../cluster/cluster-model.js';
-import { TERM } from '../codecs/keys.js';
+import { TERM_KEY } from '../codecs/keys.js';
 import { encodeTerm } from '../codecs/leadership-codec.js';
 import { SECOND, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -28,7 +28,7 @@
   ) {
     this.state = term.lease.firstTerm ? 'open' : 'closed';
     // The same transaction wrote both keys.
-    writer.rememberVersion(TERM, term.lease.keyVersion);
+    writer.rememberVersion(TERM_KEY, term.lease.keyVersion);
   }
 
   /** Whether a list that comes now shows the pre-provisioned machines. */
@@ -66,7 +66,7 @@
     if (this.state !== 'recording') return;
     this.state = 'closing';
     this.writer.put(
-      TERM,
+      TERM_KEY,
       () => encodeTerm({ number: this.term.number, first: false }),
       () => {
         this.state = 'closed';
@@ -79,6 +79,6 @@
   private logRecorded(): void {
     let machines = 0;
     for (const machine of this.term.cluster.machines.values()) if (machine.preprovisioned) machines++;
-    this.term.ctx.info('autoscaler.preprovisioned_recorded', { machines });
+    this.term.context.info('autoscaler.preprovisioned_recorded', { machines });
   }
 }
--- a/packages/core/src/machines/scale-out.ts
+++ b/packages/core/src/machines/scale-out.ts
@@ -28,7 +28,10 @@
 
   constructor(
     private readonly ctx: NodeContext,
-    private readonly host: Pick<AutoscalerHost, 'term' | 'rented' | 'changed' | 'active' | 'entitled'>,
+    private readonly host: Pick<
+      AutoscalerHost,
+      'term' | 'recordProvisioned' | 'schedulePass' | 'isActive' | 'canActAsLeader'
+    >,
     private readonly offers: CapacityOffers,
   ) {}
 
@@ -56,7 +59,7 @@
       { kind: 'rent', request: name, type: type.name, zone, spot, count },
       URGENCY,
       (reply) => {
-        if (this.host.active()) this.handleReply(request, retries, reply);
+        if (this.host.isActive()) this.handleReply(request, retries, reply);
       },
     );
   }
@@ -77,9 +80,9 @@
     // Fewer than asked for: there are no more for now.
     if (machines.length < count) this.offers.recordRefusal(offer);
     for (const machine of machines)
-      this.host.rented(machine, capacity.type.name, capacity.zone, capacity.spot, requestedAt);
+      this.host.recordProvisioned(machine, capacity.type.name, capacity.zone, capacity.spot, requestedAt);
     this.ctx.info('autoscaler.machines_provisioned', { request: name, machines });
-    this.host.changed();
+    this.host.schedulePass();
   }
 
   private handleNoCapacity({ name, capacity, offer }: ProvisioningRequest): void {
@@ -91,15 +94,15 @@
       zone: capacity.zone,
       spot: capacity.spot,
     });
-    this.host.changed();
+    this.host.schedulePass();
   }
 
   /** The same name again: if the first request was executed, the retry provisions nothing more. */
   private retryLater(request: ProvisioningRequest, retries: number): void {
     this.ctx.after((1 + retries) * RETRY_DELAY, () => {
-      if (!this.host.active()) return;
+      if (!this.host.isActive()) return;
       // Without the leader lease nothing more is asked for; what was granted all the same shows in the list.
-      if (this.host.entitled()) this.send(request, retries + 1);
+      if (this.host.canActAsLeader()) this.send(request, retries + 1);
       else this.offers.recordFailure(request.offer);
     });
   }
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -187,7 +187,7 @@
   }
 
   /** The state of a member; `unknown` also for one that is no peer. */
-  levelOf(member: string): PeerState {
+  stateOf(member: string): PeerState {
     return this.peers.get(member)?.state ?? 'unknown';
   }
 
--- a/packages/core/src/node/machine-type-loader.ts
+++ b/packages/core/src/node/machine-type-loader.ts
@@ -1,6 +1,6 @@
 /** Learns the machine types when a node starts: from the store, or, where they are not stored yet, from the cloud. */
 import { decodeMachineTypes } from '../codecs/machine-type-codec.js';
-import { TYPES } from '../codecs/keys.js';
+import { MACHINE_TYPES_KEY } from '../codecs/keys.js';
 import type { MachineType } from '../domain/machine.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import type { NodeContext } from './node-context.js';
@@ -26,7 +26,7 @@
 
   private tryToLoad(tries: number): void {
     if (this.context.types.size > 0) return;
-    this.context.requestStore({ kind: 'get', key: TYPES }, 1, (reply) => {
+    this.context.requestStore({ kind: 'get', key: MACHINE_TYPES_KEY }, 1, (reply) => {
       const types = reply.kind === 'item' ? decodeMachineTypes(reply.item.value) : null;
       if (types !== null && types.length > 0) {
         this.use(types);
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,5 +1,5 @@
 /** What every part of the core shares within one node: the present time, effects of the step, pending calls, timers, logs. */
-import { TERM } from '../codecs/keys.js';
+import { TERM_KEY } from '../codecs/keys.js';
 import type { CloudOperation, CloudReply } from '../domain/cloud.js';
 import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
 import type { CommandReply, WorkerCommand } from '../domain/heartbeat.js';
@@ -154,7 +154,7 @@
   private probeStore(): void {
     this.probing = this.storeConnection.downSince !== null;
     if (!this.probing) return;
-    this.requestStore({ kind: 'get', key: TERM }, 0, () => {
+    this.requestStore({ kind: 'get', key: TERM_KEY }, 0, () => {
       this.after(PROBE_INTERVAL, () => {
         this.probeStore();
       });
--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,8 +1,6 @@
 /** When a machine has free capacity, given what ends and what is planned on it. */
 import type { Micros } from '../domain/time.js';
-import type { Amounts } from '../domain/resources.js';
-import { fits } from '../domain/resources.js';
-import { AMOUNT_SLACK } from '../cluster/amount-slack.js';
+import { AMOUNT_TOLERANCE, fits, type Amounts } from '../domain/resources.js';
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 
@@ -97,9 +95,9 @@
     const change = slot.changes[i];
     if (
       (change === undefined || change.at > at) &&
-      least.cores <= cores + AMOUNT_SLACK &&
-      least.gpus <= gpus + AMOUNT_SLACK &&
-      least.memoryGb <= memoryGb + AMOUNT_SLACK
+      least.cores <= cores + AMOUNT_TOLERANCE &&
+      least.gpus <= gpus + AMOUNT_TOLERANCE &&
+      least.memoryGb <= memoryGb + AMOUNT_TOLERANCE
     )
       return at;
     if (change === undefined) return UNBOUNDED_RUN_TIME;
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -38,7 +38,7 @@
     private readonly stopAttempt: (attempt: TaskAttempt, graceUs: Micros) => void,
     private readonly retireWhenEmpty: (machine: Machine, reason: string, latest: Micros) => void,
   ) {
-    this.context = cluster.ctx;
+    this.context = cluster.context;
   }
 
   /**
--- a/packages/core/src/scheduling/placement-options.ts
+++ b/packages/core/src/scheduling/placement-options.ts
@@ -80,7 +80,7 @@
   }
 
   private isAvailable(offer: CapacityOffer): boolean {
-    return (this.snapshot.rented.get(offer) ?? 0) < offer.limit;
+    return (this.snapshot.provisioned.get(offer) ?? 0) < offer.limit;
   }
 
   private visitMachines(
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -42,22 +42,22 @@
   /** Makespans that differ by no more than this count as equal. */
   readonly toleranceUs: Micros;
   /** Where everything can begin now nothing is compared; for plans whose comparisons would exceed the budget. */
-  readonly skipWhenPlenty?: boolean;
+  readonly skipWhenUncontended?: boolean;
 }
 
 /** The result of a search, and what it cost. */
 export interface Decision {
   /** In the order in which they were decided. */
   readonly steps: readonly PlanStep[];
-  readonly picture: ClusterSnapshot;
+  readonly snapshot: ClusterSnapshot;
   /** Number of candidates that were rolled out. */
-  readonly searched: number;
+  readonly candidatesSearched: number;
   /** The budget ran out while candidates were compared. */
-  readonly fellBack: boolean;
+  readonly budgetExceeded: boolean;
   /** Placements examined: what the plan cost, independent of the computer. */
-  readonly looks: number;
+  readonly placementsExamined: number;
   /** Groups placed behind those that were compared. */
-  readonly overflow: number;
+  readonly backfilledGroups: number;
 }
 
 /** Work behind the groups that are compared. */
@@ -118,18 +118,18 @@
     yield* this.placeAroundHolders(real.filter((group) => !reserved.has(group)));
     yield* this.placeBackfill();
     for (const group of this.groups)
-      if (group.hypothetical && group.kept !== true) placeGroup(this.simulation, group);
+      if (group.hypothetical && group.reservedForUrgent !== true) placeGroup(this.simulation, group);
   }
 
   /** The result so far. */
   decision(): Decision {
     return {
       steps: this.steps,
-      picture: this.snapshot,
-      searched: this.searched,
-      fellBack: this.fellBack,
-      looks: this.simulation.placementsExamined,
-      overflow: this.backfilledGroups,
+      snapshot: this.snapshot,
+      candidatesSearched: this.searched,
+      budgetExceeded: this.fellBack,
+      placementsExamined: this.simulation.placementsExamined,
+      backfilledGroups: this.backfilledGroups,
     };
   }
 
@@ -181,7 +181,7 @@
 
   /** Places groups around those that only hold free capacity. */
   private *placeAroundHolders(groups: readonly TaskGroup[]): Generator<void> {
-    const holders = this.groups.filter((group) => group.kept === true);
+    const holders = this.groups.filter((group) => group.reservedForUrgent === true);
     if (holders.length === 0) {
       yield* this.place(groups);
       return;
@@ -214,7 +214,7 @@
 
   /** Chooses and commits first actions while there is a choice; then places what is left in order. */
   private *place(groups: readonly TaskGroup[]): Generator<void> {
-    const compares = this.limits.skipWhenPlenty !== true || !allCanStartNow(this.simulation, groups);
+    const compares = this.limits.skipWhenUncontended !== true || !allCanStartNow(this.simulation, groups);
     let left = groups;
     while (compares && left.length > 0) {
       const represented = left.slice(0, this.limits.depth);
--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -166,7 +166,7 @@
   }
 
   private removeProvisioned(offer: CapacityOffer, pool: MachinePool): void {
-    const { rented, slots } = this.snapshot;
+    const { provisioned: rented, slots } = this.snapshot;
     rented.set(offer, rented.get(offer)! - 1);
     if (rented.get(offer) === 0) rented.delete(offer);
     slots.pop();
@@ -225,7 +225,7 @@
   /** Makes a chosen option part of the snapshot: a machine that would be provisioned is counted. */
   provision({ offer, placement }: PlacementOption): void {
     if (offer === null) return;
-    const { rented, slots } = this.snapshot;
+    const { provisioned: rented, slots } = this.snapshot;
     const pool = this.poolOf(offer.type, offer.zone, offer.spot);
     rented.set(offer, (rented.get(offer) ?? 0) + 1);
     slots.push(placement.slot);
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -37,7 +37,7 @@
   /** No real work: capacity kept for arrivals, or for stages to come. */
   readonly hypothetical: boolean;
   /** Of a hypothetical group: capacity that is free now is kept for it. */
-  readonly kept?: boolean;
+  readonly reservedForUrgent?: boolean;
   /** It can't begin before. */
   readonly notBefore?: Micros;
   /** Relative prices by type and kind, filled in on demand. */
@@ -70,7 +70,7 @@
   /** Kinds of machines that may be provisioned. */
   readonly offers: readonly CapacityOffer[];
   /** Number of machines that the plan provisions, by offer. */
-  rented: Map<CapacityOffer, number>;
+  provisioned: Map<CapacityOffer, number>;
   readonly predictor: Predictor;
   readonly types: Iterable<MachineType>;
   /** Recurring kinds of tasks: small ones had better leave whole machines for the large ones among them. */
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -42,7 +42,7 @@
     private readonly cluster: ClusterState,
     private readonly stopAttempt: (attempt: TaskAttempt, graceUs: Micros) => void,
   ) {
-    this.context = cluster.ctx;
+    this.context = cluster.context;
   }
 
   /**
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -69,7 +69,7 @@
   private readonly context: NodeContext;
 
   constructor(private readonly cluster: ClusterState) {
-    this.context = cluster.ctx;
+    this.context = cluster.context;
   }
 
   /** Whether it is this job's fair-share turn. */
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -32,11 +32,11 @@
   private readonly context: NodeContext;
 
   constructor(private readonly cluster: ClusterState) {
-    this.context = cluster.ctx;
+    this.context = cluster.context;
   }
 
   /** A snapshot of all machines that work may be placed on. */
-  picture(offers: readonly CapacityOffer[], recurringSpecs: readonly JobSpec[]): ClusterSnapshot {
+  build(offers: readonly CapacityOffer[], recurringSpecs: readonly JobSpec[]): ClusterSnapshot {
     const slots: MachineSlot[] = [];
     const costSensitive = this.cluster.isCostSensitive();
     const { now, types } = this.context;
@@ -51,7 +51,7 @@
       types: [...types.values()],
       offers,
       recurringSpecs,
-      rented: new Map(),
+      provisioned: new Map(),
       predictor: {
         runTime: (spec, type, checkpointedProgress) =>
           this.cluster.runtimeEstimates.remaining(
--- a/packages/core/src/scheduling/look-ahead.ts
+++ b/packages/core/src/scheduling/upcoming-stages.ts
@@ -3,7 +3,7 @@
  * them after all other work, from when what they depend on is predicted done, so that capacity is there or on its way by
  * then. They run for seconds where a machine takes half a minute to boot.
  */
-import type { DependencyGraph } from '../jobs/dependencies.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 
@@ -18,7 +18,7 @@
 }
 
 /** Jobs blocked on dependencies whose release is predicted within the horizon, the soonest first. */
-export const stagesAhead = (
+export const upcomingStages = (
   jobs: Iterable<ActiveJob>,
   dependencies: DependencyGraph,
   find: (id: string) => ActiveJob | undefined,
@@ -40,7 +40,7 @@
   for (const job of jobs) {
     if (!job.blockedOnDependencies || job.dependencyFailed || job.phase !== 'active') continue;
     let ready = 0;
-    for (const id of dependencies.waitsFor(job)) {
+    for (const id of dependencies.unmetDependencies(job)) {
       ready = Math.max(ready, predictEnd(find(id)));
       if (ready > horizon) break;
     }
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -5,7 +5,7 @@
  * one.
  */
 import type { NodeContext } from '../node/node-context.js';
-import { LEAD } from '../codecs/keys.js';
+import { LEADER_KEY } from '../codecs/keys.js';
 import type { StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
 import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { bytesOf } from '../codecs/value-size.js';
@@ -18,9 +18,9 @@
 export interface WriteOptions {
   /** Whether the version that it replaces is a condition. */
   readonly checked?: boolean;
-  readonly urgent?: WriteUrgency;
+  readonly urgency?: WriteUrgency;
   /** The state service refused the value as it is: it is not tried again. */
-  readonly refused?: (bytes: number) => void;
+  readonly onRefused?: (bytes: number) => void;
 }
 
 interface PendingWrite {
@@ -106,14 +106,14 @@
     const onWritten = (write: StoreWrite): void => {
       done(write.kind === 'put' ? write.value : null);
     };
-    const urgent = options.urgent === 'later' && waiting?.urgent !== 'now' ? 'later' : 'now';
+    const urgent = options.urgency === 'later' && waiting?.urgent !== 'now' ? 'later' : 'now';
     this.pending.set(key, {
       key,
       make: () => ({ kind: 'put', key, value: make() }),
       checked: options.checked ?? true,
       urgent,
       done: [...(waiting?.done ?? []), onWritten],
-      refused: [...(waiting?.refused ?? []), ...(options.refused === undefined ? [] : [options.refused])],
+      refused: [...(waiting?.refused ?? []), ...(options.onRefused === undefined ? [] : [options.onRefused])],
     });
     this.scheduleFlush(urgent === 'now' ? GATHER_DELAY : LATER_DELAY);
   }
@@ -171,7 +171,7 @@
   /** Takes the next writes out of those that wait. */
   private takeBatch(): Batch {
     const writes: SentWrite[] = [];
-    const conditions: VersionCondition[] = [{ key: LEAD, version: this.leadVersion }];
+    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leadVersion }];
     let bytes = 0;
     for (const entry of this.nextWrites()) {
       const write = entry.make();
@@ -211,7 +211,7 @@
       return;
     }
     this.requeue(batch);
-    if (reply.kind === 'conflict' && reply.failed.includes(LEAD)) {
+    if (reply.kind === 'conflict' && reply.failed.includes(LEADER_KEY)) {
       this.onFenced();
     } else if (reply.kind === 'conflict') {
       // An earlier attempt was executed after all, or arrived late: read which versions are there now.
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -108,7 +108,7 @@
   }
 
   /** Whether keys are in a layout that has to be written anew. */
-  get unsettled(): boolean {
+  get needsLayoutChange(): boolean {
     return this.otherLayout.size > 0;
   }
 
@@ -188,7 +188,7 @@
         if (!failed) refused();
         failed = true;
       };
-      const options = { urgent, refused: onRefused };
+      const options = { urgency: urgent, onRefused };
       this.writer.put(this.keyOf(index), () => this.encodePart(index), onWritten, options);
     }
   }
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,6 +1,6 @@
 /** Machines on record: nothing is started on one that is not, and one to be deleted is marked as retiring first. */
 import type { Machine } from '../cluster/cluster-model.js';
-import { machineKey, MACHINES, ROSTER } from '../codecs/keys.js';
+import { formerMachineKey, FORMER_MACHINES_PREFIX, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import { PackedPages, readPage } from './packed-pages.js';
 import {
@@ -40,7 +40,7 @@
     find: (name: string) => Machine | undefined,
     private readonly onUnreadable: (key: string) => void,
   ) {
-    this.pages = new PackedPages(writer, ROSTER, roomLimit, {
+    this.pages = new PackedPages(writer, MACHINE_PAGES_PREFIX, roomLimit, {
       describe: (name) => {
         const machine = find(name);
         return machine === undefined ? null : encodeMachine(recordOf(machine));
@@ -56,7 +56,8 @@
   /** Machines that an earlier leader recorded, in pages or, by an earlier version, under a key for each machine. */
   load(pages: readonly StoredItem[], unpacked: readonly StoredItem[]): Map<string, MachineRecord> {
     const found = new Map<string, MachineRecord>();
-    for (const item of unpacked) this.loadRecord(found, item.key.slice(MACHINES.length), item.value);
+    for (const item of unpacked)
+      this.loadRecord(found, item.key.slice(FORMER_MACHINES_PREFIX.length), item.value);
     for (const item of pages) {
       const entries = readPage(item.value);
       if (entries === null) this.reportUnreadable(item.key);
@@ -84,10 +85,10 @@
   /** Moves what an earlier version wrote into pages; its keys are removed once that is confirmed. */
   adopt(unpacked: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
     for (const item of unpacked) {
-      const machine = find(item.key.slice(MACHINES.length));
+      const machine = find(item.key.slice(FORMER_MACHINES_PREFIX.length));
       if (machine === undefined) continue;
       this.put(machine, () => {
-        this.writer.remove(machineKey(machine.name));
+        this.writer.remove(formerMachineKey(machine.name));
       });
     }
   }
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -62,7 +62,7 @@
   ) {}
 
   /** The largest record that may be kept here: several must fit into a page. */
-  get largest(): number {
+  get largestRecord(): number {
     return Math.floor(this.roomLimit / MIN_RECORDS_PER_PAGE);
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Whether some page is still to be emptied, or some record stands on several. */
-  get unsettled(): boolean {
+  get needsCompaction(): boolean {
     return this.pagesToEmpty.size > 0 || this.copies.size > 0;
   }
 
@@ -228,7 +228,7 @@
       page.size = 0;
       page.stale = false;
     };
-    this.writer.put(key, () => ({ entries: {} }), onWritten, { urgent: 'later' });
+    this.writer.put(key, () => ({ entries: {} }), onWritten, { urgency: 'later' });
   }
 
   private write(page: Page, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
@@ -242,7 +242,10 @@
       if (page.records.size > 1) this.closeAndEmpty(page);
       refused?.();
     };
-    this.writer.put(page.key, () => this.encodePage(page), onWritten, { urgent, refused: onRefused });
+    this.writer.put(page.key, () => this.encodePage(page), onWritten, {
+      urgency: urgent,
+      onRefused: onRefused,
+    });
   }
 
   private encodePage(page: Page): unknown {
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -4,7 +4,7 @@
  */
 import type { Machine, ActiveJob } from '../cluster/cluster-model.js';
 import type { NodeContext } from '../node/node-context.js';
-import { PLACES, PROGRESS, partOf } from '../codecs/keys.js';
+import { PROGRESS_PAGES_PREFIX, LARGE_PROGRESS_PREFIX, partOfKeyNumber } from '../codecs/keys.js';
 import { LargeProgress } from './large-progress.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import { pageRoom, PackedPages, readPage } from './packed-pages.js';
@@ -42,7 +42,7 @@
     private readonly findJob: (id: string) => ActiveJob | undefined,
     private readonly findMachine: (name: string) => Machine | undefined,
   ) {
-    this.pages = new PackedPages(writer, PLACES, pageRoom(context.settings.maxValueBytes), {
+    this.pages = new PackedPages(writer, PROGRESS_PAGES_PREFIX, pageRoom(context.settings.maxValueBytes), {
       describe: (id) => this.describe(id),
       written: (id, value) => {
         this.applyWritten(id, decodeProgress(value));
@@ -103,7 +103,7 @@
   }
 
   private loadOwnKey(item: StoredItem, merge: RecordMerger): void {
-    const [id, suffix] = item.key.slice(PROGRESS.length).split('/');
+    const [id, suffix] = item.key.slice(LARGE_PROGRESS_PREFIX.length).split('/');
     const job = this.findJob(id!);
     if (job === undefined) {
       this.writer.remove(item.key);
@@ -113,7 +113,8 @@
     const keyNumber = Number(suffix ?? 0);
     const record = decodeProgress(item.value);
     merge(id!, record?.from ?? this.formerSegmentStart(keyNumber), item.value);
-    if (record !== null) this.largeOf(job).adopt(item.key, partOf(keyNumber), record, bytesOf(item.value));
+    if (record !== null)
+      this.largeOf(job).adopt(item.key, partOfKeyNumber(keyNumber), record, bytesOf(item.value));
   }
 
   /**
@@ -167,7 +168,7 @@
   }
 
   private isLarge(job: ActiveJob): boolean {
-    return !this.pages.has(job.id) && this.roomOf(job) > this.pages.largest;
+    return !this.pages.has(job.id) && this.roomOf(job) > this.pages.largestRecord;
   }
 
   /** Names of machines that hold or may hold tasks of the job; one that is confirmed to be gone is left out. */
@@ -250,7 +251,7 @@
     this.pages.compact();
     for (const job of jobs) {
       const large = this.large.get(job.id);
-      if (large?.unsettled !== true || job.phase !== 'active') continue;
+      if (large?.needsLayoutChange !== true || job.phase !== 'active') continue;
       large.write('later', ignore, ignore);
       return;
     }
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -21,13 +21,13 @@
 /** What the attempts' life needs of the other parts of the scheduler, and what it reports to them. */
 export interface AttemptEvents {
   /** Puts the places of a job on record: nothing is sent there before. Calls `then` once it is done, or `refused`. */
-  place(job: ActiveJob, then: () => void, refused: () => void): void;
+  recordPlacement(job: ActiveJob, then: () => void, refused: () => void): void;
   /** A heartbeat that came with the answer to commands. */
-  report(machine: Machine, heartbeat: Heartbeat): void;
+  heartbeatReceived(machine: Machine, heartbeat: Heartbeat): void;
   /** An attempt of the job is gone: of an ended job none may be left. */
-  released(job: ActiveJob): void;
+  attemptReleased(job: ActiveJob): void;
   /** An attempt is not on its machine any more; `exit` is how it ended, where that is known. */
-  ended(attempt: TaskAttempt, exit: ReportedTask | null): void;
+  attemptEnded(attempt: TaskAttempt, exit: ReportedTask | null): void;
   /** Takes a machine out of use once it is empty, or at `latest`. */
   retireWhenEmpty(machine: Machine, reason: string, latest: Micros): void;
 }
@@ -41,7 +41,7 @@
 /** Begins, adopts, stops and ends attempts, and keeps them in the cluster state. */
 export class AttemptLifecycle {
   /** Completed runs that the runtime estimates learned from since the caller last reset this. */
-  noted = 0;
+  learnedRuns = 0;
   private readonly commands: CommandQueue;
   private readonly gangs: GangSupervisor;
 
@@ -54,7 +54,7 @@
         this.end(attempt, null);
       },
       heartbeatReceived: (machine, heartbeat) => {
-        events.report(machine, heartbeat);
+        events.heartbeatReceived(machine, heartbeat);
       },
     });
     this.gangs = new GangSupervisor(term, (attempt, graceUs) => {
@@ -66,7 +66,7 @@
 
   /** Begins attempts at the given places: from here on the tasks count as being there. */
   begin(job: ActiveJob, places: readonly TaskPlace[]): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const attempts = this.createAttempts(job, places);
     job.startedBefore = true;
     ctx.debug('job.tasks_dispatched', () => ({
@@ -83,7 +83,7 @@
     };
     if (!unrecorded) start();
     else
-      this.events.place(job, start, () => {
+      this.events.recordPlacement(job, start, () => {
         // What can't be put on record is not started, and not tried again at once.
         delayRetry(this.term, job, RETRY_SECONDS_AFTER_UNRECORDED);
         for (const attempt of attempts) if (attempt.state === 'recording') this.end(attempt, null);
@@ -91,7 +91,7 @@
   }
 
   private createAttempts(job: ActiveJob, places: readonly TaskPlace[]): TaskAttempt[] {
-    const { now } = this.term.ctx;
+    const { now } = this.term.context;
     const isGang = job.spec.shape === 'gang';
     // The members of a gang share one attempt number.
     let number = isGang ? this.term.nextAttemptNumber() : 0;
@@ -121,7 +121,7 @@
 
   /** Takes in a task of an earlier leader's attempt, as a machine reports it; `confirmed` with a token of this term. */
   adopt(machine: Machine, job: ActiveJob, task: ReportedTask, confirmed: boolean): TaskAttempt {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const attempt: TaskAttempt = {
       job,
       index: task.index,
@@ -163,7 +163,7 @@
     machine.attempts.delete(key);
     machine.markChanged();
     if (job.liveAttempts.get(index) === attempt) job.liveAttempts.delete(index);
-    if (machine.attempts.size === 0) machine.idleSince = this.term.ctx.now;
+    if (machine.attempts.size === 0) machine.idleSince = this.term.context.now;
     job.requeue(index);
     return true;
   }
@@ -175,14 +175,14 @@
   discard(attempt: TaskAttempt): void {
     if (!this.detach(attempt)) return;
     const { job, machine } = attempt;
-    this.term.ctx.debug('attempt.discarded', {
+    this.term.context.debug('attempt.discarded', {
       job: job.id,
       task: attempt.index,
       machine: machine.name,
       attempt: attempt.number,
     });
-    this.events.ended(attempt, null);
-    this.events.released(job);
+    this.events.attemptEnded(attempt, null);
+    this.events.attemptReleased(job);
     this.term.schedulePass();
   }
 
@@ -196,20 +196,20 @@
     const { job, machine } = attempt;
     if (exit !== null) machine.endedSinceFencing.add(attemptKey(job.id, attempt.index));
     const cause = exit?.cause ?? null;
-    this.term.ctx.debug('attempt.ended', {
+    this.term.context.debug('attempt.ended', {
       job: job.id,
       task: attempt.index,
       machine: machine.name,
       cause: cause ?? 'gone',
     });
-    this.events.ended(attempt, exit);
-    if (recordRun(this.term, attempt, cause, exit?.checkpointed === true)) this.noted++;
+    this.events.attemptEnded(attempt, exit);
+    if (recordRun(this.term, attempt, cause, exit?.checkpointed === true)) this.learnedRuns++;
     if (cause === 'error' && recordTaskFailure(this.term, machine, job)) this.retireFaulty(machine);
     if (cause === 'noRoom' || cause === 'busy' || cause === 'unknown')
       delayRetry(this.term, job, RETRY_SECONDS_AFTER_REJECTION);
     if (job.spec.shape === 'gang' && cause !== 'done' && job.liveAttempts.size > 0) this.gangs.breakGang(job);
     if (job.liveAttempts.size === 0) job.gangBroken = false;
-    this.events.released(job);
+    this.events.attemptReleased(job);
     this.term.schedulePass();
   }
 
@@ -217,11 +217,11 @@
     machine.retirementReason = 'faulty';
     for (const attempt of [...machine.attempts.values()])
       this.stop(attempt, attempt.job.spec.checkpointDurationUs + SECOND);
-    this.events.retireWhenEmpty(machine, 'faulty', this.term.ctx.now + FAULTY_MACHINE_DRAIN);
+    this.events.retireWhenEmpty(machine, 'faulty', this.term.context.now + FAULTY_MACHINE_DRAIN);
   }
 
   /** Stops attempts of gangs that can't become whole any more, for example after a failover. */
-  checkGangs(): void {
+  breakIncompleteGangs(): void {
     this.gangs.breakIncompleteGangs();
   }
 
@@ -238,7 +238,7 @@
       this.end(attempt, null);
       return;
     }
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     attempt.stopping = { since: ctx.now, graceUs };
     machine.markChanged();
     ctx.debug('attempt.stop_requested', {
@@ -251,7 +251,7 @@
   }
 
   /** Sends the commands that wait for a machine, one call at a time. */
-  pump(machine: Machine): void {
+  dispatchQueued(machine: Machine): void {
     this.commands.dispatchQueued(machine);
   }
 
--- a/packages/core/src/tasks/command-queue.ts
+++ b/packages/core/src/tasks/command-queue.ts
@@ -64,7 +64,7 @@
   /** Starts on a machine that are decided, or put on record, in one step go out in one call. */
   private dispatchTogether(machine: Machine): void {
     if (this.dispatchAtEndOfStep.size === 0)
-      this.term.ctx.atEndOfStep(() => {
+      this.term.context.atEndOfStep(() => {
         const machines = [...this.dispatchAtEndOfStep];
         this.dispatchAtEndOfStep.clear();
         for (const next of machines) this.dispatchQueued(next);
@@ -88,9 +88,9 @@
     if (commands.length === 0) return;
     if (starts.length > 0) machine.lastStartToken = token;
     machine.commandInFlight = true;
-    this.term.ctx.sendCommands(machine.address, token, machine.agentEpoch, commands, (reply) => {
+    this.term.context.sendCommands(machine.address, token, machine.agentEpoch, commands, (reply) => {
       machine.commandInFlight = false;
-      if (this.term.stopped) return;
+      if (this.term.hasEnded) return;
       this.handleReply(machine, starts, reply);
       this.dispatchQueued(machine);
     });
@@ -103,7 +103,7 @@
     token: number,
     starts: TaskAttempt[],
   ): WorkerCommand[] {
-    const mayCommand = this.term.canActAsLeader() && !this.term.stopped;
+    const mayCommand = this.term.canActAsLeader() && !this.term.hasEnded;
     const mayStart = mayCommand && this.term.canDispatch();
     return batch.filter((command) => {
       if (command.op !== 'start') return mayCommand;
@@ -122,7 +122,7 @@
   }
 
   private handleReply(machine: Machine, starts: readonly TaskAttempt[], reply: CommandReply): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (reply.kind === 'lost') {
       if (starts.length > 0) {
         machine.fencingCounter++;
--- a/packages/core/src/tasks/gang-attempts.ts
+++ b/packages/core/src/tasks/gang-attempts.ts
@@ -37,7 +37,7 @@
   /** A member of the gang is lost: stops the others at once. */
   breakGang(job: ActiveJob): void {
     if (job.phase !== 'active' || job.isComplete) return;
-    if (!job.gangBroken) this.term.ctx.info('gang.broken', { job: job.id, left: job.liveAttempts.size });
+    if (!job.gangBroken) this.term.context.info('gang.broken', { job: job.id, left: job.liveAttempts.size });
     job.gangBroken = true;
     for (const member of unstoppedMembers(job)) this.stop(member, 0);
   }
--- a/packages/core/src/tasks/heartbeat-commands.ts
+++ b/packages/core/src/tasks/heartbeat-commands.ts
@@ -19,7 +19,7 @@
   constructor(
     private readonly term: LeaderTerm,
     private readonly attempts: Pick<AttemptLifecycle, 'prepareForget'>,
-    private readonly events: Pick<TaskEvents, 'keeps'>,
+    private readonly events: Pick<TaskEvents, 'mustRetain'>,
   ) {}
 
   /** Stops for everything on the machine that is over or unknown. */
@@ -55,14 +55,14 @@
   /** Grace period of the stop to send once more to a listed attempt; null if none is to be sent. */
   private repeatedStopGrace({ job, stopping }: TaskAttempt, task: ReportedTask): Micros | null {
     if (stopping === null) return null;
-    const isOverdue = this.term.ctx.now - stopping.since > stopping.graceUs + STOP_OVERDUE;
+    const isOverdue = this.term.context.now - stopping.since > stopping.graceUs + STOP_OVERDUE;
     if (isOverdue || job.phase === 'ended') return 0;
     return task.state === 'saving' ? null : stopping.graceUs;
   }
 
   /** Before the records are read: stops for jobs that had ended by then. Nothing else is known to be over. */
   stopsBeforeRecordsAreRead(heartbeat: Heartbeat): WorkerCommand[] {
-    const { unendedJobs } = this.term;
+    const { activeJobIds: unendedJobs } = this.term;
     if (unendedJobs === null) return [];
     return heartbeat.tasks
       .filter((task) => task.state !== 'exited' && !unendedJobs.has(task.job))
@@ -89,7 +89,7 @@
     const isUnwritten =
       job !== undefined &&
       (job.phase === 'finishing' || (job.phase === 'active' && !job.durablyDone.has(task.index)));
-    return isUnwritten || this.events.keeps(task);
+    return isUnwritten || this.events.mustRetain(task);
   }
 }
 
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -30,12 +30,12 @@
   /** A heartbeat that could not be answered with 200 still shows that its sender is alive. */
   recordLiveness(heartbeat: Heartbeat): void {
     const machine = this.term.cluster.machines.get(heartbeat.machine);
-    if (machine?.isNewerHeartbeat(heartbeat) === true) machine.lastHeartbeatAt = this.term.ctx.now;
+    if (machine?.isNewerHeartbeat(heartbeat) === true) machine.lastHeartbeatAt = this.term.context.now;
   }
 
   /** Takes in a heartbeat and answers it; an accepted one renews the worker's lease. */
   respond(heartbeat: Heartbeat): HeartbeatResponse {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const machine = this.machineLifecycle.registerHeartbeat(heartbeat);
     // A heartbeat that was held back outlives its machine.
     if (machine === null) return { kind: 'unavailable' };
@@ -63,12 +63,12 @@
     if (stops.length > MAX_COMMANDS) {
       // More than an answer holds: they are sent directly, and the lease is not renewed before there are fewer.
       if (machine.queuedCommands.length === 0) machine.queuedCommands.push(...stops);
-      this.attempts.pump(machine);
+      this.attempts.dispatchQueued(machine);
       return { kind: 'unavailable' };
     }
     this.attempts.fenceStartsOfEndedJobs(machine);
     const forgets =
-      newer && this.term.ready
+      newer && this.term.isRestored
         ? this.commands.forgetsFor(machine, heartbeat, MAX_COMMANDS - stops.length)
         : [];
     return {
@@ -79,7 +79,7 @@
   }
 
   private stopsFor(machine: Machine, heartbeat: Heartbeat): WorkerCommand[] {
-    if (this.term.ready) return this.commands.stopsFor(machine, heartbeat);
+    if (this.term.isRestored) return this.commands.stopsFor(machine, heartbeat);
     return this.commands.stopsBeforeRecordsAreRead(heartbeat);
   }
 
@@ -104,7 +104,7 @@
     machine.acknowledgedToken = Math.max(machine.acknowledgedToken, heartbeat.fencingToken);
     if (!machine.up) this.markUp(machine);
     this.updateTermination(machine, heartbeat);
-    if (!this.term.ready) {
+    if (!this.term.isRestored) {
       this.earlyHeartbeats.set(machine, heartbeat);
       return;
     }
@@ -113,7 +113,7 @@
 
   /** The worker was started anew: nothing of its earlier epochs is there any more. */
   private beginEpoch(machine: Machine, agentEpoch: number): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (machine.agentEpoch > 0)
       ctx.info('machine.epoch_changed', { machine: machine.name, session: agentEpoch });
     for (const attempt of [...machine.attempts.values()])
@@ -127,7 +127,7 @@
   }
 
   private markUp(machine: Machine): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     machine.up = true;
     machine.upSince = ctx.now;
     machine.idleSince = ctx.now;
@@ -140,7 +140,7 @@
   }
 
   private updateTermination(machine: Machine, { terminationNoticeUs }: Heartbeat): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (terminationNoticeUs === null) {
       machine.terminationAt = null;
       return;
--- a/packages/core/src/tasks/reconciliation.ts
+++ b/packages/core/src/tasks/reconciliation.ts
@@ -15,7 +15,7 @@
   constructor(
     private readonly term: LeaderTerm,
     private readonly attempts: AttemptLifecycle,
-    private readonly events: Pick<TaskEvents, 'markDone' | 'running' | 'exited'>,
+    private readonly events: Pick<TaskEvents, 'markDone' | 'taskRunning' | 'unknownAttemptExited'>,
   ) {}
 
   /** Takes over what the machine's newest heartbeat lists. The records of earlier leaders must have been read. */
@@ -29,7 +29,7 @@
     this.endUnlistedAttempts(machine, heartbeat, listed);
     if (machine.terminationAt !== null)
       drainBeforeTermination(this.term, this.attempts, machine, machine.terminationAt);
-    if (machine.attempts.size > 0 || machine.unknownTaskCount > 0) machine.idleSince = this.term.ctx.now;
+    if (machine.attempts.size > 0 || machine.unknownTaskCount > 0) machine.idleSince = this.term.context.now;
   }
 
   /** Returns the attempts that the heartbeat lists as present; counts the tasks that match none. */
@@ -107,12 +107,12 @@
     if (attempt.confirmed) return;
     attempt.confirmed = true;
     attempt.machine.notifyObserver();
-    if (attempt.runningAt !== null) this.events.running(attempt);
+    if (attempt.runningAt !== null) this.events.taskRunning(attempt);
   }
 
   private updateState(machine: Machine, attempt: TaskAttempt, task: ReportedTask): void {
     if (task.state === 'exited' || attempt.state === task.state) return;
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     ctx.debug('attempt.state_changed', {
       job: attempt.job.id,
       task: attempt.index,
@@ -123,7 +123,7 @@
     machine.markChanged();
     if (task.state === 'running' && attempt.runningAt === null) {
       attempt.runningAt = ctx.now;
-      if (attempt.confirmed) this.events.running(attempt);
+      if (attempt.confirmed) this.events.taskRunning(attempt);
     }
     if (task.state !== 'fetching')
       recordCachedImage(machine, attempt.job.spec, ctx.types.get(machine.type)?.imageCacheGb ?? Infinity);
@@ -136,7 +136,7 @@
     attempt: TaskAttempt | undefined,
     task: ReportedTask,
   ): void {
-    if (attempt === undefined) this.events.exited(task.job, task);
+    if (attempt === undefined) this.events.unknownAttemptExited(task.job, task);
     const isDone = task.cause === 'done';
     if (isDone) {
       machine.consecutiveErrors = 0;
--- a/packages/core/src/tasks/run-outcomes.ts
+++ b/packages/core/src/tasks/run-outcomes.ts
@@ -35,7 +35,7 @@
   const { runtimeEstimates } = term.cluster;
   const progressKey = spec.shape === 'gang' ? WHOLE_GANG : attempt.index;
   const progressBefore = job.checkpointedProgress.get(progressKey) ?? 0;
-  const progress = progressBefore + (term.ctx.now - attempt.runningAt);
+  const progress = progressBefore + (term.context.now - attempt.runningAt);
   if (cause === 'done') {
     job.checkpointedProgress.delete(progressKey);
     // A gang counts as one run: that of its first member.
@@ -74,7 +74,7 @@
   const failsEverywhere = job.failuresByMachine.size >= FAILING_EVERYWHERE_MACHINES && job.done.count === 0;
   delayRetry(term, job, failsEverywhere ? backoffSeconds(job.consecutiveFailures) : 0);
   if (failsEverywhere) {
-    term.ctx.info('job.failing_everywhere', { job: job.id, failures: job.consecutiveFailures });
+    term.context.info('job.failing_everywhere', { job: job.id, failures: job.consecutiveFailures });
     for (const name of job.failuresByMachine.keys())
       term.cluster.machines.get(name)?.failedJobs.delete(job.id);
     return false;
@@ -91,7 +91,7 @@
 
 /** The job's tasks are not started again before so many seconds have passed. */
 export const delayRetry = (term: LeaderTerm, job: ActiveJob, seconds: number): void => {
-  job.retryNotBefore = Math.max(job.retryNotBefore, term.ctx.now + seconds * SECOND);
+  job.retryNotBefore = Math.max(job.retryNotBefore, term.context.now + seconds * SECOND);
 };
 
 const backoffSeconds = (failures: number): number =>
--- a/packages/core/src/tasks/task-events.ts
+++ b/packages/core/src/tasks/task-events.ts
@@ -7,9 +7,9 @@
   /** The results of a task are there. */
   markDone(job: ActiveJob, index: number): void;
   /** A task runs. */
-  running(attempt: TaskAttempt): void;
+  taskRunning(attempt: TaskAttempt): void;
   /** The end of an attempt that this leader did not know. */
-  exited(job: string, exit: ReportedTask): void;
+  unknownAttemptExited(job: string, exit: ReportedTask): void;
   /** Whether its worker is to keep the end of a done attempt, though it is on record. */
-  keeps(exit: ReportedTask): boolean;
+  mustRetain(exit: ReportedTask): boolean;
 }
--- a/packages/core/src/tasks/termination-drain.ts
+++ b/packages/core/src/tasks/termination-drain.ts
@@ -17,7 +17,7 @@
   machine: Machine,
   terminationAt: Micros,
 ): void => {
-  const timeLeft = terminationAt - term.ctx.now;
+  const timeLeft = terminationAt - term.context.now;
   for (const attempt of [...machine.attempts.values()]) {
     if (attempt.stopping !== null || endsInTime(term, attempt, timeLeft)) continue;
     const { job } = attempt;
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -59,7 +59,7 @@
   const tail = Array.from({ length: 500 }, (_, i) => groupOf(specOf(`run-${i}`, { tasks: 5, cores: 2 })));
   const none = search(snapshotOf(full, { box: 5 }), [], SEARCH_LIMITS, stoppedClock, backfillOf(tail));
   assert.equal(none.steps.length, 0);
-  assert.ok(none.looks < 3_000, `${none.looks} looks`);
+  assert.ok(none.placementsExamined < 3_000, `${none.placementsExamined} looks`);
   const array = groupOf(specOf('run-1', { tasks: 4_000 }));
   const all = search(
     snapshotOf(emptyBoxes(1_000), { box: 5 }),
@@ -69,7 +69,7 @@
     backfillOf([array]),
   );
   assert.equal(all.steps.length, 1_000);
-  assert.ok(all.looks < 10_000, `${all.looks} looks`);
+  assert.ok(all.placementsExamined < 10_000, `${all.placementsExamined} looks`);
 });
 
 test('a backfilled gang begins whole or not at all, and limits on zones are kept', () => {
@@ -131,7 +131,7 @@
     stoppedClock,
     backfillOf(tail),
   );
-  assert.equal(decision.picture.rented.get(offer), 50);
+  assert.equal(decision.snapshot.provisioned.get(offer), 50);
   assert.equal(decision.steps.length, 0, 'nothing of it is a start');
 });
 
@@ -158,8 +158,8 @@
         { box: 20 },
       );
     const compared = search(snapshot(), groups(), SEARCH_LIMITS, stoppedClock);
-    const plain = search(snapshot(), groups(), { ...SEARCH_LIMITS, skipWhenPlenty: true }, stoppedClock);
-    assert.equal(plain.searched, 0, `seed ${seed}: nothing is compared`);
+    const plain = search(snapshot(), groups(), { ...SEARCH_LIMITS, skipWhenUncontended: true }, stoppedClock);
+    assert.equal(plain.candidatesSearched, 0, `seed ${seed}: nothing is compared`);
     const begun = (steps: typeof plain.steps): Record<string, number> => {
       const counts: Record<string, number> = {};
       for (const { group, count, start } of steps)
@@ -177,10 +177,10 @@
   const decision = search(
     snapshotOf(emptyBoxes(2), { box: 5 }),
     groups,
-    { ...SEARCH_LIMITS, skipWhenPlenty: true },
+    { ...SEARCH_LIMITS, skipWhenUncontended: true },
     stoppedClock,
   );
-  assert.ok(decision.searched > 0);
+  assert.ok(decision.candidatesSearched > 0);
 });
 
 test('a search that is suspended and resumed decides the same, and restores its snapshot', () => {
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -68,7 +68,7 @@
   now: 0,
   slots,
   offers,
-  rented: new Map(),
+  provisioned: new Map(),
   types: slots.map((slot) => slot.type),
   predictor: { runTime: (_spec, type) => (runSeconds[type.name] ?? 10) * SECOND },
 });
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,7 +1,7 @@
 /** Jobs with dependencies: blocked, released, cancelled, and the priorities and deadlines that others inherit from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DependencyGraph } from '@shaleyoke/core/jobs/dependencies';
+import { DependencyGraph } from '@shaleyoke/core/jobs/dependency-graph';
 import { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { latestFinish } from '@shaleyoke/core/cluster/deadline-chain';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
@@ -185,13 +185,13 @@
     const graph = new DependencyGraph({
       wallNow: 0,
       job: (id) => jobs.get(id),
-      resolve: () => assert.fail('all jobs are known'),
-      released: () => undefined,
-      doomed: () => assert.fail('no job is cancelled'),
-      expected: (job) => job.spec.estimatedRunUs,
+      readOutcome: () => assert.fail('all jobs are known'),
+      dependenciesMet: () => undefined,
+      dependencyFailed: () => assert.fail('no job is cancelled'),
+      expectedDuration: (job) => job.spec.estimatedRunUs,
     });
     for (const job of jobs.values()) graph.add(job);
-    graph.refresh(false);
+    graph.refreshInheritance(false);
     const after = (id: string): ActiveJob[] =>
       [...jobs.values()].filter((job) => job.spec.dependsOn.includes(id));
     const priority = (job: ActiveJob): number => Math.max(job.spec.priority, ...after(job.id).map(priority));
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND, type Micros } from '@shaleyoke/core/domain/time';
-import { JOBS } from '@shaleyoke/core/codecs/keys';
+import { ACTIVE_JOBS_PREFIX } from '@shaleyoke/core/codecs/keys';
 import { CancellationFreshness } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { Failover, type FailoverEvents, type FailoverTerm } from '@shaleyoke/core/leadership/failover';
 import { Random } from '@shaleyoke/emulator/random';
@@ -43,7 +43,7 @@
     const currentTime = (): Micros => this.now;
     const isReady = (): boolean => this.isReady;
     return {
-      ctx: {
+      context: {
         get now() {
           return currentTime();
         },
@@ -54,11 +54,11 @@
           this.loggedEvents.push(event);
         },
       },
-      get ready() {
+      get isRestored() {
         return isReady();
       },
-      stopped: false,
-      unendedJobs: null,
+      hasEnded: false,
+      activeJobIds: null,
       after: (delay, run) => {
         this.timers.push({ dueAt: this.now + delay, run });
       },
@@ -68,7 +68,7 @@
   private createEvents(): FailoverEvents {
     return {
       restore: (read) => {
-        for (const item of read(JOBS)) this.jobs.set(idOf(item.key), item.version);
+        for (const item of read(ACTIVE_JOBS_PREFIX)) this.jobs.set(idOf(item.key), item.version);
         this.isReady = true;
       },
       jobPut: (id, _value, version) => {
@@ -84,7 +84,7 @@
   }
 
   get unendedJobs(): ReadonlySet<string> | null {
-    return this.term.unendedJobs;
+    return this.term.activeJobIds;
   }
 
   /** Removes and returns the oldest open call of this kind. */
@@ -123,22 +123,22 @@
   }
 }
 
-const idOf = (key: string): string => key.slice(JOBS.length);
+const idOf = (key: string): string => key.slice(ACTIVE_JOBS_PREFIX.length);
 const listOf = (ids: readonly string[], revision: number, more = false): StoreReply => ({
   kind: 'items',
-  items: ids.map((id) => ({ key: JOBS + id, value: {}, version: revision - 1, lease: null })),
+  items: ids.map((id) => ({ key: ACTIVE_JOBS_PREFIX + id, value: {}, version: revision - 1, lease: null })),
   more,
   revision,
 });
 const putEvent = (id: string, version: number): StoreEvent => ({
   kind: 'put',
-  key: JOBS + id,
+  key: ACTIVE_JOBS_PREFIX + id,
   value: {},
   version,
 });
 const deleteEvent = (id: string, version: number): StoreEvent => ({
   kind: 'delete',
-  key: JOBS + id,
+  key: ACTIVE_JOBS_PREFIX + id,
   version,
 });
 const eventsOf = (events: readonly StoreEvent[], revision: number): StoreReply => ({
@@ -233,9 +233,9 @@
     return {
       kind: 'items',
       items: this.idsAt(revision).map((id) => ({
-        key: JOBS + id,
+        key: ACTIVE_JOBS_PREFIX + id,
         value: {},
-        version: this.events.find((event) => event.key === JOBS + id)!.version,
+        version: this.events.find((event) => event.key === ACTIVE_JOBS_PREFIX + id)!.version,
         lease: null,
       })),
       more: false,
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -166,11 +166,11 @@
     for (let i = 0; i < 40 && newScheduler() === null; i++) simulation.runFor(250 * MILLI);
     const scheduler = newScheduler()!;
     const { machines } = scheduler.term.cluster;
-    assert.equal(scheduler.term.ready, false);
+    assert.equal(scheduler.term.isRestored, false);
     scheduler.respondToHeartbeat(old);
     assert.ok(machines.has(lost.name), 'taken for one that may be there');
     simulation.runFor(6 * SECOND);
-    assert.equal(scheduler.term.ready, true);
+    assert.equal(scheduler.term.isRestored, true);
     assert.ok(!machines.has(lost.name), 'removed once the records were read');
     assert.equal(scheduler.respondToHeartbeat(old).kind, 'unavailable', `seed ${seed}`);
     staleTasks += taskCount;
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -60,10 +60,10 @@
     watch.advanceTo(60 * SECOND);
     assert.equal(watch.suspicions, 0, `seed ${seed}`);
     watch.advanceTo(65 * SECOND);
-    assert.equal(watch.members.levelOf('p'), 'suspected', `seed ${seed}`);
+    assert.equal(watch.members.stateOf('p'), 'suspected', `seed ${seed}`);
     watch.send(70 * SECOND, 0, beatOf('p', 61));
     watch.advanceTo(71 * SECOND);
-    assert.equal(watch.members.levelOf('p'), 'alive');
+    assert.equal(watch.members.stateOf('p'), 'alive');
     assert.equal(watch.changes.at(-1)?.kind, 'alive');
   }
 });
@@ -115,7 +115,7 @@
   watch.now = 4 * SECOND;
   assert.equal(watch.members.suspectSilentPeers(0).length, 1);
   assert.equal(watch.members.receive(beatOf('p', 6)), null);
-  assert.equal(watch.members.levelOf('p'), 'suspected', 'a late heartbeat does not end the suspicion');
+  assert.equal(watch.members.stateOf('p'), 'suspected', 'a late heartbeat does not end the suspicion');
   assert.equal(watch.members.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
 });
 
@@ -137,7 +137,7 @@
     changes.map((change) => change?.kind),
     [undefined, 'restarted', undefined],
   );
-  assert.equal(watch.members.levelOf('p'), 'alive');
+  assert.equal(watch.members.stateOf('p'), 'alive');
 });
 
 test('whether a peer reaches the state service is known as of its own report', () => {
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Machine, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { NodeContext } from '@shaleyoke/core/node/node-context';
-import { LEAD } from '@shaleyoke/core/codecs/keys';
+import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
 import type {
   StoredItem,
   StoreOperation,
@@ -41,7 +41,7 @@
     readonly random: Random,
     public failureRate: number,
   ) {
-    this.items.set(LEAD, { key: LEAD, value: {}, version: 1, lease: null });
+    this.items.set(LEADER_KEY, { key: LEADER_KEY, value: {}, version: 1, lease: null });
   }
 
   private apply(operation: StoreOperation): StoreReply {
@@ -423,7 +423,7 @@
       () => 'y'.repeat(i === 5 ? 900 : 100),
       () => done.push(i),
       {
-        refused: () => refused++,
+        onRefused: () => refused++,
       },
     );
   store.runFor(20 * SECOND);
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -46,7 +46,7 @@
     SEARCH_LIMITS,
     stoppedClock,
   );
-  assert.equal(decision.picture.rented.get(offer), 1);
+  assert.equal(decision.snapshot.provisioned.get(offer), 1);
   const soon = { ...busy, changes: [{ at: 2 * SECOND, cores: 1, gpus: 0, memoryGb: 1 }] };
   const soonDecision = search(
     snapshotOf([soon], { cpu: 5 }, [offer]),
@@ -54,7 +54,7 @@
     SEARCH_LIMITS,
     stoppedClock,
   );
-  assert.equal(soonDecision.picture.rented.size, 0);
+  assert.equal(soonDecision.snapshot.provisioned.size, 0);
 });
 
 test('work that can be placed nowhere never improves a score', () => {
@@ -95,7 +95,7 @@
     { ...SEARCH_LIMITS, budgetUs: 1 },
     () => (now += 10),
   );
-  assert.equal(decision.fellBack, true);
+  assert.equal(decision.budgetExceeded, true);
   assert.equal(
     decision.steps.reduce((sum, step) => sum + step.count, 0),
     6,
@@ -180,7 +180,7 @@
   assert.notEqual(JSON.stringify(snapshot.slots), before);
   simulation.rollback(mark);
   assert.equal(JSON.stringify(snapshot.slots), before);
-  assert.equal(snapshot.rented.size, 0);
+  assert.equal(snapshot.provisioned.size, 0);
   const examined = simulation.placementsExamined;
   assert.ok(examined < 40 * 300, `${examined} placements examined`);
   // In the order of earliest fits and with bounds it finds what examining everything finds.
@@ -245,16 +245,16 @@
       scaleOutThreshold: 20 * SECOND,
     });
   const waits = search(snapshotOf([busy(50)], { cpu: 5 }, [offer]), [stage()], SEARCH_LIMITS, stoppedClock);
-  assert.equal(waits.picture.rented.get(offer) ?? 0, 0);
+  assert.equal(waits.snapshot.provisioned.get(offer) ?? 0, 0);
   const freeSoon = search(
     snapshotOf([busy(10)], { cpu: 5 }, [offer]),
     [stage()],
     SEARCH_LIMITS,
     stoppedClock,
   );
-  assert.equal(freeSoon.picture.rented.get(offer) ?? 0, 0);
+  assert.equal(freeSoon.snapshot.provisioned.get(offer) ?? 0, 0);
   const rents = search(snapshotOf([busy(200)], { cpu: 5 }, [offer]), [stage()], SEARCH_LIMITS, stoppedClock);
-  assert.equal(rents.picture.rented.get(offer), 1);
+  assert.equal(rents.snapshot.provisioned.get(offer), 1);
   assert.deepEqual(rents.steps, [], 'nothing of it starts');
 });
 
@@ -288,7 +288,7 @@
   const type = typeOf('cpu', { cores: 4, memoryGb: 100 });
   const slots = (): MachineSlot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
   const service = specOf('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
-  const kept = groupOf(service, { hypothetical: true, kept: true });
+  const kept = groupOf(service, { hypothetical: true, reservedForUrgent: true });
   const array = groupOf(specOf('run-2', { tasks: 30 }));
   const startedNow = (groups: TaskGroup[], jobId: string): number =>
     search(snapshotOf(slots(), { cpu: 60 }), groups, SEARCH_LIMITS, stoppedClock)
@@ -299,12 +299,12 @@
   assert.equal(startedNow([array, kept], 'run-2'), 12);
   const alone = groupOf(
     { ...service, spreadAcrossZones: false, sameZone: true },
-    { hypothetical: true, kept: true },
+    { hypothetical: true, reservedForUrgent: true },
   );
   assert.equal(startedNow([array, alone], 'run-2'), 8);
   const anywhere = groupOf(
     { ...service, spreadAcrossZones: false, tasks: 5 },
-    { hypothetical: true, kept: true },
+    { hypothetical: true, reservedForUrgent: true },
   );
   assert.equal(startedNow([array, anywhere], 'run-2'), 10);
   const real = groupOf({ ...service, id: 'run-3' }, { reserve: true });
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -115,16 +115,16 @@
 test('capacity is kept for as much urgent work as arrives within the time that it may wait', () => {
   const settings = settingsFor('n0', ['n0'], '');
   const context = new NodeContext({ ...settings, objectives: [URGENT] }, () => 0);
-  const autoscaler = new Autoscaler(context, { thrifty: () => false } as AutoscalerHost);
+  const autoscaler = new Autoscaler(context, { isCostSensitive: () => false } as AutoscalerHost);
   const spec = specOf('run-1', { class: 'urgent', tasks: 4 });
-  autoscaler.noteArrival(spec);
-  assert.equal(autoscaler.kept()[0]?.count, 4, 'one job: its own tasks');
+  autoscaler.recordArrival(spec);
+  assert.equal(autoscaler.reservedForUrgent()[0]?.count, 4, 'one job: its own tasks');
   // Twenty jobs of four tasks a second.
   for (let i = 0; i < 60; i++) {
     context.now += 50_000;
-    autoscaler.noteArrival(spec);
+    autoscaler.recordArrival(spec);
   }
-  const kept = autoscaler.kept()[0]!.count;
+  const kept = autoscaler.reservedForUrgent()[0]!.count;
   assert.ok(kept >= 125 && kept <= 140, `${kept} tasks of 128`);
   assert.equal(autoscaler.headroom().length, 0, 'none of it is counted as headroom too');
 });
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -11,19 +11,19 @@
   encodeEndedJob,
 } from '@shaleyoke/core/codecs/job-codec';
 import {
-  activeKey,
-  endedKey,
-  JOBS,
-  LEAD,
-  machineKey,
-  MACHINES,
-  PLACES,
-  PROGRESS,
+  activeJobKey,
+  endedJobKey,
+  ACTIVE_JOBS_PREFIX,
+  LEADER_KEY,
+  formerMachineKey,
+  FORMER_MACHINES_PREFIX,
+  PROGRESS_PAGES_PREFIX,
+  LARGE_PROGRESS_PREFIX,
   progressKey,
-  ROSTER,
-  TERM,
-  TIMINGS,
-  TYPES,
+  MACHINE_PAGES_PREFIX,
+  TERM_KEY,
+  RUNTIME_SUMMARY_KEY,
+  MACHINE_TYPES_KEY,
 } from '@shaleyoke/core/codecs/keys';
 import { decodeLeader, decodeTerm, encodeLeader, encodeTerm } from '@shaleyoke/core/codecs/leadership-codec';
 import { decodeMachine, encodeMachine } from '@shaleyoke/core/codecs/machine-codec';
@@ -207,10 +207,22 @@
 });
 
 test('keys', () => {
-  assert.deepEqual([LEAD, TERM, TYPES, TIMINGS], ['lead', 'term', 'types', 'timings']);
-  assert.deepEqual([JOBS, PLACES, ROSTER, PROGRESS, MACHINES], ['j/', 'q/', 'r/', 'p/', 'h/']);
   assert.deepEqual(
-    [activeKey('run-1'), endedKey('run-1'), machineKey('m-1')],
+    [LEADER_KEY, TERM_KEY, MACHINE_TYPES_KEY, RUNTIME_SUMMARY_KEY],
+    ['lead', 'term', 'types', 'timings'],
+  );
+  assert.deepEqual(
+    [
+      ACTIVE_JOBS_PREFIX,
+      PROGRESS_PAGES_PREFIX,
+      MACHINE_PAGES_PREFIX,
+      LARGE_PROGRESS_PREFIX,
+      FORMER_MACHINES_PREFIX,
+    ],
+    ['j/', 'q/', 'r/', 'p/', 'h/'],
+  );
+  assert.deepEqual(
+    [activeJobKey('run-1'), endedJobKey('run-1'), formerMachineKey('m-1')],
     ['j/run-1', 't/run-1', 'h/m-1'],
   );
   assert.deepEqual([progressKey('run-1', 0), progressKey('run-1', 3)], ['p/run-1', 'p/run-1/1000003']);
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -96,8 +96,8 @@
   const limit = { name: 't', guaranteedCores: 0, guaranteedGpus: 0, maxCores: 60, maxGpus: 30 };
   for (const probe of PROBES)
     assert.equal(
-      usage.room(probe, limit),
-      counted.usage.room(probe, limit),
+      usage.remainingTasks(probe, limit),
+      counted.usage.remainingTasks(probe, limit),
       `${label}: tasks allowed to ${probe.team}`,
     );
   const teamUsage = totals.teamUsage();
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -12,7 +12,7 @@
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { activeKey } from '@shaleyoke/core/codecs/keys';
+import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import type { Feature } from '@shaleyoke/core/feature-api';
 import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { CloudModel } from './cloud-model.js';
@@ -634,7 +634,7 @@
   private describe(id: string): JobSpec | undefined {
     const known = this.work.specs.get(id);
     if (known !== undefined) return known;
-    const spec = decodeActiveJob(this.state.value(activeKey(id)))?.spec;
+    const spec = decodeActiveJob(this.state.value(activeJobKey(id)))?.spec;
     if (spec !== undefined) this.work.specs.set(id, spec);
     return spec;
   }
--- a/packages/emulator/src/digest/message-encoding.ts
+++ b/packages/emulator/src/digest/message-encoding.ts
@@ -1,7 +1,7 @@
 /** The bytes of everything that a controller sends, by the same codecs that the controller's process uses. */
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import { encodeCloudOperation, type HttpCall } from '@shaleyoke/protocol/cloud';
-import { encodePeer } from '@shaleyoke/protocol/peers';
+import { encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
 import { encodeClientResponse } from '@shaleyoke/protocol/client-api';
 import { encodeCommands, encodeHeartbeatResponse, COMMANDS_PATH } from '@shaleyoke/protocol/workers';
@@ -52,7 +52,7 @@
         body: Buffer.from(encodeFeatureAnswer(effect.feature, effect.answer, effect.last)),
       };
     case 'peerMessage': {
-      const { path, body } = encodePeer(effect.message);
+      const { path, body } = encodePeerMessage(effect.message);
       return { head: `peer ${effect.member} POST ${path}`, body };
     }
     case 'wake':
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -10,7 +10,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { activeKey } from '@shaleyoke/core/codecs/keys';
+import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { asFields, decodeBody } from '@shaleyoke/protocol/body';
@@ -226,7 +226,7 @@
     const world: WorkerWorld = {
       now: () => this.now(),
       // As its worker fetches it, whoever submitted the job.
-      spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.state.value(activeKey(job)))?.spec,
+      spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.state.value(activeJobKey(job)))?.spec,
       nodes: this.nodes,
       reportUs: REPORT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -13,13 +13,13 @@
   integer,
   list,
   MalformedMessageError,
-  micros,
-  seconds,
+  secondsToMicros,
+  microsToSeconds,
   text,
   type Fields,
 } from '@shaleyoke/protocol/body';
 import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/client-api';
-import { CAUSES, splitTask, STATES, taskName } from '@shaleyoke/protocol/workers';
+import { EXIT_CAUSES, splitTask, TASK_STATES, taskName } from '@shaleyoke/protocol/workers';
 
 /** A value's name on the wire, by the protocol's own table. */
 const nameIn = <T>(table: ReadonlyMap<string, T>, value: T): string =>
@@ -161,7 +161,7 @@
   pull_gb_per_s: t.imagePullGbPerS,
   rate: t.price,
   market_price: t.spotPrice,
-  startup_s: seconds(t.bootUs),
+  startup_s: microsToSeconds(t.bootUs),
   halls: t.zones,
 });
 
@@ -172,7 +172,7 @@
   hall: m.zone,
   loaners: m.spot,
   stage: m.state,
-  age_s: seconds(m.ageUs),
+  age_s: microsToSeconds(m.ageUs),
 });
 
 export const encodeCloudReply = (r: CloudReply): Answer => {
@@ -204,12 +204,12 @@
     shift: r.agentEpoch,
     tally: r.sequence,
     baton: r.fencingToken,
-    recall_s: r.terminationNoticeUs === null ? null : seconds(r.terminationNoticeUs),
+    recall_s: r.terminationNoticeUs === null ? null : microsToSeconds(r.terminationNoticeUs),
     parts: r.tasks.map((t) => ({
       part: taskName(t.job, t.index),
       try: t.attempt,
-      stage: nameIn(STATES, t.state),
-      ...(t.cause === null ? {} : { cause: nameIn(CAUSES, t.cause) }),
+      stage: nameIn(TASK_STATES, t.state),
+      ...(t.cause === null ? {} : { cause: nameIn(EXIT_CAUSES, t.cause) }),
       ...(t.checkpointed ? { saved: true } : {}),
     })),
   });
@@ -221,7 +221,7 @@
     case 'launch':
       return { op: 'start', ...id };
     case 'kill':
-      return { op: 'stop', ...id, graceUs: micros(amount(f, 'leeway_s')) };
+      return { op: 'stop', ...id, graceUs: secondsToMicros(amount(f, 'leeway_s')) };
     case 'clear':
       return { op: 'forget', ...id };
     default:
@@ -275,9 +275,9 @@
     same_place: s.sameZone,
     scatter: s.spreadAcrossZones,
     loaners: s.spot,
-    expect_s: seconds(s.estimatedRunUs),
-    snapshot_s: seconds(s.checkpointIntervalUs),
-    flush_s: seconds(s.checkpointDurationUs),
-    due_s: s.deadlineUs === null ? null : seconds(s.deadlineUs),
+    expect_s: microsToSeconds(s.estimatedRunUs),
+    snapshot_s: microsToSeconds(s.checkpointIntervalUs),
+    flush_s: microsToSeconds(s.checkpointDurationUs),
+    due_s: s.deadlineUs === null ? null : microsToSeconds(s.deadlineUs),
     ...(s.dependsOn.length > 0 ? { awaits: s.dependsOn } : {}),
   });
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -83,7 +83,7 @@
     if (members.suspectSilentPeers(late).length > 0) {
       if (now >= end) return { wrong, found: now - end };
       wrong++;
-    } else if (now >= end && members.levelOf('p') === 'suspected') return { wrong, found: 0 };
+    } else if (now >= end && members.stateOf('p') === 'suspected') return { wrong, found: 0 };
     look += SECOND + late;
   }
 };
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -16,8 +16,8 @@
       then(o);
       return;
     }
-    const record = { ...o.record, deleting: this.links.ctx.wallNow };
-    this.links.ctx.requestStore(
+    const record = { ...o.record, deleting: this.links.context.wallNow };
+    this.links.context.requestStore(
       {
         kind: 'txn',
         conditions: [{ key: o.key, version: o.version }],
@@ -42,7 +42,7 @@
   }
 
   private remove(o: KubeObject, then: () => void): void {
-    const { ctx } = this.links;
+    const { context: ctx } = this.links;
     const pieces = Array.from({ length: o.record.pieces }, (_, n): StoreWrite => ({
       kind: 'delete',
       key: manifestKey(o.record.uid, n),
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -53,7 +53,7 @@
     private readonly random: () => Uint8Array,
     private readonly tenants: ReadonlyMap<string, Tenant>,
   ) {
-    this.follow = new Follow(links.ctx, {
+    this.follow = new Follow(links.context, {
       changed: (changes) => {
         this.watches.tell(changes);
       },
@@ -61,22 +61,28 @@
         this.watches.endAll();
       },
     });
-    this.watches = new Watches(links.ctx, this.follow, (request, answer, last) => {
+    this.watches = new Watches(links.context, this.follow, (request, answer, last) => {
       this.answer(request, answer, last);
     });
-    this.lists = new Lists(this.follow.view, () => links.ctx.now);
+    this.lists = new Lists(this.follow.view, () => links.context.now);
     this.deletion = new Deletion(links);
   }
 
   private answer(request: number, answer: KubeAnswer, last = true): void {
-    this.links.ctx.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
+    this.links.context.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
   }
 
   handle(request: number, body: unknown): void {
     const { who, ask } = body as KubeAsk;
     if (ask.verb === 'unwatch') {
       this.watches.end(ask.watch);
-      this.links.ctx.emit({ kind: 'featureResponse', feature: FEATURE, request, answer: null, last: true });
+      this.links.context.emit({
+        kind: 'featureResponse',
+        feature: FEATURE,
+        request,
+        answer: null,
+        last: true,
+      });
       return;
     }
     // Tokens are as new as objects: one that is revoked opens nothing on any node from then on.
@@ -178,7 +184,7 @@
     needs: readonly string[],
     draws: number,
   ): void {
-    const { settings, wallNow } = this.links.ctx;
+    const { settings, wallNow } = this.links.context;
     const uid = uidOf(this.random());
     const spec: JobSpec = { ...m.work, id: nativeIdOf(uid), team: r.team, dependsOn: needs };
     const pieces = piecesOf(JSON.stringify(m.manifest), objectRoom(settings.maxValueBytes));
@@ -238,7 +244,7 @@
     }
     const some = writes.slice(0, ops);
     const conditions = some.map((w) => ({ key: w.key, version: 0 }));
-    this.links.ctx.requestStore({ kind: 'txn', conditions, writes: some }, 1, (r) => {
+    this.links.context.requestStore({ kind: 'txn', conditions, writes: some }, 1, (r) => {
       if (r.kind !== 'ok') then(null);
       else {
         const now = some.map((w) => ({ key: w.key, version: r.revision }));
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -5,7 +5,7 @@
  */
 import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
 import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
-import { endedKey, LEAD } from '@shaleyoke/core/codecs/keys';
+import { endedJobKey, LEADER_KEY } from '@shaleyoke/core/codecs/keys';
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -49,7 +49,7 @@
     private readonly changesPerS: number,
   ) {
     this.deletion = new Deletion(links);
-    this.allowanceAt = term.ctx.now;
+    this.allowanceAt = term.context.now;
   }
 
   stateRestored(): void {
@@ -83,18 +83,18 @@
   }
 
   maintain(entitled: boolean): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     if (!this.on || !entitled || this.syncing || ctx.now < this.lookAt) return;
     this.lookAt = ctx.now + LOOK_EVERY;
     this.syncing = true;
     this.follow.sync((ok) => {
       this.syncing = false;
-      if (ok && this.on && !this.term.stopped) this.look();
+      if (ok && this.on && !this.term.hasEnded) this.look();
     });
   }
 
   private look(): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const gained = ((ctx.now - this.allowanceAt) / SECOND) * this.changesPerS;
     this.allowance = Math.min(Math.max(2, this.changesPerS * 2), this.allowance + gained);
     this.allowanceAt = ctx.now;
@@ -129,7 +129,7 @@
   private readEnd(id: string): void {
     if (this.reads >= MOST_READS) return;
     this.reads++;
-    this.term.ctx.requestStore({ kind: 'get', key: endedKey(id) }, 2, (r) => {
+    this.term.context.requestStore({ kind: 'get', key: endedJobKey(id) }, 2, (r) => {
       this.reads--;
       const end = r.kind === 'item' ? decodeEndedJob(r.item.value) : null;
       if (end === null) return;
@@ -165,16 +165,16 @@
 
   /** Only by the leader, and only over what it has seen. */
   private put(o: KubeObject, record: KubeObject['record'], then: () => void): void {
-    const { ctx, lease: office, election: leadership } = this.term;
+    const { context: ctx, lease: office, election: leadership } = this.term;
     const conditions = [
-      { key: LEAD, version: office.keyVersion },
+      { key: LEADER_KEY, version: office.keyVersion },
       { key: o.key, version: o.version },
     ];
     ctx.requestStore(
       { kind: 'txn', conditions, writes: [{ kind: 'put', key: o.key, value: record }] },
       2,
       (r) => {
-        if (r.kind === 'conflict' && r.failed.includes(LEAD) && !this.term.stopped)
+        if (r.kind === 'conflict' && r.failed.includes(LEADER_KEY) && !this.term.hasEnded)
           leadership.stepDown('fenced');
         then();
       },
@@ -182,7 +182,7 @@
   }
 
   private sweepLoose(): void {
-    const { ctx } = this.term;
+    const { context: ctx } = this.term;
     const unnamed = this.follow.view.unnamed();
     for (const uid of this.loose.keys()) if (!unnamed.has(uid)) this.loose.delete(uid);
     for (const [uid, pieces] of unnamed) {
@@ -196,7 +196,7 @@
         if (guard.version > 0 && some.length === pieces.length)
           writes.push({ kind: 'delete', key: guard.key });
         this.allowance -= writes.length;
-        const conditions = [{ key: LEAD, version: this.term.lease.keyVersion }, guard];
+        const conditions = [{ key: LEADER_KEY, version: this.term.lease.keyVersion }, guard];
         ctx.requestStore({ kind: 'txn', conditions, writes }, 2, () => undefined);
       }
     }
--- a/packages/protocol/src/body.ts
+++ b/packages/protocol/src/body.ts
@@ -88,15 +88,15 @@
 export const duration = (fields: Fields, name: string): number => {
   const value = amount(fields, name);
   if (value > MAX_DURATION_S) throw new MalformedMessageError(`${name}: more than ${MAX_DURATION_S} s`);
-  return micros(value);
+  return secondsToMicros(value);
 };
 
 const MICROS_PER_SECOND = 1e6;
 
 /** Converts seconds to whole microseconds. */
-export const micros = (seconds: number): number => Math.round(seconds * MICROS_PER_SECOND);
+export const secondsToMicros = (seconds: number): number => Math.round(seconds * MICROS_PER_SECOND);
 /** Converts microseconds to seconds. */
-export const seconds = (us: number): number => us / MICROS_PER_SECOND;
+export const microsToSeconds = (us: number): number => us / MICROS_PER_SECOND;
 
 /** Reads a field of text that is one of the keys of a table, and returns the value of that key. */
 export const oneOf = <T>(table: ReadonlyMap<string, T>, fields: Fields, name: string): T => {
--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -37,7 +37,7 @@
 const JOB_ID = /^run-[0-9]{1,32}$/;
 
 /** Whether a text is the id of a job. */
-export const validId = (id: string): boolean => JOB_ID.test(id);
+export const isJobId = (id: string): boolean => JOB_ID.test(id);
 
 const nonEmpty = (fields: Fields, name: string): string => {
   const value = text(fields, name);
@@ -52,7 +52,7 @@
   if (value === null || value === undefined) return [];
   const dependencies = new Set<string>();
   for (const dependency of list(value, 'awaits')) {
-    if (typeof dependency !== 'string' || !validId(dependency))
+    if (typeof dependency !== 'string' || !isJobId(dependency))
       throw new MalformedMessageError('awaits: not a list of job ids');
     if (dependency === id) throw new MalformedMessageError('awaits: names the job itself');
     dependencies.add(dependency);
@@ -63,7 +63,7 @@
 /** Decodes the description of a job. Throws `MalformedMessageError`. */
 export const decodeSpec = (fields: Fields): JobSpec => {
   const id = text(fields, 'ref');
-  if (!validId(id)) throw new MalformedMessageError('ref: not a job id');
+  if (!isJobId(id)) throw new MalformedMessageError('ref: not a job id');
   const tasks = fields['parts'];
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
     throw new MalformedMessageError(`parts: not a count from 1 to ${MAX_TASKS}`);
@@ -107,7 +107,7 @@
   try {
     const fields = asFields(decodeBody(bytes), 'submission');
     const ref = fields['ref'];
-    if (typeof ref === 'string' && validId(ref)) id = ref;
+    if (typeof ref === 'string' && isJobId(ref)) id = ref;
     return { kind: 'submit', id, spec: decodeSpec(fields), problem: null };
   } catch (error) {
     if (!(error instanceof MalformedMessageError)) throw error;
@@ -125,7 +125,7 @@
   method === allowed ? route : { kind: 'refused', status: 405 };
 
 /** Finds the request that a method and a URL name. */
-export const route = (method: string, url: string): Route => {
+export const routeRequest = (method: string, url: string): Route => {
   const path = url.split('?', 1)[0]!;
   if (path === '/api/jobs') return only('POST', method, { kind: 'submit' });
   if (path === '/v1/report') return only('POST', method, { kind: 'report' });
@@ -149,20 +149,20 @@
 });
 
 /** An HTTP response. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
   readonly retryAfterS?: number;
 }
 
-const encodeProblem = (status: number, error: string, retryAfterS?: number): HttpAnswer => ({
+const encodeProblem = (status: number, error: string, retryAfterS?: number): HttpResponse => ({
   status,
   body: encodeBody({ error }),
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
 /** Encodes the response to a client. */
-export const encodeClientResponse = (response: ClientResponse): HttpAnswer => {
+export const encodeClientResponse = (response: ClientResponse): HttpResponse => {
   switch (response.kind) {
     case 'view':
       return { status: response.created ? 201 : 200, body: encodeBody(encodeView(response.view)) };
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -9,7 +9,7 @@
   flag,
   list,
   MalformedMessageError,
-  micros,
+  secondsToMicros,
   oneOf,
   text,
 } from './body.js';
@@ -72,7 +72,7 @@
     imagePullGbPerS: amount(fields, 'pull_gb_per_s'),
     price: amount(fields, 'rate'),
     spotPrice: amount(fields, 'market_price'),
-    bootUs: micros(amount(fields, 'startup_s')),
+    bootUs: secondsToMicros(amount(fields, 'startup_s')),
     zones: texts(fields['halls'], 'halls'),
   };
 };
@@ -86,7 +86,7 @@
     zone: text(fields, 'hall'),
     spot: flag(fields, 'loaners'),
     state: oneOf(STATES, fields, 'stage'),
-    ageUs: micros(amount(fields, 'age_s')),
+    ageUs: secondsToMicros(amount(fields, 'age_s')),
   };
 };
 
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -8,7 +8,7 @@
 /** Path for progress updates. */
 export const PROGRESS_PATH = '/peer/v1';
 /** Path for heartbeats. */
-export const BEAT_PATH = '/peer/v2/beat';
+export const HEARTBEAT_PATH = '/peer/v2/beat';
 
 const progressType = avro.Type.forSchema({
   type: 'record',
@@ -141,19 +141,19 @@
 }
 
 /** Encodes a message to a peer. */
-export const encodePeer = (message: PeerMessage): PeerCall =>
+export const encodePeerMessage = (message: PeerMessage): PeerCall =>
   message.kind === 'progress'
     ? { path: PROGRESS_PATH, body: progressType.toBuffer(toProgressRecord(message)) }
-    : { path: BEAT_PATH, body: heartbeatType.toBuffer(toHeartbeatRecord(message)) };
+    : { path: HEARTBEAT_PATH, body: heartbeatType.toBuffer(toHeartbeatRecord(message)) };
 
 /** The kind of messages that a path carries; null for an unknown path. */
-export const peerKind = (path: string): PeerMessage['kind'] | null => {
+export const peerMessageKindOf = (path: string): PeerMessage['kind'] | null => {
   if (path === PROGRESS_PATH) return 'progress';
-  return path === BEAT_PATH ? 'beat' : null;
+  return path === HEARTBEAT_PATH ? 'beat' : null;
 };
 
 /** Decodes a message of a peer; null for bytes that are none, which the caller logs and drops. */
-export const decodePeer = (kind: PeerMessage['kind'], bytes: Buffer): PeerMessage | null => {
+export const decodePeerMessage = (kind: PeerMessage['kind'], bytes: Buffer): PeerMessage | null => {
   try {
     return kind === 'progress'
       ? fromProgressRecord(progressType.fromBuffer(bytes) as ProgressRecord)
