--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -16,15 +16,15 @@
   integer,
   list,
   MalformedMessageError,
-  micros,
+  secondsToMicros,
   oneOf,
   optionalAmount,
-  seconds,
+  microsToSeconds,
   text,
 } from './body.js';
 
 /** States of tasks by their names on the wire. */
-export const STATES: ReadonlyMap<string, TaskState> = new Map([
+export const TASK_STATES: ReadonlyMap<string, TaskState> = new Map([
   ['pulling', 'fetching'],
   ['gathering', 'waiting'],
   ['running', 'running'],
@@ -32,7 +32,7 @@
   ['exited', 'exited'],
 ]);
 /** Causes of exits by their names on the wire. */
-export const CAUSES: ReadonlyMap<string, ExitCause> = new Map([
+export const EXIT_CAUSES: ReadonlyMap<string, ExitCause> = new Map([
   ['done', 'done'],
   ['stopped', 'stopped'],
   ['peers', 'peers'],
@@ -56,12 +56,12 @@
 
 const decodeTask = (value: unknown): ReportedTask => {
   const fields = asFields(value, 'part');
-  const state = oneOf(STATES, fields, 'stage');
+  const state = oneOf(TASK_STATES, fields, 'stage');
   return {
     ...splitTask(text(fields, 'part')),
     attempt: integer(fields, 'try'),
     state,
-    cause: state === 'exited' ? oneOf(CAUSES, fields, 'cause') : null,
+    cause: state === 'exited' ? oneOf(EXIT_CAUSES, fields, 'cause') : null,
     checkpointed: fields['saved'] === true,
   };
 };
@@ -79,7 +79,7 @@
     agentEpoch: integer(fields, 'shift'),
     sequence: integer(fields, 'tally'),
     fencingToken: integer(fields, 'baton'),
-    terminationNoticeUs: notice === null ? null : micros(notice),
+    terminationNoticeUs: notice === null ? null : secondsToMicros(notice),
     tasks: list(fields['parts'], 'parts').map(decodeTask),
   };
 };
@@ -90,7 +90,7 @@
     case 'start':
       return { verb: 'launch', part, try: command.attempt };
     case 'stop':
-      return { verb: 'kill', part, try: command.attempt, leeway_s: seconds(command.graceUs) };
+      return { verb: 'kill', part, try: command.attempt, leeway_s: microsToSeconds(command.graceUs) };
     case 'forget':
       return { verb: 'clear', part, try: command.attempt };
   }
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -5,9 +5,9 @@
 import fc from 'fast-check';
 import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 import { decodeCloudReply } from '@shaleyoke/protocol/cloud';
-import { decodePeer, encodePeer, peerKind } from '@shaleyoke/protocol/peers';
+import { decodePeerMessage, encodePeerMessage, peerMessageKindOf } from '@shaleyoke/protocol/peers';
 import { decodeStoreReply } from '@shaleyoke/protocol/key-value-store';
-import { decodeSubmission, route } from '@shaleyoke/protocol/client-api';
+import { decodeSubmission, routeRequest } from '@shaleyoke/protocol/client-api';
 import { decodeCommandReply, decodeHeartbeat } from '@shaleyoke/protocol/workers';
 import { encodeActiveJob, decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
@@ -146,7 +146,7 @@
       ] as const)
         for (const status of [200, 400, 404, 409, 410, 500]) decodeStoreReply(operation, status, bytes);
       for (const status of [200, 409, 500]) decodeCommandReply(status, bytes);
-      for (const kind of ['progress', 'beat'] as const) decodePeer(kind, Buffer.from(bytes));
+      for (const kind of ['progress', 'beat'] as const) decodePeerMessage(kind, Buffer.from(bytes));
       try {
         decodeHeartbeat(decodeBody(bytes));
       } catch (error) {
@@ -172,12 +172,15 @@
   );
   fc.assert(
     fc.property(fc.string(), fc.nat(), fc.array(note, { maxLength: 40 }), (member, term, jobs) => {
-      assert.deepEqual(decodePeer('progress', encodePeer({ kind: 'progress', member, term, jobs }).body), {
-        kind: 'progress',
-        member,
-        term,
-        jobs,
-      });
+      assert.deepEqual(
+        decodePeerMessage('progress', encodePeerMessage({ kind: 'progress', member, term, jobs }).body),
+        {
+          kind: 'progress',
+          member,
+          term,
+          jobs,
+        },
+      );
     }),
     PROPERTY_OPTIONS,
   );
@@ -199,11 +202,11 @@
 });
 
 test('paths and methods are routed', () => {
-  assert.deepEqual(route('GET', '/api/jobs/run-1'), { kind: 'poll', id: 'run-1' });
-  assert.deepEqual(route('POST', '/api/jobs/run-1/abort'), { kind: 'cancel', id: 'run-1' });
-  assert.deepEqual(route('GET', '/api/jobs'), { kind: 'refused', status: 405 });
-  assert.deepEqual(route('POST', '/api/jobs/run-1'), { kind: 'refused', status: 405 });
-  assert.deepEqual(route('GET', '/nothing'), { kind: 'refused', status: 404 });
+  assert.deepEqual(routeRequest('GET', '/api/jobs/run-1'), { kind: 'poll', id: 'run-1' });
+  assert.deepEqual(routeRequest('POST', '/api/jobs/run-1/abort'), { kind: 'cancel', id: 'run-1' });
+  assert.deepEqual(routeRequest('GET', '/api/jobs'), { kind: 'refused', status: 405 });
+  assert.deepEqual(routeRequest('POST', '/api/jobs/run-1'), { kind: 'refused', status: 405 });
+  assert.deepEqual(routeRequest('GET', '/nothing'), { kind: 'refused', status: 404 });
 });
 
 test('dependencies are decoded without duplicates; anything but a list of other job ids is malformed', () => {
@@ -240,10 +243,10 @@
   );
   fc.assert(
     fc.property(heartbeat, (message) => {
-      const { path, body } = encodePeer(message);
+      const { path, body } = encodePeerMessage(message);
       assert.notEqual(path, '/peer/v1');
-      assert.equal(peerKind(path), 'beat');
-      assert.deepEqual(decodePeer('beat', body), message);
+      assert.equal(peerMessageKindOf(path), 'beat');
+      assert.deepEqual(decodePeerMessage('beat', body), message);
       assert.ok(
         body.length <
           100 +
@@ -255,7 +258,7 @@
     }),
     PROPERTY_OPTIONS,
   );
-  assert.equal(peerKind('/peer/v3'), null);
+  assert.equal(peerMessageKindOf('/peer/v3'), null);
 });
 
 test('peers of the version before and of this one read each other; other bytes are dropped', () => {
@@ -267,10 +270,10 @@
     term: 3,
     jobs: [{ id: 'run-7', done: 3, running: 4 }],
   } as const;
-  assert.deepEqual(decodePeer('progress', bytes), message);
-  assert.deepEqual(encodePeer(message), { path: '/peer/v1', body: bytes });
-  assert.equal(decodePeer('progress', Buffer.concat([bytes, Buffer.from([1, 2])])), null);
-  assert.equal(decodePeer('progress', bytes.subarray(0, 9)), null);
+  assert.deepEqual(decodePeerMessage('progress', bytes), message);
+  assert.deepEqual(encodePeerMessage(message), { path: '/peer/v1', body: bytes });
+  assert.equal(decodePeerMessage('progress', Buffer.concat([bytes, Buffer.from([1, 2])])), null);
+  assert.equal(decodePeerMessage('progress', bytes.subarray(0, 9)), null);
 });
 
 test('bodies that are nested as deeply as possible are refused like any other, and do not end the process', () => {
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -10,7 +10,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { decodeBody, encodeBody } from '@shaleyoke/protocol/body';
 import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
-import { decodePeer, encodePeer } from '@shaleyoke/protocol/peers';
+import { decodePeerMessage, encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
 import { decodeSubmission, encodeClientResponse } from '@shaleyoke/protocol/client-api';
 import {
@@ -384,8 +384,8 @@
     jobs: [{ id: 'run-7', done: 3, running: 4 }],
   } as const;
   const progressBytes = Buffer.from('0c646f636b2d300602' + '0a72756e2d37' + '060800', 'hex');
-  assert.deepEqual(encodePeer(progress), { path: '/peer/v1', body: progressBytes });
-  assert.deepEqual(decodePeer('progress', progressBytes), progress);
+  assert.deepEqual(encodePeerMessage(progress), { path: '/peer/v1', body: progressBytes });
+  assert.deepEqual(decodePeerMessage('progress', progressBytes), progress);
   const beat = {
     kind: 'beat',
     member: 'dock-0',
@@ -413,6 +413,6 @@
       '00',
     'hex',
   );
-  assert.deepEqual(encodePeer(beat), { path: '/peer/v2/beat', body: beatBytes });
-  assert.deepEqual(decodePeer('beat', beatBytes), beat);
+  assert.deepEqual(encodePeerMessage(beat), { path: '/peer/v2/beat', body: beatBytes });
+  assert.deepEqual(decodePeerMessage('beat', beatBytes), beat);
 });
