--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -22,7 +22,7 @@
   {
     name: 'a leader writes without its office',
     file: 'storage/fenced-writer.ts',
-    from: 'const conditions: VersionCondition[] = [{ key: LEAD, version: this.leadVersion }];',
+    from: 'const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leadVersion }];',
     to: 'const conditions: VersionCondition[] = [];',
   },
   {
@@ -106,25 +106,25 @@
   {
     name: 'a job ends without its version',
     file: 'jobs/job-completion.ts',
-    from: '        { key: activeKey(job.id), version: job.version },\n',
+    from: '        { key: activeJobKey(job.id), version: job.version },\n',
     to: '',
   },
   {
     name: 'a job ends without the office',
     file: 'jobs/job-completion.ts',
-    from: '        { key: LEAD, version: this.term.lease.keyVersion },\n',
+    from: '        { key: LEADER_KEY, version: this.term.lease.keyVersion },\n',
     to: '',
   },
   {
     name: 'a cancellation without the version',
     file: 'api/cancellation.ts',
-    from: 'conditions: [{ key: activeKey(id), version: job.version }],',
+    from: 'conditions: [{ key: activeJobKey(id), version: job.version }],',
     to: 'conditions: [],',
   },
   {
     name: 'an acceptance that does not look for the end',
     file: 'api/submission.ts',
-    from: '    { key: endedKey(spec.id), version: 0 },\n',
+    from: '    { key: endedJobKey(spec.id), version: 0 },\n',
     to: '',
   },
   {
