--- a/packages/budgets/src/accounts.ts
+++ b/packages/budgets/src/accounts.ts
@@ -4,8 +4,9 @@
  * pages of their own, written in the same transaction as what changes them. Decides only; does no I/O.
  */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+
 import { addCharge, type Books } from './books.js';
-import { chargeOf, monthRow, type MonthRow, type OwnersPart } from './records.js';
+import { chargeOf, type MonthRow, monthRow, type OwnersPart } from './records.js';
 
 /** Months that are named one by one; older ones are summed up. */
 const MONTHS_KEPT = 3;
--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -6,8 +6,9 @@
  *   cost = charged to owners + pending + the platform's account
  */
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import type { Calendar } from './calendar.js';
-import { Meter, portion, split, type Money } from './money.js';
+import { Meter, type Money, portion, split } from './money.js';
 
 /** Why the platform pays. */
 export const REASONS = ['boot', 'unused', 'lost', 'stopped', 'unseen', 'takeover'] as const;
--- a/packages/budgets/src/calendar.ts
+++ b/packages/budgets/src/calendar.ts
@@ -1,6 +1,6 @@
 /** Months of an owner: those of its time zone, the changes of the clocks included. */
-import { Temporal } from 'temporal-polyfill';
 import type { Micros } from '@shaleyoke/core/domain/time';
+import { Temporal } from 'temporal-polyfill';
 
 export interface Month {
   /** As in `2026-12`. */
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -1,22 +1,24 @@
 /** Commands of operators. All but `budget set` read only; that one says what it changed. */
 import { readFileSync } from 'node:fs';
-import type { Command } from 'commander';
-import type { Settings } from '@shaleyoke/core/domain/settings';
+
 import {
-  endedJobKey,
   ACTIVE_JOBS_PREFIX,
-  RUNTIME_SUMMARY_KEY,
+  endedJobKey,
   MACHINE_TYPES_KEY,
+  RUNTIME_SUMMARY_KEY,
 } from '@shaleyoke/core/codecs/keys';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import type { Settings } from '@shaleyoke/core/domain/settings';
+import type { Command } from 'commander';
+
 import { isMonth } from './calendar.js';
 import { explainJob, standingOf } from './explain.js';
-import { spentOf } from './limits.js';
-import { formatMoney, parseMoney, type Money } from './money.js';
 import { allBooks, booksOfMonth, type Service } from './fetch.js';
+import { spentOf } from './limits.js';
+import { formatMoney, type Money, parseMoney } from './money.js';
 import { balanceOf, verifyBooks } from './reader.js';
-import { limitKey, readLimit, type LimitRecord } from './records.js';
-import { BudgetSettingsError, parseBudgets, type BudgetSettings, type Limit } from './settings.js';
+import { limitKey, type LimitRecord, readLimit } from './records.js';
+import { type BudgetSettings, BudgetSettingsError, type Limit, parseBudgets } from './settings.js';
 import { csvOf, statementOf, textOf } from './statement.js';
 import { verifyStatement } from './verify.js';
 
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -1,11 +1,12 @@
 /** What a job will probably cost, before it begins. */
+import type { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import { SECOND } from '@shaleyoke/core/domain/time';
 import { typeAllowed } from '@shaleyoke/core/domain/resources';
-import type { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
+import { SECOND } from '@shaleyoke/core/domain/time';
+
 import { WHOLE } from './books.js';
-import { portion, rateOf, type Money } from './money.js';
+import { type Money, portion, rateOf } from './money.js';
 
 /** What services commit at a time. */
 const HOUR = 3600 * SECOND;
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -1,15 +1,16 @@
 /** Where owners stand, and why a job waits for money: worked out from the records alone, as the leader does it. */
+import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
+import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
+import { ACTIVE_JOBS_PREFIX } from '@shaleyoke/core/codecs/keys';
+import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import { decodeActiveJob, decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
-import { decodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
-import { ACTIVE_JOBS_PREFIX } from '@shaleyoke/core/codecs/keys';
-import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
+
 import { probableCost } from './estimate.js';
-import { spentOf, tooDear, type Standing } from './limits.js';
+import { spentOf, type Standing, tooDear } from './limits.js';
 import { formatMoney, type Money } from './money.js';
-import { totalsOf, type BooksView } from './reader.js';
+import { type BooksView, totalsOf } from './reader.js';
 import type { BudgetSettings } from './settings.js';
 
 /** `now`: microseconds of time of day. */
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,19 +1,20 @@
 /** Budgets within a leader's term: joins the core's ports with books, limits and records. */
 import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
-import type { ActiveJob, TaskAttempt, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, Machine, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Feature, FeatureTerm, DependencyLinks } from '@shaleyoke/core/feature-api';
+import type { DependencyLinks, Feature, FeatureTerm } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
+
 import { ALL, Books, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
 import { probableCost, weightOf } from './estimate.js';
 import { Limits, spentOf } from './limits.js';
-import { formatMoney, rateOf, type Money } from './money.js';
+import { formatMoney, type Money, rateOf } from './money.js';
 import { outcomeOf } from './outcome.js';
-import { closedKey, LIMITS, readLimit, type ClosedRecord } from './records.js';
+import { closedKey, type ClosedRecord, LIMITS, readLimit } from './records.js';
 import type { BudgetSettings } from './settings.js';
 import { Store } from './store.js';
 
--- a/packages/budgets/src/fetch.ts
+++ b/packages/budgets/src/fetch.ts
@@ -1,6 +1,7 @@
 /** Reads the books for tools: as much as is asked for, in an order in which nothing that moves is missed. */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
-import { viewBooks, type BooksView } from './reader.js';
+
+import { type BooksView, viewBooks } from './reader.js';
 import { CLOSED, HEAD, JOURNAL, journalKey, LIMITS, OPEN, OWNERS, readClosed } from './records.js';
 
 /** The state service, as tools need it. Each throws if it does not answer. */
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -1,6 +1,7 @@
 /** Limits and commitments: which jobs may begin. Decides only; what was spent is in the books. */
 import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import type { DependencyLinks } from '@shaleyoke/core/feature-api';
+
 import type { Books } from './books.js';
 import { formatMoney, type Money } from './money.js';
 import type { LimitRecord } from './records.js';
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -2,6 +2,7 @@
 import type { ActiveJob, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import { ALL, type Outcome } from './books.js';
 
 /** As the core counts it: on three machines, and nothing of it was ever done. */
--- a/packages/budgets/src/packing.ts
+++ b/packages/budgets/src/packing.ts
@@ -1,5 +1,6 @@
 /** Open jobs on pages: each stays on its page while that has room, so that few pages change. */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+
 import type { OpenJob, RunningAttempt } from './books.js';
 import { monthRow, type OpenPage, type OpenRow } from './records.js';
 
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -1,15 +1,19 @@
 /** The books as the records tell them: for tools, which read and change nothing. */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
-import { addCharge, noCharge, noReasons, REASONS, type Charge, type Reason } from './books.js';
+
+import { addCharge, type Charge, noCharge, noReasons, type Reason, REASONS } from './books.js';
 import type { Money } from './money.js';
 import { attemptsOf } from './packing.js';
 import {
   chargeOf,
   CLOSED,
+  type ClosedRecord,
   digestOf,
   HEAD,
+  type Head,
   JOURNAL,
   journalKey,
+  type LimitRecord,
   LIMITS,
   OPEN,
   OWNERS,
@@ -19,9 +23,6 @@
   readLimit,
   readOpen,
   readOwners,
-  type ClosedRecord,
-  type Head,
-  type LimitRecord,
 } from './records.js';
 
 /** What a job was charged in a month. `over`: nothing more will come. */
--- a/packages/budgets/src/records.ts
+++ b/packages/budgets/src/records.ts
@@ -1,8 +1,10 @@
 /** What the state service holds of the books (docs/budgets.md). What can't be read is null, never nothing. */
 import { createHash } from 'node:crypto';
+
+import { reader } from '@shaleyoke/config/checked';
 import canonicalize from 'canonicalize';
 import { Schema } from 'effect';
-import { reader } from '@shaleyoke/config/checked';
+
 import type { Charge } from './books.js';
 
 export const HEAD = 'b/head';
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -1,10 +1,11 @@
 /** The file that switches budgets on (`deploy/budgets.yaml`), checked against the platform's teams. */
+import { check, read } from '@shaleyoke/config/checked';
+import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
-import type { Team } from '@shaleyoke/core/domain/settings';
-import { check, read } from '@shaleyoke/config/checked';
+
 import { Calendar, knownZone } from './calendar.js';
-import { parseMoney, type Money } from './money.js';
+import { type Money, parseMoney } from './money.js';
 
 export interface Limit {
   /** Told once a month when it is reached; null: none. */
--- a/packages/budgets/src/statement.ts
+++ b/packages/budgets/src/statement.ts
@@ -1,6 +1,7 @@
 /** An owner's monthly statement: made from the records, in a published form that anyone can check offline. */
 import { stringify } from 'csv-stringify/sync';
-import { addCharge, noCharge, type Charge } from './books.js';
+
+import { addCharge, type Charge, noCharge } from './books.js';
 import { Calendar } from './calendar.js';
 import { formatMoney, parseMoney } from './money.js';
 import type { BooksView } from './reader.js';
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -3,37 +3,38 @@
  * transaction is in flight at a time; each is fenced by the leader's key and puts its values on condition of the
  * versions that they replace.
  */
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
-import type { VersionCondition, StoredItem, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import type { StoredItem, StoreWrite, VersionCondition } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
+import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
+
 import { Accounts, type Marks } from './accounts.js';
-import { addCharge, noCharge, OpenJob, type Books } from './books.js';
-import { attemptsOf, Packing, type Packed } from './packing.js';
+import { addCharge, type Books, noCharge, OpenJob } from './books.js';
+import { attemptsOf, type Packed, Packing } from './packing.js';
 import {
   chargeOf,
   digestOf,
   HEAD,
+  type Head,
   JOURNAL,
   journalKey,
+  type JournalPage,
+  type JournalRow,
   LIMITS,
+  type MonthRow,
   monthRow,
   OPEN,
   openKey,
   OWNERS,
   ownersKey,
+  type OwnersPart,
   readHead,
   readJournal,
   readOpen,
   readOwners,
-  type Head,
-  type JournalPage,
-  type JournalRow,
-  type MonthRow,
-  type OwnersPart,
 } from './records.js';
 
 const PAGE = 500;
--- a/packages/budgets/src/verify.ts
+++ b/packages/budgets/src/verify.ts
@@ -1,5 +1,6 @@
 /** Checks a downloaded statement against the published schema, its own sums and its digest; needs no service. */
 import { Ajv } from 'ajv';
+
 import schema from '../schema/statement-1.json' with { type: 'json' };
 import { checkStatement, type Statement } from './statement.js';
 
--- a/packages/budgets/test/books.test.ts
+++ b/packages/budgets/test/books.test.ts
@@ -1,9 +1,10 @@
 /** The books by themselves: any sequence of events balances; prices, shares, months and adoption as stated. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
-import { ALL, Books, noReasons, REASONS, WHOLE, type Outcome } from '@shaleyoke/budgets/books';
+
+import { ALL, Books, noReasons, type Outcome, REASONS, WHOLE } from '@shaleyoke/budgets/books';
 import { Calendar } from '@shaleyoke/budgets/calendar';
+import fc from 'fast-check';
 
 const S = 1_000_000;
 const HOUR = 3600 * S;
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -1,7 +1,7 @@
 /** What tools read of the books: no more than they need, and nothing less. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
+
 import { Calendar } from '@shaleyoke/budgets/calendar';
 import { allBooks, booksOfMonth, type Service } from '@shaleyoke/budgets/fetch';
 import {
@@ -10,11 +10,12 @@
   HEAD,
   JOURNAL,
   journalKey,
-  OPEN,
   type JournalPage,
+  OPEN,
 } from '@shaleyoke/budgets/records';
 import { statementOf } from '@shaleyoke/budgets/statement';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
+import fc from 'fast-check';
 
 const MONTHS = ['2026-09', '2026-10', '2026-11', '2026-12', '2027-01', '2027-02'];
 const calendar = new Calendar('Europe/Warsaw');
--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -1,13 +1,15 @@
 /** Whole services with budgets on, in simulated time: nothing billed twice, books that balance to the unit. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { balanceOf, totalsOf, verifyBooks } from '@shaleyoke/budgets/reader';
 import { readClosed } from '@shaleyoke/budgets/records';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
 import { TYPE } from '@shaleyoke/emulator/site';
+import { specOf } from '@shaleyoke/emulator/specs';
+
 import { chargedMoney, chargedUs, play, REPORT, teams, view } from './played.js';
 
 test('a quiet day is charged as it ran, and the records say so by themselves', () => {
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -1,13 +1,15 @@
 /** Limits: what is held back, what goes on whatever it costs, and how far over a limit an owner can come. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readHead } from '@shaleyoke/budgets/records';
+
 import { totalsOf, verifyBooks } from '@shaleyoke/budgets/reader';
+import { readHead } from '@shaleyoke/budgets/records';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { type ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { type ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+
 import { play, view } from './played.js';
 
 const stages = (w: ClusterSimulation, ids: readonly string[]): (string | undefined)[] => {
--- a/packages/budgets/test/money.test.ts
+++ b/packages/budgets/test/money.test.ts
@@ -1,9 +1,10 @@
 /** Exact amounts: nothing is lost or made by splitting, carrying on or writing down; months of two time zones. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
+
 import { Calendar } from '@shaleyoke/budgets/calendar';
 import { formatMoney, Meter, parseMoney, portion, rateOf, split } from '@shaleyoke/budgets/money';
+import fc from 'fast-check';
 
 const run = { seed: 7, numRuns: 500 };
 
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -1,11 +1,11 @@
 /** Worlds with budgets on, and what their records say. */
 import { Budgets } from '@shaleyoke/budgets/feature';
-import { viewBooks, type BooksView } from '@shaleyoke/budgets/reader';
+import { type BooksView, viewBooks } from '@shaleyoke/budgets/reader';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { Random } from '@shaleyoke/emulator/random';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+import type { Random } from '@shaleyoke/emulator/random';
 
 export const teams = (names: readonly string[]): Team[] =>
   names.map((name) => ({ name, guaranteedCores: 0, maxCores: 0, guaranteedGpus: 0, maxGpus: 0 }));
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -2,16 +2,18 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import fc from 'fast-check';
-import { viewBooks, verifyBooks } from '@shaleyoke/budgets/reader';
+
+import { explainJob } from '@shaleyoke/budgets/explain';
+import { verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
 import { digestOf, readHead, readJournal, readOpen } from '@shaleyoke/budgets/records';
 import { BudgetSettingsError, parseBudgets } from '@shaleyoke/budgets/settings';
-import { csvOf, statementOf, textOf, type Statement } from '@shaleyoke/budgets/statement';
+import { csvOf, type Statement, statementOf, textOf } from '@shaleyoke/budgets/statement';
 import { verifyStatement } from '@shaleyoke/budgets/verify';
-import { explainJob } from '@shaleyoke/budgets/explain';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
+import fc from 'fast-check';
+
 import { play, settings, TEAMS, view } from './played.js';
 
 const TERMS = { zone: 'Europe/Warsaw', currency: 'EUR', limit: { soft: null, hard: 5_000_000 } };
--- a/packages/budgets/test/stored-records.test.ts
+++ b/packages/budgets/test/stored-records.test.ts
@@ -1,6 +1,7 @@
 /** Literal records of the books as they stand in the key-value store: none of their names may ever change. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import {
   closedKey,
   HEAD,
@@ -18,6 +19,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
+
 import { play } from './played.js';
 
 const owners = {
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -3,7 +3,9 @@
  * with ten thousand open charges. Not a test: run by hand, `node --import tsx packages/budgets/tools/scale.ts`.
  */
 import { performance } from 'node:perf_hooks';
+
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
+
 import { Books, noReasons } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
 import { attemptsOf, Packing } from '../src/packing.js';
@@ -12,11 +14,11 @@
   chargeOf,
   digestOf,
   HEAD,
-  journalKey,
-  readOpen,
   type Head,
+  journalKey,
   type JournalPage,
   type JournalRow,
+  readOpen,
 } from '../src/records.js';
 import { statementOf } from '../src/statement.js';
 
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,17 +1,18 @@
 /** The command line: a thin program over the library. */
 import { readFileSync } from 'node:fs';
-import { Command, CommanderError } from 'commander';
-import { Effect, Layer } from 'effect';
-import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
-import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { Feature } from '@shaleyoke/core/feature-api';
-import { ACTIVE_JOBS_PREFIX, LEADER_KEY, MACHINE_PAGES_PREFIX } from '@shaleyoke/core/codecs/keys';
-import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
-import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
-import { runController, type FeatureListener } from '@shaleyoke/controller/run-controller';
+
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
 import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
+import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
+import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
+import { type FeatureListener, runController } from '@shaleyoke/controller/run-controller';
+import { ACTIVE_JOBS_PREFIX, LEADER_KEY, MACHINE_PAGES_PREFIX } from '@shaleyoke/core/codecs/keys';
+import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
+import type { Settings } from '@shaleyoke/core/domain/settings';
+import type { Feature } from '@shaleyoke/core/feature-api';
+import { Command, CommanderError } from 'commander';
+import { Effect, Layer } from 'effect';
 
 interface FileOptions {
   readonly config: string;
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -2,8 +2,8 @@
 import type { Settings, Team } from '@shaleyoke/core/domain/settings';
 import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
 import {
-  MIN_CANCELLATION_AGE_LIMIT,
   maxCancellationAge,
+  MIN_CANCELLATION_AGE_LIMIT,
 } from '@shaleyoke/core/leadership/cancellation-freshness';
 
 /**
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -6,8 +6,8 @@
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import {
-  MIN_CANCELLATION_AGE_LIMIT,
   maxCancellationAge,
+  MIN_CANCELLATION_AGE_LIMIT,
 } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
--- a/packages/core/src/api/cancellation.ts
+++ b/packages/core/src/api/cancellation.ts
@@ -2,7 +2,7 @@
 import { encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { NodeContext } from '../node/node-context.js';
-import { storeUnavailable, type ClientResponder } from './client-responder.js';
+import { type ClientResponder, storeUnavailable } from './client-responder.js';
 import type { JobCache, KnownActiveJob, KnownEndedJob } from './job-cache.js';
 import type { JobLookup } from './job-lookup.js';
 import type { LinearizableReads } from './linearizable-reads.js';
--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -5,14 +5,14 @@
 import { activeJobKey, endedJobKey, jobIdOfActiveKey } from '../codecs/keys.js';
 import type { ClientResponse } from '../domain/client-api.js';
 import type { VersionCondition } from '../domain/key-value-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
-import { storeUnavailable, type ClientResponder } from './client-responder.js';
+import { type ClientResponder, storeUnavailable } from './client-responder.js';
 import type { JobCache, KnownActiveJob, KnownJob } from './job-cache.js';
 import type { JobLookup, LookupResult } from './job-lookup.js';
 import { SuspectJobs } from './suspect-jobs.js';
 import { validationBasisOf } from './validation-basis.js';
-import { VersionValidator, type FailedKeys } from './version-validator.js';
+import { type FailedKeys, VersionValidator } from './version-validator.js';
 
 /** Polls that arrive within this time share one transaction; the time is longer where requests are scarce. */
 const MIN_GATHER_US: Micros = 30 * MILLI;
--- a/packages/core/src/api/submission.ts
+++ b/packages/core/src/api/submission.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '../domain/job.js';
 import type { StoreOperation } from '../domain/key-value-store.js';
 import type { NodeContext } from '../node/node-context.js';
-import { storeUnavailable, unavailable, type ClientResponder } from './client-responder.js';
+import { type ClientResponder, storeUnavailable, unavailable } from './client-responder.js';
 import { checkDependencies } from './dependency-check.js';
 import type { JobCache, KnownActiveJob } from './job-cache.js';
 import type { JobLookup } from './job-lookup.js';
--- a/packages/core/src/cluster/capacity-by-kind.ts
+++ b/packages/core/src/cluster/capacity-by-kind.ts
@@ -1,6 +1,6 @@
 /** How much capacity a machine has for one kind of work, counted in amounts by priority. */
-import type { MachineType } from '../domain/machine.js';
 import type { Priority } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
 
 /** Amounts are decimals; sums are kept in whole millionths, so that what is added and subtracted again leaves nothing. */
 export const UNIT = 1_000_000;
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -2,16 +2,16 @@
  * Jobs that have not ended, machines, and the task attempts that join them. The three refer to each other both ways, so
  * they stand in one module.
  */
+import type { Heartbeat, WorkerCommand } from '../domain/heartbeat.js';
+import type { JobSpec, Priority } from '../domain/job.js';
+import { addTo, type Amounts, spreadLimit, takeFrom } from '../domain/resources.js';
+import { TaskBitset } from '../domain/task-bitset.js';
+import type { Micros } from '../domain/time.js';
 import type { AdmissionHold } from './admission-hold.js';
 import type { DeadlineChain } from './deadline-chain.js';
 import type { MachineSlot } from './machine-slot.js';
 import { MachineStatus } from './machine-status.js';
 import type { AttemptState } from './task-attempt.js';
-import type { WorkerCommand, Heartbeat } from '../domain/heartbeat.js';
-import type { JobSpec, Priority } from '../domain/job.js';
-import type { Micros } from '../domain/time.js';
-import { TaskBitset } from '../domain/task-bitset.js';
-import { addTo, spreadLimit, takeFrom, type Amounts } from '../domain/resources.js';
 
 /** One attempt to run a task on a machine. */
 export interface TaskAttempt {
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -1,15 +1,15 @@
 /** What the leader knows of the cluster in one term, and what it predicts from that. */
-import { latestStart } from './objectives.js';
-import type { TaskAttempt, Machine, ActiveJob } from './cluster-model.js';
-import { UsageTotals } from './usage-totals.js';
-import { MachineRegistry } from './machine-registry.js';
-import type { NodeContext } from '../node/node-context.js';
-import { SECOND, type Micros } from '../domain/time.js';
-import type { PreemptionPolicy } from './preemption-policy.js';
 import { typeAllowed } from '../domain/resources.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { ActiveJob, Machine, TaskAttempt } from './cluster-model.js';
 import { guaranteedJobs, type QuotaUsage } from './fair-share.js';
+import { MachineRegistry } from './machine-registry.js';
+import { latestStart } from './objectives.js';
+import type { PreemptionPolicy } from './preemption-policy.js';
 import { RuntimeEstimates, UNBOUNDED_RUN_TIME } from './runtime-estimates.js';
 import { GANG_PROGRESS } from './task-attempt.js';
+import { UsageTotals } from './usage-totals.js';
 
 /** From a decision to start a task until it runs, where its image is cached. */
 const SETUP: Micros = 2 * SECOND;
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -1,9 +1,9 @@
 /** Teams' quotas: limits, guarantees, and the fair-share order of their jobs. */
-import { AMOUNT_TOLERANCE } from '../domain/resources.js';
-import type { ActiveJob, Machine } from './cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
+import { AMOUNT_TOLERANCE } from '../domain/resources.js';
 import type { Team } from '../domain/settings.js';
+import type { ActiveJob, Machine } from './cluster-model.js';
 
 /** Cores and GPUs that a team has in use. */
 export interface TeamUsage {
--- a/packages/core/src/cluster/machine-slot.ts
+++ b/packages/core/src/cluster/machine-slot.ts
@@ -1,7 +1,7 @@
 /** A machine as the planner sees it. */
 import type { MachineType } from '../domain/machine.js';
-import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
+import type { Micros } from '../domain/time.js';
 
 /** Capacity that changes at a later time: work that ends frees it (positive), planned work takes it (negative). */
 export interface CapacityChange extends Amounts {
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -3,11 +3,11 @@
  * discretionary (paper, 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they
  * can meet.
  */
-import type { ActiveJob } from './cluster-model.js';
-import { latestFinish } from './deadline-chain.js';
 import type { JobSpec } from '../domain/job.js';
 import type { ServiceLevelObjective } from '../domain/settings.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { ActiveJob } from './cluster-model.js';
+import { latestFinish } from './deadline-chain.js';
 
 /** Work that must start within that can't wait for the next tasks to end. */
 const IMMEDIATE_START: Micros = 10 * SECOND;
--- a/packages/core/src/cluster/preemption-policy.ts
+++ b/packages/core/src/cluster/preemption-policy.ts
@@ -1,7 +1,7 @@
 /** Which work may be preempted for which, by the protocol. */
+import type { Team } from '../domain/settings.js';
 import type { ActiveJob, TaskAttempt } from './cluster-model.js';
 import { isWithinGuarantee, type TeamUsage } from './fair-share.js';
-import type { Team } from '../domain/settings.js';
 
 /** What the right to preempt depends on. */
 export interface PreemptionPolicy {
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -3,9 +3,9 @@
  * borrow from broader ones; stopped runs are censored observations, not short runs. (Paper, 9.3: stratified empirical
  * distributions with shrinkage, residuals from survival.)
  */
+import { bytesOf } from '../codecs/value-size.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
-import { bytesOf } from '../codecs/value-size.js';
 
 /** Services never finish: they count as running for this long. */
 export const UNBOUNDED_RUN_TIME: Micros = 1e13;
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -2,19 +2,19 @@
  * Sums over machines and attempts that plans ask for: cores and GPUs in use by team, attempts by priority, and capacity by
  * kind of work. Updated incrementally as machines change, so that a query costs what changed and not what there is.
  */
+import type { Priority } from '../domain/job.js';
+import type { MachineType } from '../domain/machine.js';
 import {
   coreCapacity,
   gpuCapacity,
-  PRIORITIES,
-  scaled,
-  UNIT,
   type KindCapacity,
+  PRIORITIES,
   type PriorityUsage,
+  scaled,
   type ScaledSums,
+  UNIT,
 } from './capacity-by-kind.js';
 import type { Machine, MachineObserver } from './cluster-model.js';
-import type { Priority } from '../domain/job.js';
-import type { MachineType } from '../domain/machine.js';
 import { QuotaUsage, type TeamUsage } from './fair-share.js';
 
 interface TeamSums extends ScaledSums {
--- a/packages/core/src/codecs/job-codec.ts
+++ b/packages/core/src/codecs/job-codec.ts
@@ -2,7 +2,7 @@
  * Records of jobs in the key-value store: one form while a job is active, another once it has ended. Every stored field is
  * named here; the names must not change, since other versions read the same records.
  */
-import type { JobSpec, Priority, JobShape } from '../domain/job.js';
+import type { JobShape, JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 import { isStoredMap } from './stored-map.js';
 
--- a/packages/core/src/codecs/machine-codec.ts
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -1,6 +1,6 @@
 /** Records of machines in the key-value store. */
-import { bytesOf } from './value-size.js';
 import { isStoredMap } from './stored-map.js';
+import { bytesOf } from './value-size.js';
 
 /** What is on record of a machine. */
 export interface MachineRecord {
--- a/packages/core/src/domain/client-api.ts
+++ b/packages/core/src/domain/client-api.ts
@@ -1,6 +1,6 @@
 /** Requests of users and of features' clients, and the answers to them. */
 import type { JobSpec, JobView } from './job.js';
-import type { VersionCondition, StoreWrite } from './key-value-store.js';
+import type { StoreWrite, VersionCondition } from './key-value-store.js';
 
 /** Conditions and writes of a feature, in the transaction that accepts a job. */
 export interface ExtraWrites {
--- a/packages/core/src/domain/effects.ts
+++ b/packages/core/src/domain/effects.ts
@@ -1,7 +1,7 @@
 /** Inputs and effects of the controller's state machine. */
-import type { ClientResponse, ClientRequest } from './client-api.js';
+import type { ClientRequest, ClientResponse } from './client-api.js';
 import type { CloudOperation, CloudReply } from './cloud.js';
-import type { WorkerCommand, CommandReply, Heartbeat, HeartbeatResponse } from './heartbeat.js';
+import type { CommandReply, Heartbeat, HeartbeatResponse, WorkerCommand } from './heartbeat.js';
 import type { StoreOperation, StoreReply } from './key-value-store.js';
 import type { LogEvent } from './log-events.js';
 import type { PeerMessage } from './peer.js';
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -3,12 +3,12 @@
  * All of them are queued at once, so that a chain of dependencies needs no round trip for each level. What a crash leaves
  * undone the next leader finds again, since it follows from the records alone.
  */
-import type { NodeContext } from '../node/node-context.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
+import { encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import { encodeEndedJob } from '../codecs/job-codec.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 
 /** Writes that the cancellation of one job takes. */
 const WRITES_PER_JOB = 2;
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,10 +1,10 @@
 /** Reads how jobs ended, a few at a time: after a failover, every ended job that another one still depends on. */
-import type { NodeContext } from '../node/node-context.js';
-import type { JobOutcome } from './dependency-graph.js';
+import { decodeEndedJob } from '../codecs/job-codec.js';
 import { endedJobKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import { decodeEndedJob } from '../codecs/job-codec.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { JobOutcome } from './dependency-graph.js';
 
 /** Most records that are read at the same time. */
 const MAX_CONCURRENT_READS = 6;
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,11 +1,11 @@
 /** How jobs end: counts completed tasks, moves the record from `j/` to `t/`, and notifies what depends on it. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
-import type { JobOutcome } from './dependency-graph.js';
+import { decodeEndedJob, encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
-import { encodeEndedJob, decodeEndedJob } from '../codecs/job-codec.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { JobOutcome } from './dependency-graph.js';
 
 /** Urgency of reading and writing the records of ending jobs. */
 const RECORD_URGENCY = 1;
--- a/packages/core/src/leader/admission-holds.ts
+++ b/packages/core/src/leader/admission-holds.ts
@@ -1,6 +1,6 @@
 /** Jobs that a feature holds back before any task of them has begun. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
 import type { FeatureRegistry } from './feature-registry.js';
--- a/packages/core/src/leader/feature-registry.ts
+++ b/packages/core/src/leader/feature-registry.ts
@@ -1,8 +1,8 @@
 /** The features that are switched on, within one leader's term. */
 import type { AdmissionHold } from '../cluster/admission-hold.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import type { DependencyLinks, Feature, FeatureTerm } from '../feature-api.js';
 import type { ReportedTask } from '../domain/heartbeat.js';
+import type { DependencyLinks, Feature, FeatureTerm } from '../feature-api.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
 interface RegisteredFeature {
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -3,7 +3,7 @@
  * 40 s: its renewals arrived, so nobody else could lead, but heartbeats of its workers timed out until all worker leases had
  * expired (adresy-pomorze rough: 2,706 tasks killed). A state machine without I/O: callers pass the times.
  */
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 
 /** A timer that fires later than that counts as late; a worker waits four seconds for its answer. */
 const MAX_TIMER_DELAY: Micros = SECOND;
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -1,6 +1,5 @@
 /** The periodic work of a leader: leases, silent machines, scale-in, queued commands, stored progress, and resignation. */
-import type { ProgressStore } from '../storage/progress-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { Failover } from '../leadership/failover.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
@@ -8,6 +7,7 @@
 import type { Defragmentation } from '../scheduling/defragmentation.js';
 import type { FencedWriter } from '../storage/fenced-writer.js';
 import type { MachineStore } from '../storage/machine-store.js';
+import type { ProgressStore } from '../storage/progress-store.js';
 import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import type { AdmissionHolds } from './admission-holds.js';
 import { logClusterSummary } from './cluster-summary.js';
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,10 +1,10 @@
 /** Carries out the steps of a plan, after checking them once more against the present cluster state. */
-import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
-import { fits, placeAllowed, spreadLimit, takeFrom, type Amounts } from '../domain/resources.js';
-import type { PlanStep } from '../scheduling/plan-input.js';
-import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
+import { type Amounts, fits, placeAllowed, spreadLimit, takeFrom } from '../domain/resources.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { PlanStep } from '../scheduling/plan-input.js';
+import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 
 /** Steps by job, in their order. */
 export type StepsByJob = ReadonlyMap<ActiveJob, readonly PlanStep[]>;
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,8 +1,8 @@
 /** One plan, from its snapshot to its last step, in slices: between two of them the node does its other work. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import type { PlanStep } from '../scheduling/plan-input.js';
+import { type Micros, MILLI } from '../domain/time.js';
 import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
-import { MILLI, type Micros } from '../domain/time.js';
+import type { PlanStep } from '../scheduling/plan-input.js';
 import type { StepsByJob } from './placement-commit.js';
 import type { WaitingWork } from './waiting-groups.js';
 
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -2,16 +2,16 @@
  * Plans which waiting work begins where, by a search over the newest snapshot. Only the steps that begin now are carried out;
  * everything else is decided anew by the next plan.
  */
-import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
-import type { PreemptionPlanner } from '../scheduling/preemption-planner.js';
-import type { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
-import type { QueueOrder } from '../scheduling/queue-order.js';
-import { PlacementSearch, type SearchLimits } from '../scheduling/placement-search.js';
-import type { TaskGroup } from '../scheduling/plan-input.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
-import type { Autoscaler } from '../machines/autoscaler.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { Autoscaler } from '../machines/autoscaler.js';
+import { PlacementSearch, type SearchLimits } from '../scheduling/placement-search.js';
+import type { TaskGroup } from '../scheduling/plan-input.js';
+import type { PreemptionPlanner } from '../scheduling/preemption-planner.js';
+import type { QueueOrder } from '../scheduling/queue-order.js';
+import type { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
+import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import { PlacementCommit } from './placement-commit.js';
 import { PlanClock, PlanRun } from './plan-run.js';
 import { WaitingGroups } from './waiting-groups.js';
--- a/packages/core/src/leader/progress-publisher.ts
+++ b/packages/core/src/leader/progress-publisher.ts
@@ -1,7 +1,7 @@
 /** Publishes the counts of done and running tasks to the other controllers, and to the users of this one. */
+import type { JobService } from '../api/job-service.js';
 import type { JobProgress } from '../domain/peer.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
-import type { JobService } from '../api/job-service.js';
 
 /** The most jobs in one message; the others follow with the next. */
 const MAX_JOBS_PER_MESSAGE = 1_000;
--- a/packages/core/src/leader/state-restoration.ts
+++ b/packages/core/src/leader/state-restoration.ts
@@ -3,12 +3,12 @@
 import { ActiveJob } from '../cluster/cluster-model.js';
 import { decodeActiveJob } from '../codecs/job-codec.js';
 import {
-  jobIdOfActiveKey,
   ACTIVE_JOBS_PREFIX,
   FORMER_MACHINES_PREFIX,
-  PROGRESS_PAGES_PREFIX,
+  jobIdOfActiveKey,
   LARGE_PROGRESS_PREFIX,
   MACHINE_PAGES_PREFIX,
+  PROGRESS_PAGES_PREFIX,
 } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -4,10 +4,10 @@
  */
 import type { JobService } from '../api/job-service.js';
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { Feature } from '../feature-api.js';
-import { DependencyGraph, type DependencyEvents } from '../jobs/dependency-graph.js';
 import { DependencyFailurePropagation } from '../jobs/dependency-failure-propagation.js';
+import { type DependencyEvents, DependencyGraph } from '../jobs/dependency-graph.js';
 import { DependencyOutcomeResolver } from '../jobs/dependency-outcome-resolver.js';
 import { JobCompletion } from '../jobs/job-completion.js';
 import { Failover } from '../leadership/failover.js';
--- a/packages/core/src/leader/term-records.ts
+++ b/packages/core/src/leader/term-records.ts
@@ -1,5 +1,5 @@
 /** What a leader stores for its successors and for starting controllers: learned run times and machine types. */
-import { RUNTIME_SUMMARY_KEY, MACHINE_TYPES_KEY } from '../codecs/keys.js';
+import { MACHINE_TYPES_KEY, RUNTIME_SUMMARY_KEY } from '../codecs/keys.js';
 import { encodeMachineTypes } from '../codecs/machine-type-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
 import type { StoredItem } from '../domain/key-value-store.js';
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,17 +1,17 @@
 /** Waiting work as groups of equal tasks, in the order in which a plan considers them. */
-import { upcomingStages } from '../scheduling/upcoming-stages.js';
-import type { QueueOrder } from '../scheduling/queue-order.js';
-import { gpuKind, taskKind, type TaskGroup } from '../scheduling/plan-input.js';
-import type { BackfillWork } from '../scheduling/placement-search.js';
-import type { DependencyGraph } from '../jobs/dependency-graph.js';
-import type { Autoscaler } from '../machines/autoscaler.js';
-import type { Team } from '../domain/settings.js';
-import type { Micros } from '../domain/time.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { GANG_PROGRESS } from '../cluster/task-attempt.js';
 import { STAGE_HANDOVER } from '../cluster/cluster-state.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
+import { GANG_PROGRESS } from '../cluster/task-attempt.js';
+import type { Team } from '../domain/settings.js';
+import type { Micros } from '../domain/time.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { Autoscaler } from '../machines/autoscaler.js';
+import type { BackfillWork } from '../scheduling/placement-search.js';
+import { gpuKind, type TaskGroup, taskKind } from '../scheduling/plan-input.js';
+import type { QueueOrder } from '../scheduling/queue-order.js';
+import { upcomingStages } from '../scheduling/upcoming-stages.js';
 
 /** The most tasks of one job that the search compares placements for. */
 const MAX_COMPARED = 160;
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,11 +1,11 @@
 /** Reads the records of earlier leaders when a term begins, and follows changes of job records from then on. */
 import {
-  jobIdOfActiveKey,
-  FORMER_MACHINES_PREFIX,
   ACTIVE_JOBS_PREFIX,
-  PROGRESS_PAGES_PREFIX,
+  FORMER_MACHINES_PREFIX,
+  jobIdOfActiveKey,
   LARGE_PROGRESS_PREFIX,
   MACHINE_PAGES_PREFIX,
+  PROGRESS_PAGES_PREFIX,
   RUNTIME_SUMMARY_KEY,
 } from '../codecs/keys.js';
 import type { StoredItem, StoreEvent, StoreReply } from '../domain/key-value-store.js';
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -56,12 +56,12 @@
 
   /** Whether this node leads and may send commands and confirmations now. */
   canActAsLeader(): boolean {
-    return this.held !== null && this.held.canAct();
+    return this.held?.canAct() === true;
   }
 
   /** Whether the lease is held, but no cancellations were learned of for long: watches and lists fail here. */
   get missesCancellations(): boolean {
-    return this.held !== null && this.held.missesCancellations();
+    return this.held?.missesCancellations() === true;
   }
 
   /** The member that leads, as far as this node can tell; null for none that was confirmed within a lease. */
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -1,8 +1,8 @@
 /** What the parts of one leader's term share: its lease, its numbers, the cluster state, and whether it still lasts. */
 import type { Machine } from '../cluster/cluster-model.js';
-import type { NodeContext } from '../node/node-context.js';
 import { ClusterState } from '../cluster/cluster-state.js';
 import type { Micros } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 import type { LeaderElection } from './leader-election.js';
 import type { LeaderLease } from './leader-lease.js';
 import { LeaderPermissions } from './leader-permissions.js';
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -2,7 +2,7 @@
 import type { Machine } from '../cluster/cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { Decision } from '../scheduling/placement-search.js';
 import type { CapacityOffer, TaskGroup } from '../scheduling/plan-input.js';
--- a/packages/core/src/machines/capacity-offers.ts
+++ b/packages/core/src/machines/capacity-offers.ts
@@ -1,6 +1,6 @@
 /** Which capacity the cloud may grant now, by machine type, zone and kind (spot or on-demand). */
 import type { Machine } from '../cluster/cluster-model.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { CapacityOffer } from '../scheduling/plan-input.js';
 
--- a/packages/core/src/machines/cloud-inventory.ts
+++ b/packages/core/src/machines/cloud-inventory.ts
@@ -1,6 +1,6 @@
 /** Follows the cloud's list of machines: discovers machines, and learns which are gone. */
 import type { ListedMachine } from '../domain/machine.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { AutoscalerHost } from './autoscaler-host.js';
 
--- a/packages/core/src/machines/deletion-queue.ts
+++ b/packages/core/src/machines/deletion-queue.ts
@@ -1,5 +1,5 @@
 /** Deletes machines in the cloud, in batches, until each deletion is answered. */
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { AutoscalerHost } from './autoscaler-host.js';
 import type { CapacityOffers } from './capacity-offers.js';
--- a/packages/core/src/machines/demand-forecast.ts
+++ b/packages/core/src/machines/demand-forecast.ts
@@ -2,7 +2,7 @@
 import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
 import type { JobSpec } from '../domain/job.js';
 import { typeAllowed } from '../domain/resources.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { TaskGroup } from '../scheduling/plan-input.js';
 
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,6 +1,6 @@
 /** Failure detection for workers: leases that have expired, silent machines to delete, and when the network is at fault. */
-import type { TaskAttempt, Machine } from '../cluster/cluster-model.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import { CLOCK_DRIFT } from '../leadership/cancellation-freshness.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineLifecycle } from './machine-lifecycle.js';
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -2,7 +2,7 @@
 import { Machine, type TaskAttempt } from '../cluster/cluster-model.js';
 import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
-import { MILLI, type Micros } from '../domain/time.js';
+import { type Micros, MILLI } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineStore } from '../storage/machine-store.js';
 
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -7,7 +7,7 @@
 import type { Machine } from '../cluster/cluster-model.js';
 import { TERM_KEY } from '../codecs/keys.js';
 import { encodeTerm } from '../codecs/leadership-codec.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { FencedWriter } from '../storage/fenced-writer.js';
 import type { MachineStore } from '../storage/machine-store.js';
--- a/packages/core/src/machines/scale-out.ts
+++ b/packages/core/src/machines/scale-out.ts
@@ -1,10 +1,10 @@
 /** Scale-out: requests machines from the cloud, and repeats requests that got no answer under the same name. */
 import type { CloudReply } from '../domain/cloud.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { CapacityOffer } from '../scheduling/plan-input.js';
 import type { AutoscalerHost } from './autoscaler-host.js';
-import { MAX_MACHINES_PER_REQUEST, type CapacityOffers, type OfferState } from './capacity-offers.js';
+import { type CapacityOffers, MAX_MACHINES_PER_REQUEST, type OfferState } from './capacity-offers.js';
 
 const MAX_RETRIES = 4;
 /** Pause before the first retry; each later one waits so much longer. */
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,10 +1,10 @@
 /** Sends this node's heartbeats to its peers, receives theirs, and logs what changes. */
-import type { NodeContext } from '../node/node-context.js';
 import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { MILLI, SECOND } from '../domain/time.js';
-import { PeerFailureDetector, type PeerChange } from './peer-failure-detector.js';
+import type { NodeContext } from '../node/node-context.js';
+import { type PeerChange, PeerFailureDetector } from './peer-failure-detector.js';
 
 /** A peer's answer shows that the state service is up only if it came so long after this node's own link was lost. */
 const MIN_TIME_AFTER_LOSS: Micros = 500 * MILLI;
--- a/packages/core/src/node/machine-type-loader.ts
+++ b/packages/core/src/node/machine-type-loader.ts
@@ -1,8 +1,8 @@
 /** Learns the machine types when a node starts: from the store, or, where they are not stored yet, from the cloud. */
-import { decodeMachineTypes } from '../codecs/machine-type-codec.js';
 import { MACHINE_TYPES_KEY } from '../codecs/keys.js';
+import { decodeMachineTypes } from '../codecs/machine-type-codec.js';
 import type { MachineType } from '../domain/machine.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { NodeContext } from './node-context.js';
 
 const FIRST_RETRY: Micros = 400 * MILLI;
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -7,7 +7,7 @@
 import type { LogEvent } from '../domain/log-events.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Settings } from '../domain/settings.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import { StoreConnection } from './store-connection.js';
 import { TimerQueue } from './timer-queue.js';
 
--- a/packages/core/src/scheduling/backfill.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -4,11 +4,11 @@
  * cost about what one costs.
  */
 import { reservePools, tasksFittingNow } from './free-capacity.js';
-import { canStartNow } from './initial-placement.js';
 import { bestOptions, placeGroup, tasksAllowedInZone, zoneChoices } from './group-placement.js';
+import { canStartNow } from './initial-placement.js';
 import type { ZoneFilter } from './placement-options.js';
-import { taskKind, type TaskGroup, type PlacementOption, type PlanStep } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
+import { type PlacementOption, type PlanStep, type TaskGroup, taskKind } from './plan-input.js';
 
 /** Tasks of one job that machines are provisioned for in one plan. */
 const MAX_PROVISIONED_TASKS = 160;
--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,8 +1,8 @@
 /** When a machine has free capacity, given what ends and what is planned on it. */
-import type { Micros } from '../domain/time.js';
-import { AMOUNT_TOLERANCE, fits, type Amounts } from '../domain/resources.js';
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
+import { AMOUNT_TOLERANCE, type Amounts, fits } from '../domain/resources.js';
+import type { Micros } from '../domain/time.js';
 
 /**
  * Whether `need` fits into `free`, and goes on fitting through the changes from the given one on that come before `end`.
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -1,10 +1,10 @@
 /** Defragmentation: empties provisioned machines that hold little, so that they can be scaled in. */
-import type { TaskAttempt, Machine } from '../cluster/cluster-model.js';
-import type { NodeContext } from '../node/node-context.js';
+import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import type { MachineType } from '../domain/machine.js';
-import { SECOND, type Micros } from '../domain/time.js';
-import { fits, placeAllowed, takeFrom, type Amounts } from '../domain/resources.js';
+import { type Amounts, fits, placeAllowed, takeFrom } from '../domain/resources.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 import { isRunningWithCheckpoints, MIN_RUN_BEFORE_STOP } from './preemption-candidates.js';
 
 /** Retirement reason of a machine that is being emptied. */
--- a/packages/core/src/scheduling/free-capacity.ts
+++ b/packages/core/src/scheduling/free-capacity.ts
@@ -1,11 +1,11 @@
 /** What is free at this moment in a simulation, and keeping it for groups. */
-import type { Micros } from '../domain/time.js';
-import { addTo, timesFits, type Amounts } from '../domain/resources.js';
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
-import { poolAccepts, poolSuits, type MachinePool } from './machine-pool.js';
-import { gpuKind, type GpuKind, type TaskGroup } from './plan-input.js';
+import { addTo, type Amounts, timesFits } from '../domain/resources.js';
+import type { Micros } from '../domain/time.js';
+import { type MachinePool, poolAccepts, poolSuits } from './machine-pool.js';
 import type { PlacementSimulation } from './placement-simulation.js';
+import { type GpuKind, gpuKind, type TaskGroup } from './plan-input.js';
 
 /** Visits the pool's machines on which some work of the plan fits now, for as long as `visit` returns true. */
 const visitFree = (
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -2,9 +2,9 @@
 import { spreadLimit } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { tasksFittingNow } from './free-capacity.js';
-import type { TaskGroup, PlacementOption, PlanStep } from './plan-input.js';
 import type { ZoneFilter } from './placement-options.js';
 import type { PlacementSimulation } from './placement-simulation.js';
+import type { PlacementOption, PlanStep, TaskGroup } from './plan-input.js';
 
 /** What each machine that has to be provisioned counts for among zones that finish at nearly the same time. */
 const PROVISIONED_MACHINE_WEIGHT: Micros = 1_000;
--- a/packages/core/src/scheduling/initial-placement.ts
+++ b/packages/core/src/scheduling/initial-placement.ts
@@ -1,8 +1,8 @@
 /** Where a group's first tasks could begin at this moment. */
 import { tasksFittingNow } from './free-capacity.js';
 import { zoneChoices } from './group-placement.js';
-import type { TaskGroup, PlacementOption } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
+import type { PlacementOption, TaskGroup } from './plan-input.js';
 
 /** Tasks that have to begin together: all members of a gang, else one. */
 const tasksAtOnce = ({ spec, count }: TaskGroup): number => (spec.shape === 'gang' ? count : 1);
--- a/packages/core/src/scheduling/machine-pool.ts
+++ b/packages/core/src/scheduling/machine-pool.ts
@@ -1,8 +1,8 @@
 /** Machines of one type, zone and kind, in the order in which they may have free capacity. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
+import { type Amounts, fits, placeAllowed } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
-import { fits, placeAllowed, type Amounts } from '../domain/resources.js';
 import { firstFit } from './capacity-timeline.js';
 import { GPU_KINDS, gpuKind, type Placement } from './plan-input.js';
 
--- a/packages/core/src/scheduling/option-evaluator.ts
+++ b/packages/core/src/scheduling/option-evaluator.ts
@@ -1,11 +1,11 @@
 /** Evaluates machines for a group's next tasks: when they could run there, how many, and what rank that gets. */
+import type { MachineSlot } from '../cluster/machine-slot.js';
+import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
 import { fits, timesFits } from '../domain/resources.js';
-import type { MachineSlot } from '../cluster/machine-slot.js';
-import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
+import type { Micros } from '../domain/time.js';
 import { earliestStart } from './capacity-timeline.js';
 import type { CapacityOffer, ClusterSnapshot, Placement, PlacementOption, TaskGroup } from './plan-input.js';
 import {
@@ -13,10 +13,10 @@
   BLOCKING_WEIGHT,
   COST_PENALTY_WEIGHT,
   EXPENSIVE_PRICE_RATIO,
-  SMALL_TASK_RATIO,
   imagePullTime,
   relativeMachinePrice,
   relativeTaskPrice,
+  SMALL_TASK_RATIO,
   wasteOf,
 } from './ranking.js';
 
--- a/packages/core/src/scheduling/placement-options.ts
+++ b/packages/core/src/scheduling/placement-options.ts
@@ -1,13 +1,13 @@
 /** Enumerates where a group's tasks could go, without looking at every machine. */
-import type { Micros } from '../domain/time.js';
 import { fits, placeAllowed } from '../domain/resources.js';
-import { UNSORTED, poolAccepts, type MachinePool } from './machine-pool.js';
+import type { Micros } from '../domain/time.js';
+import { type MachinePool, poolAccepts, UNSORTED } from './machine-pool.js';
 import type { OptionEvaluator } from './option-evaluator.js';
 import {
-  NO_EQUIVALENT,
-  gpuKind,
   type CapacityOffer,
   type ClusterSnapshot,
+  gpuKind,
+  NO_EQUIVALENT,
   type Placement,
   type PlacementOption,
   type TaskGroup,
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -4,23 +4,23 @@
  * earliest predicted finish, which is the same rollout without alternatives for the first step. A search can be suspended
  * between two of its steps and resumed later.
  */
-import { canStartNow, firstOptions } from './initial-placement.js';
+import type { JobSpec } from '../domain/job.js';
+import { spreadLimit } from '../domain/resources.js';
+import { type Micros, MILLI } from '../domain/time.js';
 import { placeBackfill } from './backfill.js';
 import { keepFreeCapacity, reservePools } from './free-capacity.js';
 import { placeGroup } from './group-placement.js';
+import { canStartNow, firstOptions } from './initial-placement.js';
+import { PlacementSimulation } from './placement-simulation.js';
 import {
+  type ClusterSnapshot,
   gpuKind,
-  type TaskGroup,
   type PlacementOption,
-  type ClusterSnapshot,
   type PlanStep,
+  type TaskGroup,
 } from './plan-input.js';
-import { isBetter, simulateCompletion, type Score } from './rollout.js';
+import { isBetter, type Score, simulateCompletion } from './rollout.js';
 import { allCanStartNow } from './uncontended-placement.js';
-import { PlacementSimulation } from './placement-simulation.js';
-import type { JobSpec } from '../domain/job.js';
-import { MILLI, type Micros } from '../domain/time.js';
-import { spreadLimit } from '../domain/resources.js';
 
 /** Past the budget, so much longer may go into placing what can't begin now: a plan has to end. */
 const LATER_PLACEMENT_TIME: Micros = 80 * MILLI;
@@ -293,6 +293,8 @@
 ): Decision => {
   const startedAt = stopwatch();
   const run = new PlacementSearch(snapshot, groups, backfill, limits, () => stopwatch() - startedAt);
-  for (const pause of run.run()) void pause;
+  const pauses = run.run();
+  let isDone = false;
+  while (!isDone) isDone = pauses.next().done === true;
   return run.decision();
 };
--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -2,31 +2,31 @@
  * A simulation of the cluster that plans place work in: machines by pool, with an undo log of everything that a rollout
  * changes. Nothing is copied: at a thousand machines a copy for each candidate costs far more than the rollout itself.
  */
+import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import type { Micros } from '../domain/time.js';
 import type { Amounts } from '../domain/resources.js';
-import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
+import type { Micros } from '../domain/time.js';
 import { capacityTaken, firstFit, insertChanges } from './capacity-timeline.js';
 import {
   appendPlacement,
   emptyPool,
   includeNeed,
+  type MachinePool,
   poolKey,
   removeLastPlacement,
   sortPool,
-  type MachinePool,
 } from './machine-pool.js';
 import { OptionEvaluator } from './option-evaluator.js';
+import { PlacementOptions } from './placement-options.js';
 import {
-  NO_EQUIVALENT,
   type CapacityOffer,
   type ClusterSnapshot,
+  NO_EQUIVALENT,
   type Placement,
   type PlacementOption,
   type TaskGroup,
 } from './plan-input.js';
-import { PlacementOptions } from './placement-options.js';
 
 /** An entry of the undo log: a placement as it was, or a machine that was provisioned. */
 type UndoEntry =
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -1,8 +1,8 @@
 /** What a plan works with: groups of waiting tasks, machines that exist or may be provisioned, and the steps it decides. */
+import type { MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
-import type { MachineSlot } from '../cluster/machine-slot.js';
 
 /** A kind of machine that may be provisioned from the cloud. */
 export interface CapacityOffer {
--- a/packages/core/src/scheduling/preemption-candidates.ts
+++ b/packages/core/src/scheduling/preemption-candidates.ts
@@ -1,10 +1,10 @@
 /** Capacity for work of higher priority, or for a team's guarantee, from attempts that may be preempted for it. */
-import type { TaskAttempt, Machine, ActiveJob } from '../cluster/cluster-model.js';
+import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
+import { mayPreempt, type PreemptionPolicy } from '../cluster/preemption-policy.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { SECOND, type Micros } from '../domain/time.js';
-import { mayPreempt, type PreemptionPolicy } from '../cluster/preemption-policy.js';
-import { addTo, fits, placeAllowed, takeFrom, type Amounts } from '../domain/resources.js';
+import { addTo, type Amounts, fits, placeAllowed, takeFrom } from '../domain/resources.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import { taskKind } from './plan-input.js';
 
 /** A start followed by a stop within half a minute was worth nothing: younger attempts are left alone. */
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -1,9 +1,9 @@
 /** Preempts some work for other work: which waiting jobs have a right to that, when, and what it costs. */
-import type { PlanStep } from './plan-input.js';
-import type { TaskAttempt, ActiveJob } from '../cluster/cluster-model.js';
-import type { NodeContext } from '../node/node-context.js';
+import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { PlanStep } from './plan-input.js';
 import { MIN_RUN_BEFORE_STOP, PreemptionCandidates, type PreemptionChoice } from './preemption-candidates.js';
 
 /** A stopped task waits for about this share of how long others of its class wait: it was in order before. */
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -1,19 +1,19 @@
 /** The queue order of waiting jobs: urgent work, then fair-share turns, then priority and objectives within reach. */
+import { PRIORITIES } from '../cluster/capacity-by-kind.js';
+import type { ActiveJob } from '../cluster/cluster-model.js';
+import type { ClusterState } from '../cluster/cluster-state.js';
+import { fairShareOrder } from '../cluster/fair-share.js';
 import {
   mergeOrders,
   mustStartAtOnce,
-  orderByObjectives,
-  type ObjectiveOrder,
   type ObjectiveCandidate,
+  type ObjectiveOrder,
+  orderByObjectives,
 } from '../cluster/objectives.js';
-import { PRIORITIES } from '../cluster/capacity-by-kind.js';
-import type { NodeContext } from '../node/node-context.js';
-import type { ClusterState } from '../cluster/cluster-state.js';
 import { GANG_PROGRESS } from '../cluster/task-attempt.js';
-import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Priority } from '../domain/job.js';
-import { SECOND, type Micros } from '../domain/time.js';
-import { fairShareOrder } from '../cluster/fair-share.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 
 /** A team's fair-share turns. */
 interface FairShareTurn {
--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -1,10 +1,10 @@
 /** What separates machines for a task beside the time at which it would finish there: price, waste and images. */
+import type { MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { SECOND, type Micros } from '../domain/time.js';
 import { fits, timesFits } from '../domain/resources.js';
-import type { MachineSlot } from '../cluster/machine-slot.js';
-import type { TaskGroup, ClusterSnapshot } from './plan-input.js';
+import { type Micros, SECOND } from '../domain/time.js';
+import type { ClusterSnapshot, TaskGroup } from './plan-input.js';
 
 /** The most that a relative price per task counts. */
 const MAX_COST_PENALTY = 3;
--- a/packages/core/src/scheduling/rollout.ts
+++ b/packages/core/src/scheduling/rollout.ts
@@ -1,8 +1,8 @@
 /** Rolls waiting work out to completion in a simulation, and scores the result. */
 import type { Micros } from '../domain/time.js';
 import { placeGroup } from './group-placement.js';
-import type { TaskGroup, PlanStep } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
+import type { PlanStep, TaskGroup } from './plan-input.js';
 
 /** The result of a rollout; `isBetter` compares two. */
 export interface Score {
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -1,12 +1,12 @@
 /** Builds the snapshot that a plan works on, from the machines as they are and what is predicted of them. */
-import type { ClusterSnapshot, CapacityOffer } from './plan-input.js';
-import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
-import type { NodeContext } from '../node/node-context.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
+import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { CapacityOffer, ClusterSnapshot } from './plan-input.js';
 
 /** How long a machine's slot is cached while nothing changes there. */
 const SLOT_CACHE_TIME: Micros = 2_500 * MILLI;
@@ -81,8 +81,7 @@
     const { now } = this.context;
     const cached = machine.cachedSlot;
     if (
-      cached === null ||
-      cached.changes !== machine.revision ||
+      cached?.changes !== machine.revision ||
       now - cached.at >= SLOT_CACHE_TIME ||
       cached.slot.type !== type ||
       (cached.slot.changes[0]?.at ?? Infinity) <= now + MIN_TIME_TO_CHANGE
--- a/packages/core/src/scheduling/uncontended-placement.ts
+++ b/packages/core/src/scheduling/uncontended-placement.ts
@@ -1,9 +1,9 @@
 /** Whether there is so much free capacity that the order in which waiting work is placed doesn't matter. */
+import type { Amounts } from '../domain/resources.js';
 import { freeNow } from './free-capacity.js';
 import { canStartNow } from './initial-placement.js';
-import type { TaskGroup } from './plan-input.js';
 import type { PlacementSimulation } from './placement-simulation.js';
-import type { Amounts } from '../domain/resources.js';
+import type { TaskGroup } from './plan-input.js';
 
 /** Free capacity must be so many times the demand: what is left between tasks of different sizes is of no use. */
 const MARGIN = 2;
--- a/packages/core/src/scheduling/upcoming-stages.ts
+++ b/packages/core/src/scheduling/upcoming-stages.ts
@@ -3,9 +3,9 @@
  * them after all other work, from when what they depend on is predicted done, so that capacity is there or on its way by
  * then. They run for seconds where a machine takes half a minute to boot.
  */
-import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
+import type { DependencyGraph } from '../jobs/dependency-graph.js';
 
 /** Stages that one plan looks ahead to. */
 const MAX_STAGES = 16;
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -4,11 +4,11 @@
  * on condition of the version that it replaces: a write that the network held back can't put an older value over a newer
  * one.
  */
-import type { NodeContext } from '../node/node-context.js';
 import { LEADER_KEY } from '../codecs/keys.js';
-import type { StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
-import { MILLI, SECOND, type Micros } from '../domain/time.js';
 import { bytesOf } from '../codecs/value-size.js';
+import type { StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import type { NodeContext } from '../node/node-context.js';
 import { BatchLimit } from './batch-limit.js';
 
 /** Whether something waits for the write, or it may be sent when nothing more urgent is left. */
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -8,7 +8,7 @@
 import { progressKey } from '../codecs/keys.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
 import type { TaskBitset } from '../domain/task-bitset.js';
-import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
+import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
 const PART_FRAME_BYTES = 160;
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,15 +1,15 @@
 /** Machines on record: nothing is started on one that is not, and one to be deleted is marked as retiring first. */
 import type { Machine } from '../cluster/cluster-model.js';
-import { formerMachineKey, FORMER_MACHINES_PREFIX, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
-import type { StoredItem } from '../domain/key-value-store.js';
-import { PackedPages, readPage } from './packed-pages.js';
+import { FORMER_MACHINES_PREFIX, formerMachineKey, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
 import {
   decodeMachine,
   encodeMachine,
   largestMachineRecord,
   type MachineRecord,
 } from '../codecs/machine-codec.js';
-import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
+import type { StoredItem } from '../domain/key-value-store.js';
+import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
+import { PackedPages, readPage } from './packed-pages.js';
 
 const recordOf = (machine: Machine): MachineRecord => ({
   address: machine.address,
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -9,9 +9,9 @@
  * copies together contain. Pages that have become too large are emptied likewise: copies are written and confirmed first, the
  * old page is emptied last.
  */
-import type { StoredItem } from '../domain/key-value-store.js';
 import { bytesOf } from '../codecs/value-size.js';
-import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
+import type { StoredItem } from '../domain/key-value-store.js';
+import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 import { PAGE_FRAME_BYTES, readPage, smallerPageRoom } from './page-format.js';
 
 export { pageRoom, readPage } from './page-format.js';
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -2,15 +2,15 @@
  * Which tasks are done and which machines may hold a job's tasks, in the state service. Jobs of ordinary size share pages;
  * one with very many tasks has keys of its own.
  */
-import type { Machine, ActiveJob } from '../cluster/cluster-model.js';
-import type { NodeContext } from '../node/node-context.js';
-import { PROGRESS_PAGES_PREFIX, LARGE_PROGRESS_PREFIX, partOfKeyNumber } from '../codecs/keys.js';
-import { LargeProgress } from './large-progress.js';
-import type { StoredItem } from '../domain/key-value-store.js';
-import { pageRoom, PackedPages, readPage } from './packed-pages.js';
+import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
+import { LARGE_PROGRESS_PREFIX, partOfKeyNumber, PROGRESS_PAGES_PREFIX } from '../codecs/keys.js';
 import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
-import type { WriteUrgency, FencedWriter } from './fenced-writer.js';
+import type { StoredItem } from '../domain/key-value-store.js';
+import type { NodeContext } from '../node/node-context.js';
+import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
+import { LargeProgress } from './large-progress.js';
+import { PackedPages, pageRoom, readPage } from './packed-pages.js';
 
 const ignore = (): void => undefined;
 
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -2,10 +2,10 @@
  * The life of an attempt: decided, put on record, sent, reported, stopped, ended. An attempt counts as present on its machine
  * from the decision until proven otherwise (docs/safety.md).
  */
-import type { ActiveJob, TaskAttempt, Machine } from '../cluster/cluster-model.js';
+import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
 import type { Heartbeat, ReportedTask } from '../domain/heartbeat.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import { CommandQueue } from './command-queue.js';
 import { GangSupervisor } from './gang-attempts.js';
--- a/packages/core/src/tasks/command-queue.ts
+++ b/packages/core/src/tasks/command-queue.ts
@@ -108,8 +108,7 @@
     return batch.filter((command) => {
       if (command.op !== 'start') return mayCommand;
       const attempt = machine.attempts.get(attemptKey(command.job, command.index));
-      if (attempt === undefined || attempt.number !== command.attempt || attempt.state !== 'recording')
-        return false;
+      if (attempt?.number !== command.attempt || attempt.state !== 'recording') return false;
       if (!mayStart || attempt.agentEpoch !== machine.agentEpoch || attempt.job.phase !== 'active') {
         this.events.startFailed(attempt);
         return false;
--- a/packages/core/src/tasks/heartbeat-commands.ts
+++ b/packages/core/src/tasks/heartbeat-commands.ts
@@ -5,7 +5,7 @@
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
 import type { Heartbeat, ReportedTask, WorkerCommand } from '../domain/heartbeat.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
 import { isFromThisTerm, isWanted } from './reported-tasks.js';
@@ -29,7 +29,7 @@
     for (const task of heartbeat.tasks) {
       if (task.state === 'exited') continue;
       const attempt = machine.attempts.get(attemptKey(task.job, task.index));
-      if (attempt === undefined || attempt.number !== task.attempt) {
+      if (attempt?.number !== task.attempt) {
         // Which attempt is the true one is known only from a heartbeat of this term.
         if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
           commands.push(stopOf(task, 0));
--- a/packages/core/src/tasks/termination-drain.ts
+++ b/packages/core/src/tasks/termination-drain.ts
@@ -1,6 +1,6 @@
 /** Graceful eviction from machines whose termination was announced, for example preempted spot instances. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
-import { SECOND, type Micros } from '../domain/time.js';
+import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
 import { unstoppedMembers } from './gang-attempts.js';
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -1,18 +1,20 @@
 /** Backfill beyond what a plan compares, and plans that compare nothing because everything fits. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskGroup, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
+
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
+import { SECOND } from '@shaleyoke/core/domain/time';
 import {
+  type BackfillWork,
   NO_BACKFILL,
   PlacementSearch,
   search,
-  type BackfillWork,
 } from '@shaleyoke/core/scheduling/placement-search';
-import { SECOND } from '@shaleyoke/core/domain/time';
-import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
+import type { CapacityOffer, TaskGroup } from '@shaleyoke/core/scheduling/plan-input';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { SEARCH_LIMITS, groupOf, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
+
+import { groupOf, SEARCH_LIMITS, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
 
 const backfillOf = (groups: readonly TaskGroup[]): BackfillWork => ({
   kinds: groups.map((group) => group.spec),
@@ -193,8 +195,8 @@
   const parts = new PlacementSearch(snapshot, groups, NO_BACKFILL, SEARCH_LIMITS, stoppedClock);
   let pauses = 0;
   let seen = 0;
-  for (const pause of parts.run()) {
-    void pause;
+  const run = parts.run();
+  while (run.next().done !== true) {
     pauses++;
     assert.ok(parts.steps.length >= seen, 'what was decided stays');
     seen = parts.steps.length;
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -4,6 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
@@ -16,6 +17,7 @@
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
+
 import { checkOutcome } from './scenario-assertions.js';
 import { teamQuota, violationsOf } from './scenario-fixtures.js';
 
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -5,12 +5,13 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** `cancel_s`: how long tasks may run after the confirmed cancellation of their job. */
 const MAX_TIME_TO_STOP = 40 * SECOND;
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,12 +1,12 @@
 /** Small clusters for tests of plans: machines, groups of waiting tasks, and predicted run times. */
-import type { TaskGroup, ClusterSnapshot, CapacityOffer } from '@shaleyoke/core/scheduling/plan-input';
-import type { SearchLimits } from '@shaleyoke/core/scheduling/placement-search';
-import type { ActiveJob, TaskAttempt, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import type { ActiveJob, Machine, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { attemptKey } from '@shaleyoke/core/cluster/task-attempt';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
+import type { SearchLimits } from '@shaleyoke/core/scheduling/placement-search';
+import type { CapacityOffer, ClusterSnapshot, TaskGroup } from '@shaleyoke/core/scheduling/plan-input';
 import { TYPE } from '@shaleyoke/emulator/site';
 
 /** Limits that a search of a test never reaches. */
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -4,12 +4,14 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 import type { Worker } from '@shaleyoke/emulator/workers-model';
+
 import { teamQuota, violationsOf } from './scenario-fixtures.js';
 
 const TWO_TEAMS = `${teamQuota(8, 't')}\n${teamQuota(8, 'u')}`;
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,21 +1,22 @@
 /** Jobs with dependencies: blocked, released, cancelled, and the priorities and deadlines that others inherit from them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DependencyGraph } from '@shaleyoke/core/jobs/dependency-graph';
+
 import { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { latestFinish } from '@shaleyoke/core/cluster/deadline-chain';
-import type { JobSpec } from '@shaleyoke/core/domain/job';
-import { SECOND } from '@shaleyoke/core/domain/time';
 import {
-  encodeActiveJob,
-  encodeEndedJob,
   decodeActiveJob,
   decodeEndedJob,
+  encodeActiveJob,
+  encodeEndedJob,
 } from '@shaleyoke/core/codecs/job-codec';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
+import { SECOND } from '@shaleyoke/core/domain/time';
+import { DependencyGraph } from '@shaleyoke/core/jobs/dependency-graph';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** A random graph: each job depends on some of those before it. */
 const randomGraph = (random: Random, count: number, id: (i: number) => string): JobSpec[] => {
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -1,9 +1,10 @@
 /** A leader's knowledge of jobs, in whatever order lists and watches are answered, and how old it counts as. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
-import { SECOND, type Micros } from '@shaleyoke/core/domain/time';
+
 import { ACTIVE_JOBS_PREFIX } from '@shaleyoke/core/codecs/keys';
+import type { StoreEvent, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
+import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
 import { CancellationFreshness } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { Failover, type FailoverEvents, type FailoverTerm } from '@shaleyoke/core/leadership/failover';
 import { Random } from '@shaleyoke/emulator/random';
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -4,17 +4,19 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
   EXTENDED_SCENARIOS,
+  type Outcome,
   play,
   SECOND_BOUNDS,
-  type Outcome,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
+
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
 
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -4,12 +4,14 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { Core } from '@shaleyoke/core/core';
-import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
-import { BASIC_SCENARIOS, FIRST_BOUNDS, play, type Outcome } from '@shaleyoke/emulator/fault-scenarios';
+import { BASIC_SCENARIOS, FIRST_BOUNDS, type Outcome, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
+
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
 
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -5,10 +5,11 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 test('a repeated submission of a job that the node knows costs no writes', () => {
   const simulation = new ClusterSimulation(new Random(5), 3, undefined, undefined, 4);
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -1,11 +1,12 @@
 /** A leader that has become too slow gives the office up; one that stood still once does not, nor do all in turn. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LeaderHealth } from '@shaleyoke/core/leader/leader-health';
+
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { LeaderHealth } from '@shaleyoke/core/leader/leader-health';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 test('late three times within twenty seconds is unfit, late once for long is not', () => {
   const f = new LeaderHealth();
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -1,14 +1,15 @@
 /** Failure detection between controllers: suspicion, its end, and what follows from it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PeerFailureDetector, type PeerChange } from '@shaleyoke/core/membership/peer-failure-detector';
+
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
-import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type PeerChange, PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 import { beatOf } from '@shaleyoke/emulator/beats';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 const ENABLED: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
@@ -162,7 +163,8 @@
   const teams = '[[cluster.teams]]\nname = "t"\n';
   const simulation = new ClusterSimulation(new Random(seed), 3, teams, 1e9, 12, '', () => [], 0, ENABLED);
   const log: string[] = [];
-  simulation.onLog = (node, event, fields) => log.push(`${node} ${event} ${String(fields['of'] ?? '')}`);
+  simulation.onLog = (node, event, { of: peer }) =>
+    log.push(`${node} ${event} ${typeof peer === 'string' ? peer : ''}`);
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 4; i++)
     simulation.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 200 * SECOND }));
--- a/packages/core/test/objectives.test.ts
+++ b/packages/core/test/objectives.test.ts
@@ -1,13 +1,14 @@
 /** The order by service-level objectives, and the latest start that still meets one. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import {
   latestStart,
   mergeOrders,
-  orderByObjectives,
   type ObjectiveCandidate,
+  orderByObjectives,
 } from '@shaleyoke/core/cluster/objectives';
-import { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { specOf } from '@shaleyoke/emulator/specs';
 
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -1,25 +1,26 @@
 /** Packed records: lost, late and doubled transactions, size limits, and the form of the version before. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Machine, ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
-import { NodeContext } from '@shaleyoke/core/node/node-context';
+
+import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
+import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import type {
   StoredItem,
   StoreOperation,
   StoreReply,
   StoreWrite,
 } from '@shaleyoke/core/domain/key-value-store';
+import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { NodeContext } from '@shaleyoke/core/node/node-context';
+import { FencedWriter } from '@shaleyoke/core/storage/fenced-writer';
+import { MachineStore } from '@shaleyoke/core/storage/machine-store';
 import { PackedPages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ProgressStore } from '@shaleyoke/core/storage/progress-store';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
-import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
-import { MachineStore } from '@shaleyoke/core/storage/machine-store';
-import { FencedWriter } from '@shaleyoke/core/storage/fenced-writer';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
+import { specOf } from '@shaleyoke/emulator/specs';
 
 const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
 
@@ -120,6 +121,11 @@
   return { context, store, writer };
 };
 
+/** No record of these tests may be unreadable. */
+const failUnreadable = (key: string): void => {
+  assert.fail(`${key} can't be read`);
+};
+
 test('no late, lost or doubled write ever takes back what was confirmed', () => {
   for (let seed = 1; seed <= 12; seed++) {
     const random = new Random(seed * 31);
@@ -232,7 +238,7 @@
     next.writer,
     pageRoom(settings.maxValueBytes),
     () => undefined,
-    assert.fail,
+    failUnreadable,
   ).load(store.under('r/'), []);
   assert.equal(found.size, 1_000);
   const restoredJobs = new Map(
@@ -374,7 +380,12 @@
       const jobs = new Map(
         [...expected].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
       );
-      const machineStore = new MachineStore(writer, pageRoom(lowerLimits.maxValueBytes), find, assert.fail);
+      const machineStore = new MachineStore(
+        writer,
+        pageRoom(lowerLimits.maxValueBytes),
+        find,
+        failUnreadable,
+      );
       const found = machineStore.load(current.under('r/'), current.under('h/'));
       assert.equal(found.size, 240);
       for (const [name, rec] of found) {
@@ -406,7 +417,7 @@
       for (const item of [...current.under('q/'), ...current.under('r/'), ...current.under('p/')])
         assert.ok(bytesOf(item.value) <= 2_048, `${item.key}: ${bytesOf(item.value)} bytes`);
       for (const item of [...current.under('q/'), ...current.under('r/')])
-        if (!/\/s/.test(item.key)) assert.deepEqual(item.value, { entries: {} }, item.key);
+        if (!item.key.includes('/s')) assert.deepEqual(item.value, { entries: {} }, item.key);
     }
   }
   assert.ok(steps > 20, `${steps} steps`);
@@ -437,8 +448,12 @@
         id,
         110,
         'later',
-        () => then(true),
-        () => then(false),
+        () => {
+          then(true);
+        },
+        () => {
+          then(false);
+        },
       );
     },
   });
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -1,11 +1,12 @@
 /** Generated histories of cuts that leave some links up, with crashes and outages in them: the rules hold, and all work ends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** A job of a random shape. */
 const randomJob = (random: Random, id: string): JobSpec => {
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -1,15 +1,16 @@
 /** Cuts that leave some links up: who leads, whom workers are sent to, and what a deposed leader does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { StoreConnection } from '@shaleyoke/core/node/store-connection';
+
 import { Core } from '@shaleyoke/core/core';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { StoreConnection } from '@shaleyoke/core/node/store-connection';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
 import { settingsFor } from '@shaleyoke/emulator/site';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+import { specOf } from '@shaleyoke/emulator/specs';
 
 const NAMES = ['n0', 'n1', 'n2'];
 
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -1,21 +1,23 @@
 /** The rollout and the placement search; some cases are from the paper (10.2, 12.1). */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { placeGroup } from '@shaleyoke/core/scheduling/group-placement';
+import { search } from '@shaleyoke/core/scheduling/placement-search';
+import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
 import type {
-  TaskGroup,
-  ClusterSnapshot,
   CapacityOffer,
+  ClusterSnapshot,
   PlanStep,
+  TaskGroup,
 } from '@shaleyoke/core/scheduling/plan-input';
-import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
-import { PlacementSimulation } from '@shaleyoke/core/scheduling/placement-simulation';
-import { placeGroup } from '@shaleyoke/core/scheduling/group-placement';
 import { simulateCompletion } from '@shaleyoke/core/scheduling/rollout';
-import { search } from '@shaleyoke/core/scheduling/placement-search';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { SEARCH_LIMITS, groupOf, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
+
+import { groupOf, SEARCH_LIMITS, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
 
 const lastFinish = (steps: readonly PlanStep[]): number => Math.max(...steps.map((step) => step.finish));
 
--- a/packages/core/test/preemption-candidates.test.ts
+++ b/packages/core/test/preemption-candidates.test.ts
@@ -1,10 +1,12 @@
 /** Which attempts are stopped for waiting jobs, and on which machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { PreemptionCandidates } from '@shaleyoke/core/scheduling/preemption-candidates';
 import { specOf } from '@shaleyoke/emulator/specs';
+
 import { runTask, typeOf } from './cluster-fixtures.js';
 
 test('capacity is freed for several gangs in one plan, each with machines of its own', () => {
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -1,11 +1,12 @@
 /** Whole services in simulated time: seeded faults, with the protocol's rules as invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** A job of a random shape. */
 const randomJob = (random: Random, id: string): JobSpec => {
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -1,16 +1,18 @@
 /** The queue order: which jobs can still be in time, given the capacity that this work can really have. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { NodeContext } from '@shaleyoke/core/node/node-context';
-import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
+
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
-import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
 import { ClusterState } from '@shaleyoke/core/cluster/cluster-state';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
+import { NodeContext } from '@shaleyoke/core/node/node-context';
+import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
 import { settingsFor, TYPE } from '@shaleyoke/emulator/site';
+import { specOf } from '@shaleyoke/emulator/specs';
+
 import { runTask } from './cluster-fixtures.js';
 
 const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -4,11 +4,12 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 
 /** After the last end somebody leads within a leader's lease and so much more, whoever was back how soon. */
 const ELECTION_TIME = 2 * SECOND;
--- a/packages/core/test/runtime-estimates.test.ts
+++ b/packages/core/test/runtime-estimates.test.ts
@@ -1,6 +1,7 @@
 /** Learned run times. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
--- a/packages/core/test/scenario-assertions.ts
+++ b/packages/core/test/scenario-assertions.ts
@@ -1,5 +1,6 @@
 /** What every run of fault scenarios has to come to. */
 import assert from 'node:assert/strict';
+
 import type { Outcome } from '@shaleyoke/emulator/fault-scenarios';
 
 /** Asserts that no rule was broken, all accepted work ended, and every question was answered. */
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -4,6 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import {
   decodeActiveJob,
   decodeEndedJob,
@@ -11,25 +13,24 @@
   encodeEndedJob,
 } from '@shaleyoke/core/codecs/job-codec';
 import {
+  ACTIVE_JOBS_PREFIX,
   activeJobKey,
   endedJobKey,
-  ACTIVE_JOBS_PREFIX,
-  LEADER_KEY,
-  formerMachineKey,
   FORMER_MACHINES_PREFIX,
-  PROGRESS_PAGES_PREFIX,
+  formerMachineKey,
   LARGE_PROGRESS_PREFIX,
-  progressKey,
+  LEADER_KEY,
   MACHINE_PAGES_PREFIX,
-  TERM_KEY,
-  RUNTIME_SUMMARY_KEY,
   MACHINE_TYPES_KEY,
+  PROGRESS_PAGES_PREFIX,
+  progressKey,
+  RUNTIME_SUMMARY_KEY,
+  TERM_KEY,
 } from '@shaleyoke/core/codecs/keys';
 import { decodeLeader, decodeTerm, encodeLeader, encodeTerm } from '@shaleyoke/core/codecs/leadership-codec';
 import { decodeMachine, encodeMachine } from '@shaleyoke/core/codecs/machine-codec';
 import { decodeMachineTypes, encodeMachineTypes } from '@shaleyoke/core/codecs/machine-type-codec';
 import { decodeProgress, encodeProgress } from '@shaleyoke/core/codecs/progress-codec';
-import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -1,18 +1,20 @@
 /** Incrementally updated sums over machines equal a full count, in generated histories. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
+import { QuotaUsage } from '@shaleyoke/core/cluster/fair-share';
+import { MachineRegistry } from '@shaleyoke/core/cluster/machine-registry';
+import { UsageTotals } from '@shaleyoke/core/cluster/usage-totals';
 import type { JobSpec, Priority } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
-import { UsageTotals } from '@shaleyoke/core/cluster/usage-totals';
-import { MachineRegistry } from '@shaleyoke/core/cluster/machine-registry';
-import { QuotaUsage } from '@shaleyoke/core/cluster/fair-share';
-import { FIRST_BOUNDS, BASIC_SCENARIOS, play } from '@shaleyoke/emulator/fault-scenarios';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+import { BASIC_SCENARIOS, FIRST_BOUNDS, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
 import { TYPE } from '@shaleyoke/emulator/site';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+
 import { runTask } from './cluster-fixtures.js';
 
 const TYPES = new Map<string, MachineType>([
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -2,8 +2,8 @@
  * The product in a minute or two on one machine: three real controllers, and stand-ins of this repository for
  * state service, cloud, workers and users. A controller and a machine are killed on the way.
  */
-import { viewBooks, balanceOf, verifyBooks, type BooksView } from '@shaleyoke/budgets/reader';
 import { formatMoney } from '@shaleyoke/budgets/money';
+import { balanceOf, type BooksView, verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
 import { statementOf, textOf } from '@shaleyoke/budgets/statement';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -7,13 +7,14 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
+
 import { balanceOf, verifyBooks } from '@shaleyoke/budgets/reader';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { booksOf, BOX, budgetsFile, jobOf, until } from '@shaleyoke/demo/demo';
 import { Loopback } from '@shaleyoke/emulator/loopback';
-import { toolOf } from '@shaleyoke/emulator/tool';
 import { Random } from '@shaleyoke/emulator/random';
+import { toolOf } from '@shaleyoke/emulator/tool';
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -2,6 +2,7 @@
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import { TYPE } from './site.js';
 
 /** What the cloud needs of the machines. */
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -2,8 +2,10 @@
  * Whole services in simulated time: any number of controllers, and state service, cloud, workers and users as models,
  * joined by a network. They keep the rules as invariants: whatever breaks one is collected in `broken`.
  */
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import { Core } from '@shaleyoke/core/core';
-import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
+import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
 import type { CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
 import type { CommandReply, Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
@@ -12,9 +14,8 @@
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import type { Feature } from '@shaleyoke/core/feature-api';
-import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+
 import { CloudModel } from './cloud-model.js';
 import { Network } from './network.js';
 import type { Random } from './random.js';
@@ -24,7 +25,7 @@
 import { Timeline } from './timeline.js';
 import { UsersModel } from './users-model.js';
 import { Work } from './work.js';
-import { WorkersModel, type Worker } from './workers-model.js';
+import { type Worker, WorkersModel } from './workers-model.js';
 
 interface SimNode {
   name: string;
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -7,10 +7,11 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
-import { BASIC_SCENARIOS, play, EXTENDED_SCENARIOS } from '../fault-scenarios.js';
+
+import { ClusterSimulation } from '../cluster-simulation.js';
+import { BASIC_SCENARIOS, EXTENDED_SCENARIOS, play } from '../fault-scenarios.js';
 import { Random } from '../random.js';
 import { specOf } from '../specs.js';
-import { ClusterSimulation } from '../cluster-simulation.js';
 import { MessageDigest } from './message-digest.js';
 import type { FeatureAnswerEncoder } from './message-encoding.js';
 
--- a/packages/emulator/src/digest/message-digest.ts
+++ b/packages/emulator/src/digest/message-digest.ts
@@ -1,7 +1,9 @@
 /** A digest of all bytes that controllers send, in the order and at the simulated times at which they send them. */
 import { createHash } from 'node:crypto';
+
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import { encodeEffect, type FeatureAnswerEncoder } from './message-encoding.js';
 
 export class MessageDigest {
--- a/packages/emulator/src/digest/message-encoding.ts
+++ b/packages/emulator/src/digest/message-encoding.ts
@@ -1,10 +1,10 @@
 /** The bytes of everything that a controller sends, by the same codecs that the controller's process uses. */
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
+import { encodeClientResponse } from '@shaleyoke/protocol/client-api';
 import { encodeCloudOperation, type HttpCall } from '@shaleyoke/protocol/cloud';
-import { encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
-import { encodeClientResponse } from '@shaleyoke/protocol/client-api';
-import { encodeCommands, encodeHeartbeatResponse, COMMANDS_PATH } from '@shaleyoke/protocol/workers';
+import { encodePeerMessage } from '@shaleyoke/protocol/peers';
+import { COMMANDS_PATH, encodeCommands, encodeHeartbeatResponse } from '@shaleyoke/protocol/workers';
 
 /** One message as it leaves a controller. */
 export interface SentMessage {
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -5,10 +5,11 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+
+import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import { Random } from './random.js';
 import { specOf } from './specs.js';
 import { LeftWaiting } from './waiting.js';
-import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import type { Worker } from './workers-model.js';
 
 export interface ScenarioContext {
--- a/packages/emulator/src/loopback-http.ts
+++ b/packages/emulator/src/loopback-http.ts
@@ -1,7 +1,9 @@
 /** Plain HTTP on loopback, for stand-ins: a server and a call, each with nothing more than they need. */
 import * as http from 'node:http';
+
 import { MalformedMessageError } from '@shaleyoke/protocol/body';
-import { answer, type Answer } from './wire.js';
+
+import { type Answer, answer } from './wire.js';
 
 export interface Asked {
   readonly method: string;
--- a/packages/emulator/src/loopback-stand-ins.ts
+++ b/packages/emulator/src/loopback-stand-ins.ts
@@ -1,5 +1,6 @@
 /** State service and cloud of the protocol on loopback, in this process. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
+
 import { serve, type Served } from './loopback-http.js';
 import type { StateModel } from './state-model.js';
 import { cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from './wire.js';
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -1,8 +1,9 @@
 /** Workers on loopback: each with an address, a lease and tasks, in wall time. */
-import type { WorkerCommand, Heartbeat, ReportedTask } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat, ReportedTask, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+
 import { serve, type Served } from './loopback-http.js';
 import { encodeReport, ordersOf, workerAnswerOf } from './wire.js';
 
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -2,18 +2,20 @@
  * A whole deployment on loopback: state service, cloud and workers in this process, controllers as real processes
  * of the program. The controllers get what the protocol says, over real sockets, and nothing else.
  */
-import { spawn, type ChildProcess } from 'node:child_process';
+import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { activeJobKey } from '@shaleyoke/core/codecs/keys';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { asFields, decodeBody } from '@shaleyoke/protocol/body';
+
 import { controllerSettings } from './controller-settings.js';
 import { call, freePorts, type Served } from './loopback-http.js';
 import { serveCloud, serveState } from './loopback-stand-ins.js';
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -1,17 +1,19 @@
 /** Thousands of workers in one process: each with its own address, connection, session, token, lease and tasks. */
 import { Agent } from 'node:http';
+
 import { MILLI } from '@shaleyoke/core/domain/time';
+
 import { call } from '../loopback-http.js';
 import { LoopWorker, type WorkerWorld } from '../loopback-workers.js';
 import { specOf } from '../specs.js';
 import {
   addressOf,
   HOLLOW_TYPE,
+  type HollowCounts,
+  type HollowWorkersConfig,
   machineName,
   noCounts,
   zoneOf,
-  type HollowCounts,
-  type HollowWorkersConfig,
 } from './hollow-messages.js';
 
 /** A worker gives a report up after that. */
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -2,13 +2,15 @@
  * A deployment on loopback whose controllers are real processes, and whose workers, cloud and state service are hollow.
  * Whatever ends by itself is reported; at the end all that was started is ended by its process id.
  */
-import { fork, spawn, type ChildProcess } from 'node:child_process';
+import { type ChildProcess, fork, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+
 import { controllerSettings } from '../controller-settings.js';
 import { call, freePorts, type Served } from '../loopback-http.js';
 import { serveCloud, serveState } from '../loopback-stand-ins.js';
@@ -18,14 +20,14 @@
 import {
   addressOf,
   HOLLOW_TYPE,
+  type HollowCounts,
+  type HollowWorkersConfig,
   machineName,
   noCounts,
   zoneOf,
-  type HollowCounts,
-  type HollowWorkersConfig,
 } from './hollow-messages.js';
 import { TEAMS } from './load.js';
-import { usageOf, type ProcessUsage } from './process-usage.js';
+import { type ProcessUsage, usageOf } from './process-usage.js';
 import { summarize, type Summary } from './statistics.js';
 
 export interface HollowOptions {
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -2,6 +2,7 @@
 import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
 import type { WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import type { StepMeter } from '../step-meter.js';
 import { summarize, type Summary } from './statistics.js';
 
--- a/packages/emulator/src/scale/load.ts
+++ b/packages/emulator/src/scale/load.ts
@@ -2,6 +2,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
+
 import type { Random } from '../random.js';
 import { specOf } from '../specs.js';
 
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -2,8 +2,9 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
-import { Random } from '../random.js';
+
 import { ClusterSimulation } from '../cluster-simulation.js';
+import { Random } from '../random.js';
 import { LeaderProbe, type PhaseReport } from './leader-probe.js';
 import { clusterSettings, isUrgent, LARGEST_GANG, mixedJobs, TEAMS } from './load.js';
 import { summarize, type Summary } from './statistics.js';
--- a/packages/emulator/src/scale/stored.ts
+++ b/packages/emulator/src/scale/stored.ts
@@ -1,6 +1,7 @@
 /** Stored results of the scale tool, read from a folder. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
+
 import type { Measurements, Stored, StoredSlopes } from './capacity.js';
 import type { HollowReport } from './hollow.js';
 
--- a/packages/emulator/src/site.ts
+++ b/packages/emulator/src/site.ts
@@ -1,8 +1,8 @@
 /** A deployment for simulated worlds: the settings that its nodes are handed, and its one type of machine. */
+import { parseSettings } from '@shaleyoke/config/settings';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { MembershipSettings, Settings } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { parseSettings } from '@shaleyoke/config/settings';
 
 export const settingsFor = (
   member: string,
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -1,8 +1,9 @@
 /** Users as a model: they submit, poll and cancel, try again, and remember what they were told. */
-import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
+import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+
 import type { Random } from './random.js';
 import type { Work } from './work.js';
 import { CANCEL } from './workers-model.js';
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -4,8 +4,9 @@
  */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { TYPE } from './site.js';
+
 import type { ClusterSimulation } from './cluster-simulation.js';
+import { TYPE } from './site.js';
 import type { Worker } from './workers-model.js';
 
 export class LeftWaiting {
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -1,6 +1,6 @@
 /** The other side of the protocol: what state service, cloud, workers and users read and write on the wire. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
-import type { WorkerCommand, Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
+import type { Heartbeat, HeartbeatResponse, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
@@ -9,14 +9,14 @@
   asFields,
   decodeBody,
   encodeBody,
+  type Fields,
   flag,
   integer,
   list,
   MalformedMessageError,
-  secondsToMicros,
   microsToSeconds,
+  secondsToMicros,
   text,
-  type Fields,
 } from '@shaleyoke/protocol/body';
 import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/client-api';
 import { EXIT_CAUSES, splitTask, TASK_STATES, taskName } from '@shaleyoke/protocol/workers';
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -1,15 +1,16 @@
 /** Workers as a model: tasks, gangs, sessions and leases, with the rules checked at each start. */
 import type {
-  WorkerCommand,
   CommandReply,
   Heartbeat,
-  ReportedTask,
   HeartbeatResponse,
+  ReportedTask,
+  WorkerCommand,
 } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+
 import type { Machines } from './cloud-model.js';
 import type { Random } from './random.js';
 import { TYPE } from './site.js';
--- a/packages/emulator/test/digest.test.ts
+++ b/packages/emulator/test/digest.test.ts
@@ -1,12 +1,13 @@
 /** The digest of a generated history is the same for equal code, and notices a single byte and a single message. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import {
   digestOfSeed,
+  type HistoryDigest,
   NO_FEATURES,
   planOf,
-  type HistoryDigest,
 } from '@shaleyoke/emulator/digest/generated-history';
 import { MessageDigest } from '@shaleyoke/emulator/digest/message-digest';
 
--- a/packages/emulator/test/larger.test.ts
+++ b/packages/emulator/test/larger.test.ts
@@ -1,9 +1,10 @@
 /** Larger copies of site files: what grows with the number of machines does, all else stays. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { larger } from '@shaleyoke/emulator/larger';
 import fc from 'fast-check';
 import { parse, stringify } from 'smol-toml';
-import { larger } from '@shaleyoke/emulator/larger';
 
 const SITE = `
 name = "s"
--- a/packages/emulator/test/mutants.test.ts
+++ b/packages/emulator/test/mutants.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
+
 import { MUTANTS, occurrences } from '@shaleyoke/emulator/mutants';
 
 const SOURCES = new URL('../../core/src/', import.meta.url);
--- a/packages/emulator/test/scale.test.ts
+++ b/packages/emulator/test/scale.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
+
 import { capacityRows, capacityTable, withTable } from '../src/scale/capacity.js';
 import { runHollow } from '../src/scale/hollow.js';
 import { measureSize } from '../src/scale/slopes.js';
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -1,11 +1,13 @@
 /** The check for jobs left waiting beside free room finds one, and takes none that waits for a reason. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { SECOND } from '@shaleyoke/core/domain/time';
+
+import { ClusterSimulation } from '../src/cluster-simulation.js';
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
 import { LeftWaiting } from '../src/waiting.js';
-import { ClusterSimulation } from '../src/cluster-simulation.js';
 
 const longest = (coresMax: number, before: (w: ClusterSimulation) => void): number => {
   const w = new ClusterSimulation(
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -4,10 +4,11 @@
  *
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
-import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
-import { MILLI, SECOND, type Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
+
 import { beatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
 
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -8,14 +8,15 @@
 import { parseKube } from '@shaleyoke/kubernetes/settings';
 import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
 import { lineOf, requestOf, responseOf } from '@shaleyoke/kubernetes/wire';
+
+import type { ClusterSimulation } from '../src/cluster-simulation.js';
 import {
-  NO_FEATURES,
   type FeatureClient,
   type HistoryFeatures,
   type HistoryPlan,
+  NO_FEATURES,
 } from '../src/digest/generated-history.js';
 import type { Random } from '../src/random.js';
-import type { ClusterSimulation } from '../src/cluster-simulation.js';
 
 const TEAMS: Team[] = ['t', 'u'].map((name) => ({
   name,
--- a/packages/emulator/tools/digest.ts
+++ b/packages/emulator/tools/digest.ts
@@ -8,7 +8,8 @@
  */
 import { closeSync, openSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
-import { digestOfSeed, planOf, type HistoryPlan } from '../src/digest/generated-history.js';
+
+import { digestOfSeed, type HistoryPlan, planOf } from '../src/digest/generated-history.js';
 import { featuresOf } from './digest-features.js';
 
 const EXIT_USAGE = 2;
--- a/packages/emulator/tools/larger.ts
+++ b/packages/emulator/tools/larger.ts
@@ -6,7 +6,9 @@
 import { copyFileSync, existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { basename, dirname, join } from 'node:path';
 import { parseArgs } from 'node:util';
+
 import { parse, stringify } from 'smol-toml';
+
 import { larger } from '../src/larger.js';
 
 const main = (): void => {
--- a/packages/emulator/tools/mutants.ts
+++ b/packages/emulator/tools/mutants.ts
@@ -15,6 +15,7 @@
 } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
+
 import { MUTANTS, occurrences } from '../src/mutants.js';
 
 /** The quickest to notice first; a mutant is done with once one fails. */
--- a/packages/emulator/tools/scale.ts
+++ b/packages/emulator/tools/scale.ts
@@ -8,12 +8,14 @@
 import { accessSync, constants, readFileSync, writeFileSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { dirname, resolve } from 'node:path';
+
 import { Command, InvalidArgumentError } from 'commander';
-import { capacityRows, capacityTable, withTable, type Stored } from '../src/scale/capacity.js';
-import { readMeasurements } from '../src/scale/stored.js';
+
+import { capacityRows, capacityTable, type Stored, withTable } from '../src/scale/capacity.js';
 import { runHollow } from '../src/scale/hollow.js';
-import { fitLine } from '../src/scale/statistics.js';
 import { measureSize, type SizeReport } from '../src/scale/slopes.js';
+import { fitLine } from '../src/scale/statistics.js';
+import { readMeasurements } from '../src/scale/stored.js';
 
 const EXIT_USAGE = 2;
 const CONTROLLER = [
--- a/packages/kubernetes/src/access.ts
+++ b/packages/kubernetes/src/access.ts
@@ -2,7 +2,7 @@
  * Who may do what. What another tenant owns is answered as what nobody owns: the answer depends on the request and on
  * the client's own tenant alone, never on what others have.
  */
-import { refuse, type KubeRequest, type Refusal } from './api.js';
+import { type KubeRequest, type Refusal, refuse } from './api.js';
 import { isWithin, type Tenant } from './settings.js';
 import { idOfToken, matches, type TokenRecord } from './tokens.js';
 
--- a/packages/kubernetes/src/check.ts
+++ b/packages/kubernetes/src/check.ts
@@ -1,8 +1,9 @@
 /** `kube check`: what a manifest would become, or why it is refused, line by line. Needs no service. */
 import { Either } from 'effect';
-import { isMap, isScalar, LineCounter, parseAllDocuments, type Document } from 'yaml';
+import { type Document, isMap, isScalar, LineCounter, parseAllDocuments } from 'yaml';
+
 import { mapManifest, type Mapped, type MappedDeployment, type MappedJob, type Work } from './mapping.js';
-import { textOf, type Path } from './problems.js';
+import { type Path, textOf } from './problems.js';
 import { isTooDeep } from './text.js';
 
 /** As for native submissions: a request's body is 64 KiB at most. */
--- a/packages/kubernetes/src/commands.ts
+++ b/packages/kubernetes/src/commands.ts
@@ -1,12 +1,14 @@
 /** Commands round the front. Those that change something say so in their name, their help and their output. */
 import { randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
-import type { Command } from 'commander';
+
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Settings } from '@shaleyoke/core/domain/settings';
+import type { Command } from 'commander';
+
 import { checkText } from './check.js';
 import { KubeSettingsError, parseKube } from './settings.js';
-import { KINDS, type Kind } from './subset.js';
+import { type Kind, KINDS } from './subset.js';
 import { markdownOf, rowsOf } from './table.js';
 import { newToken, readToken, tokenKey, TOKENS } from './tokens.js';
 
--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -4,6 +4,7 @@
  */
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeServices } from '@shaleyoke/core/feature-api';
+
 import { manifestKey } from './records.js';
 import type { KubeObject } from './view.js';
 
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -1,7 +1,8 @@
 /** The front as a feature of the core: its part on each node, and its part in the leader's term. */
-import type { Feature, FeatureTerm, NodeServices, FeatureEndpoint } from '@shaleyoke/core/feature-api';
+import type { Feature, FeatureEndpoint, FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
-import { Front, FEATURE } from './front.js';
+
+import { FEATURE, Front } from './front.js';
 import { Keeper } from './keeper.js';
 import type { KubeSettings } from './settings.js';
 
--- a/packages/kubernetes/src/follow.ts
+++ b/packages/kubernetes/src/follow.ts
@@ -2,12 +2,13 @@
  * Keeps a node's view as new as it has to be. Nothing is asked for while nobody asks; a question is answered from a
  * state that is no older than the question, whatever node was asked before; watches share one long poll.
  */
-import type { NodeContext } from '@shaleyoke/core/node/node-context';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import type { NodeContext } from '@shaleyoke/core/node/node-context';
+
 import { ROOT } from './records.js';
-import { View, type Change } from './view.js';
+import { type Change, View } from './view.js';
 
 /** Questions that come within this time share one request, or for longer where requests are scarce. */
 const GATHER: Micros = 5 * MILLI;
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -2,24 +2,25 @@
  * The front on a node: takes objects, shows them, and tells of their changes. Decides and remembers; its only way out is
  * the core's context, and the desk that native submissions go through as well.
  */
-import { Either } from 'effect';
-import { objectRoom } from './limits.js';
 import type { InternalResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import type { VersionCondition, StoreWrite } from '@shaleyoke/core/domain/key-value-store';
-import type { NodeServices, FeatureEndpoint } from '@shaleyoke/core/feature-api';
-import { allow, tenantOf, type Credentials } from './access.js';
-import { refuse, type KubeAnswer, type KubeRequest, type Refusal } from './api.js';
+import type { StoreWrite, VersionCondition } from '@shaleyoke/core/domain/key-value-store';
+import type { FeatureEndpoint, NodeServices } from '@shaleyoke/core/feature-api';
+import { Either } from 'effect';
+
+import { allow, type Credentials, tenantOf } from './access.js';
+import { type KubeAnswer, type KubeRequest, type Refusal, refuse } from './api.js';
 import { Deletion } from './deletion.js';
 import { Follow } from './follow.js';
 import { nativeIdOf, uidOf } from './identity.js';
+import { objectRoom } from './limits.js';
+import { Lists } from './lists.js';
 import { mapManifest, type MappedJob } from './mapping.js';
-import { textOf, type Problem } from './problems.js';
-import { guardKey, manifestKey, newStatus, objectKey, piecesOf, type ObjectRecord } from './records.js';
+import { type Problem, textOf } from './problems.js';
+import { guardKey, manifestKey, newStatus, objectKey, type ObjectRecord, piecesOf } from './records.js';
 import { jobOf } from './render.js';
 import type { Tenant } from './settings.js';
 import { readText } from './text.js';
-import { Lists } from './lists.js';
 import type { KubeObject } from './view.js';
 import { Watches } from './watches.js';
 
--- a/packages/kubernetes/src/keeper.ts
+++ b/packages/kubernetes/src/keeper.ts
@@ -5,18 +5,19 @@
  */
 import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
 import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
+import { decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import { endedJobKey, LEADER_KEY } from '@shaleyoke/core/codecs/keys';
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
-import { decodeEndedJob } from '@shaleyoke/core/codecs/job-codec';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { RedBlackTree } from 'effect';
+
 import { Deletion } from './deletion.js';
 import type { Follow } from './follow.js';
 import { guardKey, manifestKey } from './records.js';
-import { dutyOf, type Duty, type Seen, type Times } from './status.js';
+import { type Duty, dutyOf, type Seen, type Times } from './status.js';
 import type { KubeObject } from './view.js';
 
 const LOOK_EVERY: Micros = SECOND;
--- a/packages/kubernetes/src/lists.ts
+++ b/packages/kubernetes/src/lists.ts
@@ -1,9 +1,10 @@
 /** Lists, whole or in parts: all parts of one list are of the moment of its first. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { refuse, type Json, type KubeAnswer, type KubeRequest, type Selector } from './api.js';
+
+import { type Json, type KubeAnswer, type KubeRequest, refuse, type Selector } from './api.js';
 import { jobOf, labelsOf } from './render.js';
-import { objectsAfter, type KubeObject, type Objects, type View } from './view.js';
+import { type KubeObject, type Objects, objectsAfter, type View } from './view.js';
 
 /** Objects in one answer, whatever was asked for. */
 const MOST = 500;
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -1,10 +1,11 @@
 /** What a manifest becomes in the scheduler's own terms, or each reason why it can't. Decides only. */
-import { Either, Schema } from 'effect';
 import type { JobSpec, Priority } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { problemsOf, type Path, type Problem, type Reason } from './problems.js';
-import { formatQuantity, parseQuantity, toNumber, type Nano } from './quantity.js';
-import { Deployment, GPU, isLabel, Job, JOB_ONLY, PREFIX, TYPE, ZONE, type OurAnnotation } from './subset.js';
+import { Either, Schema } from 'effect';
+
+import { type Path, type Problem, problemsOf, type Reason } from './problems.js';
+import { formatQuantity, type Nano, parseQuantity, toNumber } from './quantity.js';
+import { Deployment, GPU, isLabel, Job, JOB_ONLY, type OurAnnotation, PREFIX, TYPE, ZONE } from './subset.js';
 
 /** All of a native job but its id, its team and the ids of the jobs that it awaits. */
 export type Work = Omit<JobSpec, 'id' | 'team' | 'dependsOn'>;
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -1,7 +1,9 @@
 /** What the program loads when the front is switched on, or one of its commands is called: a bundle of its own. */
 import { randomBytes } from 'node:crypto';
+
 import type { Team } from '@shaleyoke/core/domain/settings';
 import type { AskFeature, Feature } from '@shaleyoke/core/feature-api';
+
 import type { KubeAnswer } from './api.js';
 import { Kube } from './feature.js';
 import { FEATURE, type KubeAsk } from './front.js';
--- a/packages/kubernetes/src/problems.ts
+++ b/packages/kubernetes/src/problems.ts
@@ -1,5 +1,6 @@
 /** What is wrong with a manifest: each wrong field by its path, as the API's `details.causes` name it. */
 import { ParseResult } from 'effect';
+
 import { REFUSALS } from './refusals.js';
 
 /** The published reasons of causes that are used here. */
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -1,7 +1,7 @@
 /** What the state service holds of objects (docs/kube.md). What can't be read is null, never nothing. */
-import { Schema } from 'effect';
 import { reader } from '@shaleyoke/config/checked';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { Schema } from 'effect';
 
 export const ROOT = 'k/';
 export const OBJECTS = 'k/o/';
--- a/packages/kubernetes/src/server.ts
+++ b/packages/kubernetes/src/server.ts
@@ -1,5 +1,6 @@
 /** The listener: sockets, sizes and times within bounds, so that no client takes from native users and workers. */
 import * as http from 'node:http';
+
 import type { KubeAnswer, Refusal } from './api.js';
 import { refuse } from './api.js';
 import type { KubeAsk } from './front.js';
--- a/packages/kubernetes/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -1,9 +1,10 @@
 /** The operators' file that switches the front on (`deploy/kube.yaml`), checked; every error names the field. */
+import { check, read } from '@shaleyoke/config/checked';
+import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import ipaddr from 'ipaddr.js';
 import { parse as parseYaml } from 'yaml';
-import type { Team } from '@shaleyoke/core/domain/settings';
-import { check, read } from '@shaleyoke/config/checked';
+
 import { isLabel } from './subset.js';
 
 export class KubeSettingsError extends Error {}
--- a/packages/kubernetes/src/status.ts
+++ b/packages/kubernetes/src/status.ts
@@ -1,5 +1,6 @@
 /** What the leader puts on record of a Job, and what is to be done with it. Decides only. */
 import type { Micros } from '@shaleyoke/core/domain/time';
+
 import { newStatus, type ObjectRecord, type Status } from './records.js';
 
 /** A job as the leader knows it. */
--- a/packages/kubernetes/src/subset.ts
+++ b/packages/kubernetes/src/subset.ts
@@ -4,6 +4,7 @@
  * A description begins with what the field becomes. Every level is closed: what is not named here is refused.
  */
 import { Schema } from 'effect';
+
 import { parseQuantity } from './quantity.js';
 
 /** May be left out, and is not `undefined` then: complaints are about what stands there. */
--- a/packages/kubernetes/src/table.ts
+++ b/packages/kubernetes/src/table.ts
@@ -1,6 +1,7 @@
 /** The declared subset as a table for people, made from the schema itself. */
 import { SchemaAST } from 'effect';
-import { KINDS, type Kind } from './subset.js';
+
+import { type Kind, KINDS } from './subset.js';
 
 export interface Row {
   /** `spec.template.spec.containers[].image` */
--- a/packages/kubernetes/src/tokens.ts
+++ b/packages/kubernetes/src/tokens.ts
@@ -1,7 +1,8 @@
 /** Bearer tokens: `ID.SECRET`. Only salted hashes are on record, under `k/`, so that every node has them at once. */
 import { createHash, timingSafeEqual } from 'node:crypto';
-import { Schema } from 'effect';
+
 import { reader } from '@shaleyoke/config/checked';
+import { Schema } from 'effect';
 
 export const TOKENS = 'k/t/';
 export const tokenKey = (id: string): string => `${TOKENS}${id}`;
--- a/packages/kubernetes/src/view.ts
+++ b/packages/kubernetes/src/view.ts
@@ -3,10 +3,11 @@
  * is told of what the state service lists and of what changed. Maps share their structure, so that a list that is
  * read in parts keeps the moment of its first part at no cost.
  */
-import { Order, RedBlackTree } from 'effect';
 import type { StoredItem, StoreEvent } from '@shaleyoke/core/domain/key-value-store';
-import { guardKey, MANIFESTS, nameOf, OBJECTS, readObject, readPiece, type ObjectRecord } from './records.js';
-import { readToken, TOKENS, type TokenRecord } from './tokens.js';
+import { Order, RedBlackTree } from 'effect';
+
+import { guardKey, MANIFESTS, nameOf, type ObjectRecord, OBJECTS, readObject, readPiece } from './records.js';
+import { readToken, type TokenRecord, TOKENS } from './tokens.js';
 
 export interface KubeObject {
   readonly key: string;
--- a/packages/kubernetes/src/watches.ts
+++ b/packages/kubernetes/src/watches.ts
@@ -1,10 +1,11 @@
 /** Watches: each client is told of every change after its version, once and in order, until it is gone or must list again. */
 import type { NodeContext } from '@shaleyoke/core/node/node-context';
-import { refuse, type KubeAnswer, type KubeRequest } from './api.js';
+
+import { type KubeAnswer, type KubeRequest, refuse } from './api.js';
 import { BOOKMARK_EVERY, type Follow } from './follow.js';
 import { selects } from './lists.js';
 import { jobOf } from './render.js';
-import { objectsAfter, type Change, type KubeObject } from './view.js';
+import { type Change, type KubeObject, objectsAfter } from './view.js';
 
 /** Watches on a node at the same time. */
 const MOST = 1_000;
--- a/packages/kubernetes/src/wire.ts
+++ b/packages/kubernetes/src/wire.ts
@@ -1,5 +1,5 @@
 /** The wire form: paths, queries and bodies of requests; answers as the API's JSON. The one place with its names. */
-import { refuse, type Json, type KubeAnswer, type KubeRequest, type Refusal, type Selector } from './api.js';
+import { type Json, type KubeAnswer, type KubeRequest, type Refusal, refuse, type Selector } from './api.js';
 import { fieldOf } from './problems.js';
 import { readText } from './text.js';
 
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -1,13 +1,14 @@
 /** Objects on several nodes in simulated time: identity, reading, watching, status; through crashes, loss and outages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
-import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kubernetes/api';
 import { Kube } from '@shaleyoke/kubernetes/feature';
 import { FEATURE } from '@shaleyoke/kubernetes/front';
--- a/packages/kubernetes/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -5,6 +5,7 @@
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { after, before, test } from 'node:test';
+
 import { BatchV1Api, KubeConfig, makeInformer, type V1Job } from '@kubernetes/client-node';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
--- a/packages/kubernetes/test/mapping.test.ts
+++ b/packages/kubernetes/test/mapping.test.ts
@@ -2,13 +2,14 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { Either } from 'effect';
-import fc from 'fast-check';
+
 import { checkText } from '@shaleyoke/kubernetes/check';
 import { mapManifest, type Mapped, type Work } from '@shaleyoke/kubernetes/mapping';
 import { fieldOf, type Problem } from '@shaleyoke/kubernetes/problems';
 import { REFUSALS } from '@shaleyoke/kubernetes/refusals';
 import { markdownOf } from '@shaleyoke/kubernetes/table';
+import { Either } from 'effect';
+import fc from 'fast-check';
 
 type Tree = Record<string, unknown>;
 
--- a/packages/kubernetes/test/quantity.test.ts
+++ b/packages/kubernetes/test/quantity.test.ts
@@ -1,7 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
+
 import { formatQuantity, parseQuantity, toNumber } from '@shaleyoke/kubernetes/quantity';
+import fc from 'fast-check';
 
 const UNIT = 1_000_000_000n;
 
--- a/packages/kubernetes/test/rollout.test.ts
+++ b/packages/kubernetes/test/rollout.test.ts
@@ -1,8 +1,9 @@
 /** Rollouts in generated histories: leaders that forget, creations that are late, pods that die, templates that change. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
+import { type Pod, type Progress, stepOf, type Target } from '@shaleyoke/kubernetes/rollout';
 import fc from 'fast-check';
-import { stepOf, type Pod, type Progress, type Target } from '@shaleyoke/kubernetes/rollout';
 
 type State = Pod['state'];
 interface Sim {
--- a/packages/kubernetes/test/stored-records.test.ts
+++ b/packages/kubernetes/test/stored-records.test.ts
@@ -1,6 +1,7 @@
 /** Literal records of Kubernetes-shaped objects and tokens in the key-value store: none of their names may ever change. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import {
   guardKey,
   manifestKey,
--- a/packages/kubernetes/test/text.test.ts
+++ b/packages/kubernetes/test/text.test.ts
@@ -1,8 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
+
 import { checkText } from '@shaleyoke/kubernetes/check';
 import { isTooDeep, readText } from '@shaleyoke/kubernetes/text';
+import fc from 'fast-check';
 
 test('what nests too deep is refused before it is parsed, in every form that nests', () => {
   // Each of these has at most 64 KiB, as a body may; the parser would end the process on some of them.
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -1,10 +1,11 @@
 /** The view against a plain ledger: lists that are put together from several moments, and changes told more than once. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import fc from 'fast-check';
+
 import type { StoredItem, StoreEvent } from '@shaleyoke/core/domain/key-value-store';
 import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kubernetes/records';
 import { View } from '@shaleyoke/kubernetes/view';
+import fc from 'fast-check';
 
 const NAMES = ['a', 'b', 'c'];
 const record = (uid: string, done: number): ObjectRecord => ({
--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -1,19 +1,20 @@
 /** The HTTP API of clients: decodes submissions, routes requests, encodes responses. */
-import type { ClientResponse, ClientRequest } from '@shaleyoke/core/domain/client-api';
-import type { JobSpec, JobView, Priority, JobShape } from '@shaleyoke/core/domain/job';
+import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
+import type { JobShape, JobSpec, JobView, Priority } from '@shaleyoke/core/domain/job';
+
 import {
   amount,
   asFields,
   decodeBody,
   duration,
   encodeBody,
+  type Fields,
   flag,
   list,
   MalformedMessageError,
   oneOf,
   optionalText,
   text,
-  type Fields,
 } from './body.js';
 
 /** Shapes of jobs by their names on the wire. */
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,6 +1,7 @@
 /** The HTTP API of the cloud: machine types, and creating, deleting and listing machines. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
+
 import {
   amount,
   asFields,
@@ -9,8 +10,8 @@
   flag,
   list,
   MalformedMessageError,
-  secondsToMicros,
   oneOf,
+  secondsToMicros,
   text,
 } from './body.js';
 
--- a/packages/protocol/src/key-value-store.ts
+++ b/packages/protocol/src/key-value-store.ts
@@ -6,6 +6,7 @@
   StoreReply,
   StoreWrite,
 } from '@shaleyoke/core/domain/key-value-store';
+
 import {
   asFields,
   decodeBody,
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -2,8 +2,8 @@
  * Messages between the controllers: Avro over HTTP on the peers' address, each kind of message on a path of its own. The
  * version before serves the first path only and answers 404 on the other, so it receives nothing that it doesn't know.
  */
-import avro from 'avsc';
 import type { PeerHeartbeat, PeerMessage, ProgressUpdate } from '@shaleyoke/core/domain/peer';
+import avro from 'avsc';
 
 /** Path for progress updates. */
 export const PROGRESS_PATH = '/peer/v1';
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,13 +1,14 @@
 /** The HTTP API between workers and the leader: heartbeats, the responses to them, and commands sent directly. */
 import type {
-  ExitCause,
-  WorkerCommand,
   CommandReply,
+  ExitCause,
   Heartbeat,
+  HeartbeatResponse,
   ReportedTask,
   TaskState,
-  HeartbeatResponse,
+  WorkerCommand,
 } from '@shaleyoke/core/domain/heartbeat';
+
 import {
   asFields,
   decodeBody,
@@ -16,10 +17,10 @@
   integer,
   list,
   MalformedMessageError,
-  secondsToMicros,
+  microsToSeconds,
   oneOf,
   optionalAmount,
-  microsToSeconds,
+  secondsToMicros,
   text,
 } from './body.js';
 
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -1,16 +1,17 @@
 /** Round trips and malformed input for every format. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+
 import { encode } from '@msgpack/msgpack';
-import fc from 'fast-check';
+import { decodeActiveJob, encodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
+import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
 import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
+import { decodeSubmission, routeRequest } from '@shaleyoke/protocol/client-api';
 import { decodeCloudReply } from '@shaleyoke/protocol/cloud';
-import { decodePeerMessage, encodePeerMessage, peerMessageKindOf } from '@shaleyoke/protocol/peers';
 import { decodeStoreReply } from '@shaleyoke/protocol/key-value-store';
-import { decodeSubmission, routeRequest } from '@shaleyoke/protocol/client-api';
+import { decodePeerMessage, encodePeerMessage, peerMessageKindOf } from '@shaleyoke/protocol/peers';
 import { decodeCommandReply, decodeHeartbeat } from '@shaleyoke/protocol/workers';
-import { encodeActiveJob, decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
-import { TaskBitset } from '@shaleyoke/core/domain/task-bitset';
+import fc from 'fast-check';
 
 const PROPERTY_OPTIONS = { seed: 20261, numRuns: 300 };
 
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -4,15 +4,16 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobSpec } from '@shaleyoke/core/domain/job';
+
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
+import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { StoreOperation } from '@shaleyoke/core/domain/key-value-store';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { decodeBody, encodeBody } from '@shaleyoke/protocol/body';
+import { decodeSubmission, encodeClientResponse } from '@shaleyoke/protocol/client-api';
 import { decodeCloudReply, encodeCloudOperation } from '@shaleyoke/protocol/cloud';
-import { decodePeerMessage, encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
-import { decodeSubmission, encodeClientResponse } from '@shaleyoke/protocol/client-api';
+import { decodePeerMessage, encodePeerMessage } from '@shaleyoke/protocol/peers';
 import {
   decodeCommandReply,
   decodeHeartbeat,
