--- a/packages/controller/src/cloud-client.ts
+++ b/packages/controller/src/cloud-client.ts
@@ -21,6 +21,7 @@
     private readonly limiter: RateLimiter,
   ) {}
 
+  /** Sends one request; the reply says so where there was no answer. */
   request(operation: CloudOperation, urgency: RequestUrgency): Effect.Effect<CloudReply> {
     return waitForAdmission(this.limiter, urgency, 0).pipe(
       Effect.flatMap((admitted) =>
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -50,6 +50,7 @@
     this.core = new Core(settings, steadyNow, log.verbose, features);
   }
 
+  /** Starts the core. To be called once everything listens. */
   start(): void {
     this.step({ kind: 'start', wallUs: wallNow() });
   }
--- a/packages/controller/src/rate-limiter.ts
+++ b/packages/controller/src/rate-limiter.ts
@@ -55,6 +55,7 @@
     this.rates = { requests: requestsPerS, writes: writesPerS };
   }
 
+  /** Changes the budget, in calls and in writes a second. */
   setRates(requestsPerS: number, writesPerS: number): void {
     this.rates = { requests: requestsPerS, writes: writesPerS };
     this.applyRates();
--- a/packages/controller/src/store-client.ts
+++ b/packages/controller/src/store-client.ts
@@ -41,6 +41,7 @@
     private readonly limiter: RateLimiter,
   ) {}
 
+  /** Sends one request, again for a while if it is rejected for the budget. */
   request(operation: StoreOperation, urgency: RequestUrgency): Effect.Effect<StoreReply> {
     const call = encodeStoreOperation(operation);
     const retryUntil = steadyNow() + RETRY_FOR[urgency];
--- a/packages/controller/src/token-bucket.ts
+++ b/packages/controller/src/token-bucket.ts
@@ -21,12 +21,14 @@
     return Math.max(1, this.rate);
   }
 
+  /** Changes the rate from now on. */
   setRate(rate: number, now: Micros): void {
     this.refill(now);
     this.rate = rate;
     this.tokens = Math.min(this.tokens, this.burst);
   }
 
+  /** Adds the tokens that were earned since the last call. */
   refill(now: Micros): void {
     const earned = ((now - this.refilledAt) / SECOND) * this.rate;
     this.tokens = Math.min(this.burst, this.tokens + earned);
@@ -38,6 +40,7 @@
     return this.tokens >= Math.min(count + reservedShare * this.burst, this.burst) - TOLERANCE;
   }
 
+  /** Takes tokens, which may leave a debt. */
   take(count: number): void {
     this.tokens -= count;
   }
--- a/packages/core/src/domain/task-bitset.ts
+++ b/packages/core/src/domain/task-bitset.ts
@@ -4,6 +4,7 @@
 
 /** A set of task numbers below a fixed size, one bit each. */
 export class TaskBitset {
+  /** The bits, the lowest task in the lowest bit of the first byte. */
   readonly bytes: Uint8Array;
   /** How many tasks are in the set. */
   count = 0;
@@ -12,6 +13,7 @@
     this.bytes = new Uint8Array(Math.ceil(size / BITS_PER_BYTE));
   }
 
+  /** Whether the task is in the set. */
   has(index: number): boolean {
     return (this.bytes[index >> 3]! & (1 << (index & 7))) !== 0;
   }
--- a/packages/core/src/leader/admission-holds.ts
+++ b/packages/core/src/leader/admission-holds.ts
@@ -24,6 +24,7 @@
     for (const job of jobs) this.update(job);
   }
 
+  /** Asks for one job. */
   update(job: ActiveJob): void {
     if (this.features.isEmpty || job.phase !== 'active') return;
     // A job that has begun goes on to its end; one that waits for other jobs is asked for once it need not.
--- a/packages/core/src/leader/feature-registry.ts
+++ b/packages/core/src/leader/feature-registry.ts
@@ -25,6 +25,7 @@
     }));
   }
 
+  /** Whether no feature is switched on. */
   get isEmpty(): boolean {
     return this.registered.length === 0;
   }
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -63,6 +63,7 @@
     private readonly parts: MaintainedParts,
   ) {}
 
+  /** Schedules the first round, and with it all further ones. */
   start(): void {
     this.scheduleRound();
   }
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -25,12 +25,15 @@
     this.began = stopwatch();
   }
 
+  /** Processor time so far. */
   readonly elapsed = (): Micros => this.before + this.stopwatch() - this.began;
 
+  /** A slice has ended. */
   pause(): void {
     this.before = this.elapsed();
   }
 
+  /** The next slice begins. */
   resume(): void {
     this.began = this.stopwatch();
   }
@@ -56,6 +59,7 @@
     this.iterator = search.run();
   }
 
+  /** What the search has decided so far. */
   get decision(): Decision {
     return this.search.decision();
   }
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -22,10 +22,12 @@
     this.parts = new TermComposition(context, lease, election, jobService, features);
   }
 
+  /** The term that this scheduler serves. */
   get term(): LeaderTerm {
     return this.parts.term;
   }
 
+  /** Begins the term: reads the records of earlier leaders, and announces the leader. */
   start(): void {
     const { failover, health, progressPublisher, maintenance } = this.parts;
     failover.start();
@@ -56,6 +58,7 @@
     this.parts.records.saveMachineTypes(types);
   }
 
+  /** Handles a heartbeat; an accepted one renews its worker's lease. */
   respondToHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.parts.heartbeats.respond(heartbeat);
   }
--- a/packages/core/src/leader/state-restoration.ts
+++ b/packages/core/src/leader/state-restoration.ts
@@ -113,15 +113,18 @@
     });
   }
 
+  /** A job was accepted in this term. */
   jobPut(id: string, value: unknown, version: number): void {
     this.add(id, value, version, true);
   }
 
+  /** The record of an active job is gone: it was cancelled, or has ended. */
   jobDeleted(id: string, version: number): void {
     const job = this.term.cluster.jobs.get(id);
     if (job?.phase === 'active' && job.version < version) this.parts.completion.recordEnd(job, null);
   }
 
+  /** Jobs that are missing from a list have ended by its revision. */
   jobsListed(ids: ReadonlySet<string>, revision: number): void {
     for (const job of [...this.term.cluster.jobs.values()])
       if (!ids.has(job.id) && job.phase === 'active' && job.version <= revision)
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -37,7 +37,7 @@
 import { StateRestoration } from './state-restoration.js';
 import { TermRecords } from './term-records.js';
 
-/** All parts of one term, connected. */
+/** All parts of one term, connected. Each part is documented where it is declared. */
 export class TermComposition {
   readonly health = new LeaderHealth();
   readonly term: LeaderTerm;
--- a/packages/core/src/node/machine-type-loader.ts
+++ b/packages/core/src/node/machine-type-loader.ts
@@ -21,6 +21,7 @@
     private readonly save: (types: readonly MachineType[]) => boolean,
   ) {}
 
+  /** Begins to load; does nothing once the types are known. */
   load(): void {
     this.tryToLoad(0);
   }
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -21,12 +21,15 @@
 
 /** State and services that all parts of one node share. */
 export class NodeContext {
+  /** Steady time of the step under way, in microseconds from any origin. */
   now: Micros = 0;
   /** Time of day minus steady time, from the newest input that carried both. */
   wallOffset: Micros = 0;
+  /** Machine types by name; empty until they are known. */
   types: ReadonlyMap<string, MachineType> = new Map();
   /** Effects of the step under way. */
   out: CoreEffect[] = [];
+  /** Whether the store answers this node. */
   readonly storeConnection = new StoreConnection();
   /** Called when the store stops answering this node. */
   readonly onStoreLost: (() => void)[] = [];
@@ -55,10 +58,12 @@
 
   // ---- effects and logs ----------------------------------------------------------------------------
 
+  /** Adds an effect to those of the step under way. */
   emit(effect: CoreEffect): void {
     this.out.push(effect);
   }
 
+  /** Logs a change of leadership, of a job or a machine. */
   info(event: LogEvent, fields: LogFields = {}): void {
     this.emit({ kind: 'log', level: 'info', event, fields });
   }
@@ -70,6 +75,7 @@
     this.emit({ kind: 'log', level: 'debug', event, fields });
   }
 
+  /** Logs what an operator has to look at. */
   error(event: LogEvent, fields: LogFields = {}): void {
     this.emit({ kind: 'log', level: 'error', event, fields });
   }
@@ -86,12 +92,14 @@
 
   // ---- calls ---------------------------------------------------------------------------------------
 
+  /** Sends a request to the store; `then` is called with the reply, or with a failure. */
   requestStore(op: StoreOperation, urgency: RequestUrgency, then: (reply: StoreReply) => void): void {
     const call = this.nextCall++;
     this.storeCalls.set(call, { sentAt: this.now, then });
     this.emit({ kind: 'storeRequest', call, op, urgency });
   }
 
+  /** Sends a request to the cloud; `then` is called with the reply, or with a failure. */
   requestCloud(op: CloudOperation, urgency: RequestUrgency, then: (reply: CloudReply) => void): void {
     const call = this.nextCall++;
     this.cloudCalls.set(call, then);
@@ -111,6 +119,7 @@
     this.emit({ kind: 'workerCommands', call, address, fencingToken, agentEpoch, commands });
   }
 
+  /** Passes the reply of a call on to its caller. */
   storeReplied(call: number, reply: StoreReply): void {
     const pending = this.storeCalls.get(call);
     this.storeCalls.delete(call);
@@ -119,12 +128,14 @@
     pending.then(reply);
   }
 
+  /** Passes the reply of a call on to its caller. */
   cloudReplied(call: number, reply: CloudReply): void {
     const then = this.cloudCalls.get(call);
     this.cloudCalls.delete(call);
     then?.(reply);
   }
 
+  /** Passes the reply of a call on to its caller. */
   commandsReplied(call: number, reply: CommandReply): void {
     const then = this.commandCalls.get(call);
     this.commandCalls.delete(call);
@@ -164,14 +175,17 @@
 
   // ---- timers --------------------------------------------------------------------------------------
 
+  /** Runs something once the delay has passed. */
   after(delay: Micros, run: () => void): void {
     this.timers.set(this.now + delay, run);
   }
 
+  /** Runs all timers that are due, in order. */
   runDueTimers(): void {
     for (const run of this.timers.takeDue(this.now)) this.guard('timer', run);
   }
 
+  /** When the next timer is due; null: none is set. */
   nextWake(): Micros | null {
     return this.timers.nextDueAt();
   }
--- a/packages/core/src/node/timer-queue.ts
+++ b/packages/core/src/node/timer-queue.ts
@@ -12,6 +12,7 @@
   private timers: Timer[] = [];
   private nextOrder = 0;
 
+  /** Sets a timer. */
   set(dueAt: Micros, run: () => void): void {
     this.timers.push({ dueAt, order: this.nextOrder++, run });
   }
