--- a/packages/core/src/jobs/dependency-graph.ts
+++ b/packages/core/src/jobs/dependency-graph.ts
@@ -60,11 +60,6 @@
     return this.dependents.get(id) ?? [];
   }
 
-  /** Whether any job that has not ended depends directly on this one. */
-  hasDependents(id: string): boolean {
-    return this.dependents.has(id);
-  }
-
   /** Whether another job depends on this one, whose outcome is not known yet. */
   isAwaitingOutcome(id: string): boolean {
     return this.dependents.has(id) && !this.outcomes.has(id);
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -90,11 +90,6 @@
     this.versions.set(key, version);
   }
 
-  /** Whether a write of the key waits that was not sent yet. */
-  isPending(key: string): boolean {
-    return this.pending.has(key);
-  }
-
   /** How many writes wait. */
   get backlog(): number {
     return this.pending.size;
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -71,11 +71,6 @@
     return this.pageOf.has(id);
   }
 
-  /** Whether some page is still to be emptied, or some record stands on several. */
-  get needsCompaction(): boolean {
-    return this.pagesToEmpty.size > 0 || this.copies.size > 0;
-  }
-
   private pageAt(number: number): Page {
     for (let i = this.pages.length; i <= number; i++)
       this.pages.push({
--- a/packages/core/src/tasks/gang-attempts.ts
+++ b/packages/core/src/tasks/gang-attempts.ts
@@ -4,7 +4,7 @@
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
 /** Whether the gang's live members make up one whole attempt. */
-export const isWholeGang = (job: ActiveJob): boolean => {
+const isWholeGang = (job: ActiveJob): boolean => {
   if (job.liveAttempts.size !== job.spec.tasks) return false;
   let attemptNumber: number | null = null;
   for (const member of job.liveAttempts.values()) {
--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -38,7 +38,7 @@
 const JOB_ID = /^run-[0-9]{1,32}$/;
 
 /** Whether a text is the id of a job. */
-export const isJobId = (id: string): boolean => JOB_ID.test(id);
+const isJobId = (id: string): boolean => JOB_ID.test(id);
 
 const nonEmpty = (fields: Fields, name: string): string => {
   const value = text(fields, name);
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -6,9 +6,9 @@
 import avro from 'avsc';
 
 /** Path for progress updates. */
-export const PROGRESS_PATH = '/peer/v1';
+const PROGRESS_PATH = '/peer/v1';
 /** Path for heartbeats. */
-export const HEARTBEAT_PATH = '/peer/v2/beat';
+const HEARTBEAT_PATH = '/peer/v2/beat';
 
 const progressType = avro.Type.forSchema({
   type: 'record',
