--- a/packages/controller/src/clock.ts
+++ b/packages/controller/src/clock.ts
@@ -1,8 +1,7 @@
 /** The process's clocks, in whole microseconds. */
-import type { Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
 
 const NANOSECONDS_PER_MICROSECOND = 1000n;
-const MICROSECONDS_PER_MILLISECOND = 1000;
 
 const startedAt = process.hrtime.bigint();
 
@@ -11,4 +10,4 @@
   Number((process.hrtime.bigint() - startedAt) / NANOSECONDS_PER_MICROSECOND);
 
 /** Time of day. */
-export const wallNow = (): Micros => Date.now() * MICROSECONDS_PER_MILLISECOND;
+export const wallNow = (): Micros => Date.now() * MILLI;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -3,7 +3,7 @@
 import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
 import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 import { decodeSubmission, encodeClientResponse, routeRequest } from '@shaleyoke/protocol/client-api';
@@ -23,7 +23,6 @@
 /** Called for each answer of a feature, until the last. */
 type OnFeatureAnswer = (answer: unknown, last: boolean) => void;
 
-const MICROSECONDS_PER_MILLISECOND = 1000;
 const UNAVAILABLE = 503;
 const ACCEPTED: ServerResponse = { status: 200, body: Buffer.alloc(0) };
 
@@ -209,7 +208,7 @@
       clearTimeout(this.timer);
     }
     this.wakeAt = at;
-    const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MICROSECONDS_PER_MILLISECOND));
+    const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MILLI));
     this.timer = setTimeout(() => {
       this.timer = null;
       this.step({ kind: 'timer' });
--- a/packages/controller/src/http-client.ts
+++ b/packages/controller/src/http-client.ts
@@ -1,7 +1,7 @@
 /** Calls over Node's http, each with a deadline: a silent server costs its time-out, never more. */
 import * as http from 'node:http';
 
-import type { Micros } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
 import type { HttpCall } from '@shaleyoke/protocol/cloud';
 import { Effect } from 'effect';
 
@@ -11,7 +11,6 @@
 export type HttpReply = { readonly status: number; readonly body: Buffer } | null;
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
-const MICROSECONDS_PER_MILLISECOND = 1000;
 
 /** A pool of connections that are kept open; `idleMs`: those that were not used for that long are closed. */
 export const makeAgent = (sockets: number, idleMs?: number): http.Agent =>
@@ -73,7 +72,7 @@
     const timer = setTimeout(() => {
       request.destroy();
       settle(null);
-    }, timeout / MICROSECONDS_PER_MILLISECOND);
+    }, timeout / MILLI);
     request.on('error', () => {
       settle(null);
     });
