--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -1,5 +1,5 @@
 /** The periodic work of a leader: leases, silent machines, scale-in, queued commands, stored progress, and resignation. */
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLI } from '../domain/time.js';
 import type { Failover } from '../leadership/failover.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
@@ -18,10 +18,6 @@
 import type { TermRecords } from './term-records.js';
 
 const INTERVAL: Micros = 500 * MILLI;
-/** A leader that resigned because it is overloaded does not stand for election again so soon. */
-const RESIGNATION_HOLD_OFF: Micros = 20 * SECOND;
-/** A leader that resigned lately does not resign again for so many worker leases. */
-const LEASES_BETWEEN_RESIGNATIONS = 4;
 
 /** How many rounds of the loop lie between two times of each kind of work. */
 const EVERY = {
@@ -104,14 +100,14 @@
   /** Whether the leader resigned since it learns of no cancellations any more. */
   private resignIfBlind(): boolean {
     if (!this.term.election.missesCancellations || !this.mayResign()) return false;
-    this.term.election.resign(RESIGNATION_HOLD_OFF, 'hears nothing of cancellations');
+    this.term.election.resign('hears nothing of cancellations');
     return true;
   }
 
   /** Whether the leader resigned since its timers and renewals come too late. */
   private resignIfOverloaded(): boolean {
     if (!this.parts.health.isOverloaded || !this.mayResign()) return false;
-    this.term.election.resign(RESIGNATION_HOLD_OFF, 'too slow to lead');
+    this.term.election.resign('too slow to lead');
     return true;
   }
 
@@ -122,9 +118,9 @@
   private mayResign(): boolean {
     const { context: ctx, election } = this.term;
     const { now, settings } = ctx;
-    const { resignedAt } = election;
+    const { resignedAt, resignationInterval } = election;
     if (settings.peers.length === 0 || this.term.inFailoverGracePeriod) return false;
-    return resignedAt === null || now - resignedAt > LEASES_BETWEEN_RESIGNATIONS * settings.workerLeaseUs;
+    return resignedAt === null || now - resignedAt > resignationInterval;
   }
 
   /**
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -2,8 +2,7 @@
  * Leader election by a key in the key-value store: this node follows the leader's key, acquires it when it is vacant, and
  * renews its lease while it leads. One leader at a time, in terms of increasing number.
  */
-import type { Micros } from '../domain/time.js';
-import { MILLI } from '../domain/time.js';
+import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { HeldLease } from './held-lease.js';
 import { KnownLeader } from './known-leader.js';
@@ -15,6 +14,10 @@
 
 /** How often a node that has resigned looks whether somebody else leads, while it holds off. */
 const HOLD_OFF_CHECK_INTERVAL: Micros = 500 * MILLI;
+/** A node that resigned on purpose does not stand for election again for this long. */
+const RESIGNATION_HOLD_OFF: Micros = 20 * SECOND;
+/** A leader that resigned on purpose does not do so again within so many worker leases. */
+const LEASES_BETWEEN_RESIGNATIONS = 4;
 
 /** This node's part in the election: who leads, whether this node does, and whether it may act as leader. */
 export class LeaderElection {
@@ -64,6 +67,11 @@
     return this.held?.missesCancellations() === true;
   }
 
+  /** The least time between two resignations on purpose. */
+  get resignationInterval(): Micros {
+    return LEASES_BETWEEN_RESIGNATIONS * this.context.settings.workerLeaseUs;
+  }
+
   /** The member that leads, as far as this node can tell; null for none that was confirmed within a lease. */
   get leader(): string | null {
     const { member, tuning } = this.context.settings;
@@ -92,13 +100,13 @@
     this.keyWatch.start();
   }
 
-  /** Gives the lease up on purpose, so that a node that reaches the workers can lead; not tried again for `holdOff`. */
-  resign(holdOff: Micros, reason: string): void {
+  /** Gives the lease up on purpose, so that a node that reaches the workers can lead; it holds off for a while. */
+  resign(reason: string): void {
     if (this.held === null) return;
     const { lease } = this.held;
     this.context.info('leader.resigned', { term: lease.term, reason });
     this.resignedAt = this.context.now;
-    this.holdOffUntil = this.context.now + holdOff;
+    this.holdOffUntil = this.context.now + RESIGNATION_HOLD_OFF;
     this.held.resign(this.holdOffUntil);
     this.context.requestStore({ kind: 'revoke', lease: lease.leaseId }, 0, () => {
       this.stepDown('resigned');
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,6 +1,6 @@
 /** Failure detection for workers: leases that have expired, silent machines to delete, and when the network is at fault. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLI } from '../domain/time.js';
 import { CLOCK_DRIFT } from '../leadership/cancellation-freshness.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineLifecycle } from './machine-lifecycle.js';
@@ -15,10 +15,6 @@
 const QUIET_SHARE = 0.75;
 /** With fewer machines up, missing heartbeats of all of them show nothing of this node. */
 const MIN_MACHINES_TO_RESIGN = 3;
-/** A leader that resigned because no worker reached it doesn't stand for election again for this long. */
-const RESIGNATION_HOLD_OFF: Micros = 20 * SECOND;
-/** A leader does not resign for that again within so many worker leases. */
-const LEASES_BETWEEN_RESIGNATIONS = 4;
 /** On-demand machines of a zone from which on they are judged without its spot machines. */
 const MIN_ON_DEMAND_SAMPLE = 3;
 /** Of a zone's machines at most one in so many may be overdue, or the zone counts as cut off. */
@@ -90,7 +86,7 @@
     const suspicionUs = Math.max(tuning.machineSuspicionUs, SUSPICION_INTERVALS * heartbeatIntervalUs);
     const survey = this.surveyOverdue(suspicionUs);
     if (this.shouldResign(survey)) {
-      election.resign(RESIGNATION_HOLD_OFF, 'no worker reaches this node');
+      election.resign('no worker reaches this node');
       return;
     }
     for (const machine of [...cluster.machines.values()]) {
@@ -140,9 +136,8 @@
    */
   private shouldResign({ expected, quiet }: OverdueSurvey): boolean {
     const { context: ctx, election } = this.term;
-    const { resignedAt } = election;
-    const resignedLately =
-      resignedAt !== null && ctx.now - resignedAt < LEASES_BETWEEN_RESIGNATIONS * ctx.settings.workerLeaseUs;
+    const { resignedAt, resignationInterval } = election;
+    const resignedLately = resignedAt !== null && ctx.now - resignedAt < resignationInterval;
     return (
       expected >= MIN_MACHINES_TO_RESIGN &&
       quiet === expected &&
