--- a/packages/core/src/codecs/progress-codec.ts
+++ b/packages/core/src/codecs/progress-codec.ts
@@ -1,6 +1,9 @@
 /** Records of a job's progress, or of a part of it: which tasks are done, and which machines may hold others. */
 import { isStoredMap } from './stored-map.js';
 
+/** What a machine's name takes in a record besides its letters: quotes and a comma. */
+export const NAME_OVERHEAD_BYTES = 3;
+
 /** What is on record of a job's progress, or of a part of it. */
 export interface ProgressRecord {
   /** Names of machines that hold or may hold tasks that are not done. */
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -6,14 +6,17 @@
  * finds at places where no task is, so tasks may be started again, but none counts as done that is not.
  */
 import { progressKey } from '../codecs/keys.js';
-import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
+import {
+  decodeProgress,
+  encodeProgress,
+  NAME_OVERHEAD_BYTES,
+  type ProgressRecord,
+} from '../codecs/progress-codec.js';
 import type { TaskBitset } from '../domain/task-bitset.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 
 /** `{"machines":[],"bits":"","from":...}` and some reserve. */
 const PART_FRAME_BYTES = 160;
-/** What a machine's name takes besides its letters: quotes and a comma. */
-const NAME_OVERHEAD_BYTES = 3;
 const MIN_PART_ROOM = 16;
 const MIN_BITS_PER_PART_BYTES = 3;
 /** Part of a part's room that bits may take; the rest is for names. */
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -4,7 +4,12 @@
  */
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
 import { LARGE_PROGRESS_PREFIX, partOfKeyNumber, PROGRESS_PAGES_PREFIX } from '../codecs/keys.js';
-import { decodeProgress, encodeProgress, type ProgressRecord } from '../codecs/progress-codec.js';
+import {
+  decodeProgress,
+  encodeProgress,
+  NAME_OVERHEAD_BYTES,
+  type ProgressRecord,
+} from '../codecs/progress-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -16,8 +21,6 @@
 
 /** Room that is set aside for a machine's name at first. */
 const MIN_NAME_LENGTH = 12;
-/** What a machine's name takes in a record besides its letters: quotes and a comma. */
-const NAME_OVERHEAD_BYTES = 3;
 /** What a record takes besides its job's id, names and bits. */
 const RECORD_FRAME_BYTES = 40;
 /** Tasks whose bits take one group of base64, and the characters of a group. */
