--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -78,6 +78,21 @@
 const typeFits = (spec: JobSpec, type: MachineType): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type.name)) && fits(spec, type);
 
+/** A price as a multiple of the lowest that a type with room for a task has; null where nothing has a price. */
+const multipleOfCheapest = (
+  snapshot: ClusterSnapshot,
+  spec: JobSpec,
+  price: number,
+  ordinaryPrice: (type: MachineType) => number,
+): number | null => {
+  let cheapest = Infinity;
+  // Nominal prices of all types count, also of those that are refused now: scarcity does not make an expensive machine
+  // cheap.
+  for (const type of snapshot.types)
+    if (typeFits(spec, type)) cheapest = Math.min(cheapest, ordinaryPrice(type));
+  return cheapest > 0 && cheapest < Infinity ? price / cheapest : null;
+};
+
 /** The price of a task's share of a machine, as a multiple of the lowest ordinary price that its job can get. */
 export const relativeTaskPrice = (
   snapshot: ClusterSnapshot,
@@ -89,15 +104,9 @@
   const key = spot ? `${type.name}|s` : type.name;
   let ratio = costPenalties.get(key);
   if (ratio === undefined) {
-    // Nominal prices of all types count, also of those that are refused now: scarcity does not make an expensive
-    // machine cheap.
-    let cheapest = Infinity;
-    for (const other of snapshot.types)
-      if (typeFits(spec, other)) cheapest = Math.min(cheapest, pricePerTask(spec, other, false));
-    ratio =
-      cheapest > 0 && cheapest < Infinity
-        ? Math.min(MAX_COST_PENALTY, pricePerTask(spec, type, spot) / cheapest)
-        : 1;
+    const ordinaryPrice = (other: MachineType): number => pricePerTask(spec, other, false);
+    const multiple = multipleOfCheapest(snapshot, spec, pricePerTask(spec, type, spot), ordinaryPrice);
+    ratio = multiple === null ? 1 : Math.min(MAX_COST_PENALTY, multiple);
     costPenalties.set(key, ratio);
   }
   return ratio;
@@ -114,10 +123,8 @@
   const key = spot ? `${type.name}|ms` : `${type.name}|m`;
   let ratio = costPenalties.get(key);
   if (ratio === undefined) {
-    let cheapest = Infinity;
-    for (const other of snapshot.types) if (typeFits(spec, other)) cheapest = Math.min(cheapest, other.price);
     const price = spot ? type.spotPrice : type.price;
-    ratio = cheapest > 0 && cheapest < Infinity ? price / cheapest : 1;
+    ratio = multipleOfCheapest(snapshot, spec, price, (other) => other.price) ?? 1;
     costPenalties.set(key, ratio);
   }
   return ratio;
