--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -13,6 +13,8 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
+import { seedRange } from './scenario-fixtures.js';
+
 /** `cancel_s`: how long tasks may run after the confirmed cancellation of their job. */
 const MAX_TIME_TO_STOP = 40 * SECOND;
 /** Longer than any test takes. */
@@ -382,7 +384,7 @@
 };
 
 /** More by hand: `CANCEL_SEEDS=1-400 node --import tsx --test packages/core/test/cancellations.test.ts`. */
-const [from, to] = (process.env['CANCEL_SEEDS'] ?? '1-16').split('-').map(Number) as [number, number];
+const [from, to] = seedRange('CANCEL_SEEDS', '1-16');
 
 test('no task of a cancelled job outlives cancel_s, in generated histories', () => {
   let jobs = 0;
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -73,6 +73,28 @@
   predictor: { runTime: (_spec, type) => (runSeconds[type.name] ?? 10) * SECOND },
 });
 
+/** A running attempt of the job's task on the machine, with differences; neither knows of it yet. */
+export const runningAttempt = (
+  job: ActiveJob,
+  index: number,
+  machine: Machine,
+  overrides: Partial<Pick<TaskAttempt, 'confirmed' | 'runningAt' | 'fencingToken'>> = {},
+): TaskAttempt => ({
+  job,
+  index,
+  number: 1,
+  machine,
+  agentEpoch: 1,
+  state: 'running',
+  fencingToken: 0,
+  commandedAt: 0,
+  runningAt: 0,
+  startTimeKnown: true,
+  confirmed: true,
+  stopping: null,
+  ...overrides,
+});
+
 /** Puts a running attempt of the job's task on the machine. */
 export const runTask = (
   job: ActiveJob,
@@ -80,21 +102,7 @@
   machine: Machine,
   overrides: Partial<Pick<TaskAttempt, 'confirmed' | 'runningAt'>> = {},
 ): void => {
-  const attempt: TaskAttempt = {
-    job,
-    index,
-    number: 1,
-    machine,
-    agentEpoch: 1,
-    state: 'running',
-    fencingToken: 0,
-    commandedAt: 0,
-    runningAt: 0,
-    startTimeKnown: true,
-    confirmed: true,
-    stopping: null,
-    ...overrides,
-  };
+  const attempt = runningAttempt(job, index, machine, overrides);
   job.liveAttempts.set(index, attempt);
   machine.attempts.set(attemptKey(job.id, index), attempt);
   machine.markChanged();
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -18,7 +18,7 @@
 import { specOf } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
-import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
+import { seedRange, teamQuota, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
 
 const EXTENDED_NAMES = Object.keys(EXTENDED_SCENARIOS);
 const ALL_SCENARIOS = { ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS };
@@ -235,11 +235,7 @@
     for (const id of ids) simulation.poll(id);
     simulation.runFor(3 * SECOND);
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
-    assert.deepEqual(
-      ids.filter((id) => !['done', 'cancelled'].includes(simulation.stageOf(id) ?? '')),
-      [],
-      `seed ${seed}: work that did not end`,
-    );
+    assert.deepEqual(unfinishedJobs(simulation, ids), [], `seed ${seed}: work that did not end`);
   }
   const { done, doneReportedLate, cancelled, cancelledReportedLate } = promptness;
   assert.ok(done > 500 && cancelled > 150);
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -22,6 +22,8 @@
 import { settingsFor } from '@shaleyoke/emulator/site';
 import { specOf } from '@shaleyoke/emulator/specs';
 
+import { runningAttempt } from './cluster-fixtures.js';
+
 const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
 
 /** A store that loses requests and replies, and executes some late. */
@@ -210,20 +212,7 @@
     jobs.set(job.id, job);
     for (let index = 0; index < Math.min(tasks, 80); index++) {
       const machine = all[(i * 7 + index) % all.length]!;
-      job.liveAttempts.set(index, {
-        job,
-        index,
-        number: 1,
-        machine,
-        agentEpoch: 1,
-        state: 'running',
-        fencingToken: 1,
-        commandedAt: 0,
-        runningAt: 0,
-        startTimeKnown: true,
-        confirmed: true,
-        stopping: null,
-      });
+      job.liveAttempts.set(index, runningAttempt(job, index, machine, { fencingToken: 1 }));
     }
     for (let index = 0; index < tasks; index += 3) job.done.add(index);
     progressStore.recordPlacement(job, () => placed++);
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -8,6 +8,8 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
+import { seedRange, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
+
 /** A job of a random shape. */
 const randomJob = (random: Random, id: string): JobSpec => {
   const pick = random.below(4);
@@ -94,14 +96,14 @@
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
   return {
-    broken: [...new Set(simulation.broken)],
-    openJobs: ids.filter((id) => !['done', 'cancelled'].includes(simulation.stageOf(id) ?? '')),
+    broken: violationsOf(simulation),
+    openJobs: unfinishedJobs(simulation, ids),
     elections,
   };
 };
 
 /** More seeds by hand: `CUT_SEEDS=1-400 node --import tsx --test packages/core/test/partition-histories.test.ts`. */
-const [from, to] = (process.env['CUT_SEEDS'] ?? '1-12').split('-').map(Number) as [number, number];
+const [from, to] = seedRange('CUT_SEEDS', '1-12');
 
 test('no rule breaks under cuts of any link, in one direction or both, and all work ends', () => {
   let elections = 0;
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -11,6 +11,8 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
+import { seedRange, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
+
 /** After the last end somebody leads within a leader's lease and so much more, whoever was back how soon. */
 const ELECTION_TIME = 2 * SECOND;
 const LEADER_LEASE = 6 * SECOND;
@@ -111,8 +113,8 @@
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
   return {
-    broken: [...new Set(simulation.broken)],
-    openJobs: ids.filter((id) => !['done', 'cancelled'].includes(simulation.stageOf(id) ?? '')),
+    broken: violationsOf(simulation),
+    openJobs: unfinishedJobs(simulation, ids),
     isElectionLate,
     elections,
   };
@@ -132,7 +134,7 @@
 };
 
 /** More seeds by hand: `RETURN_SEEDS=1-400 node --import tsx --test packages/core/test/rapid-restarts.test.ts`. */
-const [from, to] = (process.env['RETURN_SEEDS'] ?? '1-12').split('-').map(Number) as [number, number];
+const [from, to] = seedRange('RETURN_SEEDS', '1-12');
 
 test('no rule breaks where processes are back at once, with late copies of everything', () => {
   let elections = 0;
--- a/packages/core/test/scenario-fixtures.ts
+++ b/packages/core/test/scenario-fixtures.ts
@@ -8,6 +8,10 @@
 /** Rules that the simulation saw broken, each once. */
 export const violationsOf = (simulation: ClusterSimulation): string[] => [...new Set(simulation.broken)];
 
-/** First and last seed to run: `FROM-TO` from an environment variable, 1 to 3 without it. */
-export const seedRange = (variable: string): readonly [number, number] =>
-  (process.env[variable] ?? '1-3').split('-').map(Number) as [number, number];
+/** Those of the jobs that have not ended, as their users were last told. */
+export const unfinishedJobs = (simulation: ClusterSimulation, ids: readonly string[]): string[] =>
+  ids.filter((id) => !['done', 'cancelled'].includes(simulation.stageOf(id) ?? ''));
+
+/** First and last seed to run: `FROM-TO` from an environment variable, or `standard` without it. */
+export const seedRange = (variable: string, standard = '1-3'): readonly [number, number] =>
+  (process.env[variable] ?? standard).split('-').map(Number) as [number, number];
