--- a/packages/core/src/machines/autoscaler-host.ts
+++ b/packages/core/src/machines/autoscaler-host.ts
@@ -1,30 +1,36 @@
-/** What the autoscaler and its parts need of the scheduler. */
+/** The interface that the autoscaler requires of the scheduler. */
 import type { Machine } from '../cluster/cluster-model.js';
 import type { ListedMachine } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 import type { PreprovisionedMachines } from './preprovisioned-machines.js';
 
-/** The scheduler as the autoscaler sees it: the machines of the cluster state, and the leader's right to act. */
+/** Gives the autoscaler access to the machines of the cluster state and to the leader's permission to act. */
 export interface AutoscalerHost {
-  /** Number of the leader's term: part of the names of requests. */
+  /** Number of the leader's term; makes the names of provisioning requests unique. */
   readonly term: number;
-  readonly preprovisioned: Pick<PreprovisionedMachines, 'isOpen' | 'canProvision' | 'recordFirstList'>;
+  /** Recording of pre-provisioned machines, which precedes the first provisioning request. */
+  readonly preprovisioned: Pick<
+    PreprovisionedMachines,
+    'acceptsFirstList' | 'canProvision' | 'recordFirstList'
+  >;
+  /** All machines of the cluster state, whether up, booting or retiring. */
   machines(): Iterable<Machine>;
+  /** The machine with this name, if the cluster state has it. */
   find(name: string): Machine | undefined;
-  /** The cloud granted a machine that was requested at `since`. */
+  /** Adds a machine that the cloud provisioned for a request sent at `since`. */
   recordProvisioned(name: string, type: string, zone: string, spot: boolean, since: Micros): void;
-  /** The cloud lists a machine. */
+  /** Handles a machine in the cloud's list: it may be new, or have failed. */
   recordListed(machine: ListedMachine): void;
-  /** The machine and everything on it are gone for sure. */
+  /** Removes a machine that is certainly gone, with everything on it. */
   remove(machine: Machine, reason: string): void;
-  /** Takes the machine out of use and has it deleted. */
+  /** Takes a machine out of use and has the cloud delete it. */
   retire(machine: Machine, reason: string): void;
-  /** What is known of the cloud changed: a plan may answer to that. */
+  /** Requests a plan, after a change in what is known about the cloud. */
   schedulePass(): void;
-  /** Whether the term still lasts; after it no answer counts. */
+  /** Whether the term has not ended; replies that arrive later are ignored. */
   isActive(): boolean;
-  /** Whether anything may be decided now. */
+  /** Whether this leader may act on the cluster now. */
   canActAsLeader(): boolean;
-  /** Whether capacity is to be saved. */
+  /** Whether cost matters more than spare capacity. */
   isCostSensitive(): boolean;
 }
--- a/packages/core/src/machines/capacity-offers.ts
+++ b/packages/core/src/machines/capacity-offers.ts
@@ -1,41 +1,41 @@
-/** Which capacity the cloud may grant now, by machine type, zone and kind (spot or on-demand). */
+/** Tracks which capacity may be requested from the cloud, by machine type, zone and kind (spot or on-demand). */
 import type { Machine } from '../cluster/cluster-model.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { CapacityOffer } from '../scheduling/plan-input.js';
 
-/** Machines that one request may ask for. */
+/** Maximum number of machines in one provisioning request. */
 export const MAX_MACHINES_PER_REQUEST = 50;
-/** After a refusal nothing is asked of an offer for this long, times the refusals in a row. */
+/** Backoff after a refusal, multiplied by the number of consecutive refusals. */
 const REFUSAL_BACKOFF: Micros = 8 * SECOND;
 const MAX_COUNTED_REFUSALS = 3;
-/** Pause after a request that failed for good. */
+/** Backoff after a request that failed and isn't retried any more. */
 const FAILURE_BACKOFF: Micros = 3 * SECOND;
-/** Returned capacity can be asked for again after this. */
+/** Longest remaining backoff once a machine of the same kind was deleted. */
 const FREED_BACKOFF: Micros = 2 * SECOND;
 
-/** State of the requests for one kind of capacity. */
+/** Backoff state of the requests for one kind of capacity. */
 export interface OfferState {
-  /** Nothing is asked for before that. */
+  /** End of the backoff; no request is sent before it. */
   refusedUntil: Micros;
-  /** Refusals in a row. */
+  /** Number of consecutive refusals, up to a limit. */
   refusals: number;
-  /** A request has not been answered yet. */
+  /** Whether a request has not been answered yet. */
   inFlight: boolean;
 }
 
 const offerKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot ? 's' : 'o'}`;
 
-/** Keeps, for each kind of capacity, whether it may be asked for. */
+/** Keeps the backoff state of each kind of capacity. */
 export class CapacityOffers {
   private readonly states = new Map<string, OfferState>();
 
-  constructor(private readonly ctx: NodeContext) {}
+  constructor(private readonly context: NodeContext) {}
 
-  /** All kinds of capacity that may be asked for now. */
+  /** All kinds of capacity that may be requested now. */
   available(): CapacityOffer[] {
     const offers: CapacityOffer[] = [];
-    for (const type of this.ctx.types.values())
+    for (const type of this.context.types.values())
       for (const zone of type.zones)
         for (const spot of [false, true]) {
           const state = this.states.get(offerKey(type.name, zone, spot));
@@ -45,12 +45,12 @@
     return offers;
   }
 
-  /** Whether this capacity may be asked for now. */
+  /** Whether a request may be sent now: none is in flight, and the backoff is over. */
   isAvailable(state: OfferState): boolean {
-    return !state.inFlight && state.refusedUntil <= this.ctx.now;
+    return !state.inFlight && state.refusedUntil <= this.context.now;
   }
 
-  /** The state of the requests for this capacity; from here on it is kept. */
+  /** Returns the backoff state of a kind of capacity, creating it if needed. */
   stateOf({ type, zone, spot }: CapacityOffer): OfferState {
     const key = offerKey(type.name, zone, spot);
     let state = this.states.get(key);
@@ -59,21 +59,22 @@
     return state;
   }
 
-  /** The cloud granted fewer machines than asked for, or none: there are no more for now. */
+  /** Starts the backoff after the cloud provisioned fewer machines than requested, or none. */
   recordRefusal(state: OfferState): void {
     state.refusals = Math.min(state.refusals + 1, MAX_COUNTED_REFUSALS);
-    state.refusedUntil = this.ctx.now + REFUSAL_BACKOFF * state.refusals;
+    state.refusedUntil = this.context.now + REFUSAL_BACKOFF * state.refusals;
   }
 
-  /** A request failed for good, and it is not known whether there is capacity. */
+  /** Starts the backoff after a request that failed and isn't retried; whether there is capacity is unknown. */
   recordFailure(state: OfferState): void {
     state.inFlight = false;
-    state.refusedUntil = this.ctx.now + FAILURE_BACKOFF;
+    state.refusedUntil = this.context.now + FAILURE_BACKOFF;
   }
 
-  /** A returned machine leaves room for another at once. */
+  /** Shortens the backoff after a machine was deleted, since that frees capacity. */
   recordFreed({ type, zone, spot }: Machine): void {
     const state = this.states.get(offerKey(type, zone, spot));
-    if (state !== undefined) state.refusedUntil = Math.min(state.refusedUntil, this.ctx.now + FREED_BACKOFF);
+    if (state !== undefined)
+      state.refusedUntil = Math.min(state.refusedUntil, this.context.now + FREED_BACKOFF);
   }
 }
--- a/packages/core/src/machines/demand-forecast.ts
+++ b/packages/core/src/machines/demand-forecast.ts
@@ -1,4 +1,4 @@
-/** Demand forecast: how much room to keep for jobs that have yet to arrive, from the arrivals of the last minutes. */
+/** Demand forecast: sizes the spare capacity for future jobs from the arrivals of the last minutes. */
 import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
 import type { JobSpec } from '../domain/job.js';
 import { typeAllowed } from '../domain/resources.js';
@@ -8,41 +8,41 @@
 
 /** Window over which arrivals are counted. */
 const ARRIVAL_WINDOW: Micros = 150 * SECOND;
-/** Arrivals of a class that are kept at most. */
+/** Maximum number of arrivals kept per job class. */
 const MAX_ARRIVALS = 200;
-/** A class that is known for less is counted as known for this long. */
+/** Shortest span over which the arrival rate of a class is computed. */
 const MIN_HEADROOM_SPAN: Micros = 30 * SECOND;
-/** Quantile of the normal distribution that headroom is sized by; about nine arrivals in ten. */
+/** Headroom in standard deviations of a normal distribution; 1.3 covers about 90 % of the cases. */
 const HEADROOM_QUANTILE = 1.3;
-/** Weight of the newest job in the moving mean of a class's tasks. */
+/** Weight of the newest job in the exponential moving average of tasks per job. */
 const MEAN_WEIGHT = 0.2;
-/** Delay that a hypothetical group may take for a cheaper place. */
+/** Delay accepted for a hypothetical group in exchange for a cheaper placement. */
 const HYPOTHETICAL_DELAY: Micros = 60 * SECOND;
 
-/** Jobs of a class that came lately. */
+/** Recent arrivals of one job class. */
 interface Arrivals {
-  /** When they came, oldest first. */
+  /** Arrival times, oldest first. */
   readonly times: Micros[];
-  /** The largest of them. */
+  /** The job with the most tasks. */
   largest: JobSpec;
-  /** Tasks of one job, as a moving mean. */
+  /** Exponential moving average of tasks per job. */
   meanTasks: number;
-  /** When the first job of the class came. */
+  /** When the first job of the class arrived. */
   readonly since: Micros;
 }
 
-/** Counts the arrivals of each class of jobs, and sizes the room to keep for more of them. */
+/** Counts the arrivals of each job class and sizes the spare capacity for further ones. */
 export class DemandForecast {
   private readonly arrivals = new Map<string, Arrivals>();
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly context: NodeContext,
     private readonly isCostSensitive: () => boolean,
   ) {}
 
-  /** A job arrived that may begin at once. */
+  /** Counts a newly arrived job; the job must be startable. */
   recordArrival(spec: JobSpec): void {
-    const { now } = this.ctx;
+    const { now } = this.context;
     let arrivals = this.arrivals.get(spec.class);
     if (arrivals === undefined) {
       arrivals = { times: [], largest: spec, meanTasks: spec.tasks, since: now };
@@ -56,17 +56,17 @@
     if (spec.tasks >= arrivals.largest.tasks) arrivals.largest = spec;
   }
 
-  /** The largest recent job of each class that came lately. */
+  /** The largest job of each class with recent arrivals. */
   recentSpecs(): JobSpec[] {
     const specs: JobSpec[] = [];
     for (const { times, largest } of this.arrivals.values())
-      if ((times.at(-1) ?? -Infinity) > this.ctx.now - ARRIVAL_WINDOW) specs.push(largest);
+      if ((times.at(-1) ?? -Infinity) > this.context.now - ARRIVAL_WINDOW) specs.push(largest);
     return specs;
   }
 
   /**
-   * Room for arrivals of classes that must start sooner than a machine boots: the spread of the difference between arrivals
-   * and completions while one boots.
+   * Spare capacity for expected arrivals of classes that must start sooner than a machine boots, sized by the standard
+   * deviation of arrivals minus completions during one boot time.
    */
   headroom(): TaskGroup[] {
     const groups: TaskGroup[] = [];
@@ -86,7 +86,7 @@
   }
 
   private headroomTasks(jobClass: string, { times, largest, meanTasks, since }: Arrivals): number {
-    const { now, settings } = this.ctx;
+    const { now, settings } = this.context;
     const maxWait = allowedWait(jobClass, settings.objectives);
     if (maxWait === null || largest.shape === 'service' || this.mustStartAtOnce(largest)) return 0;
     const bootUs = this.shortestBoot(largest);
@@ -94,30 +94,30 @@
     while (times[0] !== undefined && times[0] < now - ARRIVAL_WINDOW) times.shift();
     const span = Math.max(MIN_HEADROOM_SPAN, Math.min(ARRIVAL_WINDOW, now - since));
     const expected = (times.length * bootUs) / span;
-    // Arrivals and completions while a machine boots: two Poisson counts, so their difference has twice the variance.
+    // Arrivals and completions during a boot are two Poisson counts, so their difference has twice the variance.
     const jobs = HEADROOM_QUANTILE * Math.sqrt(2 * expected);
     return Math.ceil(jobs * meanTasks);
   }
 
   private shortestBoot(spec: JobSpec): Micros | null {
     let shortest: Micros | null = null;
-    for (const type of this.ctx.types.values())
+    for (const type of this.context.types.values())
       if (typeAllowed(spec, type))
         shortest = shortest === null ? type.bootUs : Math.min(shortest, type.bootUs);
     return shortest;
   }
 
   /**
-   * Room kept free for work that must start sooner than the tasks end that others would put there. What ends gives room again
-   * all the time, so the largest job that came lately is enough, or as many as come within the time they may wait. Without it
-   * such a service trickled in: a third of those that came to full machines had tasks waiting for longer than their objective
-   * (adresy-pomorze steady).
+   * Capacity kept free for urgent work, which can't wait until tasks of other jobs end. Tasks end all the time and free
+   * capacity, so it is enough to cover the largest recent job, or the arrivals expected within the allowed wait. Without this
+   * reserve, urgent services started task by task: a third of those that arrived at full machines had tasks waiting for
+   * longer than their objective (adresy-pomorze steady).
    */
   reservedForUrgent(): TaskGroup[] {
     const groups: TaskGroup[] = [];
     for (const arrivals of this.arrivals.values()) {
       const { times, largest } = arrivals;
-      const isRecent = (times.at(-1) ?? -Infinity) >= this.ctx.now - ARRIVAL_WINDOW;
+      const isRecent = (times.at(-1) ?? -Infinity) >= this.context.now - ARRIVAL_WINDOW;
       if (!isRecent || !this.mustStartAtOnce(largest)) continue;
       groups.push({
         ...this.hypotheticalGroup(largest, this.urgentTasks(arrivals)),
@@ -127,18 +127,18 @@
     return groups;
   }
 
-  /** Tasks of a class that come within the time that they may wait, and those of its largest job at least. */
+  /** Tasks of a class expected to arrive within its allowed wait, but at least those of its largest job. */
   private urgentTasks({ times, largest, meanTasks }: Arrivals): number {
-    const { now, settings } = this.ctx;
+    const { now, settings } = this.context;
     const span = Math.max(SECOND, now - (times[0] ?? now));
     const maxWait = allowedWait(largest.class, settings.objectives) ?? 0;
-    // The rate is counted from the first arrival on: one alone gives none.
+    // The rate is computed from the first arrival on, so a single arrival gives a rate of 0.
     return Math.max(largest.tasks, Math.ceil((meanTasks * (times.length - 1) * maxWait) / span));
   }
 
-  /** Whether this is work that can't wait for the next tasks to end. */
+  /** Whether a job is urgent: it can't wait until running tasks end. */
   mustStartAtOnce(spec: JobSpec): boolean {
-    return mustStartAtOnce(spec, this.ctx.settings.objectives);
+    return mustStartAtOnce(spec, this.context.settings.objectives);
   }
 
   private hypotheticalGroup(spec: JobSpec, count: number): TaskGroup {
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,23 +1,23 @@
-/** Failure detection for workers: leases that have expired, silent machines to delete, and when the network is at fault. */
+/** Failure detection for machines: expired worker leases, unresponsive machines, and network partitions. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { type Micros, MILLI } from '../domain/time.js';
 import { CLOCK_DRIFT } from '../leadership/cancellation-freshness.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineLifecycle } from './machine-lifecycle.js';
 
-/** Beyond a worker's lease and the clocks' drift, before its tasks count as dropped. */
+/** Margin beyond a worker's lease and clock drift before its tasks are assumed to have stopped. */
 const LEASE_MARGIN: Micros = 300 * MILLI;
-/** Two heartbeats may be late or lost before a machine is suspected. */
+/** Heartbeat intervals until a machine is suspected; allows for two late or lost heartbeats. */
 const SUSPICION_INTERVALS = 2.5;
-/** A machine whose heartbeat is later than so many intervals is overdue. */
+/** Heartbeat intervals after which a machine is overdue. */
 const OVERDUE_INTERVALS = 1.3;
-/** Machines count towards a node that no worker reaches after this share of the time until suspicion. */
-const QUIET_SHARE = 0.75;
-/** With fewer machines up, missing heartbeats of all of them show nothing of this node. */
+/** A machine is nearly suspected after this share of the time until suspicion; a leader resigns if all machines are. */
+const NEAR_SUSPICION_SHARE = 0.75;
+/** With fewer machines, missing heartbeats of all of them are no evidence that this node is cut off. */
 const MIN_MACHINES_TO_RESIGN = 3;
-/** On-demand machines of a zone from which on they are judged without its spot machines. */
+/** Number of on-demand machines from which a zone is judged by them alone, without its spot machines. */
 const MIN_ON_DEMAND_SAMPLE = 3;
-/** Of a zone's machines at most one in so many may be overdue, or the zone counts as cut off. */
+/** A zone counts as cut off if more than one in this many of its machines is overdue. */
 const MAX_OVERDUE_DIVISOR = 3;
 
 /** Machines of one zone, and how many of them are overdue. */
@@ -31,45 +31,45 @@
   readonly all: OverdueCount;
 }
 
-/** How many machines are overdue, by zone, and on the whole. */
+/** Counts of overdue machines by zone, and of nearly suspected ones overall. */
 interface OverdueSurvey {
   readonly zones: ReadonlyMap<string, ZoneCounts>;
   /** Machines that are expected to send heartbeats. */
   readonly expected: number;
-  /** Those of them whose last heartbeat is nearly old enough to suspect them. */
-  readonly quiet: number;
+  /** Expected machines whose last heartbeat is almost old enough for suspicion. */
+  readonly nearlySuspected: number;
 }
 
 const isExpected = (machine: Machine): boolean => machine.up || machine.awaitingReconciliation;
 
-/** Ends the attempts of machines whose lease has expired, and retires machines that have fallen silent. */
+/** Ends attempts on machines whose worker lease has expired, and retires unresponsive machines. */
 export class MachineFailureDetector {
-  private heldLease = true;
+  private heldLeaseBefore = true;
 
-  /** `endAttempt` records that an attempt is surely not on its machine any more. */
+  /** `endAttempt` records that an attempt is certainly no longer on its machine. */
   constructor(
     private readonly term: LeaderTerm,
     private readonly machineLifecycle: MachineLifecycle,
     private readonly endAttempt: (attempt: TaskAttempt) => void,
   ) {}
 
-  /** The age of heartbeats counts anew from when the leader lease was regained: meanwhile no worker was answered. */
+  /** Restarts the age of heartbeats when the leader lease is regained, since no worker was answered without it. */
   recordLeaseState(holdsLease: boolean): void {
-    if (holdsLease && !this.heldLease) this.term.leaseHeldSince = this.term.context.now;
-    this.heldLease = holdsLease;
+    if (holdsLease && !this.heldLeaseBefore) this.term.leaseHeldSince = this.term.context.now;
+    this.heldLeaseBefore = holdsLease;
   }
 
-  /** A worker that was not answered for its lease, clock drift included, has dropped its tasks. */
+  /** Ends the attempts of workers whose lease has expired, clock drift included: they have stopped their tasks. */
   expireLeases(): void {
-    const { context: ctx, cluster } = this.term;
-    const leaseUs = Math.ceil(ctx.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT)) + LEASE_MARGIN;
+    const { context, cluster } = this.term;
+    const leaseUs = Math.ceil(context.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT)) + LEASE_MARGIN;
     for (const machine of cluster.machines.values()) {
-      if (ctx.now <= machine.leaseRenewedAt + leaseUs || !isExpected(machine)) continue;
-      ctx.info('machine.lease_expired', { machine: machine.name, tasks: machine.attempts.size });
+      if (context.now <= machine.leaseRenewedAt + leaseUs || !isExpected(machine)) continue;
+      context.info('machine.lease_expired', { machine: machine.name, tasks: machine.attempts.size });
       machine.up = false;
       machine.awaitingReconciliation = false;
       machine.unknownTaskCount = 0;
-      // Later heartbeats of the ended epoch, should any still arrive, show nothing new.
+      // Ignore any later heartbeats of the agent epoch that ended.
       machine.lastSequence = Number.MAX_SAFE_INTEGER;
       for (const attempt of [...machine.attempts.values()]) this.endAttempt(attempt);
       this.term.schedulePass();
@@ -77,12 +77,12 @@
   }
 
   /**
-   * A silent machine is deleted: the cloud's answer proves that everything on it is gone, much sooner than its lease does. Not
-   * so when many are silent at once: then the network is at fault, or this node.
+   * Deletes unresponsive machines: the cloud's answer proves that everything on them is gone, much sooner than the expiry of
+   * their lease. If many are unresponsive at once, the cause is the network or this node, and none is deleted.
    */
   retireUnresponsiveMachines(): void {
-    const { context: ctx, cluster, election } = this.term;
-    const { heartbeatIntervalUs, tuning } = ctx.settings;
+    const { context, cluster, election } = this.term;
+    const { heartbeatIntervalUs, tuning } = context.settings;
     const suspicionUs = Math.max(tuning.machineSuspicionUs, SUSPICION_INTERVALS * heartbeatIntervalUs);
     const survey = this.surveyOverdue(suspicionUs);
     if (this.shouldResign(survey)) {
@@ -100,18 +100,18 @@
     }
   }
 
-  /** Time since the last heartbeat, as far as it was this leader that should have received one. */
+  /** Time since the last heartbeat, limited to the time for which this leader has held the lease. */
   private heartbeatAge(machine: Machine): Micros {
     return this.term.context.now - Math.max(machine.lastHeartbeatAt, this.term.leaseHeldSince);
   }
 
   private surveyOverdue(suspicionUs: Micros): OverdueSurvey {
-    // Machines that are merely overdue count too: those of a zone that is cut off become silent one after the other, and the
-    // first third of them would be deleted before the rest shows that it is the network.
+    // Counts overdue machines, not just suspected ones: in a zone that is cut off, machines become suspected one after the
+    // other, and the first third would be deleted before the others reveal a network failure.
     const overdueUs = OVERDUE_INTERVALS * this.term.context.settings.heartbeatIntervalUs;
     const zones = new Map<string, ZoneCounts>();
     let expected = 0;
-    let quiet = 0;
+    let nearlySuspected = 0;
     for (const machine of this.term.cluster.machines.values()) {
       if (!isExpected(machine)) continue;
       let zone = zones.get(machine.zone);
@@ -124,25 +124,25 @@
       count(zone.all, isOverdue);
       if (!machine.spot) count(zone.onDemand, isOverdue);
       expected++;
-      if (heartbeatAgeUs > suspicionUs * QUIET_SHARE) quiet++;
+      if (heartbeatAgeUs > suspicionUs * NEAR_SUSPICION_SHARE) nearlySuspected++;
     }
-    return { zones, expected, quiet };
+    return { zones, expected, nearlySuspected: nearlySuspected };
   }
 
   /**
-   * Whether all machines are silent, so that this node seems to be cut off. A leader that resigned for this a while ago stays
-   * now: if all machines died at once, no node receives heartbeats, and the leaders would follow each other for ever without
-   * any staying until the machines' leases have run out.
+   * Whether all machines are nearly suspected, so that this node seems to be cut off. A leader that resigned recently does not
+   * resign again: if all machines failed at once, no node receives heartbeats, and leaders would keep replacing each other
+   * without any of them leading until the machines' leases expire.
    */
-  private shouldResign({ expected, quiet }: OverdueSurvey): boolean {
-    const { context: ctx, election } = this.term;
+  private shouldResign({ expected, nearlySuspected: nearlySuspected }: OverdueSurvey): boolean {
+    const { context, election } = this.term;
     const { resignedAt, resignationInterval } = election;
-    const resignedLately = resignedAt !== null && ctx.now - resignedAt < resignationInterval;
+    const resignedLately = resignedAt !== null && context.now - resignedAt < resignationInterval;
     return (
       expected >= MIN_MACHINES_TO_RESIGN &&
-      quiet === expected &&
+      nearlySuspected === expected &&
       !resignedLately &&
-      ctx.settings.peers.length > 0
+      context.settings.peers.length > 0
     );
   }
 }
@@ -152,7 +152,7 @@
   if (isOverdue) counts.overdue++;
 };
 
-/** Spot machines are preempted in waves; the on-demand ones of a zone show better whether it is cut off. */
+/** Prefers on-demand machines as evidence, since spot machines of a zone are often preempted together. */
 const isCutOff = ({ onDemand, all }: ZoneCounts): boolean => {
   const { total, overdue } = onDemand.total >= MIN_ON_DEMAND_SAMPLE ? onDemand : all;
   return overdue > Math.max(1, Math.floor(total / MAX_OVERDUE_DIVISOR));
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -1,4 +1,4 @@
-/** The machines of a term: known from the records, the cloud or their own heartbeats, until they are gone. */
+/** Lifecycle of the machines in the cluster state, which come from stored records, the cloud's list and heartbeats. */
 import { Machine, type TaskAttempt } from '../cluster/cluster-model.js';
 import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
@@ -6,33 +6,36 @@
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineStore } from '../storage/machine-store.js';
 
-/** Names of removed machines are kept for so many of them: lists and heartbeats may be older. */
+/** Maximum number of removed machines whose names are kept, to recognize delayed lists and heartbeats. */
 const MAX_REMOVED_NAMES = 2_000;
-/** How often a machine that is to be retired once it is empty is looked at. */
+/** How often a machine that retires once it is empty is checked. */
 const RETIREMENT_CHECK_INTERVAL: Micros = 500 * MILLI;
 
-/** What the machines' life needs of the other parts of the scheduler, and what it reports to them. */
+/** Actions that the lifecycle of machines requests from other components, and events that it reports. */
 export interface MachineEvents {
-  /** Deletes a machine that is on record as retiring. */
+  /** Has the cloud delete a machine that is recorded as retiring, or that has failed. */
   deleteMachine(name: string): void;
-  /** The attempt is surely not on its machine any more. */
+  /** The attempt is certainly no longer on its machine. */
   endAttempt(attempt: TaskAttempt): void;
-  /** The machine is gone for sure. */
+  /** The machine is certainly gone, with everything on it. */
   machineRemoved(machine: Machine): void;
 }
 
-/** What a machine is known by when it is added. */
+/** Properties of a machine that are needed to add it. */
 export interface MachineDescription {
-  /** Empty if it is not known yet. */
+  /** Address of the worker; empty if it is not known yet. */
   readonly address: string;
+  /** Name of the machine type. */
   readonly type: string;
+  /** Name of the zone that the machine is in. */
   readonly zone: string;
+  /** Whether the cloud may reclaim the machine at short notice. */
   readonly spot: boolean;
 }
 
-/** Adds, records, retires and removes the machines of the cluster state. */
+/** Adds, stores, retires and removes the machines of the cluster state. */
 export class MachineLifecycle {
-  /** When machines were removed for good, by name: older lists and heartbeats still name them. */
+  /** When machines were removed, by name; delayed lists and heartbeats may still contain them. */
   private readonly removedAt = new Map<string, Micros>();
 
   constructor(
@@ -45,30 +48,30 @@
     return this.term.cluster.machines;
   }
 
-  /** Adds a machine to the cluster state; not yet on record. */
+  /** Adds a machine to the cluster state, without storing a record of it. */
   add(name: string, { address, type, zone, spot }: MachineDescription): Machine {
     const machine = new Machine(name, address, type, zone, spot, this.term.context.now);
     this.machines.set(name, machine);
     return machine;
   }
 
-  /** The machine that a heartbeat comes from, added if it is new; null if it is gone for good. */
+  /** Returns the sender of a heartbeat, adding it if it is new; null if the machine was removed. */
   registerHeartbeat(heartbeat: Heartbeat): Machine | null {
     const { machine: name, type, zone } = heartbeat;
     const known = this.machines.get(name);
     if (known !== undefined) return known;
     if (this.removedAt.has(name)) return null;
     if (this.term.isRestored && this.isStale(heartbeat)) return null;
-    // Never on record, so no leader ever put anything on it.
+    // The machine was never recorded, so no leader has started a task on it.
     this.term.context.info('machine.registered', { machine: name, type, zone });
     return this.add(name, heartbeat);
   }
 
   /**
-   * Whether the heartbeat of a machine that is not on record is from before its removal. Nothing is started on a machine before
-   * it is on record, and it is taken off only once it is gone for sure: so a heartbeat that lists tasks, of a machine that is
-   * not on record, was made before its end. A late one of that kind once had a new leader take the machine for one that is
-   * there, with tasks that ran elsewhere by then, until a lease had passed.
+   * Whether the heartbeat of an unrecorded machine was sent before the machine was removed. Tasks are started only on
+   * recorded machines, and a record is deleted only once its machine is certainly gone. So a heartbeat that lists tasks of an
+   * unrecorded machine is from before the removal. A new leader once accepted such a delayed heartbeat, and assumed until the
+   * lease expired that the machine existed and ran tasks that were running elsewhere by then.
    */
   private isStale(heartbeat: Heartbeat): boolean {
     if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Removes a machine whose heartbeat came before the records were read, if it turns out to be stale: its machine is not on
-   * record. Returns whether it was.
+   * Removes a machine that was added by a heartbeat before the records were read, if that heartbeat turns out to be stale.
+   * Returns whether it was.
    */
   removeStaleMachine(machine: Machine, heartbeat: Heartbeat): boolean {
     if (machine.recorded !== 'no' || !this.isStale(heartbeat)) return false;
@@ -90,9 +93,9 @@
     return true;
   }
 
-  /** Puts a machine on record, unless it is already, or is being put there. */
+  /** Stores the record of a machine, unless it is stored already or being written. */
   persist(machine: Machine): void {
-    // Before the machine records are read, their pages would be overwritten.
+    // Writing before the machine records are read would overwrite their pages.
     if (machine.recorded !== 'no' || !this.term.isRestored) return;
     machine.recorded = 'writing';
     this.store.put(machine, () => {
@@ -101,13 +104,13 @@
     });
   }
 
-  /** The cloud granted a machine that was requested at `since`. */
+  /** Adds a machine that the cloud provisioned for a request sent at `since`. */
   recordProvisioned(name: string, type: string, zone: string, spot: boolean, since: Micros): void {
     const machine = this.machines.get(name) ?? this.add(name, { address: '', type, zone, spot });
     machine.provisionedAt = since;
   }
 
-  /** The cloud lists a machine: adds it if it is new, or deletes it if it has failed and is not known. */
+  /** Handles a machine in the cloud's list: adds it if it is unknown, or deletes it if it is unknown and has failed. */
   recordListed(listed: ListedMachine): void {
     const { name } = listed;
     let machine = this.machines.get(name);
@@ -124,7 +127,7 @@
     if (machine.address === '') machine.address = listed.address;
   }
 
-  /** The machine and everything on it are gone for sure. */
+  /** Removes a machine that is certainly gone, and ends all attempts on it. */
   remove(machine: Machine, reason: string): void {
     if (!this.machines.has(machine.name)) return;
     this.term.context.info('machine.removed', {
@@ -133,7 +136,7 @@
       tasks: machine.attempts.size,
     });
     this.machines.delete(machine.name);
-    this.rememberRemoved(machine.name);
+    this.recordRemoval(machine.name);
     machine.up = false;
     machine.awaitingReconciliation = false;
     machine.retirementReason ??= reason;
@@ -143,14 +146,17 @@
     this.term.schedulePass();
   }
 
-  private rememberRemoved(name: string): void {
+  private recordRemoval(name: string): void {
     this.removedAt.set(name, this.term.context.now);
     if (this.removedAt.size <= MAX_REMOVED_NAMES) return;
     const oldest = this.removedAt.keys().next().value!;
     this.removedAt.delete(oldest);
   }
 
-  /** Takes a machine out of use for good. Put on record first: a late deletion must not hit a new use. */
+  /**
+   * Takes a machine out of use for good. Its retirement is stored before the deletion is requested, so that a delayed deletion
+   * can't hit a machine that a later leader uses again.
+   */
   retire(machine: Machine, reason: string): void {
     if (machine.deletionRequested) return;
     machine.deletionRequested = true;
--- a/packages/core/src/machines/preprovisioned-machines.ts
+++ b/packages/core/src/machines/preprovisioned-machines.ts
@@ -1,8 +1,8 @@
 /**
- * Which machines were there before any was requested: those of the first list, as long as no request was ever sent. They are put
- * on record, and after them that this is finished, before the first request. So it does not depend on the first leader's
- * surviving its start: one that was back within a second, or the next one, once took all pre-provisioned machines for
- * provisioned ones, and returned those that were idle.
+ * Determines the pre-provisioned machines: those in the cloud's first list, taken before the cluster's first provisioning
+ * request. They are stored, then the fact that all of them are, before that request is sent. The result therefore survives a
+ * crash of the first leader: a leader that restarted within a second, or its successor, once took all pre-provisioned
+ * machines for provisioned ones and deleted the idle ones.
  */
 import type { Machine } from '../cluster/cluster-model.js';
 import { TERM_KEY } from '../codecs/keys.js';
@@ -12,36 +12,37 @@
 import type { FencedWriter } from '../storage/fenced-writer.js';
 import type { MachineStore } from '../storage/machine-store.js';
 
-/** A record that is not confirmed by then is left to the machine's next one: scale-out can't wait for it for ever. */
+/** Longest wait for the machine records, so that scale-out isn't blocked; unconfirmed ones are left to the next write. */
 const CONFIRMATION_TIMEOUT: Micros = 10 * SECOND;
 
-/** Records the pre-provisioned machines once in the life of a cluster; until then nothing is provisioned. */
+/** Records the pre-provisioned machines once in the lifetime of a cluster; until then nothing is provisioned. */
 export class PreprovisionedMachines {
+  /** Waiting for the first list; storing its machines; storing that they are complete; done. */
   private state: 'open' | 'recording' | 'closing' | 'closed';
 
-  /** `closed` is called once machines may be provisioned. */
+  /** `onRecorded` is called once machines may be provisioned. */
   constructor(
     private readonly term: LeaderTerm,
     private readonly store: MachineStore,
     private readonly writer: FencedWriter,
-    private readonly closed: () => void,
+    private readonly onRecorded: () => void,
   ) {
     this.state = term.lease.firstTerm ? 'open' : 'closed';
-    // The same transaction wrote both keys.
+    // The transaction that wrote the leader key also wrote this one, so both have the same version.
     writer.rememberVersion(TERM_KEY, term.lease.keyVersion);
   }
 
-  /** Whether a list that comes now shows the pre-provisioned machines. */
-  get isOpen(): boolean {
+  /** Whether the next list shows the pre-provisioned machines. */
+  get acceptsFirstList(): boolean {
     return this.state === 'open';
   }
 
-  /** Whether machines may be provisioned. */
+  /** Whether machines may be provisioned: all pre-provisioned ones are recorded. */
   get canProvision(): boolean {
     return this.state === 'closed';
   }
 
-  /** Records the machines of the first list; none where it did not come in time. */
+  /** Records the machines of the first list; `machines` is empty if the list did not arrive in time. */
   recordFirstList(machines: readonly Machine[]): void {
     if (this.state !== 'open') return;
     this.state = 'recording';
@@ -51,18 +52,18 @@
       this.store.put(machine, () => {
         if (machine.recorded === 'no') machine.recorded = 'yes';
         unconfirmed.delete(machine);
-        if (unconfirmed.size === 0) this.close();
+        if (unconfirmed.size === 0) this.recordCompletion();
       });
     }
-    if (unconfirmed.size === 0) this.close();
+    if (unconfirmed.size === 0) this.recordCompletion();
     else
       this.term.after(CONFIRMATION_TIMEOUT, () => {
-        this.close();
+        this.recordCompletion();
       });
   }
 
-  /** Puts on record that the pre-provisioned machines are known. */
-  private close(): void {
+  /** Records that all pre-provisioned machines are recorded. */
+  private recordCompletion(): void {
     if (this.state !== 'recording') return;
     this.state = 'closing';
     this.writer.put(
@@ -71,7 +72,7 @@
       () => {
         this.state = 'closed';
         this.logRecorded();
-        this.closed();
+        this.onRecorded();
       },
     );
   }
--- a/packages/core/src/machines/scale-out.ts
+++ b/packages/core/src/machines/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: requests machines from the cloud, and repeats requests that got no answer under the same name. */
+/** Scale-out: requests machines from the cloud, and retries unanswered requests under the same name. */
 import type { CloudReply } from '../domain/cloud.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -7,14 +7,14 @@
 import { type CapacityOffers, MAX_MACHINES_PER_REQUEST, type OfferState } from './capacity-offers.js';
 
 const MAX_RETRIES = 4;
-/** Pause before the first retry; each later one waits so much longer. */
+/** Delay before the first retry; each later delay is longer by the same amount. */
 const RETRY_DELAY: Micros = SECOND;
-/** Urgency of provisioning calls. */
+/** Urgency of provisioning calls, between deletions and list calls. */
 const URGENCY = 1;
 
-/** One request for machines; sent again under its name until it is answered. */
+/** A provisioning request; retries use the same name. */
 interface ProvisioningRequest {
-  /** Unique for all time: the cloud executes a request once, however often it is sent. */
+  /** Idempotency key, never reused: the cloud executes a request only once, however often it is sent. */
   readonly name: string;
   readonly capacity: CapacityOffer;
   readonly count: number;
@@ -22,12 +22,12 @@
   readonly requestedAt: Micros;
 }
 
-/** Requests machines, one request at a time for each kind of capacity. */
+/** Sends provisioning requests, one at a time for each kind of capacity. */
 export class ScaleOut {
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly context: NodeContext,
     private readonly host: Pick<
       AutoscalerHost,
       'term' | 'recordProvisioned' | 'schedulePass' | 'isActive' | 'canActAsLeader'
@@ -35,18 +35,18 @@
     private readonly offers: CapacityOffers,
   ) {}
 
-  /** Requests `count` machines, as far as one request may; nothing if this capacity can't be asked for now. */
+  /** Requests up to `count` machines, limited by the request size; does nothing while the capacity is unavailable. */
   request(capacity: CapacityOffer, count: number): void {
     const offer = this.offers.stateOf(capacity);
     if (!this.offers.isAvailable(offer)) return;
     offer.inFlight = true;
     const request: ProvisioningRequest = {
-      // The term is held by one process only, so the name is never used again, not even by another node.
-      name: `r-${this.host.term}-${this.requests++}`,
+      // Only one process holds a term, so no other node can use the same name.
+      name: `r-${this.host.term}-${this.requestCount++}`,
       capacity,
       count: Math.min(count, MAX_MACHINES_PER_REQUEST),
       offer,
-      requestedAt: this.ctx.now,
+      requestedAt: this.context.now,
     };
     this.send(request, 0);
   }
@@ -54,8 +54,14 @@
   private send(request: ProvisioningRequest, retries: number): void {
     const { name, count } = request;
     const { type, zone, spot } = request.capacity;
-    this.ctx.info('autoscaler.scale_out_requested', { request: name, type: type.name, zone, spot, count });
-    this.ctx.requestCloud(
+    this.context.info('autoscaler.scale_out_requested', {
+      request: name,
+      type: type.name,
+      zone,
+      spot,
+      count,
+    });
+    this.context.requestCloud(
       { kind: 'rent', request: name, type: type.name, zone, spot, count },
       URGENCY,
       (reply) => {
@@ -77,18 +83,18 @@
   ): void {
     offer.inFlight = false;
     offer.refusals = 0;
-    // Fewer than asked for: there are no more for now.
+    // The cloud has no more capacity of this kind for now.
     if (machines.length < count) this.offers.recordRefusal(offer);
     for (const machine of machines)
       this.host.recordProvisioned(machine, capacity.type.name, capacity.zone, capacity.spot, requestedAt);
-    this.ctx.info('autoscaler.machines_provisioned', { request: name, machines });
+    this.context.info('autoscaler.machines_provisioned', { request: name, machines });
     this.host.schedulePass();
   }
 
   private handleNoCapacity({ name, capacity, offer }: ProvisioningRequest): void {
     offer.inFlight = false;
     this.offers.recordRefusal(offer);
-    this.ctx.info('autoscaler.capacity_refused', {
+    this.context.info('autoscaler.capacity_refused', {
       request: name,
       type: capacity.type.name,
       zone: capacity.zone,
@@ -97,11 +103,11 @@
     this.host.schedulePass();
   }
 
-  /** The same name again: if the first request was executed, the retry provisions nothing more. */
+  /** Retries under the same name: if the first request was executed, the retry provisions nothing more. */
   private retryLater(request: ProvisioningRequest, retries: number): void {
-    this.ctx.after((1 + retries) * RETRY_DELAY, () => {
+    this.context.after((1 + retries) * RETRY_DELAY, () => {
       if (!this.host.isActive()) return;
-      // Without the leader lease nothing more is asked for; what was granted all the same shows in the list.
+      // Without the leader lease nothing is requested; machines provisioned by earlier tries appear in the list.
       if (this.host.canActAsLeader()) this.send(request, retries + 1);
       else this.offers.recordFailure(request.offer);
     });
