--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -1,7 +1,7 @@
 /**
- * Cancels the jobs that depend on a cancelled one: a few in each transaction, each by compare-and-swap on its own record.
- * All of them are queued at once, so that a chain of dependencies needs no round trip for each level. What a crash leaves
- * undone the next leader finds again, since it follows from the records alone.
+ * Cancels the jobs that depend on a cancelled one, in batched transactions with a compare-and-swap on each job's record.
+ * All transitive dependents are queued at once, so a chain of dependencies needs no round trip per level. After a crash,
+ * the next leader derives the remaining cancellations from the records alone.
  */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { encodeEndedJob } from '../codecs/job-codec.js';
@@ -10,35 +10,35 @@
 import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
-/** Writes that the cancellation of one job takes. */
+/** Number of writes per cancelled job. */
 const WRITES_PER_JOB = 2;
-/** Urgency of writing the cancellations. */
+/** Urgency of the cancellation writes. */
 const WRITE_URGENCY = 1;
-/** After which time a transaction that was refused is repeated with fewer jobs. */
+/** Delay before a refused transaction is retried with fewer jobs. */
 const REFUSED_RETRY_US: Micros = SECOND;
-/** After which time a transaction that got no usable answer is repeated. */
+/** Delay before a transaction without a usable reply is retried. */
 const FAILED_RETRY_US: Micros = 300 * MILLI;
 
-/** What the propagation needs of the leader, and reports to it. */
+/** State of the leader that the propagation requires, and events that it reports. */
 export interface PropagationEvents {
-  /** Version of the leader lease's key; all writes depend on it. */
-  readonly leadVersion: number;
-  /** Whether the leader's term still goes on. */
+  /** Version of the leader key, on which all writes are conditional. */
+  readonly leaderKeyVersion: number;
+  /** Whether the leader's term has not ended. */
   isActive(): boolean;
-  /** Another leader has been elected. */
+  /** A write failed because another leader has been elected. */
   onFenced(): void;
-  /** The job's record now states its cancellation. */
+  /** The job's cancellation is recorded. */
   cancelled(job: ActiveJob): void;
-  /** The job's record changed meanwhile: its outcome has to be read. */
-  recordMoved(job: ActiveJob): void;
+  /** The job's record was changed by another write, so its outcome has to be read. */
+  recordChanged(job: ActiveJob): void;
 }
 
-/** Writes the cancellation of jobs whose dependencies failed. */
+/** Records the cancellation of jobs whose dependencies failed. */
 export class DependencyFailurePropagation {
   private queue: ActiveJob[] = [];
-  /** Whether a transaction is under way or scheduled. */
-  private busy = false;
-  /** Most jobs in one transaction. */
+  /** Whether a transaction is in flight or scheduled. */
+  private transactionPending = false;
+  /** Maximum number of jobs per transaction; halved after each refusal. */
   private batchLimit: number;
 
   constructor(
@@ -48,10 +48,10 @@
     this.batchLimit = Math.max(1, Math.floor(context.settings.maxTransactionOperations / WRITES_PER_JOB));
   }
 
-  /** Queues jobs for cancellation. */
+  /** Queues jobs for cancellation, and sends the next transaction unless one is pending. */
   add(jobs: readonly ActiveJob[]): void {
     this.queue.push(...jobs);
-    if (!this.busy) this.flush();
+    if (!this.transactionPending) this.flush();
   }
 
   private flushAfter(delay: Micros): void {
@@ -63,15 +63,15 @@
   private flush(): void {
     this.queue = this.queue.filter((job) => job.phase === 'active');
     const batch = this.queue.slice(0, this.batchLimit);
-    this.busy = batch.length > 0;
+    this.transactionPending = batch.length > 0;
     if (batch.length === 0) return;
-    this.context.requestStore(this.cancellationOf(batch), WRITE_URGENCY, (reply) => {
+    this.context.requestStore(this.cancelTransaction(batch), WRITE_URGENCY, (reply) => {
       if (this.host.isActive()) this.handleReply(batch, reply);
     });
   }
 
-  private cancellationOf(batch: readonly ActiveJob[]): StoreOperation {
-    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.host.leadVersion }];
+  private cancelTransaction(batch: readonly ActiveJob[]): StoreOperation {
+    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.host.leaderKeyVersion }];
     const writes: StoreWrite[] = [];
     for (const job of batch) {
       conditions.push({ key: activeJobKey(job.id), version: job.version });
@@ -100,10 +100,10 @@
     } else this.flushAfter(FAILED_RETRY_US);
   }
 
-  /** Records moved: their users cancelled the jobs too, or an earlier try of this transaction was executed after all. */
+  /** Drops and reports jobs whose records changed: cancelled by their users, or by an earlier try of this transaction. */
   private handleConflict(batch: readonly ActiveJob[], failedKeys: ReadonlySet<string>): void {
     this.queue = this.queue.filter((job) => !failedKeys.has(activeJobKey(job.id)));
-    for (const job of batch) if (failedKeys.has(activeJobKey(job.id))) this.host.recordMoved(job);
+    for (const job of batch) if (failedKeys.has(activeJobKey(job.id))) this.host.recordChanged(job);
     this.flush();
   }
 }
--- a/packages/core/src/jobs/dependency-graph.ts
+++ b/packages/core/src/jobs/dependency-graph.ts
@@ -1,34 +1,35 @@
 /**
  * The dependency graph of jobs (a DAG). A job is blocked until the records of all its dependencies state `done`; it fails
- * once one of them, direct or transitive, is cancelled. Both are final: records of ended jobs never change.
+ * once one of them, direct or transitive, is cancelled. Both are final, since records of ended jobs never change.
  *
- * There are no cycles: a job names only jobs that were accepted before it, never itself, and its dependencies never change.
- * So the versions of the jobs' records, which are those of their acceptance, are a topological order of the graph.
+ * The graph has no cycles: a job can depend only on jobs that were accepted before it, and its dependencies never change.
+ * Record versions, which are assigned when jobs are accepted, are therefore a topological order of the graph.
  */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { latestFinish } from '../cluster/deadline-chain.js';
 import type { Micros } from '../domain/time.js';
 
-/** How a job ended, as its record states. */
+/** Outcome of an ended job, as recorded. */
 export interface JobOutcome {
+  /** `done` if all tasks completed. */
   readonly stage: 'done' | 'cancelled';
-  /** Time of day of the end; null where the record doesn't state it. */
+  /** Wall-clock time of the end; null if the record doesn't state it. */
   readonly endedAt: Micros | null;
 }
 
-/** What the graph needs of the leader, and reports to it. */
+/** State of the leader that the graph requires, and events that it reports. */
 export interface DependencyEvents {
-  /** A job that has not ended as far as the leader knows. */
-  job(id: string): ActiveJob | undefined;
-  /** Reads the record of an ended job; its outcome is passed to `DependencyGraph.ended` later. */
+  /** Finds a job that has not ended, as far as the leader knows. */
+  findJob(id: string): ActiveJob | undefined;
+  /** Reads the record of an ended job; its outcome is passed to `DependencyGraph.recordOutcome` later. */
   readOutcome(id: string): void;
-  /** All dependencies of the job are done. */
+  /** All dependencies of the job are done, so it may start. */
   dependenciesMet(job: ActiveJob): void;
-  /** These jobs can never run, and their cancellation has to be written. `cause`: id of the cancelled dependency. */
+  /** These jobs can never run and have to be cancelled. `cause` is the id of the cancelled dependency. */
   dependencyFailed(jobs: readonly ActiveJob[], cause: string): void;
-  /** Predicted time from the moment when a job's dependencies are met to its end. */
+  /** Predicted time from when a job's dependencies are met to its end. */
   expectedDuration(job: ActiveJob): Micros;
-  /** Present time of day. */
+  /** Current wall-clock time. */
   readonly wallNow: Micros;
 }
 
@@ -38,19 +39,19 @@
   private readonly dependents = new Map<string, Set<ActiveJob>>();
   /** Dependencies that are not done yet, by blocked job. */
   private readonly unmet = new Map<ActiveJob, Set<string>>();
-  /** Outcomes of dependencies, as their records state, while any job still depends on them. */
+  /** Recorded outcomes of dependencies, kept while any job depends on them. */
   private readonly outcomes = new Map<string, JobOutcome>();
-  /** Whether inherited priorities and deadlines have to be computed anew. */
+  /** Whether inherited priorities and deadlines have to be recomputed. */
   private inheritanceStale = false;
 
   constructor(private readonly host: DependencyEvents) {}
 
-  /** How many jobs are blocked. */
+  /** Number of jobs with unmet dependencies. */
   get blockedCount(): number {
     return this.unmet.size;
   }
 
-  /** The dependencies that a blocked job still waits for. */
+  /** Ids of the dependencies that are not done yet; empty if the job isn't blocked. */
   unmetDependencies(job: ActiveJob): readonly string[] {
     return [...(this.unmet.get(job) ?? [])];
   }
@@ -60,12 +61,12 @@
     return this.dependents.get(id) ?? [];
   }
 
-  /** Whether another job depends on this one, whose outcome is not known yet. */
+  /** Whether other jobs depend on this one and its outcome is not known yet. */
   isAwaitingOutcome(id: string): boolean {
     return this.dependents.has(id) && !this.outcomes.has(id);
   }
 
-  /** Adds a job: it is blocked, released at once, or fails, depending on the outcomes known so far. */
+  /** Adds a job with dependencies: by the outcomes known so far, it is released at once, blocked, or failed. */
   add(job: ActiveJob): void {
     const { dependsOn } = job.spec;
     if (dependsOn.length === 0) return;
@@ -81,7 +82,7 @@
         continue;
       }
       unmet.add(id);
-      const dependency = this.host.job(id);
+      const dependency = this.host.findJob(id);
       if (outcome?.stage === 'cancelled' || dependency?.dependencyFailed === true) failedDependency = id;
       else if (dependency === undefined || dependency.phase === 'ended') this.host.readOutcome(id);
     }
@@ -94,7 +95,7 @@
     if (failedDependency !== null) this.propagateFailure([job], failedDependency);
   }
 
-  /** A job's other times count from the moment when the last of its dependencies is done. */
+  /** Updates the time when the job's last dependency was met, from which its other times count. */
   private recordMet(job: ActiveJob, outcome: JobOutcome): void {
     const metAt = outcome.endedAt ?? this.host.wallNow;
     job.dependenciesMetAt = Math.max(job.dependenciesMetAt ?? job.acceptedAt, metAt);
@@ -121,7 +122,7 @@
     }
   }
 
-  /** Marks these jobs and all that depend on them, directly or transitively, as failed, and reports them together. */
+  /** Marks these jobs and all their transitive dependents as failed, and reports them together. */
   private propagateFailure(first: readonly ActiveJob[], cause: string): void {
     const failed: ActiveJob[] = [];
     const pending = [...first];
@@ -134,7 +135,7 @@
     if (failed.length > 0) this.host.dependencyFailed(failed, cause);
   }
 
-  /** Removes a job that has ended, whatever its outcome, as a dependent of others. */
+  /** Removes an ended job as a dependent of others, whatever its outcome. */
   remove(job: ActiveJob): void {
     this.unmet.delete(job);
     for (const id of job.spec.dependsOn) {
@@ -148,9 +149,9 @@
   }
 
   /**
-   * Computes inherited priorities and deadlines, if the graph has changed or `force` is set. A job has the highest priority
-   * of those that depend on it, and has to be done in time for them: worked backwards from the due times of the last
-   * jobs, the latest accepted first. Linear in the number of dependencies, apart from the sorting.
+   * Recomputes inherited priorities and deadlines if the graph has changed or `force` is set. A job inherits the highest
+   * priority of its dependents, and the tightest deadline that lets them meet theirs. Both are propagated backwards, from
+   * the latest accepted job on. Linear in the number of dependencies, apart from the sorting.
    */
   refreshInheritance(force: boolean): void {
     if (!this.inheritanceStale && !force) return;
@@ -164,11 +165,11 @@
       this.inheritFrom(job);
   }
 
-  /** All jobs that have not ended and that depend on another one, or that another one depends on. */
+  /** All jobs that have not ended and that are dependents or dependencies of others. */
   private linkedJobs(): Set<ActiveJob> {
     const linked = new Set<ActiveJob>();
     for (const [id, dependents] of this.dependents) {
-      const dependency = this.host.job(id);
+      const dependency = this.host.findJob(id);
       if (dependency !== undefined) linked.add(dependency);
       for (const job of dependents) linked.add(job);
     }
@@ -182,7 +183,7 @@
     const ownDue = job.spec.deadlineUs === null ? Infinity : job.acceptedAt + job.spec.deadlineUs;
     const last = ownDue <= inheritedDue ? job : chain?.last;
     for (const id of job.spec.dependsOn) {
-      const dependency = this.host.job(id);
+      const dependency = this.host.findJob(id);
       if (dependency === undefined) continue;
       if (job.priority > dependency.priority) dependency.priority = job.priority;
       if (last === undefined || last.spec.deadlineUs === null) continue;
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -1,4 +1,7 @@
-/** Reads how jobs ended, a few at a time: after a failover, every ended job that another one still depends on. */
+/**
+ * Reads the outcomes of jobs whose end this leader has not written itself, with limited concurrency. After a failover,
+ * these are all ended jobs that others still depend on.
+ */
 import { decodeEndedJob } from '../codecs/job-codec.js';
 import { endedJobKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
@@ -6,35 +9,33 @@
 import type { NodeContext } from '../node/node-context.js';
 import type { JobOutcome } from './dependency-graph.js';
 
-/** Most records that are read at the same time. */
+/** Maximum number of concurrent reads. */
 const MAX_CONCURRENT_READS = 6;
-/** Urgency of reading a record. */
+/** Urgency of record reads. */
 const READ_URGENCY = 1;
-/** After which time a record that could not be decoded is read again. */
+/** Delay before a record that could not be decoded is read again. */
 const UNREADABLE_RETRY_US: Micros = 10 * SECOND;
-/** After which time a record that is not there yet is read again. */
+/** Delay before a missing record is read again. */
 const MISSING_RETRY_US: Micros = 400 * MILLI;
 
-/** Finds out how jobs ended whose records this leader has not written itself. */
-
 /** Reads the records of ended jobs that others depend on. */
 export class DependencyOutcomeResolver {
-  /** Jobs that are queued or being read. */
+  /** Ids of jobs whose records are queued or being read. */
   private readonly requested = new Set<string>();
   private readonly queue: string[] = [];
   private readsInFlight = 0;
 
   constructor(
     private readonly context: NodeContext,
-    /** Whether this leader's term still goes on. */
-    private readonly active: () => boolean,
-    /** Whether another job still depends on it, and it is no longer among the jobs that have not ended. */
+    /** Whether this leader's term has not ended. */
+    private readonly isActive: () => boolean,
+    /** Whether a job has ended, as far as the leader knows, and others still await its outcome. */
     private readonly isAwaited: (id: string) => boolean,
-    /** Receives the outcome that a record holds. */
+    /** Called with the outcome of a job once its record is read. */
     private readonly onResolved: (id: string, outcome: JobOutcome) => void,
   ) {}
 
-  /** Reads the record of an ended job, repeatedly until it is there or no longer needed. */
+  /** Reads the record of an ended job, with retries until it is found or no longer needed. */
   resolve(id: string): void {
     if (this.requested.has(id)) return;
     this.requested.add(id);
@@ -53,11 +54,11 @@
 
   private read(id: string): void {
     this.context.requestStore({ kind: 'get', key: endedJobKey(id) }, READ_URGENCY, (reply) => {
-      if (!this.active()) return;
+      if (!this.isActive()) return;
       this.readsInFlight--;
       this.requested.delete(id);
       if (reply.kind === 'item') this.decode(id, reply.item);
-      // Not there: the job has not ended yet, and this leader has still to learn that it was accepted.
+      // The record is missing: the job has not ended, and this leader doesn't know yet that it was accepted.
       else this.retryAfter(id, MISSING_RETRY_US);
       this.startReads();
     });
@@ -75,7 +76,7 @@
 
   private retryAfter(id: string, delay: Micros): void {
     this.context.after(delay, () => {
-      if (this.active() && this.isAwaited(id)) this.resolve(id);
+      if (this.isActive() && this.isAwaited(id)) this.resolve(id);
     });
   }
 }
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -1,4 +1,4 @@
-/** How jobs end: counts completed tasks, moves the record from `j/` to `t/`, and notifies what depends on it. */
+/** Job completion: counts completed tasks, moves the record of an ended job from `j/` to `t/`, and reports its outcome. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import { decodeEndedJob, encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
@@ -7,42 +7,42 @@
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { JobOutcome } from './dependency-graph.js';
 
-/** Urgency of reading and writing the records of ending jobs. */
+/** Urgency of reads and writes of the records of ending jobs. */
 const RECORD_URGENCY = 1;
-/** After which time the end of a job is written again that the state service refused. */
+/** Delay before a transaction that the state service refused is retried. */
 const REFUSED_RETRY_US: Micros = 5 * SECOND;
-/** After which time the end of a job is written again that got no usable answer. */
+/** Delay before a transaction without a usable reply is retried. */
 const FAILED_RETRY_US: Micros = 200 * MILLI;
-/** After which time the record of an ended job is read again. */
+/** Delay before the record of an ended job is read again, if it was missing or could not be read. */
 const CONFIRM_RETRY_US: Micros = 300 * MILLI;
 
-/** What is notified of the end of jobs. */
+/** Receives events about the end of jobs. */
 export interface CompletionEvents {
-  /** The outcome is recorded: polls on this node are answered with it from now on. */
+  /** The outcome is recorded; this node answers polls with it from now on. */
   recordTerminalState(id: string, stage: 'done' | 'cancelled', done: number): void;
-  /** The job has ended; a null outcome has still to be read from its record. */
-  ended(job: ActiveJob, end: JobOutcome | null): void;
-  /** The attempt has to be stopped, as its job has ended. */
+  /** The job has ended; if the outcome is null, it has yet to be read from the record. */
+  ended(job: ActiveJob, outcome: JobOutcome | null): void;
+  /** The attempt has to be stopped, since its job has ended. */
   stop(attempt: TaskAttempt): void;
-  /** The job's progress need not be stored any more. */
+  /** The job's progress no longer has to be stored. */
   dropProgress(job: ActiveJob): void;
-  /** The job has ended, and no attempt of it is left on any machine. */
+  /** The job has ended and none of its attempts is left on any machine, so its state can be dropped. */
   forget(job: ActiveJob): void;
 }
 
-/** Ends the jobs of one leader's term. */
+/** Records the completion and the cancellation of jobs during one leader's term. */
 export class JobCompletion {
   constructor(
     private readonly term: LeaderTerm,
     private readonly host: CompletionEvents,
   ) {}
 
-  /** Records that a task is complete, and ends its job if that was the last one. */
+  /** Marks a task as complete, and ends its job if it was the last one. */
   markDone(job: ActiveJob, index: number): void {
     if (index >= job.spec.tasks) return;
     let added = false;
     if (job.spec.shape === 'gang') {
-      // The members of a gang complete together.
+      // All tasks of a gang complete together.
       for (let i = 0; i < job.spec.tasks; i++) added = job.done.add(i) || added;
     } else added = job.done.add(index);
     if (!added) return;
@@ -54,12 +54,12 @@
   }
 
   /**
-   * The job's record moved, mostly because its user cancelled it. None of its tasks is started from here on. Jobs that
-   * depend on it follow the outcome in its record, which is read if `stage` is null.
+   * Ends a job whose active record is gone, mostly because its user cancelled it. No more of its tasks are started, and its
+   * running attempts are stopped. Its dependents follow the recorded outcome, which is read if `stage` is null.
    */
   recordEnd(job: ActiveJob, stage: 'done' | 'cancelled' | null): void {
     if (job.phase === 'ended') return;
-    const { context: context } = this.term;
+    const { context } = this.term;
     job.phase = 'ended';
     job.cancelled = stage !== 'done';
     context.info('job.ended', {
@@ -74,12 +74,12 @@
     this.term.schedulePass();
   }
 
-  /** Forgets the job if it has ended and none of its attempts is left. */
+  /** Drops the job's state if the job has ended and none of its attempts is left. */
   dropIfEmpty(job: ActiveJob): void {
     if (job.phase === 'ended' && job.liveAttempts.size === 0) this.host.forget(job);
   }
 
-  /** Writes the end of a complete job, at once and not batched with others: a poll three seconds later must see it. */
+  /** Writes the end of a complete job at once, without batching: a poll three seconds later must see it. */
   finish(job: ActiveJob): void {
     if (job.phase !== 'active' || this.term.hasEnded) return;
     job.phase = 'finishing';
@@ -111,7 +111,7 @@
     }
     if (reply.kind === 'conflict') {
       if (reply.failed.includes(LEADER_KEY)) this.term.election.stepDown('fenced');
-      // The job's record moved: it was cancelled, or an earlier try of this write was executed after all.
+      // The job's record has changed: it was cancelled, or an earlier try of this transaction was executed after all.
       else this.readOutcome(job);
       return;
     }
@@ -122,16 +122,16 @@
   }
 
   private completeEnd(job: ActiveJob, endedAt: Micros): void {
-    const { context: context } = this.term;
+    const { context } = this.term;
     job.phase = 'ended';
     this.host.recordTerminalState(job.id, 'done', job.spec.tasks);
     context.info('job.completed', { job: job.id, afterS: (context.wallNow - job.acceptedAt) / SECOND });
     this.host.dropProgress(job);
-    this.host.ended(job, { stage: 'done', endedAt: endedAt });
+    this.host.ended(job, { stage: 'done', endedAt });
     this.dropIfEmpty(job);
   }
 
-  /** Reads how a job ended whose record was moved by another node, or by an earlier try of this leader. */
+  /** Reads the outcome of a job that was ended by another node, or by an earlier try of this leader. */
   readOutcome(job: ActiveJob): void {
     this.term.context.requestStore({ kind: 'get', key: endedJobKey(job.id) }, RECORD_URGENCY, (reply) => {
       if (this.term.hasEnded) return;
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -194,7 +194,7 @@
       get wallNow(): Micros {
         return context.wallNow;
       },
-      job: (id) => {
+      findJob: (id) => {
         const job = cluster.jobs.get(id);
         return job?.phase === 'ended' ? undefined : job;
       },
@@ -278,14 +278,14 @@
 
   private createFailurePropagation(): DependencyFailurePropagation {
     return new DependencyFailurePropagation(this.context, {
-      leadVersion: this.lease.keyVersion,
+      leaderKeyVersion: this.lease.keyVersion,
       isActive: this.isActive,
       onFenced: this.stepDownAsFenced,
       cancelled: (job) => {
         this.jobService.recordTerminalState(job.id, 'cancelled', 0, job.spec.shape === 'service');
         this.completion.recordEnd(job, 'cancelled');
       },
-      recordMoved: (job) => {
+      recordChanged: (job) => {
         this.completion.readOutcome(job);
       },
     });
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -185,7 +185,7 @@
     );
     const graph = new DependencyGraph({
       wallNow: 0,
-      job: (id) => jobs.get(id),
+      findJob: (id) => jobs.get(id),
       readOutcome: () => assert.fail('all jobs are known'),
       dependenciesMet: () => undefined,
       dependencyFailed: () => assert.fail('no job is cancelled'),
