--- a/packages/core/src/leader/admission-holds.ts
+++ b/packages/core/src/leader/admission-holds.ts
@@ -1,14 +1,14 @@
-/** Jobs that a feature holds back before any task of them has begun. */
+/** Admission holds: features may keep a job from starting before any of its tasks has started. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
 import type { FeatureRegistry } from './feature-registry.js';
 
-/** A job that could begin for no longer than this counts as a new arrival, by which demand is forecast. */
-export const NEW_ARRIVAL: Micros = 5 * SECOND;
+/** A job that became startable no longer ago than this counts as an arrival in the demand forecast. */
+export const MAX_ARRIVAL_AGE: Micros = 5 * SECOND;
 
-/** Asks the features for each job that has not begun, and notes what holds it back. */
+/** Queries the features for each job that has not started, and records the resulting hold. */
 export class AdmissionHolds {
   constructor(
     private readonly term: LeaderTerm,
@@ -16,7 +16,7 @@
     private readonly autoscaler: Pick<Autoscaler, 'recordArrival'>,
   ) {}
 
-  /** Asks again for every job, the oldest first: the reason for a hold may have passed. */
+  /** Re-evaluates the holds of all jobs, the oldest first. */
   updateAll(): void {
     if (this.features.isEmpty) return;
     const jobs = [...this.term.cluster.jobs.values()];
@@ -24,21 +24,21 @@
     for (const job of jobs) this.update(job);
   }
 
-  /** Asks for one job. */
+  /** Re-evaluates the hold of one job. */
   update(job: ActiveJob): void {
     if (this.features.isEmpty || job.phase !== 'active') return;
-    // A job that has begun goes on to its end; one that waits for other jobs is asked for once it need not.
+    // A started job is never held. A job blocked on dependencies is evaluated once they are met.
     const hold = job.hasStarted || job.blockedOnDependencies ? null : this.features.admissionHold(job);
-    const former = job.admissionHold;
-    if (hold === null ? former === null : hold.reason === former?.reason) return;
-    const { context: ctx } = this.term;
-    // Holds that pass with a change of leader were once logged for every job that had not begun, each time.
-    const wasLogged = former !== null && !former.transient;
+    const previous = job.admissionHold;
+    if (hold === null ? previous === null : hold.reason === previous?.reason) return;
+    const { context } = this.term;
+    // Transient holds are not logged: each change of leader would log them for every job that has not started.
+    const wasLogged = previous !== null && !previous.transient;
     if (hold !== null && !hold.transient && !wasLogged)
-      ctx.info('job.admission_held', { job: job.id, reason: hold.reason });
+      context.info('job.admission_held', { job: job.id, reason: hold.reason });
     if (hold === null) {
-      if (wasLogged) ctx.info('job.admission_released', { job: job.id, after: former.reason });
-      if (ctx.wallNow - job.acceptedAt < NEW_ARRIVAL) this.autoscaler.recordArrival(job.spec);
+      if (wasLogged) context.info('job.admission_released', { job: job.id, after: previous.reason });
+      if (context.wallNow - job.acceptedAt < MAX_ARRIVAL_AGE) this.autoscaler.recordArrival(job.spec);
     }
     job.admissionHold = hold;
     this.term.schedulePass();
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -1,22 +1,22 @@
-/** A summary of capacity and of waiting work, in the log for operators. */
+/** Logs a summary of capacity and waiting work for operators. */
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Machines that are alike in type, zone and kind. */
+/** Machines of the same type, zone and kind (spot or on-demand). */
 interface PoolSummary {
   up: number;
   booting: number;
-  /** Free amounts. */
+  /** Free cores; like `gpus`, over all machines that are up. */
   cores: number;
   gpus: number;
   tasks: number;
 }
 
-const poolsOf = ({ context: ctx, cluster }: LeaderTerm): Record<string, PoolSummary> => {
+const summarizePools = ({ context, cluster }: LeaderTerm): Record<string, PoolSummary> => {
   const pools: Record<string, PoolSummary> = {};
   for (const machine of cluster.machines.values()) {
     const key = `${machine.type}/${machine.zone}${machine.spot ? '/spot' : ''}`;
     const pool = (pools[key] ??= { up: 0, booting: 0, cores: 0, gpus: 0, tasks: 0 });
-    const type = ctx.types.get(machine.type);
+    const type = context.types.get(machine.type);
     if (type === undefined) continue;
     if (!machine.up) {
       pool.booting++;
@@ -31,7 +31,7 @@
   return pools;
 };
 
-const waitingOf = ({ cluster }: LeaderTerm): Record<string, { jobs: number; tasks: number }> => {
+const summarizeWaitingJobs = ({ cluster }: LeaderTerm): Record<string, { jobs: number; tasks: number }> => {
   const waiting: Record<string, { jobs: number; tasks: number }> = {};
   for (const job of cluster.jobs.values()) {
     if (job.phase !== 'active' || job.blockedOnDependencies || job.waitingCount <= 0) continue;
@@ -42,8 +42,11 @@
   return waiting;
 };
 
-/** Logs the free capacity of each pool and the waiting jobs of each class. */
+/** Logs the free capacity of each pool and the waiting work of each job class, if verbose logging is enabled. */
 export const logClusterSummary = (term: LeaderTerm): void => {
   if (!term.context.verbose) return;
-  term.context.debug('cluster.summarized', { fleet: poolsOf(term), waiting: waitingOf(term) });
+  term.context.debug('cluster.summarized', {
+    fleet: summarizePools(term),
+    waiting: summarizeWaitingJobs(term),
+  });
 };
--- a/packages/core/src/leader/feature-registry.ts
+++ b/packages/core/src/leader/feature-registry.ts
@@ -1,4 +1,4 @@
-/** The features that are switched on, within one leader's term. */
+/** The enabled features within one leader's term. */
 import type { AdmissionHold } from '../cluster/admission-hold.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { ReportedTask } from '../domain/heartbeat.js';
@@ -10,7 +10,7 @@
   readonly term: FeatureTerm;
 }
 
-/** Calls all features. A mistake in one of them is logged, and keeps neither the others nor the core from going on. */
+/** Calls all enabled features. An exception in one of them is logged and affects neither the others nor the core. */
 export class FeatureRegistry {
   private readonly registered: readonly RegisteredFeature[];
 
@@ -25,12 +25,12 @@
     }));
   }
 
-  /** Whether no feature is switched on. */
+  /** Whether no feature is enabled. */
   get isEmpty(): boolean {
     return this.registered.length === 0;
   }
 
-  /** Notifies every feature, in the order in which they were switched on. */
+  /** Notifies every feature, in the order in which they were passed to the core. */
   notify(event: (feature: FeatureTerm) => void): void {
     for (const { name, term } of this.registered)
       this.term.context.guard(name, () => {
@@ -38,7 +38,7 @@
       });
   }
 
-  /** The first reason why a job may not begin now. A feature that fails to answer holds nothing back. */
+  /** The first hold that any feature requests for a job. A feature that throws requests none. */
   admissionHold(job: ActiveJob): AdmissionHold | null {
     let hold: AdmissionHold | null = null;
     this.notify((feature) => {
@@ -47,7 +47,7 @@
     return hold;
   }
 
-  /** Whether any feature has yet to record that an attempt was done. */
+  /** Whether any feature needs workers to retain the result of a completed attempt. */
   retainsResult(exit: ReportedTask): boolean {
     let retained = false;
     this.notify((feature) => {
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -1,49 +1,49 @@
 /**
- * Whether this node does a leader's work in time, by how late its own timers fire. A slowed-down leader once kept its lease for
- * 40 s: its renewals arrived, so nobody else could lead, but heartbeats of its workers timed out until all worker leases had
- * expired (adresy-pomorze rough: 2,706 tasks killed). A state machine without I/O: callers pass the times.
+ * Detects a leader that is too slow, by late timers and late answers to lease renewals. A slowed-down leader once kept its
+ * lease for 40 s: its renewals arrived, so no other controller could lead, but heartbeats of its workers timed out until all
+ * worker leases had expired (adresy-pomorze rough: 2,706 tasks killed). Performs no I/O; callers pass the times.
  */
 import { type Micros, MILLI, SECOND } from '../domain/time.js';
 
-/** A timer that fires later than that counts as late; a worker waits four seconds for its answer. */
+/** A timer with a longer delay counts as late; for comparison, a worker waits four seconds for an answer. */
 const MAX_TIMER_DELAY: Micros = SECOND;
-/** Answers to lease renewals that are further apart count as late. */
+/** A longer gap between answers to lease renewals counts as late. */
 const MAX_RENEWAL_GAP: Micros = 2_500 * MILLI;
-/** Late events within the window that make an overloaded leader; a process that was paused once is late once. */
+/** Late events within the window that mean overload. A single pause of the process causes only one. */
 const OVERLOAD_COUNT = 3;
-const WINDOW: Micros = 20 * SECOND;
+const OVERLOAD_WINDOW: Micros = 20 * SECOND;
 
-/** Counts late timers and late lease renewals of this node. */
+/** Counts the late timers and late lease renewals of this node within a sliding window. */
 export class LeaderHealth {
-  private lateAt: Micros[] = [];
-  private lastDelay: Micros = 0;
-  private renewedAt: Micros | null = null;
+  private lateEventTimes: Micros[] = [];
+  private lastTimerDelay: Micros = 0;
+  private lastRenewalAt: Micros | null = null;
 
-  /** A timer that was due at `dueAt` fires now. `counts` is false where every leader would be late, as right after a failover. */
-  recordTimer(now: Micros, dueAt: Micros, counts = true): void {
-    this.lastDelay = now - dueAt;
-    this.lateAt = this.lateAt.filter((at) => at > now - WINDOW);
-    if (counts && now - dueAt > MAX_TIMER_DELAY) this.lateAt.push(now);
+  /** Records a timer that fires now. `isCounted` is false when any leader would be late, as right after a failover. */
+  recordTimer(now: Micros, dueAt: Micros, isCounted = true): void {
+    this.lastTimerDelay = now - dueAt;
+    this.lateEventTimes = this.lateEventTimes.filter((at) => at > now - OVERLOAD_WINDOW);
+    if (isCounted && now - dueAt > MAX_TIMER_DELAY) this.lateEventTimes.push(now);
   }
 
   /**
-   * A renewal of the lease was answered. Renewals are sent about every second and answered within milliseconds: a long gap means
-   * that answers were handled too late, though the store serves this node. Timers alone don't show that: they fire before what
-   * waits in sockets is handled.
+   * Records an answered lease renewal. Renewals are sent about every second and answered within milliseconds, so a long gap
+   * means that this node handled the answer late. Timers alone don't show that, since they fire before pending socket input
+   * is handled.
    */
-  recordRenewal(now: Micros, counts = true): void {
-    const gap = this.renewedAt === null ? 0 : now - this.renewedAt;
-    this.renewedAt = now;
-    if (counts && gap > MAX_RENEWAL_GAP) this.lateAt.push(now);
+  recordRenewal(now: Micros, isCounted = true): void {
+    const gap = this.lastRenewalAt === null ? 0 : now - this.lastRenewalAt;
+    this.lastRenewalAt = now;
+    if (isCounted && gap > MAX_RENEWAL_GAP) this.lateEventTimes.push(now);
   }
 
-  /** Whether the node is late right now: optional work had better wait. */
+  /** Whether the last timer was late, so that optional work should be postponed. */
   get isLagging(): boolean {
-    return this.lastDelay > MAX_TIMER_DELAY;
+    return this.lastTimerDelay > MAX_TIMER_DELAY;
   }
 
-  /** Whether the node was late so often that another controller should lead. */
+  /** Whether the node was late often enough that another controller should lead. */
   get isOverloaded(): boolean {
-    return this.lateAt.length >= OVERLOAD_COUNT;
+    return this.lateEventTimes.length >= OVERLOAD_COUNT;
   }
 }
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -1,4 +1,4 @@
-/** The periodic work of a leader: leases, silent machines, scale-in, queued commands, stored progress, and resignation. */
+/** Periodic work of a leader: leases, unresponsive machines, scale-in, queued commands, stored progress, resignation. */
 import { type Micros, MILLI } from '../domain/time.js';
 import type { Failover } from '../leadership/failover.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
@@ -19,8 +19,8 @@
 
 const INTERVAL: Micros = 500 * MILLI;
 
-/** How many rounds of the loop lie between two times of each kind of work. */
-const EVERY = {
+/** Number of rounds after which each kind of work is repeated. */
+const ROUND_INTERVALS = {
   progressMessage: 2,
   fullProgressMessage: 10,
   admissionHolds: 2,
@@ -31,25 +31,39 @@
   runtimeEstimates: 60,
 } as const;
 
-/** The parts of a term that the loop looks after. */
+/** Components of a term that need periodic work. */
 export interface MaintainedParts {
+  /** Reads stored state and watches job records; its watch is probed when it is late. */
   readonly failover: Failover;
+  /** Detects expired worker leases and unresponsive machines. */
   readonly failureDetector: MachineFailureDetector;
+  /** Scales in idle machines. */
   readonly autoscaler: Autoscaler;
+  /** Consolidates tasks on fewer machines. */
   readonly defragmentation: Defragmentation;
+  /** Dispatches queued commands and breaks incomplete gangs. */
   readonly attempts: AttemptLifecycle;
+  /** Plans waiting work, and names the machines that its last plan uses. */
   readonly planner: Planner;
+  /** Shows how many writes are queued. */
   readonly writer: FencedWriter;
+  /** Stores the progress of jobs. */
   readonly progressStore: ProgressStore;
+  /** Stores the machine records. */
   readonly machineStore: MachineStore;
+  /** Stores runtime estimates. */
   readonly records: TermRecords;
+  /** Sends the progress of jobs to the other controllers. */
   readonly progressPublisher: ProgressPublisher;
+  /** Re-evaluates the admission holds of waiting jobs. */
   readonly holds: AdmissionHolds;
+  /** Runs the periodic work of features. */
   readonly features: FeatureRegistry;
+  /** Records how late the loop's timer fires. */
   readonly health: LeaderHealth;
 }
 
-/** Runs twice a second for as long as the term lasts. */
+/** Runs a round of maintenance twice a second until the term ends. */
 export class MaintenanceLoop {
   private rounds = 0;
   private progressStoredAt: Micros = 0;
@@ -59,17 +73,17 @@
     private readonly parts: MaintainedParts,
   ) {}
 
-  /** Schedules the first round, and with it all further ones. */
+  /** Starts the loop. */
   start(): void {
     this.scheduleRound();
   }
 
   private scheduleRound(): void {
-    const { context: ctx } = this.term;
-    const dueAt = ctx.now + INTERVAL;
+    const { context } = this.term;
+    const dueAt = context.now + INTERVAL;
     this.term.after(INTERVAL, () => {
-      this.parts.health.recordTimer(ctx.now, dueAt, !this.term.inFailoverGracePeriod);
-      this.round();
+      this.parts.health.recordTimer(context.now, dueAt, !this.term.inFailoverGracePeriod);
+      this.runRound();
       this.scheduleRound();
     });
   }
@@ -78,14 +92,15 @@
     return this.rounds % every === 0;
   }
 
-  private round(): void {
+  private runRound(): void {
     const { failover, failureDetector, progressPublisher } = this.parts;
     this.rounds++;
     failover.probeIfStale();
     const canAct = this.term.canActAsLeader();
     failureDetector.recordLeaseState(canAct);
-    if (this.isDue(EVERY.progressMessage)) progressPublisher.publish(this.isDue(EVERY.fullProgressMessage));
-    if (this.resignIfBlind() || !this.term.isRestored) return;
+    if (this.isDue(ROUND_INTERVALS.progressMessage))
+      progressPublisher.publish(this.isDue(ROUND_INTERVALS.fullProgressMessage));
+    if (this.resignIfMissingCancellations() || !this.term.isRestored) return;
     if (canAct && this.resignIfOverloaded()) return;
     if (canAct) this.maintainMachines();
     this.storeProgress();
@@ -94,17 +109,17 @@
     });
     this.maintainPlans(canAct);
     this.maintainRecords();
-    if (this.isDue(EVERY.clusterSummary)) logClusterSummary(this.term);
+    if (this.isDue(ROUND_INTERVALS.clusterSummary)) logClusterSummary(this.term);
   }
 
-  /** Whether the leader resigned since it learns of no cancellations any more. */
-  private resignIfBlind(): boolean {
+  /** Resigns if this node no longer learns of cancellations; returns whether it did. */
+  private resignIfMissingCancellations(): boolean {
     if (!this.term.election.missesCancellations || !this.mayResign()) return false;
-    this.term.election.resign('hears nothing of cancellations');
+    this.term.election.resign('receives no cancellations');
     return true;
   }
 
-  /** Whether the leader resigned since its timers and renewals come too late. */
+  /** Resigns if timers and lease renewals of this node are repeatedly late; returns whether it did. */
   private resignIfOverloaded(): boolean {
     if (!this.parts.health.isOverloaded || !this.mayResign()) return false;
     this.term.election.resign('too slow to lead');
@@ -112,21 +127,22 @@
   }
 
   /**
-   * Another controller takes the lease at once. Handovers must not follow each other closely: a new leader is slow while all
-   * workers connect to it, and a leader that resigned stays the next time, for if all are slow none is better.
+   * Whether this leader may hand over to another controller, which takes the lease at once. Handovers are limited in rate: a
+   * new leader is slow while all workers connect to it. A leader that resigned recently stays, since another handover
+   * doesn't help if all controllers are slow.
    */
   private mayResign(): boolean {
-    const { context: ctx, election } = this.term;
-    const { now, settings } = ctx;
+    const { context, election } = this.term;
+    const { now, settings } = context;
     const { resignedAt, resignationInterval } = election;
     if (settings.peers.length === 0 || this.term.inFailoverGracePeriod) return false;
     return resignedAt === null || now - resignedAt > resignationInterval;
   }
 
   /**
-   * Only while the leader can act. Else others may have led and answered since, and silence, leases and gangs as they are known
-   * here show no more than that nobody reports to this controller: a leader that had been deposed for 33 s rented 56 machines.
-   * If its lease proves to hold after all, nobody else has led, and everything is looked at then.
+   * Runs only while this leader can act. Otherwise another one may be leading, and missing heartbeats, expired leases and
+   * incomplete gangs may only mean that workers report to that one: a leader that had been deposed for 33 s rented 56
+   * machines. If its lease turns out to be still held, the next round catches up.
    */
   private maintainMachines(): void {
     const { failureDetector, autoscaler, attempts, planner } = this.parts;
@@ -147,22 +163,22 @@
 
   private maintainPlans(canAct: boolean): void {
     const { holds, records, planner, defragmentation } = this.parts;
-    if (this.isDue(EVERY.admissionHolds)) holds.updateAll();
-    if (this.isDue(EVERY.runtimeEstimates)) records.saveRuntimeEstimates();
-    if (this.isDue(EVERY.plan) || planner.passPending) planner.schedulePass();
-    if (this.isDue(EVERY.defragmentation) && canAct && this.term.cluster.isCostSensitive())
+    if (this.isDue(ROUND_INTERVALS.admissionHolds)) holds.updateAll();
+    if (this.isDue(ROUND_INTERVALS.runtimeEstimates)) records.saveRuntimeEstimates();
+    if (this.isDue(ROUND_INTERVALS.plan) || planner.passPending) planner.schedulePass();
+    if (this.isDue(ROUND_INTERVALS.defragmentation) && canAct && this.term.cluster.isCostSensitive())
       defragmentation.consolidate();
   }
 
   private maintainRecords(): void {
     const { writer, machineStore, progressStore } = this.parts;
-    const { cluster, context: ctx } = this.term;
-    // Pages of the version before, or too large, are taken apart while nothing else waits to be written.
-    if (writer.backlog < ctx.settings.maxTransactionOperations) {
+    const { cluster, context } = this.term;
+    // Pages in the previous format or over the size limit are split up while no other writes are queued.
+    if (writer.backlog < context.settings.maxTransactionOperations) {
       machineStore.compact();
       progressStore.compact(cluster.jobs.values());
     }
-    if (!this.isDue(EVERY.stalePages)) return;
+    if (!this.isDue(ROUND_INTERVALS.stalePages)) return;
     machineStore.rewriteStalePages();
     progressStore.rewriteStalePages();
   }
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,4 +1,4 @@
-/** Carries out the steps of a plan, after checking them once more against the present cluster state. */
+/** Carries out the steps of a plan, after validating them against the current cluster state. */
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
 import { type Amounts, fits, placeAllowed, spreadLimit, takeFrom } from '../domain/resources.js';
@@ -6,17 +6,17 @@
 import type { PlanStep } from '../scheduling/plan-input.js';
 import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 
-/** Steps by job, in their order. */
+/** Steps of a plan by job, in planned order. */
 export type StepsByJob = ReadonlyMap<ActiveJob, readonly PlanStep[]>;
 
-/** Begins attempts for the steps of a plan. */
+/** Starts attempts for the steps of a plan that are still valid. */
 export class PlacementCommit {
   constructor(
     private readonly term: LeaderTerm,
     private readonly attempts: Pick<AttemptLifecycle, 'begin'>,
   ) {}
 
-  /** Begins the steps that are due now. A plan in several slices is older than the cluster state, so each step is checked again. */
+  /** Starts the steps that are due. The cluster may have changed between slices of the plan, so each step is validated. */
   startAll(stepsByJob: StepsByJob, planNow: number): void {
     const usage = this.term.cluster.usage();
     for (const [job, steps] of stepsByJob) this.start(job, steps, planNow, usage);
@@ -39,7 +39,7 @@
     );
   }
 
-  /** Machines with room that the job's constraints allow, one entry for each task. */
+  /** Machines with enough free resources that satisfy the job's constraints, one entry per task. */
   private machinesFor(job: ActiveJob, steps: readonly PlanStep[]): Machine[] {
     const { spec } = job;
     const chosen: Machine[] = [];
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,4 +1,4 @@
-/** One plan, from its snapshot to its last step, in slices: between two of them the node does its other work. */
+/** A plan in progress, computed in slices so that the node can do other work between them. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { type Micros, MILLI } from '../domain/time.js';
 import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
@@ -6,49 +6,52 @@
 import type { StepsByJob } from './placement-commit.js';
 import type { WaitingWork } from './waiting-groups.js';
 
-/** A slice ends with the first decision after that; inputs that wait behind it are handled within a few of these. */
+/** A slice ends with the first decision after this time, so that queued inputs wait for at most a few slices. */
 const SLICE_LENGTH: Micros = 30 * MILLI;
 
-/** Processor time of a plan's parts, in microseconds. */
+/** Processor time of the phases of a plan, in microseconds. */
 export interface PlanCost {
+  /** Collecting the waiting work. */
   readonly groupsUs: Micros;
+  /** Building the snapshot and searching placements. */
   searchUs: Micros;
+  /** Starting attempts, preempting and scaling out. */
   commitUs: Micros;
 }
 
-/** Processor time of a plan; the clock stands still between slices. */
+/** Measures the processor time of a plan, without the pauses between its slices. */
 export class PlanClock {
-  private before: Micros = 0;
-  private began: Micros;
+  private accumulated: Micros = 0;
+  private resumedAt: Micros;
 
   constructor(private readonly stopwatch: () => Micros) {
-    this.began = stopwatch();
+    this.resumedAt = stopwatch();
   }
 
-  /** Processor time so far. */
-  readonly elapsed = (): Micros => this.before + this.stopwatch() - this.began;
+  /** Processor time spent so far. */
+  readonly elapsed = (): Micros => this.accumulated + this.stopwatch() - this.resumedAt;
 
-  /** A slice has ended. */
+  /** Stops the clock at the end of a slice. */
   pause(): void {
-    this.before = this.elapsed();
+    this.accumulated = this.elapsed();
   }
 
-  /** The next slice begins. */
+  /** Continues the clock at the start of the next slice. */
   resume(): void {
-    this.began = this.stopwatch();
+    this.resumedAt = this.stopwatch();
   }
 }
 
-/** A plan under way. */
+/** State of one plan, from its snapshot to its last step. */
 export class PlanRun {
   private readonly stepsByJob = new Map<ActiveJob, PlanStep[]>();
   private readonly iterator: Generator<void>;
-  private committed = 0;
-  /** Slices that have begun. */
+  private takenStepCount = 0;
+  /** Number of slices started so far. */
   sliceCount = 0;
 
   constructor(
-    /** Only urgent work is planned, and nothing is preempted or scaled out for it. */
+    /** Whether the plan covers only urgent work; such a plan neither preempts nor scales out. */
     readonly urgentOnly: boolean,
     readonly waiting: WaitingWork,
     readonly now: Micros,
@@ -69,10 +72,10 @@
     return this.stepsByJob;
   }
 
-  /** Decides until the slice is over; returns whether everything is decided. */
-  advance(): boolean {
+  /** Searches until the slice is over; returns whether the plan is complete. */
+  runSlice(): boolean {
     const began = this.clock.elapsed();
-    // The time that the snapshot took counts towards the first slice.
+    // Building the snapshot counts towards the first slice.
     const end = (this.sliceCount++ === 0 ? 0 : began) + SLICE_LENGTH;
     let done = false;
     while (!done && this.clock.elapsed() < end) done = this.iterator.next().done === true;
@@ -80,12 +83,12 @@
     return done;
   }
 
-  /** Steps that were decided since the last call. */
+  /** Returns the steps decided since the last call. */
   takeSteps(): StepsByJob {
     const { steps } = this.search;
     const taken = new Map<ActiveJob, PlanStep[]>();
-    for (; this.committed < steps.length; this.committed++) {
-      const step = steps[this.committed]!;
+    for (; this.takenStepCount < steps.length; this.takenStepCount++) {
+      const step = steps[this.takenStepCount]!;
       const job = this.waiting.jobOf(step.group);
       if (job === undefined) continue;
       append(taken, job, step);
@@ -102,7 +105,7 @@
     return needed;
   }
 
-  /** The snapshot's slots may serve another plan from now on. */
+  /** Releases the slots of the snapshot for reuse by another plan. */
   releaseSlots(): void {
     this.search.release();
   }
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -1,6 +1,6 @@
 /**
- * Plans which waiting work begins where, by a search over the newest snapshot. Only the steps that begin now are carried out;
- * everything else is decided anew by the next plan.
+ * Plans where and when waiting tasks start, by a search over a snapshot of the cluster. Only the steps that start now are
+ * carried out; the next plan decides everything else again.
  */
 import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
@@ -16,34 +16,40 @@
 import { PlanClock, PlanRun } from './plan-run.js';
 import { WaitingGroups } from './waiting-groups.js';
 
-/** The pause after a plan, in multiples of what it took: requests of users and workers are answered in between. */
-const PAUSE_PER_PLAN_COST = 6;
-/** The shortest pause between two plans, however little they take. */
+/** Pause after a plan, as a multiple of its processor time, to answer requests of users and workers. */
+const PAUSE_PER_PLAN_CPU_TIME = 6;
+/** Shortest pause between two plans, however little processor time they take. */
 const MIN_PAUSE = 80 * MILLI;
-/** Events that come within this time are planned for together. */
+/** One plan covers all events that arrive within this time. */
 const BATCHING_DELAY = 15 * MILLI;
-/** A new leader plans only urgent work until all but this share of the machines is reconciled. */
+/** A new leader plans only urgent work while more than this share of the recorded machines is unreconciled. */
 const MAX_UNRECONCILED_SHARE = 0.1;
-/** Where nothing waits, spare capacity for arrivals is planned no more often than that. */
-const IDLE_PASS_INTERVAL = SECOND;
-/** Deadlines along dependencies are worked out anew at least this often, since predicted run times change. */
-const DEADLINE_CHAINS_MAX_AGE = 2 * SECOND;
-/** Plans are put off no longer than that while this node is late with its answers. */
+/** Shortest interval between plans while no work waits; they only size spare capacity for expected arrivals. */
+const MIN_IDLE_PASS_INTERVAL = SECOND;
+/** Deadlines along dependencies are recomputed at least this often, since predicted run times change. */
+const MAX_DEADLINE_CHAINS_AGE = 2 * SECOND;
+/** Longest time without a full plan while this node is late with its answers. */
 const MAX_DELAY_WHILE_LAGGING = 6 * SECOND;
-/** Urgent jobs that come within this time are planned for together. */
+/** One plan covers all urgent jobs that arrive within this time. */
 const URGENT_BATCHING_DELAY = 20 * MILLI;
-/** Between two slices of a plan, in which inputs that have come meanwhile are handled. */
+/** Pause between two slices of a plan, in which pending inputs are handled. */
 const SLICE_PAUSE = MILLI;
 
-/** What plans are made with, and what carries them out. */
+/** Components that provide the input of plans and carry them out. */
 export interface PlannerParts {
+  /** Orders the waiting jobs. */
   readonly queueOrder: QueueOrder;
+  /** Captures the cluster state and the available offers as search input. */
   readonly snapshotBuilder: SnapshotBuilder;
+  /** Stops attempts of other jobs in favor of waiting ones. */
   readonly preemptionPlanner: PreemptionPlanner;
+  /** Starts the attempts that a plan places. */
   readonly attempts: AttemptLifecycle;
+  /** Provides blocked jobs, and priorities and deadlines inherited along dependencies. */
   readonly dependencies: DependencyGraph;
+  /** Provides capacity offers and forecasts, and provisions planned machines. */
   readonly autoscaler: Autoscaler;
-  /** Whether this node is late with its work. */
+  /** Whether this node's timers fire late. */
   isLagging(): boolean;
 }
 
@@ -51,23 +57,22 @@
 
 /** Schedules plans and runs them, one at a time. */
 export class Planner {
-  /** Names of the machines that the last full plan uses. */
+  /** Names of the machines used by the last full plan; they are not scaled in. */
   machinesInPlan: ReadonlySet<string> = new Set();
   private readonly waitingGroups: WaitingGroups;
   private readonly commit: PlacementCommit;
-  private current: PlanRun | null = null;
+  private currentRun: PlanRun | null = null;
   private passScheduled = false;
   private urgentPassScheduled = false;
-  /** Something changed while no plan could be made. */
-  private passOwed = false;
+  /** Whether a full plan was requested that could not be made yet. */
+  private passDeferred = false;
   private lastPlanAt: Micros = 0;
-  /** Of the last plan for all that waits, not for urgent work alone. */
+  /** Start of the last plan that was not restricted to urgent work. */
   private lastFullPlanAt: Micros = 0;
-  /** Processor time of the last plan. */
-  private lastPlanCost: Micros = 0;
-  /** The last plan's comparisons exceeded their budget. */
-  private comparisonsCutShort = false;
-  private deadlineChainsAt: Micros = 0;
+  private lastPlanCpuTime: Micros = 0;
+  /** Whether the last full plan that compared placements exceeded its search budget. */
+  private searchBudgetExceeded = false;
+  private deadlineChainsRefreshedAt: Micros = 0;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -77,29 +82,29 @@
     this.commit = new PlacementCommit(term, parts.attempts);
   }
 
-  /** Whether something changed while a plan was under way, or while none could be made. */
+  /** Whether a plan was requested while another one was in progress, or while none could be made. */
   get passPending(): boolean {
-    return this.passOwed;
+    return this.passDeferred;
   }
 
-  /** Makes a plan for all that waits, once the pause after the last one is over. */
+  /** Schedules a plan for all waiting work, after the pause that follows the previous plan. */
   schedulePass(): void {
-    const { context: ctx } = this.term;
+    const { context } = this.term;
     if (this.passScheduled || !this.term.isRestored || this.term.hasEnded) {
-      this.passOwed = true;
+      this.passDeferred = true;
       return;
     }
     this.passScheduled = true;
-    const pause = Math.max(MIN_PAUSE, PAUSE_PER_PLAN_COST * this.lastPlanCost);
-    const delay = Math.max(BATCHING_DELAY, this.lastPlanAt + pause - ctx.now);
-    ctx.after(delay, () => {
+    const pause = Math.max(MIN_PAUSE, PAUSE_PER_PLAN_CPU_TIME * this.lastPlanCpuTime);
+    const delay = Math.max(BATCHING_DELAY, this.lastPlanAt + pause - context.now);
+    context.after(delay, () => {
       this.passScheduled = false;
-      this.passOwed = false;
+      this.passDeferred = false;
       if (!this.term.hasEnded) this.runPass();
     });
   }
 
-  /** Makes a plan for work that must start at once, without waiting for the pause after the last plan. */
+  /** Schedules a plan for urgent work only, without the pause that follows the previous plan. */
   scheduleUrgentPass(): void {
     if (this.urgentPassScheduled) return;
     this.urgentPassScheduled = true;
@@ -109,7 +114,7 @@
   }
 
   private runUrgentPass(): void {
-    if (this.current !== null) {
+    if (this.currentRun !== null) {
       // The current plan ends within a fraction of a second.
       this.term.after(URGENT_BATCHING_DELAY, () => {
         this.runUrgentPass();
@@ -118,14 +123,15 @@
     }
     this.urgentPassScheduled = false;
     if (this.term.isRestored && this.term.canDispatch() && this.term.context.types.size > 0)
-      this.begin(true, null);
+      this.startRun(true, null);
   }
 
   /**
-   * A new leader reconciles from heartbeats first. Machines that have not reported to it are not in its snapshot: it would
-   * scale out for all waiting work beside them, and did so at each failover, the most expensive types too.
+   * Whether a new leader still lacks heartbeats of many recorded machines. Machines that have not reported are missing from
+   * its snapshot: a full plan would scale out for work that they have room for, as happened at each failover, even with
+   * the most expensive types.
    */
-  private isRebuilding(): boolean {
+  private isReconciling(): boolean {
     if (!this.term.inFailoverGracePeriod) return false;
     let all = 0;
     let unreconciled = 0;
@@ -138,32 +144,32 @@
   }
 
   private runPass(): void {
-    const { context: ctx } = this.term;
-    if (ctx.types.size === 0) return;
-    if (this.current !== null) {
-      this.passOwed = true;
+    const { context } = this.term;
+    if (context.types.size === 0) return;
+    if (this.currentRun !== null) {
+      this.passDeferred = true;
       return;
     }
-    // No plan without the lease: a plan scales out and preempts. And a new leader's answers to workers come before its first
-    // plans: on a sixth of a core the starts of these once held up hundreds of workers until their leases expired. Only urgent
-    // work starts then, where the machines that are known have room. The same holds for a node that is late with its work:
-    // each plan brings starts and their heartbeats with it, and a node that falls further behind loses its workers.
-    const isLate = this.parts.isLagging() && ctx.now < this.lastFullPlanAt + MAX_DELAY_WHILE_LAGGING;
-    const urgentOnly = this.isRebuilding() || isLate;
+    // Planning requires the lease, since a plan scales out and preempts. While a new leader reconciles, it plans only urgent
+    // work, on machines that have reported: on a sixth of a core, the task starts of its first full plans delayed answers to
+    // hundreds of workers until their leases expired. The same applies to a lagging node: each plan adds task starts and
+    // their heartbeats, and a node that falls further behind loses its workers.
+    const isLate = this.parts.isLagging() && context.now < this.lastFullPlanAt + MAX_DELAY_WHILE_LAGGING;
+    const urgentOnly = this.isReconciling() || isLate;
     if (!this.term.canDispatch() || (urgentOnly && !this.hasUrgentWork())) {
-      this.passOwed = true;
+      this.passDeferred = true;
       return;
     }
-    if (ctx.now < this.lastFullPlanAt + IDLE_PASS_INTERVAL && !this.hasWaitingWork()) return;
-    this.begin(urgentOnly, (run) => {
-      this.passOwed ||= urgentOnly;
-      this.lastPlanCost = run.clock.elapsed();
+    if (context.now < this.lastFullPlanAt + MIN_IDLE_PASS_INTERVAL && !this.hasWaitingWork()) return;
+    this.startRun(urgentOnly, (run) => {
+      this.passDeferred ||= urgentOnly;
+      this.lastPlanCpuTime = run.clock.elapsed();
       this.lastPlanAt = run.now;
       if (!urgentOnly) this.lastFullPlanAt = run.now;
     });
   }
 
-  /** Whether any work could begin if there were room, or is about to. */
+  /** Whether any job could start if there were room, or is blocked on dependencies. */
   private hasWaitingWork(): boolean {
     if (this.parts.dependencies.blockedCount > 0) return true;
     for (const job of this.term.cluster.jobs.values()) if (this.term.cluster.isStartable(job)) return true;
@@ -177,11 +183,11 @@
     return false;
   }
 
-  /** `onFinished` is called once the whole plan is carried out. */
-  private begin(urgentOnly: boolean, onFinished: OnFinished | null): void {
-    const { context: ctx } = this.term;
+  /** Starts a plan; `onFinished` is called once it is carried out completely. */
+  private startRun(urgentOnly: boolean, onFinished: OnFinished | null): void {
+    const { context } = this.term;
     const { snapshotBuilder, autoscaler } = this.parts;
-    const clock = new PlanClock(ctx.stopwatch);
+    const clock = new PlanClock(context.stopwatch);
     this.refreshDeadlineChains();
     const waiting = this.waitingGroups.collect(urgentOnly);
     const groupsUs = clock.elapsed();
@@ -196,18 +202,18 @@
       () => clock.elapsed() - snapshotUs,
     );
     const cost = { groupsUs, searchUs: clock.elapsed() - groupsUs, commitUs: 0 };
-    this.current = new PlanRun(urgentOnly, waiting, ctx.now, clock, cost, search);
-    this.advance(this.current, onFinished);
+    this.currentRun = new PlanRun(urgentOnly, waiting, context.now, clock, cost, search);
+    this.runSlice(this.currentRun, onFinished);
   }
 
   private refreshDeadlineChains(): void {
     const { now } = this.term.context;
-    const isOld = now - this.deadlineChainsAt > DEADLINE_CHAINS_MAX_AGE;
+    const isOld = now - this.deadlineChainsRefreshedAt > MAX_DEADLINE_CHAINS_AGE;
     this.parts.dependencies.refreshInheritance(isOld);
-    if (isOld) this.deadlineChainsAt = now;
+    if (isOld) this.deadlineChainsRefreshedAt = now;
   }
 
-  /** Groups of no real tasks: capacity reserved for urgent work, for arrivals, and for stages to come. */
+  /** Groups without real tasks, which reserve capacity for urgent work, arrivals and upcoming stages. */
   private hypotheticalGroups(): TaskGroup[] {
     const { autoscaler } = this.parts;
     return [
@@ -224,14 +230,14 @@
       width: tuning.shortlistSize,
       depth: tuning.rolloutDepth,
       toleranceUs: tuning.makespanToleranceUs,
-      skipWhenUncontended: this.comparisonsCutShort,
+      skipWhenUncontended: this.searchBudgetExceeded,
     };
   }
 
-  /** Decides one slice of a plan and carries it out; the next slice follows a little later. */
-  private advance(run: PlanRun, onFinished: OnFinished | null): void {
+  /** Runs one slice of a plan and carries out its steps, then schedules the next slice. */
+  private runSlice(run: PlanRun, onFinished: OnFinished | null): void {
     if (!this.term.canDispatch()) {
-      // The lease or the store is lost: what was decided before is carried out already, and nothing more is.
+      // The lease or the store is lost. Steps of earlier slices have been carried out already.
       this.abandon(run);
       return;
     }
@@ -242,20 +248,20 @@
         return;
       }
     } catch (error) {
-      // No later plan would begin while this one seems to be under way.
+      // Without this, the failed plan would block all later ones.
       this.abandon(run);
       throw error;
     }
     run.clock.pause();
     this.term.after(SLICE_PAUSE, () => {
       run.clock.resume();
-      this.advance(run, onFinished);
+      this.runSlice(run, onFinished);
     });
   }
 
-  /** Returns whether everything is decided. */
+  /** Returns whether the plan is complete. */
   private decideAndStart(run: PlanRun): boolean {
-    const done = run.advance();
+    const done = run.runSlice();
     const before = run.clock.elapsed();
     this.commit.startAll(run.takeSteps(), run.now);
     run.cost.commitUs += run.clock.elapsed() - before;
@@ -264,8 +270,8 @@
 
   private abandon(run: PlanRun): void {
     run.releaseSlots();
-    this.current = null;
-    this.passOwed = true;
+    this.currentRun = null;
+    this.passDeferred = true;
   }
 
   private finish(run: PlanRun): void {
@@ -275,13 +281,13 @@
       this.parts.preemptionPlanner.preempt(run.steps);
       this.parts.autoscaler.scaleOutFor(decision);
       this.machinesInPlan = run.neededMachines();
-      this.comparisonsCutShort =
-        decision.budgetExceeded || (this.comparisonsCutShort && decision.candidatesSearched === 0);
+      this.searchBudgetExceeded =
+        decision.budgetExceeded || (this.searchBudgetExceeded && decision.candidatesSearched === 0);
       run.cost.commitUs += run.clock.elapsed() - before;
       this.logPlan(run);
     }
     run.releaseSlots();
-    this.current = null;
+    this.currentRun = null;
   }
 
   private logPlan(run: PlanRun): void {
--- a/packages/core/src/leader/scheduler.ts
+++ b/packages/core/src/leader/scheduler.ts
@@ -1,4 +1,4 @@
-/** What a controller does while it leads, for one term. A new term has a new scheduler. */
+/** The scheduler that a controller runs while it is the leader; each term has a new instance. */
 import type { JobService } from '../api/job-service.js';
 import type { Heartbeat, HeartbeatResponse } from '../domain/heartbeat.js';
 import type { MachineType } from '../domain/machine.js';
@@ -8,7 +8,7 @@
 import type { NodeContext } from '../node/node-context.js';
 import { TermComposition } from './term-composition.js';
 
-/** Front of the parts of one term. */
+/** Facade over the components of one term. */
 export class Scheduler {
   private readonly parts: TermComposition;
 
@@ -22,12 +22,12 @@
     this.parts = new TermComposition(context, lease, election, jobService, features);
   }
 
-  /** The term that this scheduler serves. */
+  /** The leader's term, for which this scheduler was created. */
   get term(): LeaderTerm {
     return this.parts.term;
   }
 
-  /** Begins the term: reads the records of earlier leaders, and announces the leader. */
+  /** Starts the term: reads the state that earlier leaders stored and announces this leader to its peers. */
   start(): void {
     const { failover, health, progressPublisher, maintenance } = this.parts;
     failover.start();
@@ -38,7 +38,7 @@
     maintenance.start();
   }
 
-  /** The leader has stepped down: nothing is written or decided any more. */
+  /** Ends the term after the leader has stepped down: no more writes or decisions. */
   stop(): void {
     this.term.hasEnded = true;
     this.election.onRenewed = null;
@@ -48,22 +48,22 @@
     });
   }
 
-  /** The cloud's machine types are known, or changed. */
+  /** Plans again, since the cloud's machine types became known or changed. */
   machineTypesChanged(): void {
     this.parts.planner.schedulePass();
   }
 
-  /** Stores the machine types for controllers that start while the cloud is out. */
+  /** Stores the machine types for controllers that start while the cloud is unavailable. */
   saveMachineTypes(types: readonly MachineType[]): void {
     this.parts.records.saveMachineTypes(types);
   }
 
-  /** Handles a heartbeat; an accepted one renews its worker's lease. */
+  /** Handles a heartbeat; an accepted one renews the worker's lease. */
   respondToHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.parts.heartbeats.respond(heartbeat);
   }
 
-  /** A heartbeat that could not be accepted still shows that its sender is alive. */
+  /** Records that the sender of a heartbeat that could not be accepted is alive. */
   recordLiveness(heartbeat: Heartbeat): void {
     this.parts.heartbeats.recordLiveness(heartbeat);
   }
--- a/packages/core/src/leader/state-restoration.ts
+++ b/packages/core/src/leader/state-restoration.ts
@@ -1,4 +1,4 @@
-/** Builds the cluster state of a new term from the records of earlier leaders, and keeps its jobs up to date from then on. */
+/** Rebuilds the cluster state of a new term from the records of earlier leaders, then applies changes of job records. */
 import type { JobService } from '../api/job-service.js';
 import { ActiveJob } from '../cluster/cluster-model.js';
 import { decodeActiveJob } from '../codecs/job-codec.js';
@@ -25,33 +25,45 @@
 import type { Planner } from './planner.js';
 import type { TermRecords } from './term-records.js';
 
-/** Items under a prefix of keys, as they were listed. */
+/** Returns the listed items whose keys have a prefix. */
 type ItemsUnder = (prefix: string) => readonly StoredItem[];
 
-/** The parts of a term that its state is restored into. */
+/** Components of a term that receive the restored state. */
 export interface RestoredParts {
+  /** Answers polls of users about the restored jobs. */
   readonly jobService: JobService;
+  /** Decodes and keeps the machine records. */
   readonly machineStore: MachineStore;
+  /** Decodes and keeps the progress of jobs. */
   readonly progressStore: ProgressStore;
+  /** Adds recorded machines, and retires those that were retiring. */
   readonly machines: MachineLifecycle;
+  /** Started once the state is restored. */
   readonly autoscaler: Autoscaler;
+  /** Receives the dependencies of all jobs. */
   readonly dependencies: DependencyGraph;
+  /** Ends jobs that are complete or whose record is gone. */
   readonly completion: JobCompletion;
+  /** Replays heartbeats that arrived before the state was restored. */
   readonly heartbeats: HeartbeatHandler;
+  /** Evaluates the admission holds of jobs. */
   readonly holds: AdmissionHolds;
+  /** Notifies features that the state is restored. */
   readonly features: FeatureRegistry;
+  /** Plans restored and new work. */
   readonly planner: Planner;
+  /** Loads runtime estimates. */
   readonly records: TermRecords;
 }
 
-/** Restores the state of a term, and follows the jobs in the store. */
+/** Restores the state of a term and applies later changes of job records to it. */
 export class StateRestoration implements FailoverEvents {
   constructor(
     private readonly term: LeaderTerm,
     private readonly parts: RestoredParts,
   ) {}
 
-  /** All records of earlier leaders are read. */
+  /** Restores the cluster state, once all records of earlier leaders are read. */
   restore(itemsUnder: ItemsUnder, runtimeEstimates: StoredItem | null): void {
     const { heartbeats, features, machines } = this.parts;
     const { cluster } = this.term;
@@ -73,20 +85,20 @@
 
   private restoreMachines(itemsUnder: ItemsUnder): void {
     const { machineStore, machines } = this.parts;
-    const known = this.term.cluster.machines;
+    const knownMachines = this.term.cluster.machines;
     for (const [name, record] of machineStore.load(
       itemsUnder(MACHINE_PAGES_PREFIX),
       itemsUnder(FORMER_MACHINES_PREFIX),
     )) {
-      const machine = known.get(name) ?? machines.add(name, record);
+      const machine = knownMachines.get(name) ?? machines.add(name, record);
       machine.recorded = 'yes';
       machine.preprovisioned = record.preprovisioned;
-      // An earlier leader may have renewed its lease, and started tasks on it, until this leader's lease began.
+      // An earlier leader may have renewed the worker's lease and started tasks on it until this leader's lease began.
       machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, this.term.lease.heldSince);
       machine.awaitingReconciliation = true;
       if (record.retiring) machines.retire(machine, 'was retiring');
     }
-    machineStore.adopt(itemsUnder(FORMER_MACHINES_PREFIX), (name) => known.get(name));
+    machineStore.adopt(itemsUnder(FORMER_MACHINES_PREFIX), (name) => knownMachines.get(name));
   }
 
   private restoreJobs(itemsUnder: ItemsUnder): void {
@@ -104,8 +116,8 @@
   }
 
   private logRestored(): void {
-    const { cluster, number, context: ctx } = this.term;
-    ctx.info('leader.state_restored', {
+    const { cluster, number, context } = this.term;
+    context.info('leader.state_restored', {
       term: number,
       jobs: cluster.jobs.size,
       held: this.parts.dependencies.blockedCount,
@@ -113,53 +125,53 @@
     });
   }
 
-  /** A job was accepted in this term. */
+  /** Adds a job that was accepted in this term. */
   jobPut(id: string, value: unknown, version: number): void {
     this.add(id, value, version, true);
   }
 
-  /** The record of an active job is gone: it was cancelled, or has ended. */
+  /** Ends a job whose active record was deleted, because the job was cancelled or has ended. */
   jobDeleted(id: string, version: number): void {
     const job = this.term.cluster.jobs.get(id);
     if (job?.phase === 'active' && job.version < version) this.parts.completion.recordEnd(job, null);
   }
 
-  /** Jobs that are missing from a list have ended by its revision. */
+  /** Ends the jobs that are missing from a list: they had ended by its revision. */
   jobsListed(ids: ReadonlySet<string>, revision: number): void {
     for (const job of [...this.term.cluster.jobs.values()])
       if (!ids.has(job.id) && job.phase === 'active' && job.version <= revision)
         this.parts.completion.recordEnd(job, null);
   }
 
-  /** `arrived`: the job was accepted in this term, and is no record of an earlier one. */
-  private add(id: string, value: unknown, version: number, arrived: boolean): void {
-    const { context: ctx, cluster } = this.term;
+  /** `acceptedThisTerm` is false for records of earlier terms, which are read before the state is restored. */
+  private add(id: string, value: unknown, version: number, acceptedThisTerm: boolean): void {
+    const { context, cluster } = this.term;
     if (cluster.jobs.has(id)) return;
     const record = decodeActiveJob(value);
     if (record === null) {
-      ctx.error('job.record_unreadable', { job: id });
+      context.error('job.record_unreadable', { job: id });
       return;
     }
-    // A list of several pages may show a job whose end this leader has written since. One that depends on others may be
-    // reported as cancelled before its own record is.
+    // A list of several pages may include a job whose end this leader wrote meanwhile. Jobs with dependencies are exempt:
+    // they may be reported as cancelled before their own record is written.
     if (record.spec.dependsOn.length === 0 && this.parts.jobService.hasEnded(id)) return;
     this.parts.jobService.recordActiveJob(record.spec, version);
-    const job = new ActiveJob(record.spec, version, record.acceptedAt, ctx.now);
+    const job = new ActiveJob(record.spec, version, record.acceptedAt, context.now);
     cluster.jobs.set(id, job);
-    if (arrived) this.admit(job);
+    if (acceptedThisTerm) this.admit(job);
     this.parts.planner.schedulePass();
   }
 
   private admit(job: ActiveJob): void {
     const { dependencies, holds, autoscaler, planner } = this.parts;
-    const { context: ctx } = this.term;
+    const { context } = this.term;
     dependencies.add(job);
     holds.update(job);
     if (job.blockedOnDependencies)
-      ctx.info('job.blocked_on_dependencies', { job: job.id, for: dependencies.unmetDependencies(job) });
+      context.info('job.blocked_on_dependencies', { job: job.id, for: dependencies.unmetDependencies(job) });
     else if (job.spec.dependsOn.length === 0 && job.admissionHold === null)
       autoscaler.recordArrival(job.spec);
-    ctx.debug('job.discovered', { job: job.id, class: job.spec.class });
+    context.debug('job.discovered', { job: job.id, class: job.spec.class });
     if (autoscaler.mustStartAtOnce(job.spec)) planner.scheduleUrgentPass();
   }
 }
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -1,6 +1,6 @@
 /**
- * Composition of one leader's term: makes all of its parts and connects them. The parts know each other only through the
- * narrow interfaces that they declare; this is the one place that knows them all.
+ * Composition root of a leader's term: creates all components and connects them. Each component depends on the others
+ * only through the narrow interfaces that it declares; only this file refers to all of them.
  */
 import type { JobService } from '../api/job-service.js';
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
@@ -28,7 +28,7 @@
 import { ProgressStore } from '../storage/progress-store.js';
 import { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import { HeartbeatHandler } from '../tasks/heartbeat-handler.js';
-import { AdmissionHolds, NEW_ARRIVAL } from './admission-holds.js';
+import { AdmissionHolds, MAX_ARRIVAL_AGE } from './admission-holds.js';
 import { FeatureRegistry } from './feature-registry.js';
 import { LeaderHealth } from './leader-health.js';
 import { MaintenanceLoop } from './maintenance-loop.js';
@@ -37,32 +37,54 @@
 import { StateRestoration } from './state-restoration.js';
 import { TermRecords } from './term-records.js';
 
-/** All parts of one term, connected. Each part is documented where it is declared. */
+/** The connected components of one term. */
 export class TermComposition {
+  /** Detects that this node is too slow to lead. */
   readonly health = new LeaderHealth();
+  /** State and permissions that all components share. */
   readonly term: LeaderTerm;
+  /** Writes to the key-value store on the condition that this leader still holds the lease. */
   readonly writer: FencedWriter;
+  /** Stores which tasks of the active jobs are done or placed. */
   readonly progressStore: ProgressStore;
+  /** Stores the machine records. */
   readonly machineStore: MachineStore;
+  /** Starts and stops task attempts on workers. */
   readonly attempts: AttemptLifecycle;
+  /** Adds, retires and removes machines. */
   readonly machines: MachineLifecycle;
+  /** Provisions machines in the cloud and deletes idle ones. */
   readonly autoscaler: Autoscaler;
+  /** Detects workers with an expired lease and unresponsive machines. */
   readonly failureDetector: MachineFailureDetector;
+  /** Empties machines whose tasks fit on others, to save cost. */
   readonly defragmentation: Defragmentation;
+  /** Dependencies between the jobs that have not ended. */
   readonly dependencies: DependencyGraph;
+  /** Reads the outcomes of ended jobs that others depend on. */
   readonly outcomeResolver: DependencyOutcomeResolver;
+  /** Ends jobs and records their outcome. */
   readonly completion: JobCompletion;
+  /** Applies the heartbeats of workers and answers them with commands. */
   readonly heartbeats: HeartbeatHandler;
+  /** Cancels the jobs that depend on a cancelled one. */
   readonly failurePropagation: DependencyFailurePropagation;
+  /** Sends the progress of jobs to the other controllers. */
   readonly progressPublisher: ProgressPublisher;
+  /** Plans and starts waiting tasks. */
   readonly planner: Planner;
+  /** Stores runtime estimates and machine types beyond the term. */
   readonly records: TermRecords;
+  /** The enabled features of the product, notified of events of the term. */
   readonly features: FeatureRegistry;
+  /** Applies the admission holds that features request. */
   readonly holds: AdmissionHolds;
+  /** Reads the stored state at the start of the term and watches job records after that. */
   readonly failover: Failover;
+  /** Runs the periodic work of the leader. */
   readonly maintenance: MaintenanceLoop;
 
-  /** The features come last: as they begin, they may use all other parts. */
+  /** Creates the components that features may use in `begin` before it registers the features. */
   constructor(
     private readonly context: NodeContext,
     private readonly lease: LeaderLease,
@@ -206,7 +228,7 @@
         if (!term.isRestored) return;
         const heldS = (job.waitingSince - job.acceptedAt) / SECOND;
         context.info('job.dependencies_met', { job: job.id, heldS });
-        if (context.wallNow - job.waitingSince < NEW_ARRIVAL) this.autoscaler.recordArrival(job.spec);
+        if (context.wallNow - job.waitingSince < MAX_ARRIVAL_AGE) this.autoscaler.recordArrival(job.spec);
         term.schedulePass();
       },
       dependencyFailed: (jobs, cause) => {
--- a/packages/core/src/leader/term-records.ts
+++ b/packages/core/src/leader/term-records.ts
@@ -1,4 +1,4 @@
-/** What a leader stores for its successors and for starting controllers: learned run times and machine types. */
+/** Stores runtime estimates for later leaders and machine types for controllers that start. */
 import { MACHINE_TYPES_KEY, RUNTIME_SUMMARY_KEY } from '../codecs/keys.js';
 import { encodeMachineTypes } from '../codecs/machine-type-codec.js';
 import { bytesOf } from '../codecs/value-size.js';
@@ -11,7 +11,7 @@
 
 const ignoreConfirmation = (): void => undefined;
 
-/** Loads and stores what outlasts a term beside jobs and machines. */
+/** Loads and stores data that outlives a term, apart from jobs and machines. */
 export class TermRecords {
   constructor(
     private readonly term: LeaderTerm,
@@ -19,30 +19,30 @@
     private readonly attempts: Pick<AttemptLifecycle, 'learnedRuns'>,
   ) {}
 
-  private get largestValue(): number {
+  private get maxValueBytes(): number {
     return pageRoom(this.term.context.settings.maxValueBytes);
   }
 
-  /** Takes over what an earlier leader had learned of run times; null: nothing is stored. */
+  /** Loads the runtime estimates of an earlier leader; null if none are stored. */
   loadRuntimeEstimates(item: StoredItem | null): void {
     if (item === null) return;
     this.term.cluster.runtimeEstimates.load(item.value);
     this.writer.rememberVersion(RUNTIME_SUMMARY_KEY, item.version);
   }
 
-  /** Stores the run times if any were learned since the last time. */
+  /** Stores the runtime estimates if any run was added since they were last stored. */
   saveRuntimeEstimates(): void {
     if (this.attempts.learnedRuns === 0) return;
     this.attempts.learnedRuns = 0;
-    const value = this.term.cluster.runtimeEstimates.summary(this.largestValue);
+    const value = this.term.cluster.runtimeEstimates.summary(this.maxValueBytes);
     this.writer.put(RUNTIME_SUMMARY_KEY, () => value, ignoreConfirmation, { urgency: 'later' });
   }
 
-  /** Stores the machine types for controllers that start while the cloud is out. */
+  /** Stores the machine types for controllers that start while the cloud is unavailable. */
   saveMachineTypes(types: readonly MachineType[]): void {
     const value = encodeMachineTypes(types);
-    // Some of them would be worse than none: jobs would be refused as fitting nowhere.
-    if (bytesOf(value) > this.largestValue) return;
+    // A partial list would be worse than none: jobs that fit only an omitted type would be refused.
+    if (bytesOf(value) > this.maxValueBytes) return;
     this.writer.put(MACHINE_TYPES_KEY, () => value, ignoreConfirmation, { checked: false, urgency: 'later' });
   }
 }
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,4 +1,4 @@
-/** Waiting work as groups of equal tasks, in the order in which a plan considers them. */
+/** Groups waiting work into identical tasks of one job, in the order in which a plan considers them. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { STAGE_HANDOVER } from '../cluster/cluster-state.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
@@ -13,28 +13,32 @@
 import type { QueueOrder } from '../scheduling/queue-order.js';
 import { upcomingStages } from '../scheduling/upcoming-stages.js';
 
-/** The most tasks of one job that the search compares placements for. */
-const MAX_COMPARED = 160;
-/** The most tasks of one job that a plan backfills beyond those that it compares. */
-const MAX_BACKFILLED = 10_000;
+/** Maximum number of tasks per job for which the search compares placements. */
+const MAX_COMPARED_TASKS = 160;
+/** Maximum number of tasks per job that a plan backfills in addition to the compared ones. */
+const MAX_BACKFILLED_TASKS = 10_000;
 
-/** What the order and the urgency of work are asked of. */
+/** Components that determine the order and the urgency of waiting work. */
 export interface WaitingParts {
+  /** Orders the waiting jobs. */
   readonly queueOrder: QueueOrder;
+  /** Provides the blocked jobs and what they depend on. */
   readonly dependencies: DependencyGraph;
+  /** Tells urgent work from the rest. */
   readonly autoscaler: Pick<Autoscaler, 'mustStartAtOnce'>;
 }
 
 /** The work that one plan places. */
 export interface WaitingWork {
-  /** Placements of these are compared, and begin now or later. */
+  /** Groups for which placements are compared; they start now or later. */
   readonly groups: readonly TaskGroup[];
-  /** Placed behind them where there is room now, without comparison. */
+  /** Work placed after them without comparison, where there is room now. */
   readonly backfill: BackfillWork;
+  /** The job of a group; undefined for hypothetical groups. */
   jobOf(group: TaskGroup): ActiveJob | undefined;
 }
 
-/** Collects the work of a plan. */
+/** Collects the waiting and the upcoming work that a plan places. */
 export class WaitingGroups {
   private readonly teams: ReadonlyMap<string, Team>;
 
@@ -45,74 +49,80 @@
     this.teams = new Map(term.context.settings.teams.map((team) => [team.name, team]));
   }
 
-  /** All work that may start within the quotas of its teams; with `urgentOnly` only what must start at once. */
+  /** All work that may start within the quotas of its teams; with `urgentOnly`, only work that must start at once. */
   collect(urgentOnly: boolean): WaitingWork {
     const usage = this.term.cluster.usage();
     const jobs = new Map<TaskGroup, ActiveJob>();
     const groups: TaskGroup[] = [];
-    const beyond: ActiveJob[] = [];
+    const overflowJobs: ActiveJob[] = [];
     const order = this.parts.queueOrder.inOrder();
-    const lowest = order.reduce((least, { priority }) => Math.min(least, priority), 3);
-    // Work with and without GPUs is limited separately: many waiting gangs must not keep arrays out of the plan.
-    const taken = [0, 0];
+    const lowestPriority = order.reduce((least, { priority }) => Math.min(least, priority), 3);
+    // Work with and without GPUs is limited separately, so that many waiting gangs don't keep arrays out of the plan.
+    const groupCounts = [0, 0];
     for (const job of order) {
       if (urgentOnly && !this.parts.autoscaler.mustStartAtOnce(job.spec)) continue;
       const kind = gpuKind(job.spec);
-      if (taken[kind]! >= this.term.context.settings.tuning.maxGroupsPerPlan) {
-        beyond.push(job);
+      if (groupCounts[kind]! >= this.term.context.settings.tuning.maxGroupsPerPlan) {
+        overflowJobs.push(job);
         continue;
       }
-      const group = this.groupOf(job, usage, lowest, MAX_COMPARED);
+      const group = this.groupOf(job, usage, lowestPriority, MAX_COMPARED_TASKS);
       if (group === null) continue;
       jobs.set(group, job);
       groups.push(group);
-      taken[kind]!++;
-      if (job.spec.shape !== 'gang' && job.waitingCount > MAX_COMPARED) beyond.push(job);
+      groupCounts[kind]!++;
+      if (job.spec.shape !== 'gang' && job.waitingCount > MAX_COMPARED_TASKS) overflowJobs.push(job);
     }
-    const compared = new Map([...jobs].map(([group, job]) => [job, group.count]));
+    const comparedCounts = new Map([...jobs].map(([group, job]) => [job, group.count]));
     return {
       groups,
       backfill: {
-        kinds: [...new Map(beyond.map((job) => [taskKind(job.spec), job.spec])).values()],
-        groups: this.backfillGroups(beyond, compared, usage, lowest, jobs),
+        kinds: [...new Map(overflowJobs.map((job) => [taskKind(job.spec), job.spec])).values()],
+        groups: this.backfillGroups(overflowJobs, comparedCounts, usage, lowestPriority, jobs),
       },
       jobOf: (group) => jobs.get(group),
     };
   }
 
-  /** Generated one by one, possibly a moment later: jobs that changed meanwhile are skipped. */
+  /** Generates groups on demand, possibly in a later slice; skips jobs that can't start any more by then. */
   private *backfillGroups(
-    beyond: readonly ActiveJob[],
-    compared: ReadonlyMap<ActiveJob, number>,
+    overflowJobs: readonly ActiveJob[],
+    comparedCounts: ReadonlyMap<ActiveJob, number>,
     usage: QuotaUsage,
-    lowest: number,
+    lowestPriority: number,
     jobs: Map<TaskGroup, ActiveJob>,
   ): Generator<TaskGroup> {
-    for (const job of beyond) {
+    for (const job of overflowJobs) {
       if (!this.term.cluster.isStartable(job)) continue;
-      const group = this.groupOf(job, usage, lowest, MAX_BACKFILLED, compared.get(job) ?? 0);
+      const group = this.groupOf(
+        job,
+        usage,
+        lowestPriority,
+        MAX_BACKFILLED_TASKS,
+        comparedCounts.get(job) ?? 0,
+      );
       if (group === null) continue;
       jobs.set(group, job);
       yield group;
     }
   }
 
-  /** Up to `limit` of the job's waiting tasks after the first `skipped` of them; null: none may start. */
+  /** Up to `limit` waiting tasks of the job, after the first `skipped` ones; null if none may start. */
   private groupOf(
     job: ActiveJob,
     usage: QuotaUsage,
-    lowest: number,
+    lowestPriority: number,
     limit: number,
     skipped = 0,
   ): TaskGroup | null {
-    const { context: ctx, cluster } = this.term;
+    const { context, cluster } = this.term;
     const spec = job.priority === job.spec.priority ? job.spec : { ...job.spec, priority: job.priority };
     const room = usage.remainingTasks(spec, this.teams.get(spec.team));
     const waiting = job.waitingCount - skipped;
     const count = Math.min(waiting, room, spec.shape === 'gang' ? Infinity : limit);
     if (count <= 0 || (spec.shape === 'gang' && count < spec.tasks)) return null;
     usage.add(spec, count);
-    const hasReservation = job.reservedUntil > ctx.now;
+    const hasReservation = job.reservedUntil > context.now;
     return {
       spec,
       count,
@@ -121,7 +131,7 @@
       checkpointedProgress: job.checkpointedProgress.get(GANG_PROGRESS) ?? 0,
       scaleOutThreshold: cluster.scaleOutThreshold(job),
       allowedDelay: cluster.allowedDelay(job),
-      reserve: spec.priority > lowest || hasReservation || this.parts.queueOrder.hasTurn(job),
+      reserve: spec.priority > lowestPriority || hasReservation || this.parts.queueOrder.hasTurn(job),
       allowedMachines: hasReservation ? job.reservedMachines : null,
       hypothetical: false,
       runTimes: new Map(),
@@ -129,28 +139,28 @@
     };
   }
 
-  /** Hypothetical groups for blocked jobs whose dependencies will be met before a new machine could boot. */
+  /** Hypothetical groups for blocked jobs whose dependencies are predicted to be met before a new machine could boot. */
   upcomingStages(): TaskGroup[] {
     const { dependencies } = this.parts;
-    const { context: ctx, cluster } = this.term;
+    const { context, cluster } = this.term;
     if (dependencies.blockedCount === 0) return [];
-    const { now } = ctx;
+    const { now } = context;
     let longestBoot = 0;
-    for (const type of ctx.types.values()) longestBoot = Math.max(longestBoot, type.bootUs);
-    const endOf = (job: ActiveJob): Micros => {
-      let left = job.waitingCount > 0 ? cluster.expectedDuration(job) : 0;
+    for (const type of context.types.values()) longestBoot = Math.max(longestBoot, type.bootUs);
+    const predictedEnd = (job: ActiveJob): Micros => {
+      let remaining = job.waitingCount > 0 ? cluster.expectedDuration(job) : 0;
       for (const attempt of job.liveAttempts.values())
-        left = Math.max(left, cluster.remainingRunTime(attempt));
-      return now + left + STAGE_HANDOVER;
+        remaining = Math.max(remaining, cluster.remainingRunTime(attempt));
+      return now + remaining + STAGE_HANDOVER;
     };
-    const ahead = upcomingStages(
+    const upcoming = upcomingStages(
       cluster.jobs.values(),
       dependencies,
       (id) => cluster.jobs.get(id),
-      endOf,
+      predictedEnd,
       now + longestBoot,
     );
-    return ahead.map(({ job, ready }) => ({
+    return upcoming.map(({ job, ready }) => ({
       spec: {
         ...job.spec,
         shape: 'array',
@@ -158,7 +168,7 @@
         spreadAcrossZones: false,
         priority: job.priority,
       },
-      count: Math.min(job.spec.tasks, MAX_COMPARED),
+      count: Math.min(job.spec.tasks, MAX_COMPARED_TASKS),
       zones: new Map(),
       avoid: new Set(),
       checkpointedProgress: 0,
