--- a/packages/core/src/cluster/admission-hold.ts
+++ b/packages/core/src/cluster/admission-hold.ts
@@ -1,8 +1,9 @@
-/** Features may hold a job back before any task of it has begun. */
+/** Holds that features place on jobs before any of their tasks has started. */
 
-/** Why a job may not begin now. */
+/** Why a feature doesn't let a job start now. */
 export interface AdmissionHold {
+  /** Reason as shown to the user. */
   readonly reason: string;
-  /** True where the hold is over in a moment: then it isn't published to the user. */
+  /** Whether the hold is expected to end within moments; such a hold is not shown to the user. */
   readonly transient: boolean;
 }
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs that have not ended, machines, and the task attempts that join them. The three refer to each other both ways, so
- * they stand in one module.
+ * The leader's model of active jobs, machines, and the task attempts that connect them. The three refer to each other, so
+ * they are in one module.
  */
 import type { Heartbeat, WorkerCommand } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
@@ -16,72 +16,80 @@
 /** One attempt to run a task on a machine. */
 export interface TaskAttempt {
   readonly job: ActiveJob;
+  /** Index of the task within the job. */
   readonly index: number;
+  /** Attempt number; shared by all members of a gang that start together. */
   readonly number: number;
   readonly machine: Machine;
+  /** Epoch of the machine's agent for which the attempt was created. */
   readonly agentEpoch: number;
+  /** Progress of the attempt as far as the leader knows. */
   state: AttemptState;
-  /** Fencing token under which the start was sent. */
+  /** Fencing token with which the start was sent. */
   fencingToken: number;
+  /** When the leader decided to start it, or adopted it. */
   readonly commandedAt: Micros;
+  /** When it was first reported as running; null until then. */
   runningAt: Micros | null;
-  /** False for an adopted attempt: when it began is not known. */
+  /** False for an adopted attempt, whose start time is not known. */
   readonly startTimeKnown: boolean;
   /**
-   * This leader's own, or listed in a heartbeat with a token of this term. Else only an older heartbeat listed it, which
-   * may be a late copy: then it may be on any machine, and nothing relies on its being on this one.
+   * Whether this leader started the attempt, or a heartbeat with a token of this term listed it. Otherwise only an older
+   * heartbeat listed it, which may be a delayed copy: the task may be on any machine, so nothing may rely on its being on
+   * this one.
    */
   confirmed: boolean;
+  /** Since when the attempt is being stopped, and with what grace period; null if it is not being stopped. */
   stopping: { readonly since: Micros; readonly graceUs: Micros } | null;
 }
 
-/** The leader's state of a job. Compact: one bit a task, attempts only for live ones. */
+/** The leader's state of a job. Kept compact: one bit for each task, and attempt objects only for live tasks. */
 export class ActiveJob {
-  /** Completed tasks. */
+  /** Tasks that completed, by index. */
   readonly done: TaskBitset;
-  /** The completed tasks whose completion is known to be written to the store. */
+  /** Completed tasks whose completion is confirmed to be in the store. */
   readonly durablyDone: TaskBitset;
-  /** Attempts that may be anywhere on the way from decision to end, by task index. */
+  /** Attempts that have been decided and have not ended, by task index. */
   readonly liveAttempts = new Map<number, TaskAttempt>();
-  /** Machines recorded in the store as possibly holding tasks of this job: written before the first start there. */
+  /** Machines recorded in the store as possibly running tasks of this job; written before the first start there. */
   recordedMachines = new Set<string>();
-  /** Machines that may still hold tasks from before this term, until a heartbeat settles it. */
+  /** Machines that may still run tasks from before this term and are not yet reconciled by a heartbeat. */
   readonly unreconciledMachines = new Set<string>();
-  /** Progress that is safe outside the machines: by task index, or under -1 for a whole gang. */
+  /** Progress that survives the loss of a machine: by task index, or under -1 (`GANG_PROGRESS`) for a whole gang. */
   readonly checkpointedProgress = new Map<number, Micros>();
-  /** Failures of this job's tasks, by machine. */
+  /** Number of failures of this job's tasks, by machine name. */
   readonly failuresByMachine = new Map<string, number>();
-  /** Failures since the last task that completed. */
+  /** Number of task failures since a task last completed. */
   consecutiveFailures = 0;
-  /** No task is started before that. */
+  /** Time before which no task is started, as a backoff after failures. */
   retryNotBefore: Micros = 0;
-  /** Whether the job goes on, its end is being written, or it has ended. */
+  /** Lifecycle of the job: active, its end being written to the store, or ended. */
   phase: 'active' | 'finishing' | 'ended' = 'active';
-  /** Its owner cancelled it. */
+  /** Whether the job was cancelled by its owner. */
   cancelled = false;
-  /** A member of the gang's attempt is lost: the others are being stopped. */
+  /** Whether the gang lost a member, so that the others are being stopped. */
   gangBroken = false;
-  /** Its progress changed since it was last written. */
+  /** Whether its progress changed since it was last written to the store. */
   progressDirty = false;
-  /** Its progress record can't be read: none of its tasks may be started. */
+  /** Whether its stored progress is unreadable, so that none of its tasks may be started. */
   progressUnreadable = false;
-  /** An earlier leader started tasks of it. */
+  /** Whether an earlier leader started any of its tasks. */
   startedBefore = false;
-  /** Capacity is being freed for it until then. */
+  /** Time until which preempted capacity is reserved for it. */
   reservedUntil: Micros = 0;
-  /** The machines on which that capacity is; plans look at no others meanwhile. */
+  /** Machines with that capacity; plans place the job on no others until then. */
   reservedMachines: ReadonlySet<string> | null = null;
-  /** Waits for other jobs: nothing of it may be started, and it counts towards nothing. */
+  /** Whether it waits for other jobs: none of its tasks may start, and it doesn't count as waiting work. */
   blockedOnDependencies = false;
-  /** Why a feature holds it back; only before any task of it has begun. Counts as `blockedOnDependencies` does. */
+  /** Why a feature holds it back before its first start; has the same effects as `blockedOnDependencies`. */
   admissionHold: AdmissionHold | null = null;
-  /** A job that it depends on is cancelled: it can never run. */
+  /** Whether a job that it depends on was cancelled, so that it can never run. */
   dependencyFailed = false;
-  /** Time of day at which the last job that it depends on was done; null for a job without dependencies. */
+  /** Wall-clock time at which the last of its dependencies was done; null for a job without dependencies. */
   dependenciesMetAt: Micros | null = null;
-  /** The tightest deadline among the jobs that depend on it. */
+  /** The tightest deadline inherited from jobs that depend on it. */
   deadlineChain: DeadlineChain | null = null;
-  /** No task below this index waits. */
+  /** All tasks with a lower index have completed or have a live attempt. */
   private firstWaiting = 0;
   private effectivePriority: Priority;
 
@@ -90,9 +98,9 @@
     readonly spec: JobSpec,
     /** Version of its record in the store. */
     readonly version: number,
-    /** Time of day of acceptance: the order of jobs within a team. */
+    /** Wall-clock time of acceptance; determines the order of jobs within a team. */
     readonly acceptedAt: Micros,
-    /** When this leader first read it. */
+    /** When this leader first read the job from the store. */
     readonly discoveredAt: Micros,
   ) {
     this.done = new TaskBitset(spec.tasks);
@@ -100,50 +108,51 @@
     this.effectivePriority = spec.priority;
   }
 
-  /** The highest of its own priority and those of the jobs that depend on it. */
+  /** Effective priority: the highest of its own and those of the jobs that depend on it. */
   get priority(): Priority {
     return this.effectivePriority;
   }
 
+  /** Notifies the observer of each machine with a live attempt, since usage is summed by priority. */
   set priority(value: Priority) {
     if (value === this.effectivePriority) return;
     this.effectivePriority = value;
     for (const attempt of this.liveAttempts.values()) attempt.machine.notifyObserver();
   }
 
-  /** Whether any task of it was ever started, by this leader or an earlier one: then it goes on to its end. */
+  /** Whether this leader or an earlier one ever started any of its tasks; such a job continues to its end. */
   get hasStarted(): boolean {
     return this.startedBefore || this.liveAttempts.size > 0 || this.done.count > 0;
   }
 
-  /** Time of day from which its waiting counts. */
+  /** Wall-clock time from which its wait counts: when its dependencies were met, or its acceptance. */
   get waitingSince(): Micros {
     return this.dependenciesMetAt ?? this.acceptedAt;
   }
 
-  /** The job's id. */
+  /** Id of the job, from its specification. */
   get id(): string {
     return this.spec.id;
   }
 
-  /** Number of tasks that neither completed nor have a live attempt. */
+  /** Number of tasks that have neither completed nor a live attempt. */
   get waitingCount(): number {
     return this.spec.tasks - this.done.count - this.liveAttempts.size;
   }
 
-  /** Whether all tasks completed; never true for a service. */
+  /** Whether all tasks have completed; never true for a service. */
   get isComplete(): boolean {
     return this.spec.shape !== 'service' && this.done.count >= this.spec.tasks;
   }
 
-  /** Number of tasks that are known to run. */
+  /** Number of attempts that are known to be running. */
   runningCount(): number {
     let count = 0;
     for (const attempt of this.liveAttempts.values()) if (attempt.state === 'running') count++;
     return count;
   }
 
-  /** Indices of up to `limit` tasks that neither completed nor have a live attempt. */
+  /** Indices of the first tasks, up to `limit`, that have neither completed nor a live attempt. */
   nextWaiting(limit: number): number[] {
     const indices: number[] = [];
     let first: number | null = null;
@@ -156,12 +165,12 @@
     return indices;
   }
 
-  /** A task waits again. */
+  /** Marks a task as waiting again, after its attempt ended without completing. */
   requeue(index: number): void {
     this.firstWaiting = Math.min(this.firstWaiting, index);
   }
 
-  /** Number of live attempts by zone. */
+  /** Number of live attempts in each zone. */
   tasksByZone(): Map<string, number> {
     const tasks = new Map<string, number>();
     for (const { machine } of this.liveAttempts.values())
@@ -169,7 +178,7 @@
     return tasks;
   }
 
-  /** Whether one more task may begin in the zone, given where the job's other tasks are. */
+  /** Whether one more task may start in the zone under the job's zone constraints, given its live attempts. */
   zoneAllows(zone: string): boolean {
     if (!this.spec.sameZone && !this.spec.spreadAcrossZones) return true;
     const tasks = this.tasksByZone();
@@ -178,73 +187,76 @@
   }
 }
 
-/** Keeps something derived from machines up to date. */
+/** Observes machines in order to keep derived data up to date. */
 export interface MachineObserver {
-  /** Attempts on the machine, or what they count for, changed. */
+  /** Called after the machine's attempts, their priorities or its status changed. */
   changed(machine: Machine): void;
 }
 
-/** The leader's state of a machine and of its agent. */
+/** The leader's state of a machine and its agent. */
 export class Machine extends MachineStatus {
-  /** Where its agent is reached. */
+  /** Network address of its agent; empty if not known. */
   address: string;
-  /** Whether the machine is recorded in the store: nothing is started on one that is not. */
+  /** Whether the machine is recorded in the store; no task is started on one that is not. */
   recorded: 'no' | 'writing' | 'yes' = 'no';
-  /** Epoch of the agent that the state is of; 0 before its first heartbeat. */
+  /** Epoch of the agent that this state refers to; 0 before its first heartbeat. */
   agentEpoch = 0;
-  /** Sequence number of the last heartbeat of that epoch. */
+  /** Highest sequence number of a heartbeat of that epoch; -1 before the first one. */
   lastSequence = -1;
-  /** Highest fencing token that the worker acknowledged. */
+  /** Highest fencing token that the machine's worker has acknowledged. */
   acknowledgedToken = 0;
-  /** Raised to fence late commands; added to the term's first token. */
+  /** Incremented to fence delayed commands; the current fencing token is derived from it and the term. */
   fencingCounter = 0;
-  /** Token under which starts were last sent: a late copy of them is executed until the worker has seen a higher one. */
+  /** Token with which starts were last sent; a delayed copy is executed until the worker has seen a higher token. */
   lastStartToken = 0;
-  /** Tasks that ended on it since the token was last raised. */
+  /** Keys of the tasks that ended on it since the token was last raised. */
   readonly endedSinceFencing = new Set<string>();
-  /** When the last heartbeat came that was answered with 200, or may have been by an older leader. */
+  /** When a heartbeat last arrived that was answered with 200, or that an earlier leader may have answered so. */
   leaseRenewedAt: Micros;
-  /** When the last heartbeat came. */
+  /** When the last new heartbeat arrived. */
   lastHeartbeatAt: Micros = 0;
-  /** Since when it is up. */
+  /** When it last came up. */
   upSince: Micros = 0;
-  /** When the cloud takes it back, if that was announced. */
+  /** When the cloud will reclaim the machine, if announced; otherwise null. */
   terminationAt: Micros | null = null;
-  /** Attempts on it by `attemptKey`. */
+  /** Live attempts on it by `attemptKey`. */
   readonly attempts = new Map<string, TaskAttempt>();
-  /** Images in its cache by size in GB, the least recently used first. */
+  /** Sizes in GB of the images in its cache, by image; least recently used first. */
   readonly cachedImages = new Map<string, number>();
-  /** Commands that are not sent yet. */
+  /** Commands that have not been sent yet. */
   queuedCommands: WorkerCommand[] = [];
-  /** A command was sent and not answered yet. */
+  /** Whether a call with commands is unanswered. */
   commandInFlight = false;
-  /** Since when nothing runs on it. */
+  /** Since when no task has been running on it. */
   idleSince: Micros;
-  /** Tasks that failed on it since the last success. */
+  /** Number of tasks that failed on it since the last success. */
   consecutiveErrors = 0;
-  /** Jobs of which a task failed on it since the last success. */
+  /** Ids of the jobs whose tasks failed on it since the last success. */
   readonly failedJobs = new Set<string>();
-  /** When the cloud's inventory first listed it. */
+  /** When the cloud's inventory first listed it; null if not yet. */
   firstListedAt: Micros | null = null;
-  /** When the cloud's inventory last listed it. */
+  /** When the cloud's inventory last listed it; null if not yet. */
   lastListedAt: Micros | null = null;
-  /** When it was requested from the cloud, or first known. */
+  /** When it was requested from the cloud, or else first known to this leader. */
   provisionedAt: Micros;
-  /** The cloud was asked to delete it. */
+  /** Whether the cloud was asked to delete it. */
   deletionRequested = false;
-  /** Counts the changes that matter to snapshots; the cached slot is valid for one revision. */
+  /** Incremented with each change that is relevant to snapshots; a cached slot is valid for one revision. */
   revision = 0;
-  /** The slot made for the last snapshot. */
-  cachedSlot: { readonly changes: number; readonly at: Micros; readonly slot: MachineSlot } | null = null;
+  /** The slot built for the last snapshot, for reuse. */
+  cachedSlot: { readonly revision: number; readonly at: Micros; readonly slot: MachineSlot } | null = null;
   private observer: MachineObserver | null = null;
   private cachedFree: { revision: number; total: Readonly<Amounts>; free: Amounts } | null = null;
 
   constructor(
+    /** Unique name, as in the cloud's inventory. */
     readonly name: string,
     address: string,
     /** Name of its machine type. */
     readonly type: string,
+    /** Availability zone, which zone constraints of jobs refer to. */
     readonly zone: string,
+    /** Whether it is a spot machine, which the cloud may reclaim. */
     readonly spot: boolean,
     now: Micros,
   ) {
@@ -255,50 +267,50 @@
     this.provisionedAt = now;
   }
 
-  /** Sets the observer of all further changes; null: none. */
+  /** Sets the observer of subsequent changes; null removes it. */
   observe(observer: MachineObserver | null): void {
     this.observer = observer;
   }
 
-  /** Reports a change that leaves the machine's slot as it is. */
+  /** Reports a change that doesn't affect the machine's slot in snapshots. */
   override notifyObserver(): void {
     this.observer?.changed(this);
   }
 
-  /** Its attempts, images or agent epoch changed: what was derived from them is derived anew. */
+  /** Invalidates cached data after its attempts, images or agent epoch changed, and notifies the observer. */
   markChanged(): void {
     this.revision++;
     this.notifyObserver();
   }
 
-  /** Whether a heartbeat is newer than everything known of the machine. */
+  /** Whether the heartbeat is newer than any processed so far, by agent epoch and sequence number. */
   isNewerHeartbeat(heartbeat: Heartbeat): boolean {
     if (heartbeat.agentEpoch !== this.agentEpoch) return heartbeat.agentEpoch > this.agentEpoch;
     return heartbeat.sequence > this.lastSequence;
   }
 
-  /** Capacity left beside confirmed attempts: as much as others may have occupied meanwhile. */
+  /** Capacity not used by confirmed attempts: an upper bound on what unknown tasks may occupy. */
   freeBesideConfirmed(total: Readonly<Amounts>): Amounts {
     const free = this.freeOf(total);
     for (const attempt of this.attempts.values()) if (!attempt.confirmed) addTo(free, attempt.job.spec);
     return free;
   }
 
-  /** Capacity left when everything counts that is or may be there. The result belongs to the caller. */
+  /** Capacity left by all attempts, confirmed or not. Returns a copy that the caller may modify. */
   freeOf(total: Readonly<Amounts>): Amounts {
     if (this.cachedFree?.revision !== this.revision || this.cachedFree.total !== total)
-      this.cachedFree = { revision: this.revision, total, free: this.countFree(total) };
+      this.cachedFree = { revision: this.revision, total, free: this.computeFree(total) };
     const { cores, gpus, memoryGb } = this.cachedFree.free;
     return { cores, gpus, memoryGb };
   }
 
-  private countFree(total: Readonly<Amounts>): Amounts {
+  private computeFree(total: Readonly<Amounts>): Amounts {
     const free = { cores: total.cores, gpus: total.gpus, memoryGb: total.memoryGb };
     for (const attempt of this.attempts.values()) takeFrom(free, attempt.job.spec);
     return free;
   }
 
-  /** Whether tasks may be started on it. */
+  /** Whether tasks may be started on it: up, recorded, not retiring or reclaimed, and fully reconciled. */
   isUsable(): boolean {
     return (
       this.up &&
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -1,4 +1,4 @@
-/** What the leader knows of the cluster in one term, and what it predicts from that. */
+/** The leader's view of the cluster in one term, and predictions based on it. */
 import { typeAllowed } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -11,40 +11,43 @@
 import { GANG_PROGRESS } from './task-attempt.js';
 import { UsageTotals } from './usage-totals.js';
 
-/** From a decision to start a task until it runs, where its image is cached. */
-const SETUP: Micros = 2 * SECOND;
+/** Time from the decision to start a task until it runs, if its image is cached. */
+const TASK_SETUP_TIME: Micros = 2 * SECOND;
 
-/** From the end of a job's last task until the next job's tasks run: heartbeat, record, plan, record, start. */
+/** Time from the end of a job's last task until a dependent's tasks run: heartbeat, record, plan, record, start. */
 export const STAGE_HANDOVER: Micros = 3 * SECOND;
 
-/** How long a job may wait for a cheaper machine when no objective is within reach. */
-const DELAY_WITHOUT_OBJECTIVE: Micros = 60 * SECOND;
+/** How long a job may wait for a cheaper machine when it can't meet any objective. */
+const MAX_DELAY_WITHOUT_OBJECTIVE: Micros = 60 * SECOND;
 
 /** Share of a job's slack that it may spend waiting for a cheaper machine. */
 const DELAY_SHARE_OF_SLACK = 1 / 2;
 
-/** Share of a job's slack that the threshold for scaling out is raised by. */
+/** Share of a job's slack that is added to the threshold for scaling out. */
 const THRESHOLD_SHARE_OF_SLACK = 1 / 4;
 
-/** Jobs, machines and learned run times of one leader term. Its methods only read. */
+/** Jobs, machines and learned run times of one leader term. Its methods don't change them. */
 export class ClusterState {
-  /** By name. */
+  /** Known machines by name. */
   readonly machines: Map<string, Machine>;
-  /** Sums over the machines. */
+  /** Sums over the machines and their attempts. */
   readonly usageTotals: UsageTotals;
-  /** Jobs that have not ended, by id. */
+  /** Active jobs by id. */
   readonly jobs = new Map<string, ActiveJob>();
-  /** Run times learned so far. */
+  /** Run times learned from attempts that ended. */
   readonly runtimeEstimates = new RuntimeEstimates();
 
-  constructor(readonly context: NodeContext) {
+  constructor(
+    /** The node's clock, settings and machine types. */
+    readonly context: NodeContext,
+  ) {
     const machines = new MachineRegistry();
     this.usageTotals = new UsageTotals(machines, () => context.types);
     machines.observer = this.usageTotals;
     this.machines = machines;
   }
 
-  /** Expected time until the attempt ends. */
+  /** Expected time until the attempt ends; unbounded for a service. */
   remainingRunTime(attempt: TaskAttempt): Micros {
     const { job, runningAt } = attempt;
     const { spec } = job;
@@ -55,12 +58,12 @@
     return this.runtimeEstimates.remaining(spec.class, attempt.machine.type, spec.estimatedRunUs, elapsed);
   }
 
-  /** Usage by team, for a plan that counts its own starts on top. */
+  /** Usage by team, to which a plan adds its own starts. */
   usage(): QuotaUsage {
     return this.usageTotals.usage();
   }
 
-  /** Whether tasks of the job may be started now, as far as the job is concerned. */
+  /** Whether the state of the job allows its tasks to start now, regardless of capacity. */
   isStartable(job: ActiveJob): boolean {
     if (job.phase !== 'active' || job.gangBroken || job.isComplete || job.waitingCount <= 0) return false;
     if (job.progressUnreadable || job.blockedOnDependencies || job.admissionHold !== null) return false;
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Whether plans weigh the price of machines. By default the settings don't tell whether cost is an objective: operators
-   * who keep machines pre-provisioned pay for capacity anyway; those who start from nothing pay by use.
+   * Whether plans weigh the price of machines. With `auto`, the default, that depends on whether any machine is
+   * pre-provisioned: operators who keep machines pre-provisioned pay for the capacity anyway; those who don't pay by use.
    */
   isCostSensitive(): boolean {
     const { costSensitivity } = this.context.settings.tuning;
@@ -81,14 +84,14 @@
     return !this.usageTotals.anyPreprovisioned;
   }
 
-  /** Latest start from now that still meets the job's next objective; null: none is within reach. */
+  /** Time that remains until the latest start that meets the job's next objective; null if it can't meet any. */
   slackOf(job: ActiveJob): Micros | null {
     const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
     const runTime = this.expectedRunTime(job, checkpointed);
-    return latestStart(job, this.context.settings.objectives, this.context.wallNow, runTime, SETUP);
+    return latestStart(job, this.context.settings.objectives, this.context.wallNow, runTime, TASK_SETUP_TIME);
   }
 
-  /** From when a job may start to its end: its run, its image, and what lies between one job and the next. */
+  /** Expected time from when a job may start to the start of its dependents: image pull, run and handover. */
   expectedDuration(job: ActiveJob): Micros {
     const { spec } = job;
     const runTime = this.expectedRunTime(job, 0);
@@ -100,19 +103,19 @@
     return runTime + pullTime + STAGE_HANDOVER;
   }
 
-  /** Expected run time of a task of the job after `elapsed`, on the first machine type that it asks for. */
+  /** Expected remaining run time of a task of the job after `elapsed`, on the first machine type that it requests. */
   expectedRunTime({ spec }: ActiveJob, elapsed: Micros): Micros {
     const type = spec.machineTypes?.[0] ?? '';
     return this.runtimeEstimates.remaining(spec.class, type, spec.estimatedRunUs, elapsed);
   }
 
-  /** How long the job may wait for a cheaper machine. */
+  /** How long the job may wait for a cheaper machine without endangering its next objective. */
   allowedDelay(job: ActiveJob): Micros {
     const slack = this.slackOf(job);
-    return slack === null ? DELAY_WITHOUT_OBJECTIVE : Math.round(slack * DELAY_SHARE_OF_SLACK);
+    return slack === null ? MAX_DELAY_WITHOUT_OBJECTIVE : Math.round(slack * DELAY_SHARE_OF_SLACK);
   }
 
-  /** How much sooner the job has to finish for a machine to be provisioned: it grows with the job's slack. */
+  /** How much sooner the job must finish to justify provisioning a machine; grows with the job's slack, up to double. */
   scaleOutThreshold(job: ActiveJob): Micros {
     if (!this.isCostSensitive()) return 0;
     const { scaleOutThresholdUs } = this.context.settings.tuning;
@@ -121,7 +124,7 @@
     return scaleOutThresholdUs + Math.min(scaleOutThresholdUs, Math.round(slack * THRESHOLD_SHARE_OF_SLACK));
   }
 
-  /** Which work may be preempted, as things are now. */
+  /** The preemption policy for the current usage and jobs. */
   preemptionPolicy(): PreemptionPolicy {
     const { teams } = this.context.settings;
     const guaranteed = guaranteedJobs([...this.jobs.values()], teams);
--- a/packages/core/src/cluster/deadline-chain.ts
+++ b/packages/core/src/cluster/deadline-chain.ts
@@ -1,21 +1,23 @@
-/** The deadline that a job inherits from the jobs that depend on it. */
+/** Deadlines that jobs inherit from the jobs that depend on them. */
 import type { JobSpec } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 
-/** What a deadline chain needs of the job at its end. */
+/** The job with a deadline at the end of a chain of dependents. */
 export interface DeadlineJob {
+  /** The job as submitted; its deadline is not null. */
   readonly spec: JobSpec;
-  /** Time of day of acceptance; the deadline counts from then. */
+  /** Wall-clock time of acceptance, from which the deadline counts. */
   readonly acceptedAt: Micros;
 }
 
-/** The tightest chain of dependents from a job to one with a deadline. */
+/** The chain of dependents with the tightest deadline, from a job's direct dependent to the job with the deadline. */
 export interface DeadlineChain {
+  /** The job with the deadline. */
   readonly last: DeadlineJob;
-  /** Expected time of all jobs on the chain behind the first one. */
+  /** Expected duration of all jobs on the chain, without the job that inherits the deadline. */
   readonly tail: Micros;
 }
 
-/** Time of day by which the first job of the chain has to be done; the last one's deadline counts `deadlineFactor` times. */
+/** Wall-clock time by which the inheriting job must be done to meet `deadlineFactor` times the last job's deadline. */
 export const latestFinish = ({ last, tail }: DeadlineChain, deadlineFactor = 1): Micros =>
   last.acceptedAt + (last.spec.deadlineUs ?? 0) * deadlineFactor - tail;
--- a/packages/core/src/cluster/fair-share.ts
+++ b/packages/core/src/cluster/fair-share.ts
@@ -1,37 +1,37 @@
-/** Teams' quotas: limits, guarantees, and the fair-share order of their jobs. */
+/** Team quotas: limits, guarantees, and the fair-share order of jobs. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import { AMOUNT_TOLERANCE } from '../domain/resources.js';
 import type { Team } from '../domain/settings.js';
 import type { ActiveJob, Machine } from './cluster-model.js';
 
-/** Cores and GPUs that a team has in use. */
+/** Cores and GPUs that a team uses. */
 export interface TeamUsage {
   readonly cores: number;
   readonly gpus: number;
 }
 
-/** Whether the usage is no more than the team is guaranteed. */
+/** Whether the usage doesn't exceed the team's guaranteed cores and GPUs. */
 export const isWithinGuarantee = (team: Team, usage: TeamUsage): boolean =>
   usage.cores <= team.guaranteedCores + AMOUNT_TOLERANCE &&
   usage.gpus <= team.guaranteedGpus + AMOUNT_TOLERANCE;
 
-/** How many tasks that take `each` fit below the limit. A limit of 0 means there is none. */
-const tasksBelow = (limit: number, used: number, each: number): number =>
-  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + AMOUNT_TOLERANCE) / each);
+/** Number of tasks of `perTask` each that fit below the limit. A limit of 0 means unlimited. */
+const tasksWithinLimit = (limit: number, used: number, perTask: number): number =>
+  limit <= 0 || perTask <= 0 ? Infinity : Math.floor((limit - used + AMOUNT_TOLERANCE) / perTask);
 
-/** Usage by team, for a plan that counts its own starts on top. */
+/** Usage by team, to which a plan adds its own starts, and the tasks that remain within the teams' limits. */
 export class QuotaUsage {
   private readonly cores = new Map<string, number>();
   private readonly gpus = new Map<string, number>();
-  /** What any team may use beside its confirmed usage. */
+  /** Usage that may belong to any team, in addition to its confirmed usage. */
   private readonly unverified = { cores: 0, gpus: 0 };
 
   /**
-   * Counts a machine whose tasks are not all known. What may run on it is no more than what fits beside all that is
-   * confirmed there, whichever team's it is. A team with a limit once started nothing while a single machine had not sent
-   * a heartbeat to a new leader. What only an older heartbeat lists counts as anybody's: a late copy of one team's tasks
-   * once hid another's (fault scenario `quota`).
+   * Counts a machine whose tasks are not all known. Its unknown tasks can't use more than what is free beside the confirmed
+   * attempts, whichever team they belong to. Without this bound, a team with a limit started nothing while a single machine
+   * had not sent a heartbeat to a new leader. Tasks listed only by an older heartbeat may be any team's: a delayed copy of
+   * one team's tasks hid another team's (fault scenario `quota`).
    */
   addUnverified(type: MachineType | null, machine: Machine): void {
     const free = type === null ? { cores: Infinity, gpus: Infinity } : machine.freeBesideConfirmed(type);
@@ -39,29 +39,29 @@
     this.unverified.gpus += Math.max(0, free.gpus);
   }
 
-  /** Counts so many tasks of a job. */
+  /** Adds the usage of `times` tasks of the job to its team. */
   add(spec: JobSpec, times: number): void {
     this.addAmounts(spec.team, spec.cores * times, spec.gpus * times);
   }
 
-  /** Counts amounts in use by a team. */
+  /** Adds amounts to a team's confirmed usage. */
   addAmounts(team: string, cores: number, gpus: number): void {
     this.cores.set(team, (this.cores.get(team) ?? 0) + cores);
     this.gpus.set(team, (this.gpus.get(team) ?? 0) + gpus);
   }
 
-  /** How many more tasks of this kind the team's limits allow; none for an unknown team. */
+  /** Number of further tasks of the job that the team's limits allow; 0 for an unknown team. */
   remainingTasks(spec: JobSpec, team: Team | undefined): number {
     if (team === undefined) return 0;
     const usedCores = (this.cores.get(spec.team) ?? 0) + this.unverified.cores;
     const usedGpus = (this.gpus.get(spec.team) ?? 0) + this.unverified.gpus;
-    const byCores = tasksBelow(team.maxCores, usedCores, spec.cores);
-    const byGpus = tasksBelow(team.maxGpus, usedGpus, spec.gpus);
+    const byCores = tasksWithinLimit(team.maxCores, usedCores, spec.cores);
+    const byGpus = tasksWithinLimit(team.maxGpus, usedGpus, spec.gpus);
     return Math.max(0, Math.min(byCores, byGpus));
   }
 }
 
-/** Jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. */
+/** Jobs that fit into their team's guarantee together with the team's earlier active jobs. */
 export const guaranteedJobs = (jobs: readonly ActiveJob[], teams: readonly Team[]): Set<ActiveJob> => {
   const guaranteed = new Set<ActiveJob>();
   const demandByTeam = new Map<string, { cores: number; gpus: number }>();
@@ -82,8 +82,8 @@
 };
 
 /**
- * Jobs in fair-share order: inside their team's guarantee first, for they need not wait on other teams' borrowing; then
- * by priority; then, in rounds, each team's oldest.
+ * Jobs in fair-share order: first those within their team's guarantee, which need not wait for capacity that other teams
+ * borrow; then by priority; then in rounds, with each team's oldest remaining job in each round.
  */
 export const fairShareOrder = (jobs: readonly ActiveJob[], teams: readonly Team[]): ActiveJob[] => {
   const guaranteed = guaranteedJobs(jobs, teams);
--- a/packages/core/src/cluster/machine-registry.ts
+++ b/packages/core/src/cluster/machine-registry.ts
@@ -1,14 +1,14 @@
-/** The machines of a leader term, by name. */
+/** The registry of the machines known in a leader term. */
 import type { Machine, MachineObserver } from './cluster-model.js';
 
-/** A map of machines that notifies an observer of each that is added, changes or is removed. */
+/** A map of machines by name that notifies an observer when a machine is added, changed or removed. */
 export class MachineRegistry extends Map<string, Machine> {
-  /** Set before the first machine is added. */
+  /** The observer of all machines; must be set before the first machine is added. */
   observer: MachineObserver | null = null;
 
   override set(name: string, machine: Machine): this {
-    const former = this.get(name);
-    if (former !== undefined && former !== machine) this.release(former);
+    const previous = this.get(name);
+    if (previous !== undefined && previous !== machine) this.release(previous);
     super.set(name, machine);
     machine.observe(this.observer);
     this.observer?.changed(machine);
--- a/packages/core/src/cluster/objectives.ts
+++ b/packages/core/src/cluster/objectives.ts
@@ -1,7 +1,7 @@
 /**
- * Which waiting job can still meet which service-level objective. Between fair-share turns the order of jobs is
- * discretionary (paper, 11.2): here it follows the operators' objectives, so that few jobs miss the next one that they
- * can meet.
+ * Orders waiting jobs by the service-level objectives that they can still meet. Between fair-share turns the order of jobs
+ * is discretionary (paper, 11.2): here it follows the operators' objectives, so that few jobs miss the next objective
+ * within reach.
  */
 import type { JobSpec } from '../domain/job.js';
 import type { ServiceLevelObjective } from '../domain/settings.js';
@@ -9,13 +9,13 @@
 import type { ActiveJob } from './cluster-model.js';
 import { latestFinish } from './deadline-chain.js';
 
-/** Work that must start within that can't wait for the next tasks to end. */
+/** Work that must start within this time can't wait for running tasks to end. */
 const IMMEDIATE_START: Micros = 10 * SECOND;
 
 /**
- * Latest start that still meets the earliest objective within reach, from now; null when none is. A deadline counts from
- * the submission, the other times from when the job no longer waits for others; and it has to be done in time for the
- * last of those that depend on it.
+ * Time from now until the latest start that still meets the earliest objective within reach; null if none is within reach. A
+ * deadline counts from the job's acceptance, other times from when its dependencies were met. A deadline inherited from
+ * dependents counts like the job's own.
  */
 export const latestStart = (
   job: ActiveJob,
@@ -43,7 +43,7 @@
   return earliest;
 };
 
-/** The shortest wait that an objective allows the class; null: no objective limits it. */
+/** The shortest wait that any objective allows the class; null if no objective limits it. */
 export const allowedWait = (
   jobClass: string,
   objectives: readonly ServiceLevelObjective[],
@@ -55,32 +55,33 @@
   return shortest;
 };
 
-/** Whether work is urgent: it can't wait for the next tasks to end. */
+/** Whether work is urgent: an objective allows it no time to wait for running tasks to end. */
 export const mustStartAtOnce = (spec: JobSpec, objectives: readonly ServiceLevelObjective[]): boolean =>
   (allowedWait(spec.class, objectives) ?? Infinity) < IMMEDIATE_START;
 
-/** A waiting job among others that compete for the same pool of capacity. */
+/** A waiting job that competes with others for the same pool of capacity. */
 export interface ObjectiveCandidate {
+  /** The waiting job. */
   readonly job: ActiveJob;
-  /** Microseconds from now; null: no objective can be met any more. */
+  /** Latest start from now that meets an objective; null if none can be met any more. */
   readonly latestStart: Micros | null;
-  /** Capacity that it needs, in the scarce unit of its pool. */
+  /** Capacity that its waiting tasks need: GPUs in a pool with GPUs, otherwise cores. */
   readonly amount: number;
 }
 
-/** A pool's jobs in the order in which they are placed. */
+/** The jobs of a pool in the order of placement. */
 export interface ObjectiveOrder {
-  /** Expected to meet their objective, by latest start. */
+  /** Jobs expected to meet their objective, by latest start. */
   readonly onTime: readonly ObjectiveCandidate[];
-  /** Behind all of those: expected to miss it, or without one within reach. */
+  /** Jobs placed after those: expected to miss their objective, or without one within reach. */
   readonly late: readonly ObjectiveCandidate[];
 }
 
 const byLatestStart = (one: ObjectiveCandidate, other: ObjectiveCandidate): number =>
   one.latestStart! - other.latestStart! || one.job.acceptedAt - other.job.acceptedAt;
 
-/** Those with an objective within reach first, then the smallest, then the oldest. */
-const byReachThenAmount = (one: ObjectiveCandidate, other: ObjectiveCandidate): number =>
+/** Jobs with an objective within reach first, then by amount, then by age. */
+const byReachableThenAmount = (one: ObjectiveCandidate, other: ObjectiveCandidate): number =>
   Number(one.latestStart === null) - Number(other.latestStart === null) ||
   one.amount - other.amount ||
   one.job.acceptedAt - other.job.acceptedAt;
@@ -93,8 +94,9 @@
 };
 
 /**
- * Moore and Hodgson's rule on a pool that frees `rate` of its unit a microsecond and has `free` now: by latest start, and
- * whenever one would start too late, the largest so far goes to the late ones.
+ * Orders a pool's jobs by the Moore-Hodgson algorithm: by latest start; whenever a job would start too late, the largest job
+ * so far is moved to the late ones. `free` is the pool's free capacity now, `rate` the capacity that it frees in each
+ * microsecond.
  */
 export const orderByObjectives = (
   candidates: readonly ObjectiveCandidate[],
@@ -114,13 +116,14 @@
     demand -= largest!.amount;
     late.push(largest!);
   }
-  late.sort(byReachThenAmount);
+  late.sort(byReachableThenAmount);
   return { onTime, late };
 };
 
 /**
- * One order of several pools that share machines: what can still meet its objective by latest start, whatever its pool,
- * for work without GPUs runs on GPU machines too; then the late ones, each pool's own order kept.
+ * Merges the orders of pools that share machines (work without GPUs runs on GPU machines too): jobs expected to meet their
+ * objective by latest start, regardless of the pool; then the late ones, in the order of each pool, the pool whose next job
+ * is the oldest first.
  */
 export const mergeOrders = (orders: readonly ObjectiveOrder[]): ActiveJob[] => {
   const onTime = orders.flatMap((order) => order.onTime).sort(byLatestStart);
--- a/packages/core/src/cluster/preemption-policy.ts
+++ b/packages/core/src/cluster/preemption-policy.ts
@@ -1,14 +1,15 @@
-/** Which work may be preempted for which, by the protocol. */
+/** The protocol's rules on which work may be preempted for which. */
 import type { Team } from '../domain/settings.js';
 import type { ActiveJob, TaskAttempt } from './cluster-model.js';
 import { isWithinGuarantee, type TeamUsage } from './fair-share.js';
 
-/** What the right to preempt depends on. */
+/** The data that decides whether one job may preempt another. */
 export interface PreemptionPolicy {
+  /** All teams, with their guarantees. */
   readonly teams: readonly Team[];
-  /** In use by team. */
+  /** Cores and GPUs in use by team. */
   readonly usage: ReadonlyMap<string, TeamUsage>;
-  /** Whether a job fits into its team's guarantee along with the team's earlier unfinished jobs. */
+  /** Whether a job fits into its team's guarantee together with the team's earlier active jobs. */
   readonly isGuaranteed: (job: ActiveJob) => boolean;
 }
 
@@ -16,12 +17,12 @@
   team !== undefined && usage !== undefined && !isWithinGuarantee(team, usage);
 
 /**
- * Whether `victim` may be stopped for `job`: it has a lower priority, or its team exceeds its guarantee and the job is
- * within its own team's. In every other case, work does not preempt work of the same or a higher priority.
+ * Whether `victim` may be stopped for `job`: if it has a lower priority, or if its team exceeds its guarantee while the job
+ * is within the guarantee of another team. Otherwise work doesn't preempt work of the same or a higher priority.
  */
 export const mayPreempt = (job: ActiveJob, victim: TaskAttempt, policy: PreemptionPolicy): boolean => {
   const victimTeam = victim.job.spec.team;
-  // A job counts with the priority of those that depend on it, on either side.
+  // Both are effective priorities, which include those of dependents.
   if (victim.job.priority < job.priority) return true;
   if (victimTeam === job.spec.team || !policy.isGuaranteed(job)) return false;
   const team = policy.teams.find((candidate) => candidate.name === victimTeam);
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -1,92 +1,93 @@
 /**
- * Learned run times: distributions of real over estimated run time per class and machine type. Groups with few samples
- * borrow from broader ones; stopped runs are censored observations, not short runs. (Paper, 9.3: stratified empirical
- * distributions with shrinkage, residuals from survival.)
+ * Learned run times: distributions of the ratio of actual to estimated run time by job class and machine type. Groups with
+ * few samples borrow from broader ones; stopped runs are censored observations, not short runs. (Paper, 9.3: stratified
+ * empirical distributions with shrinkage, residuals from survival.)
  */
 import { bytesOf } from '../codecs/value-size.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
 
-/** Services never finish: they count as running for this long. */
+/** Run time assumed for services, which never finish. */
 export const UNBOUNDED_RUN_TIME: Micros = 1e13;
 
 interface Sample {
-  /** Real over estimated run time. */
+  /** Ratio of actual to estimated run time. */
   readonly ratio: number;
-  /** The run was stopped: it would have taken longer. */
+  /** Whether the run was stopped, so that its full run time would have been longer. */
   readonly censored: boolean;
 }
 
 interface WeightedSamples {
   readonly samples: readonly Sample[];
-  /** Of each sample. */
+  /** Weight of each sample. */
   readonly weight: number;
 }
 
-/** A step of an estimated survival function: the share of runs that end at this ratio. */
+/** A step of the estimated survival function: `mass` is the share of runs that end at this ratio. */
 interface SurvivalStep {
   readonly ratio: number;
   readonly mass: number;
 }
 
-/** Samples that are kept of a group. */
+/** Maximum number of samples kept for a group. */
 const MAX_SAMPLES = 48;
-/** The newest of these that are written to the store. */
+/** Maximum number of a group's samples, the newest ones, that are written to the store. */
 const MAX_STORED_SAMPLES = 24;
-/** A group with this many own samples borrows nothing. */
+/** A group with this many samples of its own doesn't borrow from others. */
 const SUFFICIENT_SAMPLES = 10;
-/** What is assumed of an owner's estimate before anything was observed. */
+/** Prior distribution of the ratio, used until enough runs are observed. */
 const PRIOR: readonly Sample[] = [0.5, 0.7, 0.85, 1, 1.2, 1.5, 2.2].map((ratio) => ({
   ratio,
   censored: false,
 }));
-/** The most that the prior weighs, in samples. */
+/** Maximum total weight of the prior, in samples. */
 const MAX_PRIOR_WEIGHT = 3;
-/** Stopped runs shorter than this tell nothing. */
+/** Stopped runs with a smaller ratio carry no information and are ignored. */
 const MIN_CENSORED_RATIO = 0.05;
-/** Runs beyond the last sample are taken to end at this many times its ratio. */
+/** Runs that outlast all samples are assumed to end at this multiple of the largest ratio. */
 const TAIL_FACTOR = 1.5;
-/** Less mass than this beyond the last sample is rounding. */
+/** Mass beyond the last sample below this is a rounding error. */
 const MIN_TAIL_MASS = 1e-6;
-/** With less mass than this beyond the elapsed time, the run is longer than everything observed. */
+/** With less mass than this beyond the elapsed time, the run has outlasted everything observed. */
 const MIN_REMAINING_MASS = 1e-9;
-/** Of such a run, the elapsed time divided by this is still expected. */
+/** Expected remaining time of such a run: the elapsed time divided by this. */
 const ELAPSED_DIVISOR = 3;
-/** And at least this share of the estimate. */
+/** Minimum expected remaining time of such a run, as a share of the estimate. */
 const MIN_REMAINING_RATIO = 0.2;
-/** Stored ratios have three decimals. */
+/** Stored ratios are rounded to three decimals. */
 const STORED_PRECISION = 1000;
 
 const groupKey = (jobClass: string, machineType: string): string => `${jobClass}|${machineType}`;
 
-/** Kaplan-Meier over weighted samples; the mass beyond the last sample sits half again as far out. */
+/** Kaplan-Meier estimator over weighted samples; mass beyond the last sample is placed at `TAIL_FACTOR` times its ratio. */
 const survivalSteps = (groups: readonly WeightedSamples[]): SurvivalStep[] => {
   const all = groups.flatMap(({ samples, weight }) => samples.map((sample) => ({ ...sample, weight })));
   all.sort((one, other) => one.ratio - other.ratio || Number(one.censored) - Number(other.censored));
   let atRisk = all.reduce((sum, sample) => sum + sample.weight, 0);
-  let alive = 1;
+  let survivingShare = 1;
   const steps: SurvivalStep[] = [];
   for (const { ratio, censored, weight } of all) {
     if (!censored && atRisk > 0) {
-      const mass = alive * (weight / atRisk);
+      const mass = survivingShare * (weight / atRisk);
       steps.push({ ratio, mass });
-      alive -= mass;
+      survivingShare -= mass;
     }
     atRisk -= weight;
   }
   const last = all.at(-1);
-  if (alive > MIN_TAIL_MASS && last !== undefined)
-    steps.push({ ratio: last.ratio * TAIL_FACTOR, mass: alive });
+  if (survivingShare > MIN_TAIL_MASS && last !== undefined)
+    steps.push({ ratio: last.ratio * TAIL_FACTOR, mass: survivingShare });
   return steps;
 };
 
-/** Learns from runs that ended, and predicts those that go on. */
+/** Learns run times from runs that ended, and predicts the run times of others. */
 export class RuntimeEstimates {
-  /** By class and type, by class, and all under the empty key; the newest last. */
+  /** Samples by class and type, by class, and of all runs under the empty key; newest last. */
   private readonly groups = new Map<string, Sample[]>();
+  /** Survival functions by group key, cleared when samples are added. */
   private readonly cachedSteps = new Map<string, SurvivalStep[]>();
 
-  /** Adds a run that completed or was stopped after `runTime`, which includes progress from earlier attempts. */
+  /** Records a run that completed or was stopped after `runTime`, which includes progress of earlier attempts. */
   recordRun(
     jobClass: string,
     machineType: string,
@@ -105,7 +106,7 @@
     this.cachedSteps.clear();
   }
 
-  private stepsOf(jobClass: string, machineType: string): SurvivalStep[] {
+  private survivalStepsFor(jobClass: string, machineType: string): SurvivalStep[] {
     const key = groupKey(jobClass, machineType);
     let steps = this.cachedSteps.get(key);
     if (steps === undefined) {
@@ -115,7 +116,7 @@
     return steps;
   }
 
-  /** The group's own samples, and as much from broader groups as it lacks. */
+  /** The group's own samples, supplemented from broader groups and the prior up to `SUFFICIENT_SAMPLES`. */
   private samplesFor(key: string, jobClass: string): WeightedSamples[] {
     const groups: WeightedSamples[] = [];
     let missing = SUFFICIENT_SAMPLES;
@@ -129,27 +130,27 @@
     return groups;
   }
 
-  /** Expected time still to run, given that it ran `elapsed` without completing; whole microseconds. */
+  /** Expected remaining run time of a run that has not completed after `elapsed`; whole microseconds. */
   remaining(jobClass: string, machineType: string, estimate: Micros, elapsed: Micros): Micros {
     const base = Math.max(estimate, SECOND);
     const elapsedRatio = elapsed / base;
     let mass = 0;
     let sum = 0;
-    for (const step of this.stepsOf(jobClass, machineType)) {
+    for (const step of this.survivalStepsFor(jobClass, machineType)) {
       if (step.ratio <= elapsedRatio) continue;
       mass += step.mass;
       sum += step.mass * (step.ratio - elapsedRatio);
     }
-    // Beyond everything observed: as if a third of what it already ran were still to come.
+    // The run has outlasted everything observed: assume that a third of its elapsed time is still to come.
     const ratio =
       mass > MIN_REMAINING_MASS ? sum / mass : Math.max(MIN_REMAINING_RATIO, elapsedRatio / ELAPSED_DIVISOR);
     return Math.round(ratio * base);
   }
 
-  /** The run time that a `share` of runs stays within; whole microseconds. */
+  /** The run time within which a `share` of runs complete; whole microseconds. */
   quantile(jobClass: string, machineType: string, estimate: Micros, share: number): Micros {
     const base = Math.max(estimate, SECOND);
-    const steps = this.stepsOf(jobClass, machineType);
+    const steps = this.survivalStepsFor(jobClass, machineType);
     let mass = 0;
     for (const step of steps) {
       mass += step.mass;
@@ -159,8 +160,8 @@
   }
 
   /**
-   * The stored form, for the next leader: pairs of ratio and 1 for a censored sample, by group. Holds no more than
-   * `maxBytes`.
+   * Returns the samples in their stored form, for the next leader: by group, pairs of the ratio and 1 for a censored sample
+   * or 0 for a completed one. The result is reduced to at most `maxBytes`.
    */
   summary(maxBytes: number): Record<string, [number, number][]> {
     const stored: Record<string, [number, number][]> = {};
@@ -174,7 +175,7 @@
           ]);
       if (bytesOf(stored) <= maxBytes) return stored;
     }
-    // Too many groups: the narrowest go first, the broader ones stand in for them.
+    // Too many groups: drop the narrowest first, since the broader ones can replace them.
     const narrowestFirst = Object.keys(stored).sort(
       (one, other) => other.split('|').length - one.split('|').length,
     );
@@ -186,7 +187,7 @@
     return stored;
   }
 
-  /** Takes over what `summary` made; anything that has not its form is skipped. */
+  /** Loads the result of `summary`; malformed entries are skipped. */
   load(stored: unknown): void {
     if (typeof stored !== 'object' || stored === null) return;
     for (const [key, rows] of Object.entries(stored)) {
--- a/packages/core/src/cluster/task-attempt.ts
+++ b/packages/core/src/cluster/task-attempt.ts
@@ -1,20 +1,20 @@
-/** The states of a task attempt, and its key. */
+/** States and keys of task attempts. */
 
-/** How far an attempt is, as the leader knows it. */
+/** State of an attempt as known to the leader. */
 export type AttemptState =
-  /** Decided, not sent yet: waits until the job's machines are durably recorded. */
+  /** Decided but not sent: waits until the job's machines are durably recorded. */
   | 'recording'
-  /** The start command is on its way. */
+  /** The start command was sent, but not answered yet. */
   | 'sent'
-  /** The start command got no answer: it may still be executed until the worker is fenced. */
+  /** The start command was not answered, and may still be executed until the worker is fenced. */
   | 'unknown'
   | 'fetching'
   | 'waiting'
   | 'running'
   | 'saving';
 
-/** Identifies a task across jobs. */
+/** Key of a task that is unique across jobs: job id and task index. */
 export const attemptKey = (job: string, index: number): string => `${job}/${index}`;
 
-/** Key of a whole gang's checkpointed progress, where other jobs' progress is kept by task index. */
+/** Key of the checkpointed progress of a whole gang; for other jobs, progress is kept by task index. */
 export const GANG_PROGRESS = -1;
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -1,6 +1,7 @@
 /**
- * Sums over machines and attempts that plans ask for: cores and GPUs in use by team, attempts by priority, and capacity by
- * kind of work. Updated incrementally as machines change, so that a query costs what changed and not what there is.
+ * Sums over machines and attempts that plans need: cores and GPUs in use by team, attempts by priority, and capacity by kind
+ * of work. They are updated incrementally, so that the cost of a query depends on the number of changed machines and not on
+ * the size of the cluster.
  */
 import type { Priority } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
@@ -10,20 +11,21 @@
   type KindCapacity,
   PRIORITIES,
   type PriorityUsage,
-  scaled,
-  type ScaledSums,
-  UNIT,
+  toUnits,
+  UNITS_PER_AMOUNT,
+  type UnitSums,
 } from './capacity-by-kind.js';
 import type { Machine, MachineObserver } from './cluster-model.js';
 import { QuotaUsage, type TeamUsage } from './fair-share.js';
 
-interface TeamSums extends ScaledSums {
+/** Usage by one team, with the part of it that confirmed attempts account for. */
+interface TeamSums extends UnitSums {
   attempts: number;
   confirmedCores: number;
   confirmedGpus: number;
 }
 
-/** Machines that are alike in all that capacity by kind of work depends on. */
+/** Machines with the same type, status and usage, which therefore have the same capacity for each kind of work. */
 interface MachineProfile {
   readonly type: string;
   readonly up: boolean;
@@ -31,18 +33,18 @@
   machines: number;
 }
 
-/** What one machine adds to the sums; kept to be subtracted again. */
+/** The contribution of one machine to the sums, kept so that it can be subtracted later. */
 interface Contribution {
   readonly teams: ReadonlyMap<string, TeamSums>;
-  /** Attempts by priority. */
+  /** Number of attempts by priority. */
   readonly attempts: readonly number[];
-  /** Key of its profile; null for a machine that is being scaled in. */
+  /** Key of the machine's profile; null if it is being scaled in. */
   readonly profile: string | null;
   readonly unverified: boolean;
   readonly preprovisioned: boolean;
 }
 
-const noTeamSums = (): TeamSums => ({
+const emptyTeamSums = (): TeamSums => ({
   cores: 0,
   gpus: 0,
   attempts: 0,
@@ -58,8 +60,8 @@
   for (const { job } of machine.attempts.values()) {
     const level = usage[job.priority]!;
     const sums = job.spec.gpus > 0 ? level.withGpus : level.coresOnly;
-    sums.cores += scaled(job.spec.cores);
-    sums.gpus += scaled(job.spec.gpus);
+    sums.cores += toUnits(job.spec.cores);
+    sums.gpus += toUnits(job.spec.gpus);
   }
   return usage;
 };
@@ -68,14 +70,14 @@
   const teams = new Map<string, TeamSums>();
   for (const { job, confirmed } of machine.attempts.values()) {
     const { team, cores, gpus } = job.spec;
-    const sums = teams.get(team) ?? noTeamSums();
+    const sums = teams.get(team) ?? emptyTeamSums();
     teams.set(team, sums);
     sums.attempts++;
-    sums.cores += scaled(cores);
-    sums.gpus += scaled(gpus);
+    sums.cores += toUnits(cores);
+    sums.gpus += toUnits(gpus);
     if (!confirmed) continue;
-    sums.confirmedCores += scaled(cores);
-    sums.confirmedGpus += scaled(gpus);
+    sums.confirmedCores += toUnits(cores);
+    sums.confirmedGpus += toUnits(gpus);
   }
   return teams;
 };
@@ -103,66 +105,66 @@
   };
 };
 
-/** Keeps the sums. Changes are only noted when they happen, and counted with the next query. */
+/** Maintains the sums. Changed machines are only recorded, and counted again by the next query. */
 export class UsageTotals implements MachineObserver {
   private readonly changedMachines = new Set<Machine>();
   private readonly counted = new Map<Machine, Contribution>();
   private readonly teams = new Map<string, TeamSums>();
   private readonly profiles = new Map<string, MachineProfile>();
-  /** Machines on which more may run than is known. */
+  /** Machines that may run unknown tasks. */
   private readonly unverified = new Set<Machine>();
   private readonly attemptsByPriority = PRIORITIES.map(() => 0);
   private preprovisioned = 0;
 
   constructor(
-    /** The registry; a machine that is not in it any more counts for nothing. */
+    /** The registry; machines that have been removed from it no longer count. */
     private readonly machines: ReadonlyMap<string, Machine>,
     private readonly types: () => ReadonlyMap<string, MachineType>,
   ) {}
 
-  /** Has the machine counted anew. */
+  /** Records that the machine has to be counted again. */
   changed(machine: Machine): void {
     this.changedMachines.add(machine);
   }
 
-  /** Confirmed usage by team, for a plan that counts its own starts on top; what is unverified counts as anybody's. */
+  /** Confirmed usage by team, to which a plan adds its own starts; unverified usage counts against every team. */
   usage(): QuotaUsage {
     this.refresh();
     const usage = new QuotaUsage();
     for (const [team, sums] of this.teams)
-      usage.addAmounts(team, sums.confirmedCores / UNIT, sums.confirmedGpus / UNIT);
+      usage.addAmounts(team, sums.confirmedCores / UNITS_PER_AMOUNT, sums.confirmedGpus / UNITS_PER_AMOUNT);
     for (const machine of this.unverified)
       usage.addUnverified(this.types().get(machine.type) ?? null, machine);
     return usage;
   }
 
-  /** Usage by team, confirmed or not. */
+  /** Usage by team, by confirmed and unconfirmed attempts. */
   teamUsage(): ReadonlyMap<string, TeamUsage> {
     this.refresh();
     const usage = new Map<string, TeamUsage>();
     for (const [team, { cores, gpus }] of this.teams)
-      usage.set(team, { cores: cores / UNIT, gpus: gpus / UNIT });
+      usage.set(team, { cores: cores / UNITS_PER_AMOUNT, gpus: gpus / UNITS_PER_AMOUNT });
     return usage;
   }
 
-  /** The lowest priority of all attempts; the highest there is where there are none. */
+  /** The lowest priority of all attempts; the highest possible one if there are no attempts. */
   lowestRunning(): Priority {
     this.refresh();
     return PRIORITIES.find((priority) => this.attemptsByPriority[priority]! > 0) ?? 3;
   }
 
-  /** Whether there is any pre-provisioned machine. */
+  /** Whether any machine is pre-provisioned. */
   get anyPreprovisioned(): boolean {
     this.refresh();
     return this.preprovisioned > 0;
   }
 
   /**
-   * What work of this kind and priority can have: all in all, and now. GPUs count as far as there are cores beside them:
-   * where work without GPUs fills machines with GPUs, more seemed to become free than did, everything seemed to be in
-   * time, and in the order of latest starts nearly everything came too late (gedeeld-fleet loss: 0.18 of the arrays in
-   * time, though ten jobs ended in every half minute). Cores count whole: work with GPUs leaves them to others sooner
-   * or later, and subtracting them was tried (krakow-next, one run each: price 2.3 -> 3.0 and 3.5 -> 4.1).
+   * Capacity for work of this kind and priority, in total and now. GPUs count only as far as there are cores beside them:
+   * otherwise, where work without GPUs fills machines with GPUs, the expected free capacity is too high, all jobs seem to be
+   * on time, and ordered by latest start nearly all of them are late (gedeeld-fleet loss: 0.18 of the arrays on time,
+   * though ten jobs ended in every half minute). Cores count in full, since work with GPUs frees them sooner or later;
+   * subtracting them raised the price (krakow-next, one run each: 2.3 -> 3.0 and 3.5 -> 4.1).
    */
   capacityFor(gpu: boolean, priority: Priority, coresEach: number): KindCapacity {
     this.refresh();
@@ -215,14 +217,14 @@
 
   private applyContribution(contribution: Contribution, sign: 1 | -1): void {
     for (const [team, sums] of contribution.teams) {
-      const all = this.teams.get(team) ?? noTeamSums();
-      this.teams.set(team, all);
-      all.attempts += sign * sums.attempts;
-      all.cores += sign * sums.cores;
-      all.gpus += sign * sums.gpus;
-      all.confirmedCores += sign * sums.confirmedCores;
-      all.confirmedGpus += sign * sums.confirmedGpus;
-      if (all.attempts === 0) this.teams.delete(team);
+      const totals = this.teams.get(team) ?? emptyTeamSums();
+      this.teams.set(team, totals);
+      totals.attempts += sign * sums.attempts;
+      totals.cores += sign * sums.cores;
+      totals.gpus += sign * sums.gpus;
+      totals.confirmedCores += sign * sums.confirmedCores;
+      totals.confirmedGpus += sign * sums.confirmedGpus;
+      if (totals.attempts === 0) this.teams.delete(team);
     }
     contribution.attempts.forEach((count, priority) => {
       this.attemptsByPriority[priority]! += sign * count;
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -1,4 +1,4 @@
-/** Builds the snapshot that a plan works on, from the machines as they are and what is predicted of them. */
+/** Builds the snapshot that a plan works on, from the state of the machines and predicted run times. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
@@ -8,17 +8,19 @@
 import type { NodeContext } from '../node/node-context.js';
 import type { CapacityOffer, ClusterSnapshot } from './plan-input.js';
 
-/** How long a machine's slot is cached while nothing changes there. */
+/** How long a machine's slot is cached while the machine doesn't change. */
 const SLOT_CACHE_TIME: Micros = 2_500 * MILLI;
 
-/** A cached slot is used only if nothing on it is predicted to change sooner than this. */
+/** A cached slot is used only if its next predicted change is further away than this. */
 const MIN_TIME_TO_CHANGE: Micros = 100 * MILLI;
 
-/** A machine that is overdue boots for at least this longer, or for that share of its time so far. */
-const MIN_BOOT_TIME_LEFT: Micros = 2 * SECOND;
+/** Minimum remaining boot time that is predicted for a booting machine. */
+const MIN_REMAINING_BOOT_TIME: Micros = 2 * SECOND;
+
+/** Predicted remaining boot time of an overdue machine, as a share of the time since it was provisioned. */
 const OVERDUE_BOOT_SHARE = 0.2;
 
-/** From the end of a stopped task's grace until its capacity is free. */
+/** Time from the end of a stopped task's grace period until its capacity is free. */
 const STOP_OVERHEAD: Micros = SECOND;
 
 const isBooting = (machine: Machine): boolean =>
@@ -27,7 +29,7 @@
   !machine.awaitingReconciliation &&
   machine.agentEpoch === 0;
 
-/** Makes snapshots, and caches the slots in them from one to the next. */
+/** Builds snapshots, and caches machine slots between them. */
 export class SnapshotBuilder {
   private readonly context: NodeContext;
 
@@ -35,7 +37,7 @@
     this.context = cluster.context;
   }
 
-  /** A snapshot of all machines that work may be placed on. */
+  /** Builds a snapshot of all machines that work may be placed on, with the offers that may be provisioned. */
   build(offers: readonly CapacityOffer[], recurringSpecs: readonly JobSpec[]): ClusterSnapshot {
     const slots: MachineSlot[] = [];
     const costSensitive = this.cluster.isCostSensitive();
@@ -64,11 +66,11 @@
     };
   }
 
-  /** The machine's slot; null if nothing may be placed on it. A plan takes back what it changed in a cached one. */
+  /** The machine's slot; null if nothing may be placed on it. Plans undo their changes to cached slots. */
   private slotOf(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot | null {
-    // What is predicted of a booting machine moves on with the time.
+    // The predicted ready time of a booting machine moves with the clock, so its slot is not cached.
     if (isBooting(machine))
-      return this.makeSlot(machine, type, costSensitive, this.bootsUntil(machine, type));
+      return this.makeSlot(machine, type, costSensitive, this.expectedReadyAt(machine, type));
     if (!machine.isUsable()) return null;
     return (
       this.refreshCachedSlot(machine, type, costSensitive) ??
@@ -76,12 +78,12 @@
     );
   }
 
-  /** The cached slot while nothing changes on the machine, for as long as predictions stay fresh; else null. */
+  /** The cached slot with current ready time, if the machine didn't change and its predictions are recent; else null. */
   private refreshCachedSlot(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot | null {
     const { now } = this.context;
     const cached = machine.cachedSlot;
     if (
-      cached?.changes !== machine.revision ||
+      cached?.revision !== machine.revision ||
       now - cached.at >= SLOT_CACHE_TIME ||
       cached.slot.type !== type ||
       (cached.slot.changes[0]?.at ?? Infinity) <= now + MIN_TIME_TO_CHANGE
@@ -98,15 +100,15 @@
   private makeCachedSlot(machine: Machine, type: MachineType, costSensitive: boolean): MachineSlot {
     const { now } = this.context;
     const slot = this.makeSlot(machine, type, costSensitive, now);
-    machine.cachedSlot = { changes: machine.revision, at: now, slot };
+    machine.cachedSlot = { revision: machine.revision, at: now, slot };
     return slot;
   }
 
-  private bootsUntil(machine: Machine, type: MachineType): Micros {
+  private expectedReadyAt(machine: Machine, type: MachineType): Micros {
     const { now } = this.context;
     const due = machine.provisionedAt + type.bootUs;
     const overdue = OVERDUE_BOOT_SHARE * (now - machine.provisionedAt);
-    return Math.max(due, now + Math.max(MIN_BOOT_TIME_LEFT, overdue));
+    return Math.max(due, now + Math.max(MIN_REMAINING_BOOT_TIME, overdue));
   }
 
   private makeSlot(
@@ -121,7 +123,7 @@
     for (const attempt of machine.attempts.values()) {
       const { image, cores, gpus, memoryGb } = attempt.job.spec;
       images.add(image);
-      changes.push({ at: now + this.timeLeft(attempt, machine, type), cores, gpus, memoryGb });
+      changes.push({ at: now + this.timeUntilFree(attempt, machine, type), cores, gpus, memoryGb });
     }
     changes.sort((one, other) => one.at - other.at);
     return {
@@ -139,12 +141,13 @@
     };
   }
 
-  /** Predicted time until the attempt's capacity is free. */
-  private timeLeft(attempt: TaskAttempt, machine: Machine, type: MachineType): Micros {
+  /** Predicted time until the attempt frees its capacity. */
+  private timeUntilFree(attempt: TaskAttempt, machine: Machine, type: MachineType): Micros {
     if (attempt.stopping !== null) return attempt.stopping.graceUs + STOP_OVERHEAD;
     const { image, imageGb } = attempt.job.spec;
-    const pulls = attempt.runningAt === null && type.imagePullGbPerS > 0 && !machine.cachedImages.has(image);
-    const pullTime = pulls ? (imageGb / type.imagePullGbPerS) * SECOND : 0;
+    const needsPull =
+      attempt.runningAt === null && type.imagePullGbPerS > 0 && !machine.cachedImages.has(image);
+    const pullTime = needsPull ? (imageGb / type.imagePullGbPerS) * SECOND : 0;
     return this.cluster.remainingRunTime(attempt) + pullTime;
   }
 }
