--- a/packages/core/src/scheduling/backfill.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -1,7 +1,7 @@
 /**
- * Backfill: waiting work beyond what a plan compares begins where there is capacity now, behind all that the plan decided
- * before it. A kind of task that doesn't fit anywhere is not tried again in the same plan, so that hundreds of equal jobs
- * cost about what one costs.
+ * Backfill: waiting work beyond the groups that a plan compares starts where there is free capacity now, after everything
+ * that the plan decided before. A kind of task that fits nowhere is not tried again in the same plan, so that hundreds of
+ * identical jobs cost about as much as one.
  */
 import { reservePools, tasksFittingNow } from './free-capacity.js';
 import { bestOptions, placeGroup, tasksAllowedInZone, zoneChoices } from './group-placement.js';
@@ -10,22 +10,22 @@
 import type { PlacementSimulation } from './placement-simulation.js';
 import { type PlacementOption, type PlanStep, type TaskGroup, taskKind } from './plan-input.js';
 
-/** Tasks of one job that machines are provisioned for in one plan. */
+/** Maximum number of tasks of one job that a plan provisions machines for. */
 const MAX_PROVISIONED_TASKS = 160;
 
-/** Whether there is still time for parts of the backfill. */
+/** Tells whether there is still time for parts of the backfill. */
 export interface BackfillBudget {
-  /** Whether there is time to place what can start now. */
+  /** Whether there is time to place groups that can start now. */
   readonly hasTimeForStarts: () => boolean;
-  /** Whether there is time to place what machines would be provisioned for. */
+  /** Whether there is time to place groups that machines would be provisioned for. */
   readonly hasTimeForScaleOut: () => boolean;
 }
 
-/** Whether the group may go to any machine that its kind of task may go to. */
+/** Whether the group has no constraints beyond those of its kind of task. */
 const isUnconstrained = ({ spec, zones, allowedMachines }: TaskGroup): boolean =>
   allowedMachines === null && (zones.size === 0 || !(spec.sameZone || spec.spreadAcrossZones));
 
-/** The zone where most fits now, for a group whose tasks have to be in one; null: any zone. */
+/** For a single-zone group, the zone where most of its tasks fit now; null: any zone. */
 const chooseZone = (simulation: PlacementSimulation, group: TaskGroup): string | null => {
   let best: { zone: string | null; tasks: number } | null = null;
   for (const zone of zoneChoices(simulation, group)) {
@@ -35,7 +35,7 @@
   return best?.zone ?? null;
 };
 
-/** As many of a group's tasks as can begin now, where they finish first. */
+/** Places as many of the group's tasks as can start now, by earliest predicted finish. */
 const placeArrayNow = (simulation: PlacementSimulation, group: TaskGroup): PlanStep[] => {
   const { now } = simulation.snapshot;
   const chosenZone = chooseZone(simulation, group);
@@ -44,25 +44,25 @@
     (chosenZone === null || zone === chosenZone) && tasksAllowedInZone(group, used, zone) >= 1;
   const startsNow = (option: PlacementOption): boolean => option.start <= now && option.offer === null;
   const steps: PlanStep[] = [];
-  let left = group.count;
-  while (left > 0) {
-    const options = bestOptions(simulation, group, zoneAllowed, left, startsNow);
+  let remaining = group.count;
+  while (remaining > 0) {
+    const options = bestOptions(simulation, group, zoneAllowed, remaining, startsNow);
     if (options.length === 0) break;
     for (const { placement, start, finish, count: fitting } of options) {
       const { slot } = placement;
-      if (left <= 0) break;
+      if (remaining <= 0) break;
       if (!zoneAllowed(slot.zone)) continue;
-      const count = Math.min(left, fitting, tasksAllowedInZone(group, used, slot.zone));
+      const count = Math.min(remaining, fitting, tasksAllowedInZone(group, used, slot.zone));
       simulation.occupy(placement, group, count, start, finish);
       used.set(slot.zone, (used.get(slot.zone) ?? 0) + count);
       steps.push({ group, placement, slot, count, start, finish });
-      left -= count;
+      remaining -= count;
     }
   }
   return steps;
 };
 
-/** Places what can start now. A gang begins whole or not at all. */
+/** Places the tasks that can start now: for a gang, all or none. */
 const placeNow = (simulation: PlacementSimulation, group: TaskGroup): PlanStep[] => {
   if (!canStartNow(simulation, group)) return [];
   if (group.spec.shape !== 'gang') return placeArrayNow(simulation, group);
@@ -74,8 +74,8 @@
 };
 
 /**
- * What can't begin now is placed later, on machines that boot or that would be provisioned: else nothing beyond the groups
- * that are compared would ever be provisioned for. Nothing is started by that.
+ * Places tasks that can't start now at a later time, on machines that are booting or would be provisioned, so that machines
+ * are also provisioned for groups beyond those that are compared. This starts no tasks.
  */
 const placeLater = (simulation: PlacementSimulation, group: TaskGroup, count: number): void => {
   if (group.spec.shape === 'gang') placeGroup(simulation, group);
@@ -84,29 +84,30 @@
 
 const totalCount = (steps: readonly PlanStep[]): number => steps.reduce((sum, step) => sum + step.count, 0);
 
-/** Yields the steps of each group that begins now, in the given order, for as long as there is time. */
+/** Places the groups in the given order while there is time; yields each group's steps that start now. */
 export function* placeBackfill(
   simulation: PlacementSimulation,
   groups: Iterable<TaskGroup>,
   budget: BackfillBudget,
 ): Generator<readonly PlanStep[]> {
-  /** By kind, the fewest tasks at once that did not fit. */
+  /** By kind of task, the smallest number of simultaneous tasks that did not fit. */
   const unplaceable = new Map<string, number>();
   for (const group of groups) {
     if (!budget.hasTimeForStarts()) return;
-    // Machines may be kept for higher priorities.
+    // The priority is part of the key, since pools may be reserved for higher priorities.
     const kind = `${group.spec.priority}|${taskKind(group.spec)}`;
-    const atOnce = group.spec.shape === 'gang' ? group.count : 1;
+    const simultaneousTasks = group.spec.shape === 'gang' ? group.count : 1;
     const limit = unplaceable.get(kind) ?? Infinity;
-    const steps = atOnce >= limit ? [] : placeNow(simulation, group);
+    const steps = simultaneousTasks >= limit ? [] : placeNow(simulation, group);
     if (steps.length === 0) {
-      if (isUnconstrained(group) && !group.spec.sameZone) unplaceable.set(kind, Math.min(atOnce, limit));
-      // What it is entitled to first is not given to lower priorities meanwhile.
+      if (isUnconstrained(group) && !group.spec.sameZone)
+        unplaceable.set(kind, Math.min(simultaneousTasks, limit));
+      // Keep lower priorities off the pools that the group has a prior claim to.
       if (group.reserve) reservePools(simulation, group);
     }
-    const left = group.count - totalCount(steps);
-    if (left > 0 && budget.hasTimeForScaleOut() && simulation.options.canScaleOut(group))
-      placeLater(simulation, group, left);
+    const remaining = group.count - totalCount(steps);
+    if (remaining > 0 && budget.hasTimeForScaleOut() && simulation.options.canScaleOut(group))
+      placeLater(simulation, group, remaining);
     yield steps;
   }
 }
--- a/packages/core/src/scheduling/capacity-timeline.ts
+++ b/packages/core/src/scheduling/capacity-timeline.ts
@@ -1,12 +1,12 @@
-/** When a machine has free capacity, given what ends and what is planned on it. */
+/** Free capacity of a machine over time, given when its work ends and what is planned on it. */
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 import { AMOUNT_TOLERANCE, type Amounts, fits } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 
 /**
- * Whether `need` fits into `free`, and goes on fitting through the changes from the given one on that come before `end`.
- * `free` is lowered to the least capacity of that time.
+ * Whether `need` fits into `free` and still fits after each change, from index `from` on, that comes before `end`. `free` is
+ * lowered to the minimum capacity over that time.
  */
 const fitsUntil = (
   need: Amounts,
@@ -31,8 +31,8 @@
 };
 
 /**
- * The first time, not before `notBefore`, from which `need` fits for all of `duration`; null if there is none. The least
- * capacity that is free throughout that time is left in `free`.
+ * The earliest time, not before `notBefore`, from which `need` fits for the whole `duration`; null if there is none. Stores
+ * the minimum free capacity over that duration in `free`.
  */
 export const earliestStart = (
   slot: MachineSlot,
@@ -44,7 +44,7 @@
   const { changes } = slot;
   const ready = Math.max(slot.readyAt, notBefore);
   let { cores, gpus, memoryGb } = slot.free;
-  // The capacity at a start time is that of all changes up to it; then the least over the duration must fit.
+  // Accumulate all changes up to each candidate start; then the minimum over the duration must fit.
   for (let i = -1; i < changes.length; i++) {
     let start = ready;
     if (i >= 0) {
@@ -64,7 +64,7 @@
   return null;
 };
 
-/** The change by which planned work takes the amounts. */
+/** The capacity change for planned work that occupies the amounts from `at` on. */
 export const capacityTaken = (at: Micros, amounts: Readonly<Amounts>): CapacityChange => ({
   at,
   cores: -amounts.cores,
@@ -73,8 +73,8 @@
 });
 
 /**
- * Adds changes to a slot, behind those of the same time. A slot's amounts and changes are never altered in place: a
- * rollback puts the former ones back as they were.
+ * Adds changes to a slot, after existing changes of the same time. A slot's amounts and changes are replaced and never
+ * modified in place, since a rollback restores the previous objects.
  */
 export const insertChanges = (slot: MachineSlot, ...added: readonly CapacityChange[]): void => {
   const changes = slot.changes.slice();
@@ -86,18 +86,18 @@
   slot.changes = changes;
 };
 
-/** When the least need first fits, however briefly; `UNBOUNDED_RUN_TIME` if it never does, or if there is no need. */
-export const firstFit = (slot: MachineSlot, least: Amounts | null): Micros => {
-  if (least === null) return UNBOUNDED_RUN_TIME;
+/** When `leastNeed` first fits, however briefly; `UNBOUNDED_RUN_TIME` if it never does or is null. */
+export const firstFit = (slot: MachineSlot, leastNeed: Amounts | null): Micros => {
+  if (leastNeed === null) return UNBOUNDED_RUN_TIME;
   let { cores, gpus, memoryGb } = slot.free;
   let at = slot.readyAt;
   for (let i = 0; ; i++) {
     const change = slot.changes[i];
     if (
       (change === undefined || change.at > at) &&
-      least.cores <= cores + AMOUNT_TOLERANCE &&
-      least.gpus <= gpus + AMOUNT_TOLERANCE &&
-      least.memoryGb <= memoryGb + AMOUNT_TOLERANCE
+      leastNeed.cores <= cores + AMOUNT_TOLERANCE &&
+      leastNeed.gpus <= gpus + AMOUNT_TOLERANCE &&
+      leastNeed.memoryGb <= memoryGb + AMOUNT_TOLERANCE
     )
       return at;
     if (change === undefined) return UNBOUNDED_RUN_TIME;
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -1,4 +1,4 @@
-/** Defragmentation: empties provisioned machines that hold little, so that they can be scaled in. */
+/** Defragmentation: empties provisioned machines that are mostly idle, so that they can be scaled in. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import type { MachineType } from '../domain/machine.js';
@@ -7,29 +7,30 @@
 import type { NodeContext } from '../node/node-context.js';
 import { isRunningWithCheckpoints, MIN_RUN_BEFORE_STOP } from './preemption-candidates.js';
 
-/** Retirement reason of a machine that is being emptied. */
+/** Retirement reason of a machine that is being emptied by defragmentation. */
 const RETIREMENT_REASON = 'consolidated';
-/** A machine of which more than this share is in use is left alone. */
+/** Machines with more than this share of their capacity in use are not emptied. */
 const MAX_USED_SHARE = 0.5;
-/** Tasks that end sooner than this are left to end. */
+/** A machine whose tasks all end sooner than this is not emptied. */
 const MIN_REMAINING_RUN: Micros = 30 * SECOND;
-/** The machine is scaled in by then, empty or not. */
-const EMPTYING_TIME: Micros = 20 * SECOND;
-/** Beyond its checkpoint, a stopped task has so much time to exit. */
+/** Time after which the machine is scaled in even if it is not empty. */
+const DRAIN_TIME: Micros = 20 * SECOND;
+/** Time that a stopped task has to exit, in addition to its checkpoint duration. */
 const STOP_GRACE: Micros = SECOND;
 
-interface FreeCapacity {
+/** A machine that tasks can be moved to, with its remaining free capacity. */
+interface MoveTarget {
   readonly machine: Machine;
   readonly free: Amounts;
 }
 
-/** Share of the scarce unit of the machine that is in use. */
+/** Share of the machine's GPUs that is in use, or of its cores if it has no GPUs. */
 const usedShare = (machine: Machine, type: MachineType): number => {
   const free = machine.freeOf(type);
   return 1 - (type.gpus > 0 ? free.gpus / type.gpus : free.cores / type.cores);
 };
 
-/** Moves tasks off machines that are mostly empty. */
+/** Moves tasks off machines that are mostly idle. */
 export class Defragmentation {
   private readonly context: NodeContext;
 
@@ -42,25 +43,25 @@
   }
 
   /**
-   * Moves the last tasks of a provisioned machine that is mostly empty to where they fit, so that it can be scaled in.
-   * Only tasks that checkpoint, have run a while and still have a while to go; only while no job waits, and one machine
-   * at a time.
+   * Stops the tasks of a provisioned machine that is mostly idle, if they fit on other machines, and retires the machine.
+   * Only tasks that checkpoint and have run for a while are moved, only if some of them has a while to go, only while no
+   * job waits, and from one machine at a time.
    */
   consolidate(): void {
     for (const job of this.cluster.jobs.values()) if (this.cluster.isStartable(job)) return;
     for (const machine of this.cluster.machines.values())
       if (machine.retirementReason === RETIREMENT_REASON) return;
-    const machine = this.leastUsedMovable();
+    const machine = this.leastUsedMovableMachine();
     if (machine === null) return;
     this.context.info('machine.defragmented', { machine: machine.name, tasks: machine.attempts.size });
     machine.retirementReason = RETIREMENT_REASON;
     for (const attempt of [...machine.attempts.values()])
       this.stopAttempt(attempt, attempt.job.spec.checkpointDurationUs + STOP_GRACE);
-    this.retireWhenEmpty(machine, RETIREMENT_REASON, this.context.now + EMPTYING_TIME);
+    this.retireWhenEmpty(machine, RETIREMENT_REASON, this.context.now + DRAIN_TIME);
   }
 
-  /** The machine with the smallest share in use whose tasks can all be moved; null: none. */
-  private leastUsedMovable(): Machine | null {
+  /** The machine with the smallest share in use whose tasks can all be moved; null if there is none. */
+  private leastUsedMovableMachine(): Machine | null {
     let best: { machine: Machine; share: number } | null = null;
     for (const machine of this.cluster.machines.values()) {
       const type = this.context.types.get(machine.type);
@@ -84,7 +85,7 @@
     return isRunningWithCheckpoints(attempt) && this.context.now - attempt.runningAt! > MIN_RUN_BEFORE_STOP;
   }
 
-  /** Whether everything on a machine fits on others with at least as many attempts. */
+  /** Whether all tasks of the machine fit on other machines with at least as many attempts. */
   private fitsElsewhere(source: Machine): boolean {
     const targets = this.targetsFor(source);
     for (const { job } of source.attempts.values()) {
@@ -99,8 +100,8 @@
     return true;
   }
 
-  private targetsFor(source: Machine): FreeCapacity[] {
-    const targets: FreeCapacity[] = [];
+  private targetsFor(source: Machine): MoveTarget[] {
+    const targets: MoveTarget[] = [];
     for (const machine of this.cluster.machines.values()) {
       const type = this.context.types.get(machine.type);
       if (machine === source || type === undefined) continue;
--- a/packages/core/src/scheduling/free-capacity.ts
+++ b/packages/core/src/scheduling/free-capacity.ts
@@ -1,14 +1,14 @@
-/** What is free at this moment in a simulation, and keeping it for groups. */
+/** Free capacity at the current time of a simulation, and its reservation for groups. */
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 import { addTo, type Amounts, timesFits } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
-import { type MachinePool, poolAccepts, poolSuits } from './machine-pool.js';
+import { type MachinePool, poolAccepts, poolMatches } from './machine-pool.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 import { type GpuKind, gpuKind, type TaskGroup } from './plan-input.js';
 
-/** Visits the pool's machines on which some work of the plan fits now, for as long as `visit` returns true. */
-const visitFree = (
+/** Visits the pool's existing machines on which some work of the plan fits now, until `visit` returns false. */
+const visitFreeSlots = (
   pool: MachinePool,
   kind: GpuKind,
   now: Micros,
@@ -22,7 +22,7 @@
   }
 };
 
-/** How many of the group's tasks fit at this moment, in the zone or (null) in any; counts up to about `limit`. */
+/** Number of the group's tasks that fit now in the zone, or in any zone if null. Stops counting once `limit` is reached. */
 export const tasksFittingNow = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -35,7 +35,7 @@
   for (const pool of simulation.pools) {
     if (count >= limit) break;
     if (!poolAccepts(pool, spec) || (zone !== null && pool.zone !== zone)) continue;
-    visitFree(pool, gpuKind(spec), now, (slot) => {
+    visitFreeSlots(pool, gpuKind(spec), now, (slot) => {
       if (allowedMachines === null || allowedMachines.has(slot.machine!)) count += timesFits(spec, slot.free);
       return count < limit;
     });
@@ -43,13 +43,13 @@
   return count;
 };
 
-/** All that is free at this moment on machines that the group may use. */
-export const freeNow = (simulation: PlacementSimulation, group: TaskGroup): Amounts => {
+/** Total free capacity now on machines that the group may use. */
+export const freeCapacityNow = (simulation: PlacementSimulation, group: TaskGroup): Amounts => {
   const { now } = simulation.snapshot;
   const free = { cores: 0, gpus: 0, memoryGb: 0 };
   for (const pool of simulation.pools)
     if (poolAccepts(pool, group.spec))
-      visitFree(pool, gpuKind(group.spec), now, (slot) => {
+      visitFreeSlots(pool, gpuKind(group.spec), now, (slot) => {
         addTo(free, slot.free);
         return true;
       });
@@ -57,10 +57,11 @@
 };
 
 /**
- * Keeps capacity that is free now from all that is placed after this: up to `count` tasks of the group in a zone. What is
- * not free is not waited for; the next plan keeps what is freed by then, before it starts anything else there.
+ * Reserves capacity that is free now for up to `count` tasks of the group in a zone, against everything that is placed
+ * later. It doesn't wait for capacity that is in use: the next plan reserves what is free by then, before it starts other
+ * work there.
  */
-export const keepFreeCapacity = (
+export const reserveFreeCapacity = (
   simulation: PlacementSimulation,
   group: TaskGroup,
   zone: string,
@@ -69,28 +70,28 @@
   const { spec } = group;
   const { now } = simulation.snapshot;
   const kind = gpuKind(spec);
-  let left = count;
+  let remaining = count;
   for (const pool of simulation.pools) {
     if (pool.zone !== zone || !poolAccepts(pool, spec)) continue;
     const placements = pool.byEarliestFit[kind];
     const fitTimes = pool.sortedFits[kind];
-    for (let i = 0; i < placements.length && left > 0 && fitTimes[i]! <= now; i++) {
+    for (let i = 0; i < placements.length && remaining > 0 && fitTimes[i]! <= now; i++) {
       const placement = placements[i]!;
       const { slot } = placement;
       if (placement.earliestFit[kind] > now || slot.machine === null) continue;
-      const tasks = Math.min(left, timesFits(spec, slot.free));
+      const tasks = Math.min(remaining, timesFits(spec, slot.free));
       if (tasks <= 0) continue;
       const { images } = slot;
       simulation.occupy(placement, group, tasks, now, UNBOUNDED_RUN_TIME);
-      // Which image will be needed there is not known.
+      // The image of the future tasks is not known, so the group's image must not count as cached.
       slot.images = images;
-      left -= tasks;
+      remaining -= tasks;
     }
   }
 };
 
-/** Reserves the pools that a group could use: work of lower priority begins nowhere there. */
+/** Reserves all pools that the group could use: no work of lower priority starts there. */
 export const reservePools = (simulation: PlacementSimulation, { spec }: TaskGroup): void => {
   for (const pool of simulation.pools)
-    if (poolSuits(pool, spec)) pool.reservedPriority = Math.max(pool.reservedPriority, spec.priority);
+    if (poolMatches(pool, spec)) pool.reservedPriority = Math.max(pool.reservedPriority, spec.priority);
 };
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -1,4 +1,4 @@
-/** Places one group of waiting tasks in a simulation, where they finish first. */
+/** Places one group of waiting tasks in a simulation, by earliest predicted finish. */
 import { spreadLimit } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { tasksFittingNow } from './free-capacity.js';
@@ -6,13 +6,13 @@
 import type { PlacementSimulation } from './placement-simulation.js';
 import type { PlacementOption, PlanStep, TaskGroup } from './plan-input.js';
 
-/** What each machine that has to be provisioned counts for among zones that finish at nearly the same time. */
-const PROVISIONED_MACHINE_WEIGHT: Micros = 1_000;
+/** Penalty for each machine that has to be provisioned; decides between zones with nearly equal finish times. */
+const PROVISIONED_MACHINE_PENALTY: Micros = 1_000;
 
-/** Whether an option may be taken. */
+/** Decides whether an option may be used. */
 export type OptionFilter = (option: PlacementOption) => boolean;
 
-/** Zones a job may still use; null stands for any. One already in use binds a job that must stay in one zone. */
+/** Zones to try for the group; null stands for any zone. A single-zone job is bound to a zone that it already uses. */
 export const zoneChoices = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -22,7 +22,7 @@
   return inUse.length > 0 ? inUse.slice(0, 1) : simulation.zones;
 };
 
-/** How many more tasks of the group may go to the zone, beside those in `used`. */
+/** Number of further tasks of the group that may go to the zone, given those already placed in `used`. */
 export const tasksAllowedInZone = (
   group: TaskGroup,
   used: ReadonlyMap<string, number>,
@@ -32,7 +32,7 @@
     ? spreadLimit(group.spec) - (group.zones.get(zone) ?? 0) - (used.get(zone) ?? 0)
     : Infinity;
 
-/** Inserts by rank, earlier ones first among equals. */
+/** Inserts an option by rank, behind others of the same rank. */
 const insertOption = (options: PlacementOption[], added: PlacementOption): void => {
   let i = options.length;
   while (i > 0 && options[i - 1]!.rank > added.rank) i--;
@@ -41,7 +41,7 @@
 
 const acceptAny = (): boolean => true;
 
-/** The best options that together hold `wanted` tasks, best first; fewer where there are not as many. */
+/** The best options that together hold `wanted` tasks, best first; all options if they hold fewer tasks. */
 export const bestOptions = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -63,8 +63,8 @@
   return best;
 };
 
-/** Adds the options that the place just used, or another machine provisioned like it, offers next. */
-const addFollowUps = (
+/** Adds the next options on the machine just used, and on a further machine provisioned from the same offer. */
+const addFollowUpOptions = (
   simulation: PlacementSimulation,
   group: TaskGroup,
   { placement, offer }: PlacementOption,
@@ -81,8 +81,8 @@
 };
 
 /**
- * Places tasks a chunk at a time where they finish first, the first chunk at `first` if that is given. `accept` limits the
- * options; null: any may be taken. Returns null if some tasks can be placed nowhere.
+ * Places the group's tasks in chunks, each at the option with the best rank, the first one at `first` if given. `accept`
+ * restricts the options; null allows any. Returns null if some tasks can't be placed.
  */
 const placeTasks = (
   simulation: PlacementSimulation,
@@ -95,37 +95,37 @@
   const used = new Map<string, number>();
   const zoneAllowed: ZoneFilter = (name) =>
     (zone === null || name === zone) && tasksAllowedInZone(group, used, name) >= 1;
-  let left = group.count;
+  let remaining = group.count;
   let options: PlacementOption[] = [];
-  let forced = first;
-  while (left > 0) {
-    if (forced === null && options.length === 0)
-      options = bestOptions(simulation, group, zoneAllowed, left, accept ?? acceptAny);
-    const option: PlacementOption | undefined = forced ?? options.shift();
-    forced = null;
+  let forcedOption = first;
+  while (remaining > 0) {
+    if (forcedOption === null && options.length === 0)
+      options = bestOptions(simulation, group, zoneAllowed, remaining, accept ?? acceptAny);
+    const option: PlacementOption | undefined = forcedOption ?? options.shift();
+    forcedOption = null;
     if (option === undefined) return null;
     const { placement, start, finish } = option;
     const { slot } = placement;
     if (!zoneAllowed(slot.zone)) continue;
     simulation.provision(option);
-    // Chunks of a gang are kept to what starts together; of an array to what fits at that moment.
-    const count = Math.min(left, option.count, tasksAllowedInZone(group, used, slot.zone));
+    // A chunk is limited to the tasks that can start on this machine at the same time.
+    const count = Math.min(remaining, option.count, tasksAllowedInZone(group, used, slot.zone));
     simulation.occupy(placement, group, count, start, finish);
     used.set(slot.zone, (used.get(slot.zone) ?? 0) + count);
     steps.push({ group, placement, slot, count, start, finish });
-    left -= count;
-    if (left > 0 && options.length > 0) addFollowUps(simulation, group, option, options, accept);
+    remaining -= count;
+    if (remaining > 0 && options.length > 0) addFollowUpOptions(simulation, group, option, options, accept);
   }
   return steps;
 };
 
-/** All members begin together: the start is that of the last one, the finish that of the slowest. */
+/** Aligns the members of a gang: all start when the last one can start, and all finish with the slowest one. */
 const alignGang = (simulation: PlacementSimulation, steps: readonly PlanStep[]): PlanStep[] => {
   const start = Math.max(...steps.map((step) => step.start));
   const duration = Math.max(...steps.map((step) => step.finish - step.start));
   const finish = start + duration;
   for (const step of steps) {
-    // The capacity stays taken from the member's own start until the gang's end.
+    // The capacity stays occupied from the member's own start until the gang finishes.
     if (step.start !== start && finish > step.finish)
       simulation.extend(step.placement, step.group, step.count, step.finish, finish);
   }
@@ -135,10 +135,10 @@
 const lastFinish = (steps: readonly PlanStep[]): Micros => Math.max(...steps.map((step) => step.finish));
 
 /**
- * Each member where it ranks first may mean that all wait for the last one, though there is capacity for all now on
- * machines that rank a little lower for each of them: an image that is not cached, a machine to be kept for longer.
- * Several gangs then hold each other's machines in the plan, and none begins. Seen on a krakow day: 60 places stood idle
- * while ten gangs of 16 waited. Both are tried where they differ.
+ * Places a gang by rank, or on machines where all members can start now if that finishes sooner. By rank alone, all members
+ * may wait for the last one although machines of slightly worse rank (image not cached, machine kept busy for longer) have
+ * capacity for all of them now. Several gangs then hold each other's machines in the plan and none starts: on a krakow
+ * day, 60 places stood idle while ten gangs of 16 waited.
  */
 const placeGang = (
   simulation: PlacementSimulation,
@@ -157,19 +157,19 @@
   if (!allFitNow || steps?.[0] === undefined || steps[0].start <= now) return steps;
   const finish = lastFinish(steps);
   simulation.rollback(mark);
-  // Expensive machines are left out: gangs on them keep their GPUs from work that needs them.
+  // Expensive machines are excluded: a gang on them would keep their GPUs from work that needs them.
   const startsNow: OptionFilter = (option) => option.start <= now && !option.expensive;
   const firstNow = first !== null && startsNow(first) ? first : null;
   const members = placeTasks(simulation, group, zone, firstNow, startsNow);
   if (members !== null) {
-    const atOnce = alignGang(simulation, members);
-    if (lastFinish(atOnce) < finish) return atOnce;
+    const immediateSteps = alignGang(simulation, members);
+    if (lastFinish(immediateSteps) < finish) return immediateSteps;
   }
   simulation.rollback(mark);
   return placeByRank();
 };
 
-/** Places the group in the zone; null, and no trace, if it doesn't fit there. */
+/** Places the group in the zone; returns null and changes nothing if it doesn't fit there. */
 const placeInZone = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -183,13 +183,13 @@
   return steps;
 };
 
-/** The finish, with a little for each machine that has to be provisioned. */
+/** The last finish, plus a small penalty for each machine that has to be provisioned. */
 const zoneRank = (steps: readonly PlanStep[], now: Micros): number => {
   const provisioned = steps.filter((step) => step.slot.machine === null && step.start > now).length;
-  return lastFinish(steps) + provisioned * PROVISIONED_MACHINE_WEIGHT;
+  return lastFinish(steps) + provisioned * PROVISIONED_MACHINE_PENALTY;
 };
 
-/** Places the group in the zone of the lowest rank; null, and no trace, if it fits in none. */
+/** Places the group in the zone with the lowest rank; returns null and changes nothing if it fits in none. */
 const placeInBestZone = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -204,7 +204,7 @@
     const rank = zoneRank(steps, simulation.snapshot.now);
     const isBest = best === null || rank < best.rank;
     if (isBest) best = { zone, rank };
-    // The last one tried stays as it is if it is the best.
+    // If the last zone is the best, its placement is kept without placing the group again.
     if (isBest && zone === zones[zones.length - 1]) return steps;
     simulation.rollback(mark);
   }
@@ -212,8 +212,8 @@
 };
 
 /**
- * Places one group under earliest predicted finish, its first tasks at `first` if that is given. Returns null, and leaves
- * no trace, if it fits nowhere, now or later.
+ * Places one group by earliest predicted finish, its first tasks at `first` if given. Returns null and changes nothing if
+ * the group fits nowhere, now or later.
  */
 export const placeGroup = (
   simulation: PlacementSimulation,
--- a/packages/core/src/scheduling/initial-placement.ts
+++ b/packages/core/src/scheduling/initial-placement.ts
@@ -1,21 +1,21 @@
-/** Where a group's first tasks could begin at this moment. */
+/** Finds where a group's first tasks could start now. */
 import { tasksFittingNow } from './free-capacity.js';
 import { zoneChoices } from './group-placement.js';
 import type { PlacementSimulation } from './placement-simulation.js';
 import type { PlacementOption, TaskGroup } from './plan-input.js';
 
-/** Tasks that have to begin together: all members of a gang, else one. */
-const tasksAtOnce = ({ spec, count }: TaskGroup): number => (spec.shape === 'gang' ? count : 1);
+/** Number of tasks that have to start together: all members of a gang, otherwise one. */
+const minSimultaneousTasks = ({ spec, count }: TaskGroup): number => (spec.shape === 'gang' ? count : 1);
 
-/** Whether the group can begin at this moment: a gang needs capacity for all its members. */
+/** Whether the group can start now: a gang needs capacity for all its members. */
 export const canStartNow = (simulation: PlacementSimulation, group: TaskGroup): boolean => {
-  const wanted = tasksAtOnce(group);
+  const wanted = minSimultaneousTasks(group);
   return zoneChoices(simulation, group).some(
     (zone) => tasksFittingNow(simulation, group, zone, wanted) >= wanted,
   );
 };
 
-/** The best option of the zone whose image is cached and the best whose is not, or that boots; none if too few fit now. */
+/** In the zone, the best option that starts now with a cached image, and the best other one; none if too few tasks fit. */
 const firstOptionsInZone = (
   simulation: PlacementSimulation,
   group: TaskGroup,
@@ -23,9 +23,9 @@
   wanted: number,
 ): PlacementOption[] => {
   const { now } = simulation.snapshot;
-  const found: { warm: PlacementOption | null; cold: PlacementOption | null; tasksNow: number } = {
-    warm: null,
-    cold: null,
+  const found: { cached: PlacementOption | null; uncached: PlacementOption | null; tasksNow: number } = {
+    cached: null,
+    uncached: null,
     tasksNow: 0,
   };
   simulation.options.forEach(
@@ -35,24 +35,25 @@
     (option) => {
       const startsNow = option.start <= now;
       if (startsNow) found.tasksNow += option.count;
-      if (option.warm && startsNow) {
-        if (found.warm === null || option.rank < found.warm.rank) found.warm = option;
-      } else if (found.cold === null || option.rank < found.cold.rank) found.cold = option;
-      // Once enough fits to begin, only better options matter.
-      if (found.tasksNow < wanted || found.cold === null) return Infinity;
-      return Math.max(found.cold.rank, found.warm?.rank ?? Infinity);
+      if (option.imageCached && startsNow) {
+        if (found.cached === null || option.rank < found.cached.rank) found.cached = option;
+      } else if (found.uncached === null || option.rank < found.uncached.rank) found.uncached = option;
+      // Once enough tasks fit now, only better options matter.
+      if (found.tasksNow < wanted || found.uncached === null) return Infinity;
+      return Math.max(found.uncached.rank, found.cached?.rank ?? Infinity);
     },
   );
   if (found.tasksNow < wanted) return [];
-  return [found.warm, found.cold].filter((option) => option !== null);
+  return [found.cached, found.uncached].filter((option) => option !== null);
 };
 
 /**
- * For one group, by zone: the best option whose image is cached and the best whose is not, or that boots. None if the
- * group can't begin now: a gang needs capacity for all its members.
+ * Candidate first options of a group. In each zone: the best option that starts now with a cached image, and the best one
+ * that has to pull the image or wait for the machine. None if the group can't start now: a gang needs capacity for all its
+ * members.
  */
 export const firstOptions = (simulation: PlacementSimulation, group: TaskGroup): PlacementOption[] => {
-  const wanted = tasksAtOnce(group);
+  const wanted = minSimultaneousTasks(group);
   return zoneChoices(simulation, group).flatMap((zone) =>
     tasksFittingNow(simulation, group, zone, wanted) >= wanted
       ? firstOptionsInZone(simulation, group, zone, wanted)
--- a/packages/core/src/scheduling/machine-pool.ts
+++ b/packages/core/src/scheduling/machine-pool.ts
@@ -1,4 +1,4 @@
-/** Machines of one type, zone and kind, in the order in which they may have free capacity. */
+/** Machines of one type, zone and purchase option, sorted by when they may have free capacity. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import { type Amounts, fits, placeAllowed } from '../domain/resources.js';
@@ -6,30 +6,31 @@
 import { firstFit } from './capacity-timeline.js';
 import { GPU_KINDS, gpuKind, type Placement } from './plan-input.js';
 
-/** Stands for the earliest fit of a provisioned machine, which is added behind the sorted ones. */
+/** Marks a provisioned machine, which is appended behind the sorted ones, in place of its earliest fit. */
 export const UNSORTED = -1;
 
-/** Pairs are by need of GPUs. */
+/** Interchangeable machines of a plan. Pairs are indexed by `GpuKind`. */
 export interface MachinePool {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** By the first value of their earliest fit. */
+  /** Placements sorted by their initial earliest fit, with provisioned ones at the end. */
   readonly byEarliestFit: readonly [Placement[], Placement[]];
+  /** All placements of the pool, in the order in which they were added. */
   readonly placements: Placement[];
-  /** The values of the earliest fit that the placements were sorted by. */
+  /** The earliest fits that `byEarliestFit` was sorted by. */
   readonly sortedFits: readonly [Micros[], Micros[]];
-  /** The least that any group of the plan needs here. Null: none may come here. */
+  /** The smallest amounts that any task of the plan needs here; null if none may run here. */
   readonly leastNeed: [Amounts | null, Amounts | null];
-  /** Work of lower priority begins nowhere here: the pool's machines drain for what waits. */
+  /** Work of lower priority doesn't start here, so that the pool's machines drain for waiting work. */
   reservedPriority: number;
 }
 
-/** Unique by type, zone and kind. */
+/** Key of a pool: unique for each type, zone and purchase option. */
 export const poolKey = (type: MachineType, zone: string, spot: boolean): string =>
   `${type.name}|${zone}|${spot ? 's' : 'o'}`;
 
-/** A pool without machines. */
+/** Creates a pool without machines. */
 export const emptyPool = (type: MachineType, zone: string, spot: boolean): MachinePool => ({
   type,
   zone,
@@ -41,42 +42,43 @@
   reservedPriority: 0,
 });
 
-/** Whether tasks of the job could ever run in the pool. */
-export const poolSuits = ({ type, zone, spot }: MachinePool, spec: JobSpec): boolean =>
+/** Whether the pool's type, zone and purchase option allow tasks of the job, regardless of reservations. */
+export const poolMatches = ({ type, zone, spot }: MachinePool, spec: JobSpec): boolean =>
   placeAllowed(spec, type.name, zone, spot) && fits(spec, type);
 
-/** Whether tasks of the job may run in the pool, given what it is reserved for. */
+/** Whether tasks of the job may run in the pool, given the priority that it is reserved for. */
 export const poolAccepts = (pool: MachinePool, spec: JobSpec): boolean =>
-  spec.priority >= pool.reservedPriority && poolSuits(pool, spec);
+  spec.priority >= pool.reservedPriority && poolMatches(pool, spec);
 
-/** Lowers the least need of the pool to what the job's tasks need. */
+/** Lowers the pool's `leastNeed` to the needs of the job's tasks, if they may run there. */
 export const includeNeed = (pool: MachinePool, spec: JobSpec): void => {
-  if (!poolSuits(pool, spec)) return;
+  if (!poolMatches(pool, spec)) return;
   const kind = gpuKind(spec);
-  const least = pool.leastNeed[kind];
-  if (least === null) {
+  const leastNeed = pool.leastNeed[kind];
+  if (leastNeed === null) {
     pool.leastNeed[kind] = { cores: spec.cores, gpus: spec.gpus, memoryGb: spec.memoryGb };
     return;
   }
-  least.cores = Math.min(least.cores, spec.cores);
-  least.gpus = Math.min(least.gpus, spec.gpus);
-  least.memoryGb = Math.min(least.memoryGb, spec.memoryGb);
+  leastNeed.cores = Math.min(leastNeed.cores, spec.cores);
+  leastNeed.gpus = Math.min(leastNeed.gpus, spec.gpus);
+  leastNeed.memoryGb = Math.min(leastNeed.memoryGb, spec.memoryGb);
 };
 
-/** Sorts the pool. Once, before any simulation: an earliest fit found later would be that of some trial. */
+/** Sorts the pool, once, before any work is placed: later the earliest fits would include trial placements. */
 export const sortPool = (pool: MachinePool): void => {
   for (const kind of GPU_KINDS) {
-    const least = pool.leastNeed[kind];
-    if (least === null) continue;
+    const leastNeed = pool.leastNeed[kind];
+    if (leastNeed === null) continue;
     const sorted = pool.byEarliestFit[kind];
-    for (const placement of pool.placements) placement.earliestFit[kind] = firstFit(placement.slot, least);
+    for (const placement of pool.placements)
+      placement.earliestFit[kind] = firstFit(placement.slot, leastNeed);
     sorted.push(...pool.placements);
     sorted.sort((one, other) => one.earliestFit[kind] - other.earliestFit[kind]);
     pool.sortedFits[kind].push(...sorted.map((placement) => placement.earliestFit[kind]));
   }
 };
 
-/** Adds a provisioned machine, at the end of the order whatever its earliest fit. */
+/** Adds a provisioned machine at the end of the order, regardless of its earliest fit. */
 export const appendPlacement = (pool: MachinePool, placement: Placement): void => {
   pool.placements.push(placement);
   for (const kind of GPU_KINDS) {
@@ -85,7 +87,7 @@
   }
 };
 
-/** Removes the machine that was added last. */
+/** Removes the provisioned machine that was added last. */
 export const removeLastPlacement = (pool: MachinePool): void => {
   pool.placements.pop();
   for (const kind of GPU_KINDS) {
--- a/packages/core/src/scheduling/option-evaluator.ts
+++ b/packages/core/src/scheduling/option-evaluator.ts
@@ -1,4 +1,4 @@
-/** Evaluates machines for a group's next tasks: when they could run there, how many, and what rank that gets. */
+/** Evaluates machines for a group's next tasks: when they could run there, how many of them, and with what rank. */
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
 import type { JobSpec } from '../domain/job.js';
@@ -9,18 +9,18 @@
 import { earliestStart } from './capacity-timeline.js';
 import type { CapacityOffer, ClusterSnapshot, Placement, PlacementOption, TaskGroup } from './plan-input.js';
 import {
-  AVOIDANCE_WEIGHT,
-  BLOCKING_WEIGHT,
-  COST_PENALTY_WEIGHT,
+  AVOIDANCE_PENALTY,
+  BLOCKING_PENALTY,
+  COST_PENALTY,
   EXPENSIVE_PRICE_RATIO,
   imagePullTime,
   relativeMachinePrice,
   relativeTaskPrice,
   SMALL_TASK_RATIO,
-  wasteOf,
+  wastePenalty,
 } from './ranking.js';
 
-/** The distinct kinds of tasks, services aside. */
+/** One job specification for each distinct kind of task, except services. */
 const distinctKinds = (specs: readonly JobSpec[]): JobSpec[] => {
   const kinds = new Map<string, JobSpec>();
   for (const spec of specs) {
@@ -30,14 +30,14 @@
   return [...kinds.values()];
 };
 
-/** Evaluates placements of one snapshot. */
+/** Evaluates the placements of one snapshot, and caches predicted run times. */
 export class OptionEvaluator {
-  /** Number of placements examined: the work bound of a plan, for tests and logs. */
+  /** Number of placements examined: a measure of the plan's cost, for tests and logs. */
   examined = 0;
   private readonly kinds: readonly JobSpec[];
   private readonly largerKinds = new Map<JobSpec, readonly JobSpec[]>();
-  /** The capacity just found; one object for all evaluations, which are too many to allocate one each. */
-  private readonly free: Amounts = { cores: 0, gpus: 0, memoryGb: 0 };
+  /** Capacity available to the option being evaluated; reused, since there are too many evaluations to allocate one each. */
+  private readonly availableCapacity: Amounts = { cores: 0, gpus: 0, memoryGb: 0 };
 
   constructor(
     private readonly snapshot: ClusterSnapshot,
@@ -47,7 +47,7 @@
     this.kinds = distinctKinds([...(snapshot.recurringSpecs ?? []), ...specs]);
   }
 
-  /** Predicted run time of one task of the group on the type. */
+  /** Predicted run time of one task of the group on the machine type; unbounded for a service. */
   runTime(group: TaskGroup, type: MachineType): Micros {
     const { spec, runTimes } = group;
     if (spec.shape === 'service') return UNBOUNDED_RUN_TIME;
@@ -59,7 +59,7 @@
     return runTime;
   }
 
-  /** What the placement offers to the group's next tasks, if its rank is below the bound; else null. */
+  /** The option that the placement offers to the group's next tasks; null if its rank is not below the bound. */
   evaluate(
     group: TaskGroup,
     placement: Placement,
@@ -73,15 +73,15 @@
     const pullTime = imagePullTime(spec, slot);
     const duration = pullTime + this.runTime(group, slot.type);
     if (slot.readyAt + duration + scaleOutPenalty >= bound) return null;
-    const start = earliestStart(slot, spec, duration, this.free, group.notBefore);
+    const start = earliestStart(slot, spec, duration, this.availableCapacity, group.notBefore);
     if (start === null) return null;
     const finish = start + duration;
-    const gap = this.gapFor(spec, slot.type);
+    const gap = this.tasksInGap(spec, slot.type);
     const price = slot.sunkCost ? 1 : relativeMachinePrice(this.snapshot, group, slot.type, slot.spot);
-    const avoidance = slot.machine !== null && group.avoid.has(slot.machine) ? AVOIDANCE_WEIGHT : 0;
+    const avoidance = slot.machine !== null && group.avoid.has(slot.machine) ? AVOIDANCE_PENALTY : 0;
     const rank = this.baseRank(group, slot, finish, price, gap) + scaleOutPenalty + avoidance;
     if (rank >= bound) return null;
-    const fitting = Math.max(1, timesFits(spec, this.free));
+    const fitting = Math.max(1, timesFits(spec, this.availableCapacity));
     return {
       placement,
       offer,
@@ -90,17 +90,17 @@
       count: gap !== null && gap > 0 ? Math.min(fitting, gap) : fitting,
       rank,
       expensive: price >= EXPENSIVE_PRICE_RATIO || (slot.sunkCost && spec.gpus === 0 && slot.type.gpus > 0),
-      warm: pullTime === 0,
+      imageCached: pullTime === 0,
     };
   }
 
-  /** What provisioning the machine counts for, in waiting time. */
+  /** The penalty for provisioning the machine, in waiting time. */
   private scaleOutPenalty(group: TaskGroup, { type, spot }: MachineSlot): Micros {
     const price = relativeTaskPrice(this.snapshot, group, type, spot);
     return Math.round(group.scaleOutThreshold * Math.max(1, price));
   }
 
-  /** The finish with the penalties that any machine may have. */
+  /** The finish time plus the penalties that apply to existing and provisioned machines alike. */
   private baseRank(
     group: TaskGroup,
     slot: MachineSlot,
@@ -108,22 +108,22 @@
     price: number,
     gap: number | null,
   ): Micros {
-    // Where a small task takes no place from a large one, and the machine is busy for as long anyway, it costs nothing,
-    // however expensive the machine.
+    // A small task that displaces no large one, on a machine that is busy until its finish anyway, adds no cost, however
+    // expensive the machine is.
     const fillsGap = gap !== null && gap > 0 && finish <= (slot.changes.at(-1)?.at ?? slot.readyAt);
-    const blocking = gap === 0 ? Math.min(group.allowedDelay, BLOCKING_WEIGHT) : 0;
+    const blocking = gap === 0 ? Math.min(group.allowedDelay, BLOCKING_PENALTY) : 0;
     const costPenalty = slot.sunkCost || fillsGap ? 0 : this.costPenalty(group, slot);
-    const waste = fillsGap ? 0 : wasteOf(group.spec, slot, finish, price, group.allowedDelay);
+    const waste = fillsGap ? 0 : wastePenalty(group.spec, slot, finish, price, group.allowedDelay);
     return finish + waste + blocking + costPenalty;
   }
 
-  /** On a machine that could be scaled in, work that needs little of what is expensive about it blocks the rest. */
+  /** The penalty for a costly machine that could be scaled in: a task that needs little of it keeps all of it running. */
   private costPenalty(group: TaskGroup, { type, spot }: MachineSlot): Micros {
     const excess = Math.max(0, relativeTaskPrice(this.snapshot, group, type, spot) - 1);
-    return Math.min(group.allowedDelay, Math.round(COST_PENALTY_WEIGHT * excess));
+    return Math.min(group.allowedDelay, Math.round(COST_PENALTY * excess));
   }
 
-  /** Kinds of tasks so much larger that a small one in the wrong place keeps them out. */
+  /** Kinds of tasks so much larger than the job's that a badly placed task of the job could block them. */
   private kindsLargerThan(spec: JobSpec): readonly JobSpec[] {
     let larger = this.largerKinds.get(spec);
     if (larger === undefined) {
@@ -134,11 +134,11 @@
   }
 
   /**
-   * How many of a small task fit into the capacity just found beside as many large ones as would fit there: null if no
-   * larger ones are expected here.
+   * Number of the job's tasks that fit into the capacity that is left beside as many large tasks as fit there; null if no
+   * larger tasks are expected on this type.
    */
-  private gapFor(spec: JobSpec, type: MachineType): number | null {
-    const { free } = this;
+  private tasksInGap(spec: JobSpec, type: MachineType): number | null {
+    const { availableCapacity: free } = this;
     let gap: number | null = null;
     for (const large of this.kindsLargerThan(spec)) {
       if (!fits(large, type) || (large.machineTypes !== null && !large.machineTypes.includes(type.name)))
--- a/packages/core/src/scheduling/placement-options.ts
+++ b/packages/core/src/scheduling/placement-options.ts
@@ -1,4 +1,4 @@
-/** Enumerates where a group's tasks could go, without looking at every machine. */
+/** Enumerates where a group's tasks could go, without examining every machine. */
 import { fits, placeAllowed } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { type MachinePool, poolAccepts, UNSORTED } from './machine-pool.js';
@@ -13,18 +13,18 @@
   type TaskGroup,
 } from './plan-input.js';
 
-/** Whether tasks of the group may go to the zone. */
+/** Decides whether tasks of the group may go to the zone. */
 export type ZoneFilter = (zone: string) => boolean;
 
-/** Receives an option; returns the rank that further ones have to be below. */
+/** Receives an option; returns the upper bound on the rank of further options. */
 export type OptionVisitor = (option: PlacementOption) => Micros;
 
 const INITIAL_CLASS_CAPACITY = 64;
 
-/** The options of one simulation. */
+/** Enumerates and evaluates the placement options of one simulation. */
 export class PlacementOptions {
-  private virtualMachines = 0;
-  /** Tasks that the machines of each equivalence class can take, as far as they were visited for the group. */
+  private virtualMachineCount = 0;
+  /** Number of the group's tasks that fit on the machines visited so far, by equivalence class. */
   private tasksByClass = new Int32Array(INITIAL_CLASS_CAPACITY);
 
   constructor(
@@ -37,19 +37,19 @@
 
   /**
    * Visits the placements where the group's tasks could go. `visit` is called with an option only if its rank is below the
-   * bound that its last call returned. Of equivalent machines, no more are visited than `enough` tasks need.
+   * bound that the last call returned. Of equivalent machines, no more are visited than `wantedTasks` tasks need.
    */
-  forEach(group: TaskGroup, zoneAllowed: ZoneFilter, enough: number, visit: OptionVisitor): void {
+  forEach(group: TaskGroup, zoneAllowed: ZoneFilter, wantedTasks: number, visit: OptionVisitor): void {
     if (group.allowedMachines !== null) {
       this.visitMachines(group, group.allowedMachines, zoneAllowed, visit);
       return;
     }
     const { spec } = group;
-    this.resetClasses();
+    this.resetTasksByClass();
     let bound = Infinity;
     for (const pool of this.pools.values())
       if (poolAccepts(pool, spec) && zoneAllowed(pool.zone))
-        bound = this.visitPool(group, pool, enough, bound, visit);
+        bound = this.visitPool(group, pool, wantedTasks, bound, visit);
     for (const offer of this.snapshot.offers) {
       const { type, zone, spot } = offer;
       if (!placeAllowed(spec, type.name, zone, spot) || !fits(spec, type) || !zoneAllowed(zone)) continue;
@@ -58,18 +58,18 @@
     }
   }
 
-  /** What the placement offers to the group's next tasks, if its rank is below the bound; else null. */
+  /** The option that the placement offers to the group's next tasks; null if its rank is not below the bound. */
   evaluate(group: TaskGroup, placement: Placement, bound: Micros): PlacementOption | null {
     return this.evaluator.evaluate(group, placement, null, bound);
   }
 
-  /** What a machine provisioned from the offer would offer, if its rank is below the bound; else null. */
+  /** The option on a machine provisioned from the offer; null if none is left or its rank is not below the bound. */
   evaluateOffer(group: TaskGroup, offer: CapacityOffer, bound: Micros): PlacementOption | null {
     if (!this.isAvailable(offer)) return null;
     return this.evaluator.evaluate(group, this.virtualPlacement(offer), offer, bound);
   }
 
-  /** Whether a machine could be provisioned for the group. */
+  /** Whether any offer that suits the group has machines left to provision. */
   canScaleOut({ spec }: TaskGroup): boolean {
     return this.snapshot.offers.some(
       (offer) =>
@@ -100,17 +100,17 @@
     }
   }
 
-  private resetClasses(): void {
+  private resetTasksByClass(): void {
     if (this.tasksByClass.length < this.equivalenceClasses.size)
       this.tasksByClass = new Int32Array(this.equivalenceClasses.size * 2);
     else this.tasksByClass.fill(0);
   }
 
-  /** Visits the pool's machines, the earliest first. Returns the bound. */
+  /** Visits the pool's machines by earliest fit. Returns the new bound. */
   private visitPool(
     group: TaskGroup,
     pool: MachinePool,
-    enough: number,
+    wantedTasks: number,
     initialBound: Micros,
     visit: OptionVisitor,
   ): Micros {
@@ -123,18 +123,18 @@
     let bound = initialBound;
     for (let i = 0; i < placements.length; i++) {
       if (fitTimes[i]! + runTime >= bound) {
-        // Provisioned ones stand behind the sorted ones, and are few.
+        // Skip to the few provisioned machines, which follow the sorted ones.
         while (i + 1 < placements.length && fitTimes[i + 1] !== UNSORTED) i++;
         continue;
       }
       const placement = placements[i]!;
       if (placement.earliestFit[kind] + runTime >= bound) continue;
       const equivalenceClass = useClasses ? placement.equivalenceClass : NO_EQUIVALENT;
-      if (equivalenceClass !== NO_EQUIVALENT && tasksByClass[equivalenceClass]! >= enough) continue;
+      if (equivalenceClass !== NO_EQUIVALENT && tasksByClass[equivalenceClass]! >= wantedTasks) continue;
       const option = this.evaluator.evaluate(group, placement, null, bound);
       if (equivalenceClass !== NO_EQUIVALENT) {
-        // What the first of them can't offer, the others can't either.
-        if (option === null) tasksByClass[equivalenceClass] = enough;
+        // If one machine of the class offers nothing below the bound, neither do the others.
+        if (option === null) tasksByClass[equivalenceClass] = wantedTasks;
         else tasksByClass[equivalenceClass] = tasksByClass[equivalenceClass]! + option.count;
       }
       if (option !== null) bound = visit(option);
@@ -146,7 +146,7 @@
     const readyAt = this.snapshot.now + type.bootUs;
     return {
       slot: {
-        key: `rent-${this.virtualMachines++}`,
+        key: `provisioned-${this.virtualMachineCount++}`,
         type,
         zone,
         spot,
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -1,14 +1,14 @@
 /**
- * Placement. The ordinary path scores each candidate first action by rolling a bounded set of waiting work out to
- * completion under earliest predicted finish, and commits the first action only (paper, 10.2-10.4). Past its budget it is
- * earliest predicted finish, which is the same rollout without alternatives for the first step. A search can be suspended
- * between two of its steps and resumed later.
+ * Placement search. Each candidate first action is scored by a rollout: a bounded set of waiting groups is placed to
+ * completion under earliest predicted finish. Only the best first action is committed (paper, 10.2-10.4). Once the budget
+ * is used up, groups are placed by earliest predicted finish, which is the same rollout without alternatives for the first
+ * action. A search can be suspended between two steps and resumed later.
  */
 import type { JobSpec } from '../domain/job.js';
 import { spreadLimit } from '../domain/resources.js';
 import { type Micros, MILLI } from '../domain/time.js';
 import { placeBackfill } from './backfill.js';
-import { keepFreeCapacity, reservePools } from './free-capacity.js';
+import { reserveFreeCapacity, reservePools } from './free-capacity.js';
 import { placeGroup } from './group-placement.js';
 import { canStartNow, firstOptions } from './initial-placement.js';
 import { PlacementSimulation } from './placement-simulation.js';
@@ -22,61 +22,63 @@
 import { isBetter, type Score, simulateCompletion } from './rollout.js';
 import { allCanStartNow } from './uncontended-placement.js';
 
-/** Past the budget, so much longer may go into placing what can't begin now: a plan has to end. */
-const LATER_PLACEMENT_TIME: Micros = 80 * MILLI;
+/** How far past the budget groups that can't start now are still placed; bounds the duration of a plan. */
+const LATER_START_OVERRUN: Micros = 80 * MILLI;
 
-/** And so much into starting work beyond the groups that are compared. */
-const BACKFILL_TIME: Micros = 2 * LATER_PLACEMENT_TIME;
+/** How far past the budget backfill may still start work. */
+const BACKFILL_OVERRUN: Micros = 2 * LATER_START_OVERRUN;
 
-/** And so much into what machines are to be provisioned for beyond those groups. */
-const SCALE_OUT_TIME: Micros = 40 * MILLI;
+/** How far past the budget backfill may still plan for machines to be provisioned. */
+const SCALE_OUT_OVERRUN: Micros = 40 * MILLI;
 
-/** Bounds of a search. */
+/** Limits on the time and breadth of a search. */
 export interface SearchLimits {
-  /** Processor time in which candidates are compared. */
+  /** Processor time for comparing candidates. */
   readonly budgetUs: Micros;
-  /** Groups whose first actions are compared. */
+  /** Maximum number of groups whose first actions are compared. */
   readonly width: number;
-  /** Groups that a rollout places. */
+  /** Maximum number of groups that a rollout places. */
   readonly depth: number;
   /** Makespans that differ by no more than this count as equal. */
   readonly toleranceUs: Micros;
-  /** Where everything can begin now nothing is compared; for plans whose comparisons would exceed the budget. */
+  /** Skips the comparison when all groups can start now; for plans whose comparisons would exceed the budget. */
   readonly skipWhenUncontended?: boolean;
 }
 
-/** The result of a search, and what it cost. */
+/** The result of a search, with its cost. */
 export interface Decision {
   /** In the order in which they were decided. */
   readonly steps: readonly PlanStep[];
+  /** The snapshot that the search worked on, including the machines that it provisions. */
   readonly snapshot: ClusterSnapshot;
-  /** Number of candidates that were rolled out. */
+  /** Number of candidates scored by a rollout. */
   readonly candidatesSearched: number;
-  /** The budget ran out while candidates were compared. */
+  /** Whether the budget ran out while candidates were compared. */
   readonly budgetExceeded: boolean;
-  /** Placements examined: what the plan cost, independent of the computer. */
+  /** Number of placements examined: the cost of the plan, independent of the computer's speed. */
   readonly placementsExamined: number;
-  /** Groups placed behind those that were compared. */
+  /** Number of groups handled by backfill. */
   readonly backfilledGroups: number;
 }
 
-/** Work behind the groups that are compared. */
+/** Waiting work after the groups that are compared. */
 export interface BackfillWork {
-  /** One description of each kind of task in it. */
+  /** One job specification for each distinct kind of task in `groups`. */
   readonly kinds: readonly JobSpec[];
+  /** In queue order; may be generated lazily. */
   readonly groups: Iterable<TaskGroup>;
 }
 
-/** No work behind the groups that are compared. */
+/** Backfill without any work. */
 export const NO_BACKFILL: BackfillWork = { kinds: [], groups: [] };
 
-/** A group's first action. */
+/** A candidate first action: the group to place first, and where its first tasks go. */
 interface Candidate {
   readonly group: TaskGroup;
   readonly option: PlacementOption;
 }
 
-/** How many of a group's tasks to keep capacity for in each of so many zones, so that it fits wherever it may go. */
+/** Number of tasks to reserve capacity for in each zone, so that the group fits under its zone constraints. */
 const tasksPerZone = ({ spec, count }: TaskGroup, zones: number): number => {
   if (spec.sameZone) return count;
   return spec.spreadAcrossZones
@@ -84,63 +86,63 @@
     : Math.ceil(count / zones);
 };
 
-/** One search. It changes the snapshot until it is released. */
+/** A single search. The snapshot stays modified until `release` is called. */
 export class PlacementSearch {
-  /** Decided so far. */
+  /** Steps decided so far. */
   readonly steps: PlanStep[] = [];
   private readonly simulation: PlacementSimulation;
-  private searched = 0;
-  private fellBack = false;
+  private candidatesSearched = 0;
+  private budgetExceeded = false;
   private backfilledGroups = 0;
-  /** Groups that only hold capacity for later, by need of GPUs. */
-  private readonly heldGroups: [number, number] = [0, 0];
+  /** Number of placed groups that can't start now, without and with GPUs. */
+  private readonly laterStartCounts: [number, number] = [0, 0];
 
   constructor(
     private readonly snapshot: ClusterSnapshot,
-    /** In queue order. */
+    /** Groups to compare, in queue order. */
     private readonly groups: readonly TaskGroup[],
-    /** More of the same order, placed only where it can begin now, and of no other kinds than its own. */
+    /** Work after `groups` in queue order, started only where it fits now. */
     private readonly backfill: BackfillWork,
     private readonly limits: SearchLimits,
-    /** Processor time that the search has had so far. */
+    /** Processor time spent on the search so far. */
     private readonly elapsed: () => Micros,
   ) {
     this.simulation = new PlacementSimulation(snapshot, groups, backfill.kinds);
   }
 
   /**
-   * Chooses first actions one after the other, each committed to the simulation before the next is searched. Whenever it
-   * yields, the simulation holds nothing but what was decided.
+   * Chooses first actions one after the other; each is committed to the simulation before the search for the next one.
+   * At each yield, the simulation contains only decided steps.
    */
   *run(): Generator<void> {
-    const real = this.groups.filter((group) => !group.hypothetical);
-    const reserved = yield* this.placeReserved(real);
-    yield* this.placeAroundHolders(real.filter((group) => !reserved.has(group)));
+    const realGroups = this.groups.filter((group) => !group.hypothetical);
+    const reserved = yield* this.placeReserved(realGroups);
+    yield* this.placeAroundUrgentReservations(realGroups.filter((group) => !reserved.has(group)));
     yield* this.placeBackfill();
     for (const group of this.groups)
       if (group.hypothetical && group.reservedForUrgent !== true) placeGroup(this.simulation, group);
   }
 
-  /** The result so far. */
+  /** The result of the search so far. */
   decision(): Decision {
     return {
       steps: this.steps,
       snapshot: this.snapshot,
-      candidatesSearched: this.searched,
-      budgetExceeded: this.fellBack,
+      candidatesSearched: this.candidatesSearched,
+      budgetExceeded: this.budgetExceeded,
       placementsExamined: this.simulation.placementsExamined,
       backfilledGroups: this.backfilledGroups,
     };
   }
 
-  /** Takes everything out of the snapshot again, whose slots may then serve another plan. */
+  /** Undoes all changes to the snapshot, so that another plan can use its slots. */
   release(): void {
     this.simulation.rollback(0);
   }
 
-  /** Whether there is time left, so much past the budget. */
-  private hasTime(beyondBudget: Micros): boolean {
-    return this.elapsed() <= this.limits.budgetUs + beyondBudget;
+  /** Whether the elapsed time is within the budget plus the allowed overrun. */
+  private hasTime(allowedOverrun: Micros): boolean {
+    return this.elapsed() <= this.limits.budgetUs + allowedOverrun;
   }
 
   private commit(group: TaskGroup, first: PlacementOption | null): void {
@@ -149,28 +151,28 @@
   }
 
   /**
-   * Whether a group that can't begin now is left to the next plan. What machines can't be provisioned for either only holds
-   * capacity for later: of that as many groups are placed as a rollout places, in queue order.
+   * Whether a group that can't start now is left to the next plan: because the time is used up, or because no machine can
+   * be provisioned for it and `depth` groups (with and without GPUs counted apart) already hold capacity for a later start.
    */
   private isDeferred(group: TaskGroup): boolean {
     const kind = gpuKind(group.spec);
-    if (this.heldGroups[kind] >= this.limits.depth && !this.simulation.options.canScaleOut(group))
+    if (this.laterStartCounts[kind] >= this.limits.depth && !this.simulation.options.canScaleOut(group))
       return true;
-    this.heldGroups[kind]++;
-    return !this.hasTime(LATER_PLACEMENT_TIME);
+    this.laterStartCounts[kind]++;
+    return !this.hasTime(LATER_START_OVERRUN);
   }
 
   /**
-   * Places the groups that capacity is reserved for and that can't begin now; returns them. Else the first actions of
-   * others, which are all that is compared later, would take the capacity that is being freed for these, a task at a time,
-   * for ever.
+   * Places the groups with `reserve` set that can't start now, and returns them. Otherwise the first actions of other
+   * groups, which are compared later, would keep taking the capacity that is being freed for these, one task at a
+   * time, and starve them.
    */
   private *placeReserved(groups: readonly TaskGroup[]): Generator<void, ReadonlySet<TaskGroup>> {
     const placed = new Set<TaskGroup>();
     for (const group of groups) {
       if (!group.reserve || canStartNow(this.simulation, group)) continue;
-      // Else each machine that becomes free would go to smaller work of lower priority, for as long as more
-      // waits above it than one plan considers: on a full-size day 40 gangs waited so behind arrays.
+      // Otherwise smaller work of lower priority takes each machine that becomes free while more groups wait
+      // than one plan considers: on a full-size day 40 gangs waited behind arrays.
       if (this.isDeferred(group)) reservePools(this.simulation, group);
       else this.commit(group, null);
       placed.add(group);
@@ -179,31 +181,31 @@
     return placed;
   }
 
-  /** Places groups around those that only hold free capacity. */
-  private *placeAroundHolders(groups: readonly TaskGroup[]): Generator<void> {
-    const holders = this.groups.filter((group) => group.reservedForUrgent === true);
-    if (holders.length === 0) {
+  /** Places groups around the free capacity that is reserved for urgent work. */
+  private *placeAroundUrgentReservations(groups: readonly TaskGroup[]): Generator<void> {
+    const reservations = this.groups.filter((group) => group.reservedForUrgent === true);
+    if (reservations.length === 0) {
       yield* this.place(groups);
       return;
     }
-    // What has to start at once comes before the capacity that is kept for more of it, all else after that.
-    const urgent = Math.min(...holders.map((group) => group.spec.priority));
-    yield* this.place(groups.filter((group) => group.spec.priority >= urgent));
-    this.keepCapacity(holders);
-    yield* this.place(groups.filter((group) => group.spec.priority < urgent));
+    // Urgent groups are placed before capacity is reserved for further urgent arrivals, all other groups after that.
+    const urgentPriority = Math.min(...reservations.map((group) => group.spec.priority));
+    yield* this.place(groups.filter((group) => group.spec.priority >= urgentPriority));
+    this.reserveForUrgent(reservations);
+    yield* this.place(groups.filter((group) => group.spec.priority < urgentPriority));
   }
 
-  private keepCapacity(holders: readonly TaskGroup[]): void {
+  private reserveForUrgent(reservations: readonly TaskGroup[]): void {
     const { zones } = this.simulation;
-    for (const group of holders)
+    for (const group of reservations)
       for (const zone of zones)
-        keepFreeCapacity(this.simulation, group, zone, tasksPerZone(group, zones.length));
+        reserveFreeCapacity(this.simulation, group, zone, tasksPerZone(group, zones.length));
   }
 
   private *placeBackfill(): Generator<void> {
     const groups = placeBackfill(this.simulation, this.backfill.groups, {
-      hasTimeForStarts: () => this.hasTime(BACKFILL_TIME),
-      hasTimeForScaleOut: () => this.hasTime(SCALE_OUT_TIME),
+      hasTimeForStarts: () => this.hasTime(BACKFILL_OVERRUN),
+      hasTimeForScaleOut: () => this.hasTime(SCALE_OUT_OVERRUN),
     });
     for (const steps of groups) {
       this.steps.push(...steps);
@@ -212,32 +214,32 @@
     }
   }
 
-  /** Chooses and commits first actions while there is a choice; then places what is left in order. */
+  /** Compares and commits first actions while any group can start now; then places the remaining groups in order. */
   private *place(groups: readonly TaskGroup[]): Generator<void> {
     const compares = this.limits.skipWhenUncontended !== true || !allCanStartNow(this.simulation, groups);
-    let left = groups;
-    while (compares && left.length > 0) {
-      const represented = left.slice(0, this.limits.depth);
-      const candidates = this.candidates(represented);
-      // Nothing can begin now: there is no first action to choose, only what to wait for and to provision.
+    let remaining = groups;
+    while (compares && remaining.length > 0) {
+      const rolloutGroups = remaining.slice(0, this.limits.depth);
+      const candidates = this.candidates(rolloutGroups);
+      // No group can start now, so there is no first action to choose.
       if (candidates.length === 0) break;
-      const chosen = yield* this.choose(represented, candidates);
-      if (this.fellBack) break;
-      const chosenGroup = chosen?.group ?? left[0]!;
+      const chosen = yield* this.choose(rolloutGroups, candidates);
+      if (this.budgetExceeded) break;
+      const chosenGroup = chosen?.group ?? remaining[0]!;
       this.commit(chosenGroup, chosen?.option ?? null);
-      left = left.filter((group) => group !== chosenGroup);
+      remaining = remaining.filter((group) => group !== chosenGroup);
       yield;
     }
-    for (const group of left) {
+    for (const group of remaining) {
       if (canStartNow(this.simulation, group) || !this.isDeferred(group)) this.commit(group, null);
       yield;
     }
   }
 
-  private candidates(represented: readonly TaskGroup[]): Candidate[] {
+  private candidates(rolloutGroups: readonly TaskGroup[]): Candidate[] {
     const candidates: Candidate[] = [];
     let groupsWithOptions = 0;
-    for (const group of represented) {
+    for (const group of rolloutGroups) {
       const options = firstOptions(this.simulation, group);
       for (const option of options) candidates.push({ group, option });
       if (options.length > 0) groupsWithOptions++;
@@ -246,21 +248,21 @@
     return candidates;
   }
 
-  /** The best first action of several; null: there was nothing to compare, or no time for it. */
+  /** The best first action; null if there is only one, none can be placed, or the budget is exceeded. */
   private *choose(
-    represented: readonly TaskGroup[],
+    rolloutGroups: readonly TaskGroup[],
     candidates: readonly Candidate[],
   ): Generator<void, Candidate | null> {
-    if (represented.length === 1)
+    if (rolloutGroups.length === 1)
       return candidates.reduce((one, other) => (other.option.rank < one.option.rank ? other : one));
     if (candidates.length === 1) return null;
     let best: { candidate: Candidate; score: Score } | null = null;
     for (const candidate of candidates) {
       if (!this.hasTime(0)) {
-        this.fellBack = true;
+        this.budgetExceeded = true;
         return null;
       }
-      const score = this.score(candidate, represented);
+      const score = this.score(candidate, rolloutGroups);
       if (score !== null && (best === null || isBetter(score, best.score, this.limits.toleranceUs)))
         best = { candidate, score };
       yield;
@@ -268,22 +270,22 @@
     return best?.candidate ?? null;
   }
 
-  /** Rolls the others out behind the candidate; null if that can't be placed. Leaves no trace. */
-  private score({ group, option }: Candidate, represented: readonly TaskGroup[]): Score | null {
+  /** Scores a rollout of the other groups after the candidate, then rolls it back; null if it can't be placed. */
+  private score({ group, option }: Candidate, rolloutGroups: readonly TaskGroup[]): Score | null {
     const mark = this.simulation.mark();
-    const opening = placeGroup(this.simulation, group, option);
+    const firstSteps = placeGroup(this.simulation, group, option);
     let score: Score | null = null;
-    if (opening !== null) {
-      this.searched++;
-      const others = represented.filter((other) => other !== group);
-      score = simulateCompletion(this.simulation, others, opening);
+    if (firstSteps !== null) {
+      this.candidatesSearched++;
+      const others = rolloutGroups.filter((other) => other !== group);
+      score = simulateCompletion(this.simulation, others, firstSteps);
     }
     this.simulation.rollback(mark);
     return score;
   }
 }
 
-/** Runs a search in one go. The snapshot is changed. */
+/** Runs a search to its end without suspending it. The snapshot stays modified. */
 export const search = (
   snapshot: ClusterSnapshot,
   groups: readonly TaskGroup[],
@@ -293,8 +295,8 @@
 ): Decision => {
   const startedAt = stopwatch();
   const run = new PlacementSearch(snapshot, groups, backfill, limits, () => stopwatch() - startedAt);
-  const pauses = run.run();
+  const slices = run.run();
   let isDone = false;
-  while (!isDone) isDone = pauses.next().done === true;
+  while (!isDone) isDone = slices.next().done === true;
   return run.decision();
 };
--- a/packages/core/src/scheduling/placement-simulation.ts
+++ b/packages/core/src/scheduling/placement-simulation.ts
@@ -1,6 +1,7 @@
 /**
- * A simulation of the cluster that plans place work in: machines by pool, with an undo log of everything that a rollout
- * changes. Nothing is copied: at a thousand machines a copy for each candidate costs far more than the rollout itself.
+ * A simulation of the cluster in which plans place work: machines grouped into pools, and an undo log of all changes that a
+ * rollout makes. The undo log replaces copies: at a thousand machines, copying the state for each candidate costs far more
+ * than the rollout itself.
  */
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
@@ -28,7 +29,7 @@
   type TaskGroup,
 } from './plan-input.js';
 
-/** An entry of the undo log: a placement as it was, or a machine that was provisioned. */
+/** An entry of the undo log: a placement's state before a change, or a machine that was provisioned. */
 type UndoEntry =
   | {
       readonly placement: Placement;
@@ -42,22 +43,22 @@
     }
   | { readonly placement: null; readonly offer: CapacityOffer; readonly pool: MachinePool };
 
-/** Of a machine on which nothing runs, all that decides what it can offer beside when it is ready. */
+/** Everything except the ready time that decides what an idle machine can offer, as text. */
 const equivalenceKeyOf = ({ type, zone, spot, sunkCost, free, images }: MachineSlot): string =>
   `${type.name}|${sunkCost ? 'sunk' : ''}|${zone}|${spot ? 's' : 'o'}|${free.cores}|${free.gpus}|${free.memoryGb}|${[...images].join()}`;
 
-/** What `count` tasks of the job take. */
+/** Amounts that `count` tasks of the job need. */
 const demandOf = (spec: JobSpec, count: number): Amounts => ({
   cores: spec.cores * count,
   gpus: spec.gpus * count,
   memoryGb: spec.memoryGb * count,
 });
 
-/** One plan's view of the snapshot. */
+/** Places work in a plan's snapshot, and undoes placements. */
 export class PlacementSimulation {
   /** Zones of all machines and offers. */
   readonly zones: readonly string[];
-  /** Where a group's tasks could go. */
+  /** Enumerates where a group's tasks could go. */
   readonly options: PlacementOptions;
   private readonly poolsByKey = new Map<string, MachinePool>();
   private readonly placementByMachine = new Map<string, Placement>();
@@ -66,17 +67,17 @@
   private readonly evaluator: OptionEvaluator;
 
   constructor(
-    /** Changed by the simulation, until it is rolled back. */
+    /** Modified by the simulation until it is rolled back. */
     readonly snapshot: ClusterSnapshot,
     groups: readonly TaskGroup[],
-    /** Kinds of tasks that may be placed beside the groups. */
-    furtherKinds: readonly JobSpec[] = [],
+    /** Kinds of tasks that may be placed in addition to the groups. */
+    backfillKinds: readonly JobSpec[] = [],
   ) {
     this.evaluator = new OptionEvaluator(snapshot, groups);
     this.zones = this.addMachines();
     for (const pool of this.poolsByKey.values()) {
       for (const group of groups) includeNeed(pool, group.spec);
-      for (const spec of furtherKinds) includeNeed(pool, spec);
+      for (const spec of backfillKinds) includeNeed(pool, spec);
       sortPool(pool);
     }
     this.options = new PlacementOptions(
@@ -88,17 +89,17 @@
     );
   }
 
-  /** All pools. */
+  /** Pools of machines, one for each type, zone and purchase option (spot or on-demand). */
   get pools(): Iterable<MachinePool> {
     return this.poolsByKey.values();
   }
 
-  /** Number of placements examined so far. */
+  /** Number of placements examined so far: the cost of the plan. */
   get placementsExamined(): number {
     return this.evaluator.examined;
   }
 
-  /** Puts machines and offers into their pools. Returns their zones. */
+  /** Adds all machines to their pools, creates the pools of all offers, and returns the zones of both. */
   private addMachines(): string[] {
     const zones = new Set<string>();
     for (const slot of this.snapshot.slots) {
@@ -128,24 +129,25 @@
     return pool;
   }
 
-  /** Idle machines that differ in nothing that counts need be examined once. */
+  /** Number of the slot's equivalence class: of interchangeable idle machines, only some need to be examined. */
   private equivalenceClassOf(slot: MachineSlot): number {
     if (slot.changes.length > 0) return NO_EQUIVALENT;
     slot.equivalenceKey ??= equivalenceKeyOf(slot);
-    // Machines that are up are all ready at once; the text itself is then the key, and is hashed once for many plans.
+    // Machines that are up are all ready now, so the cached string itself is the key; it is hashed once for many plans.
     const key =
       slot.readyAt <= this.snapshot.now ? slot.equivalenceKey : `${slot.readyAt}|${slot.equivalenceKey}`;
-    let number = this.equivalenceClasses.get(key);
-    if (number === undefined) this.equivalenceClasses.set(key, (number = this.equivalenceClasses.size));
-    return number;
+    let classNumber = this.equivalenceClasses.get(key);
+    if (classNumber === undefined)
+      this.equivalenceClasses.set(key, (classNumber = this.equivalenceClasses.size));
+    return classNumber;
   }
 
-  /** A mark to roll back to. */
+  /** A savepoint for `rollback`. */
   mark(): number {
     return this.undoLog.length;
   }
 
-  /** Takes back everything since the mark. */
+  /** Undoes all changes since the mark. */
   rollback(mark: number): void {
     while (this.undoLog.length > mark) {
       const entry = this.undoLog.pop()!;
@@ -166,9 +168,9 @@
   }
 
   private removeProvisioned(offer: CapacityOffer, pool: MachinePool): void {
-    const { provisioned: rented, slots } = this.snapshot;
-    rented.set(offer, rented.get(offer)! - 1);
-    if (rented.get(offer) === 0) rented.delete(offer);
+    const { provisioned: provisionedCounts, slots } = this.snapshot;
+    provisionedCounts.set(offer, provisionedCounts.get(offer)! - 1);
+    if (provisionedCounts.get(offer) === 0) provisionedCounts.delete(offer);
     slots.pop();
     removeLastPlacement(pool);
   }
@@ -195,7 +197,7 @@
     placement.earliestFit[1] = firstFit(slot, leastNeed[1]);
   }
 
-  /** Places `count` tasks of the group there. */
+  /** Places `count` tasks of the group on the machine from `start` to `finish`. */
   occupy(placement: Placement, group: TaskGroup, count: number, start: Micros, finish: Micros): void {
     this.logUndo(placement);
     const { slot } = placement;
@@ -214,7 +216,7 @@
     this.updateEarliestFit(placement);
   }
 
-  /** The capacity of `count` tasks that is freed at `from` stays taken until `until`. */
+  /** Keeps the capacity of `count` tasks that would be freed at `from` occupied until `until`. */
   extend(placement: Placement, group: TaskGroup, count: number, from: Micros, until: Micros): void {
     this.logUndo(placement);
     const demand = demandOf(group.spec, count);
@@ -222,12 +224,12 @@
     this.updateEarliestFit(placement);
   }
 
-  /** Makes a chosen option part of the snapshot: a machine that would be provisioned is counted. */
+  /** Adds the option's machine to the snapshot if it has to be provisioned; does nothing for an existing machine. */
   provision({ offer, placement }: PlacementOption): void {
     if (offer === null) return;
-    const { provisioned: rented, slots } = this.snapshot;
+    const { provisioned: provisionedCounts, slots } = this.snapshot;
     const pool = this.poolOf(offer.type, offer.zone, offer.spot);
-    rented.set(offer, (rented.get(offer) ?? 0) + 1);
+    provisionedCounts.set(offer, (provisionedCounts.get(offer) ?? 0) + 1);
     slots.push(placement.slot);
     appendPlacement(pool, placement);
     this.undoLog.push({ placement: null, offer, pool });
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -1,118 +1,125 @@
-/** What a plan works with: groups of waiting tasks, machines that exist or may be provisioned, and the steps it decides. */
+/** Data of a plan: groups of waiting tasks, machines that exist or may be provisioned, and the resulting steps. */
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Micros } from '../domain/time.js';
 
-/** A kind of machine that may be provisioned from the cloud. */
+/** A combination of machine type, zone and purchase option that may be provisioned from the cloud. */
 export interface CapacityOffer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** The most machines of it that one plan may provision. */
+  /** Maximum number of machines that one plan may provision from this offer. */
   readonly limit: number;
 }
 
-/** Identical waiting tasks of one job. */
+/** Identical waiting tasks of one job, with the limits on where and when they may start. */
 export interface TaskGroup {
+  /** The job as submitted, but with its effective priority. */
   readonly spec: JobSpec;
+  /** Number of tasks to place. */
   readonly count: number;
-  /** Number of the job's tasks in each zone already. */
+  /** Number of the job's live tasks in each zone. */
   readonly zones: ReadonlyMap<string, number>;
-  /** Machines that these tasks had better avoid. */
+  /** Machines that these tasks should avoid. */
   readonly avoid: ReadonlySet<string>;
-  /** Checkpointed progress that a restart continues from. */
+  /** Checkpointed progress from which a restarted task continues. */
   readonly checkpointedProgress: Micros;
-  /** How much sooner the group has to finish on a machine for that to be provisioned, before the price is weighed. */
+  /** How much sooner the group must finish on a new machine to justify provisioning it; scaled by the relative price. */
   readonly scaleOutThreshold: Micros;
-  /** How long it may wait for a cheaper machine without risk to its next objective. */
+  /** How long the group may wait for a cheaper machine without endangering its next objective. */
   readonly allowedDelay: Micros;
-  /** The only machines to consider, where capacity is being freed for the group. Null: any. */
+  /** The machines on which capacity is being freed for the group, which are then the only ones to use; null: any. */
   readonly allowedMachines: ReadonlySet<string> | null;
   /**
-   * Its fair-share turn, its reservation or its priority protects it: if it can't begin now, what it will need is kept
-   * from the groups behind it.
+   * Whether capacity is reserved for the group while it can't start, so that groups behind it don't take it: due to its
+   * fair-share turn, a preemption reservation or its priority.
    */
   readonly reserve: boolean;
-  /** No real work: capacity kept for arrivals, or for stages to come. */
+  /** Whether the group stands for no actual tasks, but for capacity kept for arrivals or upcoming stages. */
   readonly hypothetical: boolean;
-  /** Of a hypothetical group: capacity that is free now is kept for it. */
+  /** Of a hypothetical group: capacity that is free now is reserved for urgent arrivals. */
   readonly reservedForUrgent?: boolean;
-  /** It can't begin before. */
+  /** Earliest time at which the group may start. */
   readonly notBefore?: Micros;
-  /** Relative prices by type and kind, filled in on demand. */
+  /** Cache of relative prices by machine type and purchase option. */
   readonly costPenalties: Map<string, number>;
-  /** Predicted run times by type, filled in on demand. */
+  /** Cache of predicted run times by machine type. */
   readonly runTimes: Map<string, Micros>;
 }
 
-/** `count` tasks of a group begin on a machine at a time. */
+/** A decision of a plan: `count` tasks of a group run on a machine from `start` to `finish`. */
 export interface PlanStep {
   readonly group: TaskGroup;
   readonly placement: Placement;
+  /** The slot of the placement. */
   readonly slot: MachineSlot;
   readonly count: number;
   readonly start: Micros;
   readonly finish: Micros;
 }
 
-/** Predicts run times. */
+/** Predicts how long tasks will run. */
 export interface Predictor {
   /** Expected run time of one task of the job on the type, given its checkpointed progress. */
   runTime(spec: JobSpec, type: MachineType, checkpointedProgress: Micros): Micros;
 }
 
-/** The cluster as one plan sees it. A simulation changes it and rolls its changes back. */
+/** The state of the cluster that a plan works on. A simulation modifies it and rolls its changes back. */
 export interface ClusterSnapshot {
   readonly now: Micros;
-  /** Machines that exist, and behind them those that the plan provisions. */
+  /** Existing machines, followed by those that the plan provisions. */
   slots: MachineSlot[];
-  /** Kinds of machines that may be provisioned. */
+  /** Machines that may be provisioned from the cloud. */
   readonly offers: readonly CapacityOffer[];
   /** Number of machines that the plan provisions, by offer. */
   provisioned: Map<CapacityOffer, number>;
+  /** Predicts the run times of waiting tasks. */
   readonly predictor: Predictor;
+  /** All known machine types, including those that the cloud refuses now. */
   readonly types: Iterable<MachineType>;
-  /** Recurring kinds of tasks: small ones had better leave whole machines for the large ones among them. */
+  /** Recurring kinds of tasks; small tasks are placed so that they don't block the large ones among these. */
   readonly recurringSpecs?: readonly JobSpec[];
 }
 
-/** Where and when the next tasks of a group could run. */
+/** A machine and a time at which the next tasks of a group could run. */
 export interface PlacementOption {
   readonly placement: Placement;
-  /** The offer that the machine would be provisioned from; null: it exists, or the plan has counted it already. */
+  /** The offer to provision the machine from; null if it exists or the plan already provisions it. */
   readonly offer: CapacityOffer | null;
+  /** Earliest start of the tasks there. */
   readonly start: Micros;
+  /** Predicted finish, including the image pull. */
   readonly finish: Micros;
-  /** Number of tasks that can start there then. */
+  /** Number of tasks that can start there at that time. */
   readonly count: number;
-  /** Finish with all penalties, in microseconds; the lowest is the best. */
+  /** Finish time plus all penalties, in microseconds; lower is better. */
   readonly rank: number;
-  /** On a machine that costs several times what its job could do with. */
+  /** Whether the machine costs several times the job's cheapest one, or has a sunk cost and GPUs unused by the job. */
   readonly expensive: boolean;
-  /** The job's image is cached there. */
-  readonly warm: boolean;
+  /** Whether the job's image is cached there. */
+  readonly imageCached: boolean;
 }
 
-/** A slot with what is known of when it may have free capacity. */
+/** A machine slot with an estimate of when it has free capacity. */
 export interface Placement {
   readonly slot: MachineSlot;
-  /** No work of the plan fits before that, by need of GPUs (0 without, 1 with). Never later than the truth. */
+  /** Lower bound on when any work of the plan fits, by `GpuKind`. */
   readonly earliestFit: [Micros, Micros];
-  /** Idle machines with the same number are interchangeable; `NO_EQUIVALENT`: like no other. */
+  /** Idle machines of the same class are interchangeable; `NO_EQUIVALENT` if there are no equivalent machines. */
   equivalenceClass: number;
 }
 
-/** Equivalence class of a placement that is like no other. */
+/** Equivalence class of a placement without equivalent machines. */
 export const NO_EQUIVALENT = -1;
 
-/** Index into pairs that are kept by need of GPUs: 0 without, 1 with. */
+/** Index into pairs that distinguish work without GPUs (0) and with GPUs (1). */
 export type GpuKind = 0 | 1;
 
-/** Both indices. */
+/** Both values of `GpuKind`, for iteration. */
 export const GPU_KINDS: readonly GpuKind[] = [0, 1];
 
-/** What a task needs and where it may go, as text: equal for tasks that fit on the same machines. */
+/** The needs and placement constraints of a task as text: equal for tasks that fit on the same machines. */
 export const taskKind = (spec: JobSpec): string =>
   [
     spec.cores,
@@ -123,5 +130,5 @@
     spec.machineTypes?.join('+') ?? '*',
   ].join('|');
 
-/** Whether a task of the job needs GPUs, as an index. */
+/** The `GpuKind` of the job: 1 if its tasks need GPUs, otherwise 0. */
 export const gpuKind = (spec: JobSpec): GpuKind => (spec.gpus > 0 ? 1 : 0);
--- a/packages/core/src/scheduling/preemption-candidates.ts
+++ b/packages/core/src/scheduling/preemption-candidates.ts
@@ -1,4 +1,4 @@
-/** Capacity for work of higher priority, or for a team's guarantee, from attempts that may be preempted for it. */
+/** Finds attempts that may be preempted for work of higher priority or within a team's guarantee. */
 import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { mayPreempt, type PreemptionPolicy } from '../cluster/preemption-policy.js';
 import type { JobSpec } from '../domain/job.js';
@@ -7,25 +7,27 @@
 import { type Micros, SECOND } from '../domain/time.js';
 import { taskKind } from './plan-input.js';
 
-/** A start followed by a stop within half a minute was worth nothing: younger attempts are left alone. */
+/** Minimum run time before an attempt is stopped: a start followed by a stop within half a minute achieves nothing. */
 export const MIN_RUN_BEFORE_STOP: Micros = 35 * SECOND;
 
-/** What to stop, and the machines on which all tasks then fit. */
+/** Attempts to stop, and the machines on which all tasks fit afterwards. */
 export interface PreemptionChoice {
+  /** Attempts to stop. */
   readonly victims: readonly TaskAttempt[];
+  /** Names of the machines. */
   readonly machines: ReadonlySet<string>;
 }
 
-/** Capacity for one task on a machine. */
+/** Capacity for one task on a machine, after some attempts are stopped. */
 interface PreemptionCandidate {
   readonly machine: Machine;
-  /** To stop for this task, beside what the machine's earlier candidates stop. */
+  /** Attempts to stop for this task, in addition to those of the machine's earlier candidates. */
   readonly victims: readonly TaskAttempt[];
-  /** Number of victims; never less than that of the machine's earlier candidates, which it builds on. */
+  /** Number of victims, but at least the cost of the machine's earlier candidates, which this one depends on. */
   readonly cost: number;
 }
 
-/** Whether the attempt runs and can be stopped without losing more than its progress since the last checkpoint. */
+/** Whether the attempt is running and, if stopped, loses no more than its progress since the last checkpoint. */
 export const isRunningWithCheckpoints = ({ job, state, stopping, runningAt }: TaskAttempt): boolean =>
   stopping === null &&
   state === 'running' &&
@@ -33,7 +35,7 @@
   job.spec.shape === 'array' &&
   job.spec.checkpointIntervalUs > 0;
 
-/** Takes the fewest attempts off the front until the task fits; `free` grows by them. */
+/** Removes attempts from the front of `stoppable` until the task fits, and adds their capacity to `free`. */
 const takeVictims = (spec: JobSpec, free: Amounts, stoppable: TaskAttempt[]): TaskAttempt[] => {
   const victims: TaskAttempt[] = [];
   while (!fits(spec, free) && stoppable.length > 0) {
@@ -45,11 +47,12 @@
 };
 
 /**
- * What one plan may preempt. The machines are gone through once for each kind of task; jobs take from that in their order.
- * Only attempts that can save their progress are taken, and tasks go where the fewest need to be stopped for them.
+ * Attempts that one plan may preempt. The machines are scanned once for each kind of task; jobs take candidates from the
+ * result in their order. Only attempts that can save their progress are stopped, and each job takes the candidates with
+ * the fewest victims.
  */
 export class PreemptionCandidates {
-  /** By kind of task, then by zone. */
+  /** Candidate lists by kind of task, then by zone. */
   private readonly listsByKind = new Map<string, Map<string, PreemptionCandidate[]>>();
   private readonly takenMachines = new Set<Machine>();
 
@@ -57,11 +60,11 @@
     private readonly machines: readonly Machine[],
     private readonly types: ReadonlyMap<string, MachineType>,
     private readonly policy: PreemptionPolicy,
-    /** Whether stopping it costs nothing that its own objectives need. */
+    /** Whether stopping the attempt doesn't endanger the objectives of its own job. */
     private readonly isExpendable: (attempt: TaskAttempt) => boolean,
   ) {}
 
-  /** The fewest attempts to stop so that all `count` tasks of the job fit, or null. Their machines are taken then. */
+  /** The cheapest choice of victims so that all `count` tasks fit, or null. Its machines are then unavailable to others. */
   take(job: ActiveJob, count: number): PreemptionChoice | null {
     let best: PreemptionChoice | null = null;
     let chosen: readonly PreemptionCandidate[] = [];
@@ -77,7 +80,7 @@
     return best;
   }
 
-  /** Up to `count` candidates on machines that no other job took. */
+  /** Up to `count` candidates on machines that no other job has taken. */
   private firstAvailable(list: readonly PreemptionCandidate[], count: number): PreemptionCandidate[] {
     const available: PreemptionCandidate[] = [];
     for (const candidate of list) {
@@ -87,9 +90,9 @@
     return available;
   }
 
-  /** Candidates by zone (or all in one list, for jobs that may spread), cheapest first. */
+  /** Candidates sorted by cost: one list for each zone if the job must stay in one zone, otherwise a single list. */
   private candidatesFor(job: ActiveJob): Map<string, PreemptionCandidate[]> {
-    const key = this.kindOf(job);
+    const key = this.candidateKey(job);
     let byZone = this.listsByKind.get(key);
     if (byZone !== undefined) return byZone;
     byZone = new Map<string, PreemptionCandidate[]>();
@@ -109,14 +112,14 @@
     return byZone;
   }
 
-  /** Equal for jobs whose tasks have the same candidates. */
-  private kindOf(job: ActiveJob): string {
+  /** Cache key: equal for jobs whose tasks have the same candidates. */
+  private candidateKey(job: ActiveJob): string {
     const { spec, priority } = job;
     const { team, sameZone } = spec;
     return [team, priority, this.policy.isGuaranteed(job), sameZone, taskKind(spec)].join('|');
   }
 
-  /** Adds a candidate for each task of the job that the machine can take, the youngest attempts stopped first. */
+  /** Adds a candidate for each task of the job that fits on the machine; the youngest attempts are stopped first. */
   private addCandidates(
     job: ActiveJob,
     machine: Machine,
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -1,4 +1,4 @@
-/** Preempts some work for other work: which waiting jobs have a right to that, when, and what it costs. */
+/** Preemption: decides which waiting jobs may preempt other work, when, and at what cost. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import { type Micros, SECOND } from '../domain/time.js';
@@ -6,35 +6,36 @@
 import type { PlanStep } from './plan-input.js';
 import { MIN_RUN_BEFORE_STOP, PreemptionCandidates, type PreemptionChoice } from './preemption-candidates.js';
 
-/** A stopped task waits for about this share of how long others of its class wait: it was in order before. */
-const REQUEUE_SHARE = 0.4;
-/** What a stopped task loses at least: it saves, waits for another machine, and pulls its image there. */
-const MIN_LOSS: Micros = 30 * SECOND;
-/** A wait that is never worth stopping others for, and the one that is where no objective can be met any more. */
-const MIN_WAIT: Micros = 8 * SECOND;
+/** Expected wait of a stopped task, as a share of the mean wait of its class: it was queued earlier than the others. */
+const REQUEUE_WAIT_SHARE = 0.4;
+/** Minimum loss of a stopped task: it saves its progress, waits for another machine and pulls its image there. */
+const MIN_PREEMPTION_LOSS: Micros = 30 * SECOND;
+/** No attempts are stopped for a shorter predicted wait than this. */
+const MIN_WAIT_BEFORE_PREEMPTION: Micros = 8 * SECOND;
+/** Predicted wait that justifies preemption for a job that can't meet any objective. */
 const WAIT_WITHOUT_OBJECTIVE: Micros = 60 * SECOND;
-/** From the decision to stop others until the job runs in their place, with time for a second try. */
+/** Time from the decision to stop attempts until the job runs in their place, with time for a second try. */
 const PREEMPTION_TIME: Micros = 20 * SECOND;
-/** Attempts that one plan stops for others, about. */
+/** Number of victims after which a plan preempts for no further job. */
 const MAX_VICTIMS = 60;
-/** Tasks of one array that one plan stops others for. */
+/** Maximum number of tasks of one array that a plan preempts other work for. */
 const MAX_ARRAY_TASKS = 16;
-/** Beyond the longest checkpoint, freed capacity stays reserved for so long. */
+/** How long freed capacity stays reserved, in addition to the longest checkpoint duration. */
 const RESERVATION_TIME: Micros = 6 * SECOND;
-/** Beyond its checkpoint, a stopped task has so much time to exit. */
+/** Time that a stopped task has to exit, in addition to its checkpoint duration. */
 const STOP_GRACE: Micros = SECOND;
-/** Where no objective depends on its start, an attempt runs for so many times its checkpoint before it is stopped. */
+/** Minimum run time of an attempt of a class without an objective on waiting, in multiples of its checkpoint duration. */
 const MIN_RUN_IN_CHECKPOINTS = 2;
-/** And at least for this long. */
-const MIN_RUN: Micros = 5 * SECOND;
+/** Absolute minimum run time of such an attempt. */
+const MIN_RUN_TIME: Micros = 5 * SECOND;
 
-/** How long jobs of a class have waited so far. */
+/** Number of waiting jobs of a class, and the sum of their waits so far. */
 interface ClassWait {
   jobs: number;
-  total: Micros;
+  totalWait: Micros;
 }
 
-/** Decides on preemption after a plan. */
+/** Decides after each plan which attempts to stop for jobs that would wait too long. */
 export class PreemptionPlanner {
   private readonly context: NodeContext;
 
@@ -46,11 +47,11 @@
   }
 
   /**
-   * Stops what work of higher priority, or a guarantee, has a right to, if it would wait much longer. `stepsByJob` is the
-   * plan.
+   * Stops attempts for jobs of higher priority, or within a guarantee, that would otherwise wait too long. `stepsByJob` is
+   * the plan.
    */
   preempt(stepsByJob: ReadonlyMap<ActiveJob, readonly PlanStep[]>): void {
-    // Looking for victims goes through all machines: only where there may be some, and a few times a plan.
+    // The search for victims scans all machines, so it is done only where there may be any, and a few times a plan.
     const mayHaveVictims = this.victimFilter();
     const { now } = this.context;
     let candidates: PreemptionCandidates | null = null;
@@ -60,7 +61,7 @@
       if (job.liveAttempts.size > 0 || job.phase !== 'active' || job.reservedUntil > now) continue;
       if (!mayHaveVictims(job)) continue;
       const start = Math.max(...steps.map((step) => step.start));
-      if (start <= now + this.waitBeforeStopping(job)) continue;
+      if (start <= now + this.waitBeforePreemption(job)) continue;
       candidates ??= this.candidates();
       const count = job.spec.shape === 'gang' ? job.spec.tasks : Math.min(job.waitingCount, MAX_ARRAY_TASKS);
       const choice = candidates.take(job, count);
@@ -70,18 +71,18 @@
     }
   }
 
-  /** Whether there may be anything that the job has a right to preempt. */
+  /** Returns a cheap check of whether there may be attempts that the job may preempt. */
   private victimFilter(): (job: ActiveJob) => boolean {
     const { teams } = this.context.settings;
     const hasGuarantees =
       teams.length > 1 && teams.some((team) => team.guaranteedCores > 0 || team.guaranteedGpus > 0);
-    const lowest = this.cluster.usageTotals.lowestRunning();
-    return (job) => hasGuarantees || job.priority > lowest;
+    const lowestPriority = this.cluster.usageTotals.lowestRunning();
+    return (job) => hasGuarantees || job.priority > lowestPriority;
   }
 
   private stopFor(job: ActiveJob, { victims, machines }: PreemptionChoice): void {
     job.reservedMachines = machines;
-    // What is being freed is for this job: others must not take it before all of it is there.
+    // Other jobs must not take the freed capacity before all of it is available.
     const longestCheckpoint = Math.max(...victims.map((victim) => victim.job.spec.checkpointDurationUs));
     job.reservedUntil = this.context.now + longestCheckpoint + RESERVATION_TIME;
     this.context.debug('task.preempted', () => ({
@@ -92,20 +93,23 @@
   }
 
   /**
-   * A stopped task saves, waits, and pulls its image elsewhere: that is done only once waiting on would endanger the
-   * objective of the job that wants the capacity. On full-size days arrays were else stopped thousands of times for gangs
-   * that had time, and missed half of their deadlines.
+   * The predicted wait beyond which other work is stopped for the job. Stopping is costly: the task saves its progress,
+   * waits, and pulls its image elsewhere. So it is done only once further waiting would endanger the job's objective.
+   * Without this limit, on full-size days arrays were stopped thousands of times for gangs that had time, and missed half
+   * of their deadlines.
    */
-  private waitBeforeStopping(job: ActiveJob): Micros {
+  private waitBeforePreemption(job: ActiveJob): Micros {
     const slack = this.cluster.slackOf(job);
-    return slack === null ? WAIT_WITHOUT_OBJECTIVE : Math.max(MIN_WAIT, slack - PREEMPTION_TIME);
+    return slack === null
+      ? WAIT_WITHOUT_OBJECTIVE
+      : Math.max(MIN_WAIT_BEFORE_PREEMPTION, slack - PREEMPTION_TIME);
   }
 
   private candidates(): PreemptionCandidates {
     const { settings, types } = this.context;
     const reserved = this.reservedMachines();
-    // A start counts for an objective on waiting only if it is not stopped at once; where there is no such objective,
-    // stopping costs what has not been saved yet, which is nothing, and the time to save.
+    // With an objective on waiting, a start counts only if the attempt is not stopped soon after. Without one, stopping
+    // costs only the time to save, since a stopped task saves its progress first.
     const classesWithWaitObjective = new Set(
       settings.objectives
         .filter((objective) => objective.kind === 'wait')
@@ -118,11 +122,11 @@
       this.cluster.preemptionPolicy(),
       (attempt) =>
         this.hasRunEnough(attempt, classesWithWaitObjective) &&
-        !this.endangersDeadline(attempt, lossFor(attempt.job, waits)),
+        !this.endangersDeadline(attempt, preemptionLoss(attempt.job, waits)),
     );
   }
 
-  /** Machines on which capacity is being freed for one job: it is not freed for another. */
+  /** Machines on which capacity is already being freed for a job; it must not be freed for another one. */
   private reservedMachines(): Set<string> {
     const reserved = new Set<string>();
     for (const { reservedUntil, reservedMachines } of this.cluster.jobs.values())
@@ -130,45 +134,49 @@
     return reserved;
   }
 
-  /** How long jobs with deadlines wait now: a stopped task waits about as long as others of its class. */
+  /** Current waits of jobs with deadlines, by class: an estimate of how long a stopped task waits again. */
   private waitsByClass(): Map<string, ClassWait> {
     const waits = new Map<string, ClassWait>();
     for (const job of this.cluster.jobs.values()) {
       const { spec } = job;
       if (spec.deadlineUs === null || job.phase !== 'active' || job.blockedOnDependencies) continue;
       if (job.admissionHold !== null || job.waitingCount <= 0) continue;
-      const wait = waits.get(spec.class) ?? { jobs: 0, total: 0 };
+      const wait = waits.get(spec.class) ?? { jobs: 0, totalWait: 0 };
       waits.set(spec.class, wait);
       wait.jobs++;
-      wait.total += this.context.wallNow - job.acceptedAt;
+      wait.totalWait += this.context.wallNow - job.acceptedAt;
     }
     return waits;
   }
 
   private hasRunEnough(attempt: TaskAttempt, classesWithWaitObjective: ReadonlySet<string | null>): boolean {
     const { spec } = attempt.job;
-    const least = classesWithWaitObjective.has(spec.class)
+    const minRun = classesWithWaitObjective.has(spec.class)
       ? MIN_RUN_BEFORE_STOP
-      : Math.max(spec.checkpointDurationUs * MIN_RUN_IN_CHECKPOINTS, MIN_RUN);
-    return attempt.runningAt !== null && this.context.now - attempt.runningAt >= least;
+      : Math.max(spec.checkpointDurationUs * MIN_RUN_IN_CHECKPOINTS, MIN_RUN_TIME);
+    return attempt.runningAt !== null && this.context.now - attempt.runningAt >= minRun;
   }
 
-  /** Whether its job can still meet a deadline, but hardly so if it is stopped and has to wait again. */
+  /** Whether the attempt's job can still meet a deadline, but would miss it if the attempt lost `loss`. */
   private endangersDeadline(attempt: TaskAttempt, loss: Micros): boolean {
     const { spec, acceptedAt } = attempt.job;
     if (spec.deadlineUs === null) return false;
-    const left = this.cluster.remainingRunTime(attempt);
+    const remaining = this.cluster.remainingRunTime(attempt);
     for (const objective of this.context.settings.objectives) {
       if (objective.kind !== 'deadline' || objective.class !== spec.class) continue;
-      const slack = spec.deadlineUs * objective.deadlineFactor - (this.context.wallNow - acceptedAt) - left;
+      const slack =
+        spec.deadlineUs * objective.deadlineFactor - (this.context.wallNow - acceptedAt) - remaining;
       if (slack >= 0 && slack < loss) return true;
     }
     return false;
   }
 }
 
-/** Time that a job's task loses when it is stopped. */
-const lossFor = (job: ActiveJob, waits: ReadonlyMap<string, ClassWait>): Micros => {
+/** Expected time that a task of the job loses if it is stopped. */
+const preemptionLoss = (job: ActiveJob, waits: ReadonlyMap<string, ClassWait>): Micros => {
   const wait = waits.get(job.spec.class);
-  return Math.max(MIN_LOSS, wait === undefined ? 0 : REQUEUE_SHARE * (wait.total / wait.jobs));
+  return Math.max(
+    MIN_PREEMPTION_LOSS,
+    wait === undefined ? 0 : REQUEUE_WAIT_SHARE * (wait.totalWait / wait.jobs),
+  );
 };
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -1,4 +1,4 @@
-/** The queue order of waiting jobs: urgent work, then fair-share turns, then priority and objectives within reach. */
+/** The queue order of waiting jobs: urgent work, then fair-share turns, then by priority and reachable objectives. */
 import { PRIORITIES } from '../cluster/capacity-by-kind.js';
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
@@ -15,56 +15,57 @@
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
-/** A team's fair-share turns. */
+/** State of a team's fair-share turns: in a turn, the team's oldest job goes before the order by objectives. */
 interface FairShareTurn {
-  /** The job whose turn it is; null: none. */
+  /** The job whose turn it is; null if there is none. */
   job: ActiveJob | null;
-  /** Since when it is that job's turn. */
+  /** When that job's turn began. */
   since: Micros;
-  /** When the next turn is due, while there is none. */
+  /** When the next turn is due, if none is in progress. */
   nextAt: Micros;
 }
 
-/** Pools of capacity that are ordered by themselves, the first before the second among equals. */
+/** Pools of capacity whose jobs are ordered separately; on ties the first pool goes first. */
 const POOL_KINDS = ['cpu', 'gpu'] as const;
 type PoolKind = (typeof POOL_KINDS)[number];
 
 const HIGHEST_PRIORITY_FIRST = [...PRIORITIES].reverse();
 
-const levelKey = (priority: Priority, kind: PoolKind): string => `${priority}|${kind}`;
+const priorityPoolKey = (priority: Priority, kind: PoolKind): string => `${priority}|${kind}`;
 
-/** Jobs by priority and pool, in the given order. */
-const groupByLevel = (jobs: readonly ActiveJob[]): Map<string, ActiveJob[]> => {
-  const levels = new Map<string, ActiveJob[]>();
+/** Groups jobs by priority and pool, and keeps their order. */
+const groupByPriorityAndPool = (jobs: readonly ActiveJob[]): Map<string, ActiveJob[]> => {
+  const groups = new Map<string, ActiveJob[]>();
   for (const job of jobs) {
-    const key = levelKey(job.priority, job.spec.gpus > 0 ? 'gpu' : 'cpu');
-    const level = levels.get(key) ?? [];
-    level.push(job);
-    levels.set(key, level);
+    const key = priorityPoolKey(job.priority, job.spec.gpus > 0 ? 'gpu' : 'cpu');
+    const group = groups.get(key) ?? [];
+    group.push(job);
+    groups.set(key, group);
   }
-  return levels;
+  return groups;
 };
 
 /**
- * By team, the oldest job of its highest priority that waits: a turn must not put low work ahead of what may preempt it.
+ * Each team's oldest waiting job among those of the team's highest waiting priority. A turn must not put work of low
+ * priority ahead of work that may preempt it.
  */
 const oldestByTeam = (waiting: readonly ActiveJob[]): Map<string, ActiveJob> => {
   const oldest = new Map<string, ActiveJob>();
   for (const job of waiting) {
-    const former = oldest.get(job.spec.team);
+    const previous = oldest.get(job.spec.team);
     if (
-      former === undefined ||
-      job.priority > former.priority ||
-      (job.priority === former.priority && job.acceptedAt < former.acceptedAt)
+      previous === undefined ||
+      job.priority > previous.priority ||
+      (job.priority === previous.priority && job.acceptedAt < previous.acceptedAt)
     )
       oldest.set(job.spec.team, job);
   }
   return oldest;
 };
 
-/** Orders waiting jobs, and keeps the teams' turns from one order to the next. */
+/** Orders waiting jobs, and keeps the state of the teams' turns between calls. */
 export class QueueOrder {
-  /** By team. */
+  /** Fair-share turns by team. */
   private readonly turns = new Map<string, FairShareTurn>();
   private readonly context: NodeContext;
 
@@ -72,40 +73,40 @@
     this.context = cluster.context;
   }
 
-  /** Whether it is this job's fair-share turn. */
+  /** Whether the job currently has its team's fair-share turn. */
   hasTurn(job: ActiveJob): boolean {
     return this.turns.get(job.spec.team)?.job === job;
   }
 
-  /** All jobs that can be started, in queue order. Turns begin and end here. */
+  /** All startable jobs in queue order. Also begins and ends fair-share turns. */
   inOrder(): ActiveJob[] {
     const startable = [...this.cluster.jobs.values()].filter((job) => this.cluster.isStartable(job));
     const waiting = fairShareOrder(startable, this.context.settings.teams);
-    const first = this.exemptFromObjectives(waiting);
-    const levels = groupByLevel(waiting.filter((job) => !first.has(job)));
+    const exempt = this.exemptFromObjectives(waiting);
+    const groups = groupByPriorityAndPool(waiting.filter((job) => !exempt.has(job)));
     const ordered: ActiveJob[] = [];
     for (const priority of HIGHEST_PRIORITY_FIRST) {
       const orders: ObjectiveOrder[] = [];
       for (const kind of POOL_KINDS) {
-        const jobs = levels.get(levelKey(priority, kind));
+        const jobs = groups.get(priorityPoolKey(priority, kind));
         if (jobs !== undefined) orders.push(this.orderPool(jobs, kind === 'gpu', priority));
       }
       ordered.push(...mergeOrders(orders));
     }
-    return [...first, ...ordered];
+    return [...exempt, ...ordered];
   }
 
-  /** What goes before the order by objectives: urgent work, then turns, then jobs that capacity is being freed for. */
+  /** Jobs placed before the order by objectives: urgent ones, then turns, then jobs that capacity is being freed for. */
   private exemptFromObjectives(waiting: readonly ActiveJob[]): Set<ActiveJob> {
     const { objectives } = this.context.settings;
-    // With hundreds of teams there is always a turn due: what can't wait for it comes before all of them.
-    const first = new Set(waiting.filter((job) => mustStartAtOnce(job.spec, objectives)));
-    for (const job of this.jobsWithTurn(waiting)) first.add(job);
-    for (const job of waiting) if (job.reservedUntil > this.context.now) first.add(job);
-    return first;
+    // With hundreds of teams some turn is always due, so urgent work goes before all turns.
+    const exempt = new Set(waiting.filter((job) => mustStartAtOnce(job.spec, objectives)));
+    for (const job of this.jobsWithTurn(waiting)) exempt.add(job);
+    for (const job of waiting) if (job.reservedUntil > this.context.now) exempt.add(job);
+    return exempt;
   }
 
-  /** Jobs whose turn it is now. */
+  /** Jobs whose turn it is now, after the turns of all teams are updated. */
   private jobsWithTurn(waiting: readonly ActiveJob[]): ActiveJob[] {
     const jobs: ActiveJob[] = [];
     const stillWaiting = new Set(waiting);
@@ -116,7 +117,7 @@
     return jobs;
   }
 
-  /** Ends and begins the team's turn where that is due. Returns the job whose turn it is; null: none. */
+  /** Ends or begins the team's turn if due. Returns the job whose turn it is; null if there is none. */
   private updateTurn(
     team: string,
     oldest: ActiveJob,
@@ -128,7 +129,7 @@
     const turn = this.turns.get(team) ?? { job: null, since: now, nextAt };
     this.turns.set(team, turn);
     if (turn.job !== null && !stillWaiting.has(turn.job)) {
-      // It started, or ended: the turn is over.
+      // The job started or ended, which ends its turn.
       turn.job = null;
       turn.nextAt = nextAt;
     }
@@ -137,30 +138,30 @@
       turn.since = now;
     }
     if (turn.job !== null && now - turn.since > fairShareDrainUs) {
-      // The drain is bounded: others go on, and the team gets another turn.
+      // The drain time is bounded: other jobs continue, and the team gets another turn later.
       turn.job = null;
       turn.nextAt = nextAt;
     }
     return turn.job;
   }
 
-  /** Orders the jobs of one priority that share a pool. */
+  /** Orders the jobs of one priority and pool by their objectives, given the pool's capacity. */
   private orderPool(jobs: readonly ActiveJob[], gpu: boolean, priority: Priority): ObjectiveOrder {
-    let work = 0;
-    let amounts = 0;
-    let cores = 0;
+    let totalWork = 0;
+    let totalAmount = 0;
+    let totalCores = 0;
     const candidates = jobs.map((job): ObjectiveCandidate => {
       const { spec, waitingCount } = job;
       const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
       const runTime = this.cluster.expectedRunTime(job, checkpointed);
       const amount = waitingCount * (gpu ? spec.gpus : spec.cores);
-      work += runTime * amount;
-      amounts += amount;
-      cores += waitingCount * spec.cores;
+      totalWork += runTime * amount;
+      totalAmount += amount;
+      totalCores += waitingCount * spec.cores;
       return { job, amount, latestStart: this.cluster.slackOf(job) };
     });
-    const meanRunTime = amounts > 0 ? work / amounts : SECOND;
-    const coresPerGpu = gpu && amounts > 0 ? cores / amounts : 1;
+    const meanRunTime = totalAmount > 0 ? totalWork / totalAmount : SECOND;
+    const coresPerGpu = gpu && totalAmount > 0 ? totalCores / totalAmount : 1;
     const capacity = this.cluster.usageTotals.capacityFor(gpu, priority, coresPerGpu);
     return orderByObjectives(candidates, capacity.free, capacity.total / Math.max(meanRunTime, SECOND));
   }
--- a/packages/core/src/scheduling/upcoming-stages.ts
+++ b/packages/core/src/scheduling/upcoming-stages.ts
@@ -1,39 +1,39 @@
 /**
- * Look-ahead to the next stages: jobs blocked on dependencies that will be released while a machine boots. A plan places
- * them after all other work, from when what they depend on is predicted done, so that capacity is there or on its way by
- * then. They run for seconds where a machine takes half a minute to boot.
+ * Look-ahead to upcoming stages: blocked jobs whose dependencies are predicted to complete before a new machine could boot.
+ * A plan places them after all other work, from the predicted end of their dependencies, so that capacity is available or
+ * booting by then. Such stages run for seconds, but a machine takes half a minute to boot.
  */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
 
-/** Stages that one plan looks ahead to. */
+/** Maximum number of upcoming stages in one plan. */
 const MAX_STAGES = 16;
 
-/** A job that will be released soon. */
+/** A blocked job whose dependencies will be met soon. */
 export interface UpcomingStage {
   readonly job: ActiveJob;
-  /** When all jobs that it depends on are predicted done. */
+  /** Predicted time at which all its dependencies are done. */
   readonly ready: Micros;
 }
 
-/** Jobs blocked on dependencies whose release is predicted within the horizon, the soonest first. */
+/** Blocked jobs whose dependencies are predicted to be met by the time `horizon`, soonest first. */
 export const upcomingStages = (
   jobs: Iterable<ActiveJob>,
   dependencies: DependencyGraph,
-  find: (id: string) => ActiveJob | undefined,
-  /** When a job that is not blocked is predicted to be done. */
-  endOf: (job: ActiveJob) => Micros,
+  findJob: (id: string) => ActiveJob | undefined,
+  /** Predicted end of a job that is not blocked. */
+  predictedEndOf: (job: ActiveJob) => Micros,
   horizon: Micros,
 ): UpcomingStage[] => {
   const predictedEnds = new Map<ActiveJob, Micros>();
-  const predictEnd = (needed: ActiveJob | undefined): Micros => {
-    // What is blocked itself has a stage between: it is considered when that one runs. And when a job with an admission
-    // hold will run, nobody knows: nothing is provisioned for what comes after it.
-    if (needed === undefined || needed.blockedOnDependencies || needed.admissionHold !== null)
+  const predictEnd = (dependency: ActiveJob | undefined): Micros => {
+    // A dependency that is blocked itself is more than one stage away; its dependents are considered once it runs. The
+    // end of a job with an admission hold can't be predicted, so nothing is provisioned for its dependents.
+    if (dependency === undefined || dependency.blockedOnDependencies || dependency.admissionHold !== null)
       return Infinity;
-    const end = predictedEnds.get(needed) ?? endOf(needed);
-    predictedEnds.set(needed, end);
+    const end = predictedEnds.get(dependency) ?? predictedEndOf(dependency);
+    predictedEnds.set(dependency, end);
     return end;
   };
   const stages: UpcomingStage[] = [];
@@ -41,7 +41,7 @@
     if (!job.blockedOnDependencies || job.dependencyFailed || job.phase !== 'active') continue;
     let ready = 0;
     for (const id of dependencies.unmetDependencies(job)) {
-      ready = Math.max(ready, predictEnd(find(id)));
+      ready = Math.max(ready, predictEnd(findJob(id)));
       if (ready > horizon) break;
     }
     if (ready > 0 && ready <= horizon) stages.push({ job, ready });
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -68,7 +68,7 @@
     [placeable, never],
     [],
   );
-  assert.equal(all.unplaced, never.count);
+  assert.equal(all.unplacedTasks, never.count);
   assert.ok(
     all.makespan >=
       simulateCompletion(new PlacementSimulation(snapshot(), [placeable]), [placeable], []).makespan,
