--- a/packages/core/src/codecs/job-codec.ts
+++ b/packages/core/src/codecs/job-codec.ts
@@ -1,12 +1,12 @@
 /**
- * Records of jobs in the key-value store: one form while a job is active, another once it has ended. Every stored field is
- * named here; the names must not change, since other versions read the same records.
+ * Encodes and decodes job records, which have one form while a job is active and another once it has ended. The field names
+ * are written out here and must not change, because other versions read the same records.
  */
 import type { JobShape, JobSpec, Priority } from '../domain/job.js';
 import type { Micros } from '../domain/time.js';
 import { isStoredMap } from './stored-map.js';
 
-/** A job's description as it is stored. */
+/** The stored form of a job specification. */
 interface StoredJobSpec {
   readonly id: string;
   readonly class: string;
@@ -30,19 +30,23 @@
   readonly deadlineUs: Micros | null;
 }
 
-/** A job that has not ended, and when it was accepted (time of day). */
+/** Record of a job that has not ended. */
 export interface ActiveJobRecord {
+  /** The specification as submitted. */
   readonly spec: JobSpec;
+  /** Wall clock time at which the job was accepted. */
   readonly acceptedAt: Micros;
 }
 
-/** How a job ended. */
+/** Record of a job that has ended. */
 export interface EndedJobRecord {
+  /** Whether the job completed or was cancelled. */
   readonly stage: 'done' | 'cancelled';
-  /** How many tasks were done. */
+  /** Number of tasks that were done when the job ended. */
   readonly done: number;
+  /** Shape of the job; no other job may depend on one that was a service. */
   readonly shape: JobShape;
-  /** Time of day of the end; null in records of the version before. */
+  /** Wall clock time of the end; null in records of the previous version. */
   readonly endedAt: Micros | null;
 }
 
@@ -93,7 +97,7 @@
   dependsOn,
 });
 
-/** The fields without which nothing can be done with a record; an ended job's record has no others. */
+/** Checks the fields that every record needs; the record of an ended job has no others. */
 const isStoredSpec = (value: unknown): value is StoredJobSpec =>
   isStoredMap(value) &&
   typeof value['id'] === 'string' &&
@@ -101,7 +105,7 @@
   typeof value['tasks'] === 'number' &&
   typeof value['cores'] === 'number';
 
-/** Ids of jobs, briefly: their common prefix is written once. */
+/** Compact form of job ids: their common prefix (`start`) is stored once, the remainders (`rests`) separated by commas. */
 interface PackedIds {
   readonly start: string;
   readonly rests: string;
@@ -121,8 +125,8 @@
 };
 
 /**
- * The record of a job that has not ended. One that depends on other jobs is recorded in a form that the version before can't
- * read: that version would start it too early. What it can't read it neither starts nor reports as unknown.
+ * Encodes the record of a job that has not ended. A job with dependencies is stored in a form that the previous version can't
+ * decode, because that version would start it too early. It neither starts nor reports as unknown what it can't decode.
  */
 export const encodeActiveJob = (spec: JobSpec, acceptedAt: Micros): unknown => {
   const stored = encodeSpec(spec);
@@ -131,7 +135,7 @@
     : { awaiting: { spec: stored, at: acceptedAt, needs: packIds(spec.dependsOn) } };
 };
 
-/** The record of a job that has not ended; null for what can't be read. */
+/** Decodes the record of a job that has not ended; null if it is malformed. */
 export const decodeActiveJob = (value: unknown): ActiveJobRecord | null => {
   if (!isStoredMap(value)) return null;
   const awaiting = value['awaiting'];
@@ -143,8 +147,8 @@
 };
 
 /**
- * The record of a job that has ended. It is small, whatever the job: a description that was accepted under larger limits must
- * not keep its job from ending. The version before insists on `spec`.
+ * Encodes the record of a job that has ended. Its size doesn't depend on the specification, so that a job accepted under larger
+ * limits can still end. `spec` is included because the previous version requires it.
  */
 export const encodeEndedJob = (
   spec: JobSpec,
@@ -158,7 +162,7 @@
   at: endedAt,
 });
 
-/** The record of a job that has ended; null for what can't be read. */
+/** Decodes the record of a job that has ended; null if it is malformed. */
 export const decodeEndedJob = (value: unknown): EndedJobRecord | null => {
   if (!isStoredMap(value)) return null;
   const { stage, spec, done, at } = value;
--- a/packages/core/src/codecs/leadership-codec.ts
+++ b/packages/core/src/codecs/leadership-codec.ts
@@ -1,34 +1,37 @@
-/** The leader's key and the term's record in the key-value store. */
+/** Encodes and decodes the leader record and the term record. */
 import { isStoredMap } from './stored-map.js';
 
-/** The leader's key: who leads, in which term. */
+/** Value of the leader key. */
 export interface LeaderRecord {
+  /** Name of the controller that leads. */
   readonly member: string;
+  /** Number of the term in which it leads. */
   readonly term: number;
 }
 
-/** The term's record: the number of the newest term. */
+/** Record of the newest term. */
 export interface TermRecord {
+  /** Increases with each election. */
   readonly number: number;
-  /** No machine was ever rented, and which machines were pre-provisioned is not on record yet. */
+  /** True until the pre-provisioned machines have been recorded; no machine was rented before that. */
   readonly first: boolean;
 }
 
-/** The value of the leader's key. */
+/** Encodes the value of the leader key. */
 export const encodeLeader = ({ member, term }: LeaderRecord): unknown => ({ member, term });
 
-/** The value of the leader's key; null for what can't be read. */
+/** Decodes the value of the leader key; null if it is malformed. */
 export const decodeLeader = (value: unknown): LeaderRecord | null => {
   if (!isStoredMap(value)) return null;
   const { member, term } = value;
   return typeof member === 'string' && typeof term === 'number' ? { member, term } : null;
 };
 
-/** The term's record. `first` is left out where it does not hold, as older versions always do. */
+/** Encodes the term record. `first` is omitted when false; older versions never write it. */
 export const encodeTerm = ({ number, first }: TermRecord): unknown =>
   first ? { n: number, first: true } : { n: number };
 
-/** The term's record; null for what can't be read. */
+/** Decodes the term record; null if it is malformed. */
 export const decodeTerm = (value: unknown): TermRecord | null => {
   if (!isStoredMap(value)) return null;
   const { n, first } = value;
--- a/packages/core/src/codecs/machine-codec.ts
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -1,23 +1,27 @@
-/** Records of machines in the key-value store. */
+/** Encodes and decodes machine records. */
 import { isStoredMap } from './stored-map.js';
 import { bytesOf } from './value-size.js';
 
-/** What is on record of a machine. */
+/** Stored attributes of a machine. */
 export interface MachineRecord {
   /** Host and port of the worker. */
   readonly address: string;
+  /** Name of the machine type. */
   readonly type: string;
+  /** Availability zone. */
   readonly zone: string;
+  /** Whether the cloud may preempt the machine. */
   readonly spot: boolean;
-  /** Set before the machine is returned: nothing may be started on it any more. */
+  /** Set before the machine is returned to the cloud; no task may be started on it afterwards. */
   readonly retiring: boolean;
-  /** Existed before this service rented anything. */
+  /** The machine existed before this service rented any. */
   readonly preprovisioned: boolean;
 }
 
+/** An IPv4 address and port of maximum length. */
 const LONGEST_ADDRESS = '255.255.255.255:65535';
 
-/** The stored form. Marks that are not set are left out: all versions read that as false, and pages are small. */
+/** Encodes a machine record. Flags that aren't set are omitted to save space; all versions read a missing flag as false. */
 export const encodeMachine = (record: MachineRecord): unknown => ({
   address: record.address,
   type: record.type,
@@ -27,7 +31,7 @@
   ...(record.preprovisioned ? { standing: true } : {}),
 });
 
-/** The record of a machine; null for what can't be read. */
+/** Decodes a machine record; null if it is malformed. */
 export const decodeMachine = (value: unknown): MachineRecord | null => {
   if (!isStoredMap(value)) return null;
   const { address, type, zone, spot, retiring, standing } = value;
@@ -42,8 +46,8 @@
   };
 };
 
-/** Bytes of the largest record that the machine can have, with its name: the longest address, and all marks. */
-export const largestMachineRecord = (
+/** Size of the largest record that the machine can have, including its name: the longest address and all flags. */
+export const maxMachineRecordBytes = (
   name: string,
   { type, zone }: Pick<MachineRecord, 'type' | 'zone'>,
 ): number =>
--- a/packages/core/src/codecs/machine-type-codec.ts
+++ b/packages/core/src/codecs/machine-type-codec.ts
@@ -1,8 +1,8 @@
-/** The machine types in the key-value store, so that controllers can start during an outage of the cloud. */
+/** Encodes and decodes the machine types, which are stored so that controllers can start during an outage of the cloud. */
 import type { MachineType } from '../domain/machine.js';
 import { isStoredMap } from './stored-map.js';
 
-/** A machine type as it is stored. */
+/** The stored form of a machine type. */
 interface StoredMachineType {
   readonly name: string;
   readonly cores: number;
@@ -16,7 +16,7 @@
   readonly zones: readonly string[];
 }
 
-const AMOUNTS = [
+const NUMERIC_FIELDS = [
   'cores',
   'gpus',
   'memoryGb',
@@ -30,15 +30,15 @@
 const isStoredType = (value: unknown): boolean =>
   isStoredMap(value) &&
   typeof value['name'] === 'string' &&
-  AMOUNTS.every((amount) => {
-    const stored = value[amount];
+  NUMERIC_FIELDS.every((field) => {
+    const stored = value[field];
     return typeof stored === 'number' && Number.isFinite(stored) && stored >= 0;
   }) &&
   Number.isInteger(value['bootUs']) &&
   Array.isArray(value['zones']) &&
   value['zones'].every((zone) => typeof zone === 'string');
 
-/** The stored form of the machine types. */
+/** Encodes the machine types under their stored field names. */
 export const encodeMachineTypes = (types: readonly MachineType[]): unknown =>
   types.map((type): StoredMachineType => ({
     name: type.name,
@@ -67,8 +67,8 @@
 });
 
 /**
- * The machine types; null where any of them can't be read: some types would be worse than none, since jobs would be
- * refused as fitting nowhere.
+ * Decodes the machine types; null if any of them is malformed. A partial list would be worse than none, because jobs would be
+ * rejected as not fitting any machine type.
  */
 export const decodeMachineTypes = (value: unknown): readonly MachineType[] | null => {
   if (!Array.isArray(value) || !value.every(isStoredType)) return null;
--- a/packages/core/src/codecs/progress-codec.ts
+++ b/packages/core/src/codecs/progress-codec.ts
@@ -1,27 +1,27 @@
-/** Records of a job's progress, or of a part of it: which tasks are done, and which machines may hold others. */
+/** Encodes and decodes progress records: which tasks of a job are done, and which machines may hold the others. */
 import { isStoredMap } from './stored-map.js';
 
-/** What a machine's name takes in a record besides its letters: quotes and a comma. */
+/** Size of a machine name in a record besides its characters: two quotes and a comma. */
 export const NAME_OVERHEAD_BYTES = 3;
 
-/** What is on record of a job's progress, or of a part of it. */
+/** Stored progress of a job, or of a part of it. */
 export interface ProgressRecord {
   /** Names of machines that hold or may hold tasks that are not done. */
   readonly machines: readonly string[];
-  /** Done tasks, one bit each, in base64. */
+  /** Bitset of done tasks, in base64. */
   readonly bits: string;
-  /** The byte at which the bits begin; null where the record does not name it. */
+  /** Byte offset of `bits` in the bitset of the job; null if the record does not contain it. */
   readonly from: number | null;
 }
 
-/** The stored form. `from` is left out where it is null: a record on a page has all bits of its job. */
+/** Encodes a progress record. `from` is omitted when null: a record on a page contains all bits of its job. */
 export const encodeProgress = ({ machines, bits, from }: ProgressRecord): unknown =>
   from === null ? { machines, bits } : { machines, bits, from };
 
 const isByteOffset = (value: unknown): value is number =>
   typeof value === 'number' && Number.isInteger(value) && value >= 0;
 
-/** The record of progress; null for what can't be read. */
+/** Decodes a progress record; null if it is malformed. */
 export const decodeProgress = (value: unknown): ProgressRecord | null => {
   if (!isStoredMap(value)) return null;
   const { machines, bits, from } = value;
--- a/packages/core/src/codecs/value-size.ts
+++ b/packages/core/src/codecs/value-size.ts
@@ -1,8 +1,8 @@
-/** What a value counts against the limits of the key-value store. */
+/** Size of values as counted against the limits of the key-value store. */
 
-/** Bytes of the value's JSON. */
+/** Size of the value's JSON in bytes; 0 if it has none. */
 export const bytesOf = (value: unknown): number => {
-  // The library's types leave out that there is no JSON of undefined.
+  // The library's type declaration omits that JSON.stringify(undefined) returns undefined.
   const json = JSON.stringify(value) as string | undefined;
   return Buffer.byteLength(json ?? '');
 };
--- a/packages/core/src/storage/batch-limit.ts
+++ b/packages/core/src/storage/batch-limit.ts
@@ -1,12 +1,12 @@
-/** How many writes go into one transaction: halved when a batch is refused, doubled again after a while without refusals. */
+/** Adaptive limit on the writes per transaction: halved when a batch is refused, doubled after a period without refusals. */
 import type { Micros } from '../domain/time.js';
 
-/** The greatest number of writes in a transaction, adapted to what the store accepts. */
+/** Tracks the maximum number of writes per transaction that the store currently accepts. */
 export class BatchLimit {
   private limit: number;
   private reducedUntil: Micros = 0;
 
-  /** `maximum`: what the settings allow; `backoff`: how long a limit lasts before it is doubled. */
+  /** `maximum`: the limit from the settings; `backoff`: how long a reduced limit holds before it is doubled. */
   constructor(
     private readonly maximum: number,
     private readonly backoff: Micros,
@@ -14,7 +14,7 @@
     this.limit = maximum;
   }
 
-  /** The limit at this time; to be asked for once a batch, since it may be raised. */
+  /** Returns the limit at `now`. The call may raise the limit, so it is made once per batch. */
   current(now: Micros): number {
     if (this.limit < this.maximum && now > this.reducedUntil) {
       this.limit = Math.min(this.maximum, this.limit * 2);
@@ -23,7 +23,7 @@
     return this.limit;
   }
 
-  /** A batch of this many writes was refused. */
+  /** Halves the limit after the store refused a batch of `refusedWrites` writes. */
   reduce(refusedWrites: number, now: Micros): void {
     this.limit = Math.max(1, Math.floor(refusedWrites / 2));
     this.reducedUntil = now + this.backoff;
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -1,8 +1,7 @@
 /**
- * The leader's own writes, gathered into few transactions and fenced by the leader's key. A value is made when it is sent,
- * so a key that changes often costs one write a transaction. One transaction is in flight at a time, and each value is put
- * on condition of the version that it replaces: a write that the network held back can't put an older value over a newer
- * one.
+ * Batches the leader's own writes into transactions that are fenced by the leader key. A value is created when it is sent, so
+ * a key that changes often costs at most one write per transaction. One transaction is in flight at a time, and each put is
+ * conditional on the version that it replaces, so a delayed write can't overwrite a newer value with an older one.
  */
 import { LEADER_KEY } from '../codecs/keys.js';
 import { bytesOf } from '../codecs/value-size.js';
@@ -11,34 +10,35 @@
 import type { NodeContext } from '../node/node-context.js';
 import { BatchLimit } from './batch-limit.js';
 
-/** Whether something waits for the write, or it may be sent when nothing more urgent is left. */
+/** `now`: a caller waits for the write; `later`: it may be deferred behind urgent writes. */
 export type WriteUrgency = 'now' | 'later';
 
-/** How a value is put. */
+/** Options of a put. */
 export interface WriteOptions {
-  /** Whether the version that it replaces is a condition. */
+  /** Whether the put is conditional on the last known version of the key; true by default. */
   readonly checked?: boolean;
+  /** `now` by default. */
   readonly urgency?: WriteUrgency;
-  /** The state service refused the value as it is: it is not tried again. */
+  /** Called with the size of the value in bytes when the store refuses it; the write is not retried. */
   readonly onRefused?: (bytes: number) => void;
 }
 
 interface PendingWrite {
   readonly key: string;
-  readonly make: () => StoreWrite;
+  readonly createWrite: () => StoreWrite;
   readonly checked: boolean;
-  readonly urgent: WriteUrgency;
-  readonly done: ((write: StoreWrite) => void)[];
-  readonly refused: ((bytes: number) => void)[];
+  readonly urgency: WriteUrgency;
+  readonly onConfirmed: ((write: StoreWrite) => void)[];
+  readonly onRefused: ((bytes: number) => void)[];
 }
 
-/** A pending write and the value that was made of it. */
+/** A pending write with the value that was created for it. */
 interface SentWrite {
   readonly entry: PendingWrite;
   readonly write: StoreWrite;
 }
 
-/** Writes that go into one transaction. */
+/** The writes and conditions of one transaction. */
 interface Batch {
   readonly writes: readonly SentWrite[];
   readonly conditions: readonly VersionCondition[];
@@ -46,19 +46,19 @@
   readonly bytes: number;
 }
 
-const GATHER_DELAY: Micros = 15 * MILLI;
-/** What nobody waits for is gathered for longer: writes are scarce, and much of it is replaced by a newer value. */
-const LATER_DELAY: Micros = 1_200 * MILLI;
+const BATCHING_DELAY: Micros = 15 * MILLI;
+/** Deferred writes are batched for longer: the write rate is limited, and many are superseded by a newer value. */
+const DEFERRED_BATCHING_DELAY: Micros = 1_200 * MILLI;
 const RETRY_DELAY: Micros = 250 * MILLI;
 const MAX_BATCH_BYTES = 48 * 1024;
-/** What a write costs in a request besides its key and value. */
+/** Request overhead of a write besides its key and value. */
 const WRITE_OVERHEAD_BYTES = 128;
-/** After a refusal of several writes at once, fewer are sent together; more again after this time. */
+/** How long the batch limit stays reduced after the store refused a batch of several writes. */
 const REFUSAL_BACKOFF: Micros = 30 * SECOND;
 
 const valueBytes = (write: StoreWrite): number => (write.kind === 'put' ? bytesOf(write.value) : 0);
 
-/** Gathers a leader's writes and sends them while it holds the leader's key. */
+/** Queues and batches a leader's writes, and sends them while it holds the leader key. */
 export class FencedWriter {
   private readonly pending = new Map<string, PendingWrite>();
   /** Versions of keys as they were last read or written; 0 for a key that does not exist. */
@@ -69,61 +69,72 @@
   private readonly batchLimit: BatchLimit;
 
   /**
-   * `leadVersion`: version of the leader's key while this leader holds it. `onFenced`: a write found another version, so
-   * this node does not lead any more.
+   * `leaderKeyVersion`: version of the leader key while this leader holds it. `onFenced`: called when a write found another
+   * version, which means that this node is no longer the leader.
    */
   constructor(
     private readonly context: NodeContext,
-    private readonly leadVersion: number,
+    private readonly leaderKeyVersion: number,
     private readonly onFenced: () => void,
   ) {
     this.batchLimit = new BatchLimit(context.settings.maxTransactionOperations, REFUSAL_BACKOFF);
   }
 
-  /** Sends nothing more, and drops replies that still arrive. */
+  /** Stops sending, and ignores replies that arrive afterwards. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Notes the version of a key as it was read. */
+  /** Stores the version of a key that was read, as the condition of the next put to it. */
   rememberVersion(key: string, version: number): void {
     this.versions.set(key, version);
   }
 
-  /** How many writes wait. */
+  /** Number of writes that wait to be sent. */
   get backlog(): number {
     return this.pending.size;
   }
 
-  /** Puts the value that `make` returns when the write is sent; calls `done` with it once the store has confirmed it. */
-  put(key: string, make: () => unknown, done: (value: unknown) => void, options: WriteOptions = {}): void {
-    const waiting = this.pending.get(key);
+  /**
+   * Puts the value that `createValue` returns when the write is sent; replaces a pending write of the same key.
+   * `onConfirmed` receives the value once the store has confirmed it.
+   */
+  put(
+    key: string,
+    createValue: () => unknown,
+    onConfirmed: (value: unknown) => void,
+    options: WriteOptions = {},
+  ): void {
+    const previous = this.pending.get(key);
     const onWritten = (write: StoreWrite): void => {
-      done(write.kind === 'put' ? write.value : null);
+      onConfirmed(write.kind === 'put' ? write.value : null);
     };
-    const urgent = options.urgency === 'later' && waiting?.urgent !== 'now' ? 'later' : 'now';
+    const urgency = options.urgency === 'later' && previous?.urgency !== 'now' ? 'later' : 'now';
     this.pending.set(key, {
       key,
-      make: () => ({ kind: 'put', key, value: make() }),
+      createWrite: () => ({ kind: 'put', key, value: createValue() }),
       checked: options.checked ?? true,
-      urgent,
-      done: [...(waiting?.done ?? []), onWritten],
-      refused: [...(waiting?.refused ?? []), ...(options.onRefused === undefined ? [] : [options.onRefused])],
+      urgency,
+      onConfirmed: [...(previous?.onConfirmed ?? []), onWritten],
+      onRefused: [
+        ...(previous?.onRefused ?? []),
+        ...(options.onRefused === undefined ? [] : [options.onRefused]),
+      ],
     });
-    this.scheduleFlush(urgent === 'now' ? GATHER_DELAY : LATER_DELAY);
+    this.scheduleFlush(urgency === 'now' ? BATCHING_DELAY : DEFERRED_BATCHING_DELAY);
   }
 
-  /** Deletes the key, whatever its version; replaces a write of it that waits. */
+  /** Deletes the key whatever its version; replaces a pending write of the same key. */
   remove(key: string): void {
     this.pending.set(key, {
       key,
-      make: () => ({ kind: 'delete', key }),
+      createWrite: () => ({ kind: 'delete', key }),
       checked: false,
-      urgent: 'later',
-      done: [],
-      refused: [],
+      urgency: 'later',
+      onConfirmed: [],
+      onRefused: [],
     });
-    this.scheduleFlush(LATER_DELAY);
+    this.scheduleFlush(DEFERRED_BATCHING_DELAY);
   }
 
   private scheduleFlush(delay: Micros): void {
@@ -132,7 +143,7 @@
     if (dueAt >= this.flushAt) return;
     this.flushAt = dueAt;
     this.context.after(delay, () => {
-      // An earlier flush may have been requested meanwhile.
+      // An earlier flush may have been scheduled since.
       if (this.inFlight || this.flushAt !== dueAt) return;
       this.flushAt = Infinity;
       this.inFlight = true;
@@ -140,36 +151,36 @@
     });
   }
 
-  /** Schedules what still waits. */
-  private scheduleRest(): void {
+  /** Schedules a flush for the writes that are still pending, by the most urgent of them. */
+  private scheduleRemaining(): void {
     this.inFlight = false;
     if (this.pending.size === 0) return;
     for (const entry of this.pending.values())
-      if (entry.urgent === 'now') {
-        this.scheduleFlush(GATHER_DELAY);
+      if (entry.urgency === 'now') {
+        this.scheduleFlush(BATCHING_DELAY);
         return;
       }
-    this.scheduleFlush(LATER_DELAY);
+    this.scheduleFlush(DEFERRED_BATCHING_DELAY);
   }
 
-  /** Urgent writes first; but one place in a transaction is left for the rest, which must make progress too. */
-  private nextWrites(): PendingWrite[] {
+  /** Selects urgent writes first, but reserves one write per transaction for deferred ones so that they aren't starved. */
+  private selectNextWrites(): PendingWrite[] {
     const limit = this.batchLimit.current(this.context.now);
     const urgent: PendingWrite[] = [];
-    const later: PendingWrite[] = [];
-    for (const entry of this.pending.values()) (entry.urgent === 'now' ? urgent : later).push(entry);
-    const reserved = later.length > 0 && limit > 1 ? 1 : 0;
-    const first = urgent.slice(0, limit - reserved);
-    return [...first, ...later.slice(0, limit - first.length)];
+    const deferred: PendingWrite[] = [];
+    for (const entry of this.pending.values()) (entry.urgency === 'now' ? urgent : deferred).push(entry);
+    const reserved = deferred.length > 0 && limit > 1 ? 1 : 0;
+    const selected = urgent.slice(0, limit - reserved);
+    return [...selected, ...deferred.slice(0, limit - selected.length)];
   }
 
-  /** Takes the next writes out of those that wait. */
+  /** Removes the next writes from the pending ones and creates their values. */
   private takeBatch(): Batch {
     const writes: SentWrite[] = [];
-    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leadVersion }];
+    const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leaderKeyVersion }];
     let bytes = 0;
-    for (const entry of this.nextWrites()) {
-      const write = entry.make();
+    for (const entry of this.selectNextWrites()) {
+      const write = entry.createWrite();
       const size = valueBytes(write) + entry.key.length + WRITE_OVERHEAD_BYTES;
       if (writes.length > 0 && bytes + size > MAX_BATCH_BYTES) break;
       bytes += size;
@@ -189,7 +200,7 @@
     }
     const { conditions } = batch;
     const writes = batch.writes.map((sent) => sent.write);
-    // After users' own writes: these come in batches, behind which a submission would wait for half a second.
+    // Sent at lower urgency than users' writes: batches would delay a submission by half a second.
     this.context.requestStore({ kind: 'txn', conditions, writes }, 2, (reply) => {
       if (!this.stopped) this.onReply(batch, reply);
     });
@@ -209,10 +220,10 @@
     if (reply.kind === 'conflict' && reply.failed.includes(LEADER_KEY)) {
       this.onFenced();
     } else if (reply.kind === 'conflict') {
-      // An earlier attempt was executed after all, or arrived late: read which versions are there now.
+      // An earlier attempt was executed despite its missing reply, or arrived late: read the current versions.
       this.rereadVersions(batch.conditions.slice(1).map((condition) => condition.key));
     } else {
-      if (reply.kind === 'refused') this.reduceBatches(batch);
+      if (reply.kind === 'refused') this.reduceBatchLimit(batch);
       this.inFlight = false;
       this.scheduleFlush(RETRY_DELAY);
     }
@@ -221,33 +232,33 @@
   private confirm(batch: Batch, revision: number): void {
     for (const { entry, write } of batch.writes) {
       this.versions.set(entry.key, write.kind === 'put' ? revision : 0);
-      for (const done of entry.done) done(write);
+      for (const callback of entry.onConfirmed) callback(write);
     }
-    this.scheduleRest();
+    this.scheduleRemaining();
   }
 
-  /** A write that was refused alone is one that the service won't take: it must not hold up the rest for ever. */
+  /** Drops a write that was refused on its own: the store will never accept it, and it must not block the other writes. */
   private reject({ entry, write }: SentWrite): void {
     const bytes = valueBytes(write);
     this.context.error('write.rejected', { key: entry.key, bytes });
-    for (const refused of entry.refused) refused(bytes);
-    this.scheduleRest();
+    for (const callback of entry.onRefused) callback(bytes);
+    this.scheduleRemaining();
   }
 
-  /** Nobody can tell whether the batch was executed; what is put next is newer, and does no harm. */
+  /** Queues the writes of a batch again. Whether it was executed is unknown; the next attempt writes newer values, which is safe. */
   private requeue(batch: Batch): void {
     for (const { entry } of batch.writes) {
       const newer = this.pending.get(entry.key);
       if (newer === undefined) this.pending.set(entry.key, entry);
       else {
-        newer.done.unshift(...entry.done);
-        newer.refused.unshift(...entry.refused);
+        newer.onConfirmed.unshift(...entry.onConfirmed);
+        newer.onRefused.unshift(...entry.onRefused);
       }
     }
   }
 
-  /** One of the writes is too large, or they are too many: the same batch is never sent again. */
-  private reduceBatches(batch: Batch): void {
+  /** Reduces the batch limit after a refusal for too large or too many writes, so that the same batch isn't sent again. */
+  private reduceBatchLimit(batch: Batch): void {
     this.context.info('write.batch_rejected', { writes: batch.writes.length, bytes: batch.bytes });
     this.batchLimit.reduce(batch.writes.length, this.context.now);
   }
@@ -256,7 +267,7 @@
     const [key, ...rest] = keys;
     if (key === undefined) {
       this.inFlight = false;
-      this.scheduleFlush(GATHER_DELAY);
+      this.scheduleFlush(BATCHING_DELAY);
       return;
     }
     this.context.requestStore({ kind: 'get', key }, 1, (reply) => {
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -1,9 +1,10 @@
 /**
- * Progress of one job that is too large for a page, in keys of its own: each part has a share of the done bits, from a byte
- * that it names, and a share of the machines. What holds is what all parts together contain.
+ * Progress of a single job that is too large for a page, split into parts with separate keys. Each part contains a range of the
+ * bitset of done tasks, with its byte offset, and a subset of the machines; the progress is the union of all parts.
  *
- * The version before reads them too: it takes the bits of part 0 and the machines of all parts. The bits of other parts it
- * finds at places where no task is, so tasks may be started again, but none counts as done that is not.
+ * The previous version can read the parts too: it uses the bits of part 0 and the machines of all parts. It takes the bits of
+ * the other parts for offsets beyond the job's tasks, so it may start done tasks again but never counts an unfinished task as
+ * done.
  */
 import { progressKey } from '../codecs/keys.js';
 import {
@@ -15,183 +16,186 @@
 import type { TaskBitset } from '../domain/task-bitset.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 
-/** `{"machines":[],"bits":"","from":...}` and some reserve. */
-const PART_FRAME_BYTES = 160;
-const MIN_PART_ROOM = 16;
-const MIN_BITS_PER_PART_BYTES = 3;
-/** Part of a part's room that bits may take; the rest is for names. */
-const BITS_FRACTION = 1 / 2;
-/** Bytes that a character of base64 holds. */
+/** The envelope `{"machines":[],"bits":"","from":...}` plus a reserve. */
+const PART_ENVELOPE_BYTES = 160;
+const MIN_PART_CAPACITY_BYTES = 16;
+const MIN_BITSET_BYTES_PER_PART = 3;
+/** Fraction of a part's capacity for the bitset; the rest is for machine names. */
+const BITSET_CAPACITY_FRACTION = 1 / 2;
+/** Bytes encoded by one base64 character. */
 const BYTES_PER_BASE64_CHARACTER = 0.75;
 
-/** Characters of base64 that so many bytes take. */
+/** Length of the base64 encoding of so many bytes. */
 const base64Length = (bytes: number): number => Math.ceil(bytes / 3) * 4;
 
-/** What the progress of a large job needs of the job. */
+/** The fields of a job that its progress is written from. */
 export interface LargeJob {
+  /** The job's id, part of the keys. */
   readonly id: string;
-  /** Tasks that are done. */
+  /** Tasks that are done, whether or not that has been written. */
   readonly done: TaskBitset;
-  /** Of these, the tasks that are on record as done. */
+  /** Tasks that are recorded as done in the store. */
   readonly durablyDone: TaskBitset;
-  /** Machines that are on record as holding tasks of the job. */
+  /** Machines that are recorded in the store as holding tasks of the job. */
   recordedMachines: Set<string>;
-  /** There is progress that was not written. */
+  /** Whether there is progress that has not been written. */
   progressDirty: boolean;
 }
 
 interface Part {
-  /** Machines that are on record here, or are being written. */
+  /** Machines that are recorded in this part or are being written to it. */
   readonly machines: Set<string>;
+  /** The part's range of the bitset as last read or sent, in base64. */
   bits: string;
 }
 
-/** The parts of one large job's progress. */
+/** Reads and writes the progress parts of one large job. */
 export class LargeProgress {
-  /** Bytes of done bits in a part. */
-  private readonly bitsPerPart: number;
+  /** Bytes of the bitset of done tasks per part. */
+  private readonly bitsetBytesPerPart: number;
   private parts: Part[] = [];
-  /** Parts from the second on are numbered from here: a new layout never overwrites the keys of another. */
-  private firstNumber: number | null = null;
-  /** Parts that differ from what was last sent. */
-  private readonly changed = new Set<number>();
-  /** Keys in another layout, and their numbers; to be removed once everything is written in this layout. */
-  private readonly otherLayout = new Map<string, number>();
-  /** Writes that wait for the change of layout under way; null while there is none. */
-  private waitingForLayout: (() => void)[] | null = null;
+  /** Offset of the key numbers of parts 1 and up, changed with each layout so that none overwrites the keys of another. */
+  private partNumberBase: number | null = null;
+  /** Indices of parts that differ from what was last sent. */
+  private readonly changedParts = new Set<number>();
+  /** Keys in another layout with their part numbers; removed once everything has been written in the current layout. */
+  private readonly obsoleteKeys = new Map<string, number>();
+  /** Writes that wait for the layout change in progress; null if there is none. */
+  private writesAwaitingLayout: (() => void)[] | null = null;
 
   /**
-   * `roomLimit`: bytes that a part may have. `nameLength`: length of the longest machine name. `currentMachines`: names of
-   * the machines that hold or may hold tasks of the job now.
+   * `maxPartBytes`: maximum size of a part. `maxNameLength`: length of the longest machine name. `currentMachines`: returns the
+   * names of the machines that hold or may hold tasks of the job now.
    */
   constructor(
     private readonly writer: FencedWriter,
     private readonly job: LargeJob,
-    private readonly roomLimit: number,
-    private readonly nameLength: number,
+    private readonly maxPartBytes: number,
+    private readonly maxNameLength: number,
     private readonly currentMachines: () => readonly string[],
   ) {
-    const room = Math.max(roomLimit - PART_FRAME_BYTES, MIN_PART_ROOM);
-    this.bitsPerPart = Math.max(
-      MIN_BITS_PER_PART_BYTES,
-      Math.floor(room * BITS_FRACTION * BYTES_PER_BASE64_CHARACTER),
+    const capacity = Math.max(maxPartBytes - PART_ENVELOPE_BYTES, MIN_PART_CAPACITY_BYTES);
+    this.bitsetBytesPerPart = Math.max(
+      MIN_BITSET_BYTES_PER_PART,
+      Math.floor(capacity * BITSET_CAPACITY_FRACTION * BYTES_PER_BASE64_CHARACTER),
     );
   }
 
   private get namesPerPart(): number {
-    const bits = base64Length(Math.min(this.bitsPerPart, this.job.done.bytes.length));
-    const room = this.roomLimit - PART_FRAME_BYTES - bits;
-    return Math.max(1, Math.floor(room / (this.nameLength + NAME_OVERHEAD_BYTES)));
+    const bitsetLength = base64Length(Math.min(this.bitsetBytesPerPart, this.job.done.bytes.length));
+    const nameCapacity = this.maxPartBytes - PART_ENVELOPE_BYTES - bitsetLength;
+    return Math.max(1, Math.floor(nameCapacity / (this.maxNameLength + NAME_OVERHEAD_BYTES)));
   }
 
-  private part(index: number): Part {
+  private partAt(index: number): Part {
     for (let i = this.parts.length; i <= index; i++) this.parts.push({ machines: new Set(), bits: '' });
     return this.parts[index]!;
   }
 
   private keyOf(index: number): string {
-    return progressKey(this.job.id, index === 0 ? 0 : (this.firstNumber ?? 0) + index);
+    return progressKey(this.job.id, index === 0 ? 0 : (this.partNumberBase ?? 0) + index);
   }
 
-  /** A key as it was read; `size` in bytes. `number` is null for a segment of the version before. */
-  adopt(key: string, number: number | null, record: ProgressRecord, size: number): void {
-    const from = number === 0 ? 0 : record.from;
-    const index = from === null ? -1 : from / this.bitsPerPart;
-    const fits = size <= this.roomLimit && Buffer.from(record.bits, 'base64').length <= this.bitsPerPart;
-    const firstNumber = number === null || number === 0 ? this.firstNumber : number - index;
-    const isPart = number !== null && Number.isInteger(index) && index >= 0;
-    if (!isPart || !fits || (this.firstNumber ?? firstNumber) !== firstNumber) {
-      this.otherLayout.set(key, number ?? 0);
+  /** Loads a stored key. `partNumber` is null for a segment that was written by the previous version. */
+  loadKey(key: string, partNumber: number | null, record: ProgressRecord, valueBytes: number): void {
+    const from = partNumber === 0 ? 0 : record.from;
+    const index = from === null ? -1 : from / this.bitsetBytesPerPart;
+    const fits =
+      valueBytes <= this.maxPartBytes && Buffer.from(record.bits, 'base64').length <= this.bitsetBytesPerPart;
+    const numberBase = partNumber === null || partNumber === 0 ? this.partNumberBase : partNumber - index;
+    const isPart = partNumber !== null && Number.isInteger(index) && index >= 0;
+    if (!isPart || !fits || (this.partNumberBase ?? numberBase) !== numberBase) {
+      this.obsoleteKeys.set(key, partNumber ?? 0);
       return;
     }
-    this.firstNumber = firstNumber;
-    const part = this.part(index);
+    this.partNumberBase = numberBase;
+    const part = this.partAt(index);
     for (const name of record.machines) part.machines.add(name);
     part.bits = record.bits;
   }
 
-  /** Whether keys are in a layout that has to be written anew. */
+  /** Whether some stored keys are in another layout and have to be rewritten. */
   get needsLayoutChange(): boolean {
-    return this.otherLayout.size > 0;
+    return this.obsoleteKeys.size > 0;
   }
 
   private bitsOf(index: number): string {
-    return this.job.done.encode(index * this.bitsPerPart, (index + 1) * this.bitsPerPart);
+    return this.job.done.encode(index * this.bitsetBytesPerPart, (index + 1) * this.bitsetBytesPerPart);
   }
 
-  /** Assigns every machine to a part, those that have one to the same, and notes which parts must be written. */
+  /** Assigns every machine to a part, keeping existing assignments, and marks the parts that have to be written. */
   private assignMachines(): void {
     const current = new Set(this.currentMachines());
-    const partCount = Math.ceil(this.job.done.bytes.length / this.bitsPerPart);
-    this.part(Math.max(this.parts.length, partCount, 1) - 1);
-    const assigned = this.keepAssigned(current);
+    const partCount = Math.ceil(this.job.done.bytes.length / this.bitsetBytesPerPart);
+    this.partAt(Math.max(this.parts.length, partCount, 1) - 1);
+    const assigned = this.pruneAssignments(current);
     const capacity = this.namesPerPart;
     let index = 0;
     for (const name of current) {
       if (assigned.has(name)) continue;
-      while (this.part(index).machines.size >= capacity) index++;
-      this.part(index).machines.add(name);
-      this.changed.add(index);
+      while (this.partAt(index).machines.size >= capacity) index++;
+      this.partAt(index).machines.add(name);
+      this.changedParts.add(index);
     }
   }
 
-  /** Removes machines that hold no tasks any more, or stand twice; returns those that keep their part. */
-  private keepAssigned(current: ReadonlySet<string>): ReadonlySet<string> {
+  /** Removes machines that no longer hold tasks and duplicate assignments; returns the machines that keep their part. */
+  private pruneAssignments(current: ReadonlySet<string>): ReadonlySet<string> {
     const assigned = new Set<string>();
     this.parts.forEach((part, index) => {
       for (const name of [...part.machines]) {
         if (current.has(name) && !assigned.has(name)) assigned.add(name);
         else {
           part.machines.delete(name);
-          this.changed.add(index);
+          this.changedParts.add(index);
         }
       }
-      if (this.bitsOf(index) !== part.bits) this.changed.add(index);
+      if (this.bitsOf(index) !== part.bits) this.changedParts.add(index);
     });
     return assigned;
   }
 
-  /** Writes what changed, and calls `then` once all of it is on record, or `refused` if the store won't take it. */
-  write(urgent: WriteUrgency, then: () => void, refused: () => void): void {
-    if (this.waitingForLayout !== null) {
-      this.waitingForLayout.push(() => {
-        this.write(urgent, then, refused);
+  /** Writes the changed parts; calls `onRecorded` once all of them are confirmed, or `onRefused` if the store refuses one. */
+  write(urgency: WriteUrgency, onRecorded: () => void, onRefused: () => void): void {
+    if (this.writesAwaitingLayout !== null) {
+      this.writesAwaitingLayout.push(() => {
+        this.write(urgency, onRecorded, onRefused);
       });
       return;
     }
-    if (this.otherLayout.size > 0) {
-      this.changeLayout(urgent, then, refused);
+    if (this.obsoleteKeys.size > 0) {
+      this.changeLayout(urgency, onRecorded, onRefused);
       return;
     }
     this.assignMachines();
-    const indices = new Set(this.changed);
-    // Sent already but not confirmed: the caller waits for that too.
+    const indices = new Set(this.changedParts);
+    // Also include parts that were sent but not confirmed: the caller has to wait for them too.
     this.parts.forEach((part, index) => {
       for (const name of part.machines) if (!this.job.recordedMachines.has(name)) indices.add(index);
     });
-    this.putParts([...indices], urgent, then, refused);
+    this.putParts([...indices], urgency, onRecorded, onRefused);
   }
 
   private putParts(
     indices: readonly number[],
-    urgent: WriteUrgency,
-    then: () => void,
-    refused: () => void,
+    urgency: WriteUrgency,
+    onRecorded: () => void,
+    onRefused: () => void,
   ): void {
     let remaining = indices.length;
     let failed = false;
-    if (remaining === 0) then();
+    if (remaining === 0) onRecorded();
     for (const index of indices) {
       const onWritten = (value: unknown): void => {
         this.applyWritten(decodeProgress(value));
-        if (--remaining === 0 && !failed) then();
+        if (--remaining === 0 && !failed) onRecorded();
       };
-      const onRefused = (): void => {
-        this.changed.add(index);
-        if (!failed) refused();
+      const onPartRefused = (): void => {
+        this.changedParts.add(index);
+        if (!failed) onRefused();
         failed = true;
       };
-      const options = { urgency: urgent, onRefused };
+      const options = { urgency, onRefused: onPartRefused };
       this.writer.put(this.keyOf(index), () => this.encodePart(index), onWritten, options);
     }
   }
@@ -205,69 +209,70 @@
   private encodePart(index: number): unknown {
     this.job.progressDirty = false;
     this.assignMachines();
-    const part = this.part(index);
-    // Whoever is left out counts as not on record from now on: the write may be executed at any moment.
-    const named = new Set(this.parts.flatMap((other) => [...other.machines]));
+    const part = this.partAt(index);
+    // A machine that is left out counts as not recorded from now on, because the write may be executed at any moment.
+    const assigned = new Set(this.parts.flatMap((other) => [...other.machines]));
     for (const name of [...this.job.recordedMachines])
-      if (!named.has(name)) this.job.recordedMachines.delete(name);
+      if (!assigned.has(name)) this.job.recordedMachines.delete(name);
     part.bits = this.bitsOf(index);
-    this.changed.delete(index);
+    this.changedParts.delete(index);
     return encodeProgress({
       machines: [...part.machines],
       bits: part.bits,
-      from: index * this.bitsPerPart,
+      from: index * this.bitsetBytesPerPart,
     });
   }
 
   /**
-   * From another layout into this one, in keys that none had before: all further parts are written first, then part 0,
-   * which may hold less from then on; what is left over is removed last. A crash in between leaves everything on record
-   * somewhere.
+   * Rewrites the progress from another layout into the current one, under keys that were not used before. Parts 1 and up are
+   * written first, then part 0, which may contain less than before, and obsolete keys are removed last. After a crash at any
+   * point, all progress is still stored under some key.
    */
-  private changeLayout(urgent: WriteUrgency, then: () => void, refused: () => void): void {
-    this.waitingForLayout = [];
+  private changeLayout(urgency: WriteUrgency, onRecorded: () => void, onRefused: () => void): void {
+    this.writesAwaitingLayout = [];
     const oldKeys = this.beginLayout();
     const onFailed = (): void => {
-      for (const [key, number] of oldKeys) this.otherLayout.set(key, number);
-      this.endLayoutChange(refused);
+      for (const [key, number] of oldKeys) this.obsoleteKeys.set(key, number);
+      this.endLayoutChange(onRefused);
     };
     const onAllWritten = (): void => {
-      this.otherLayout.clear();
+      this.obsoleteKeys.clear();
       for (const key of oldKeys.keys()) if (key !== this.keyOf(0)) this.writer.remove(key);
-      this.endLayoutChange(then);
+      this.endLayoutChange(onRecorded);
     };
-    const putFirst = (): void => {
-      this.putParts([0], urgent, onAllWritten, onFailed);
+    const putFirstPart = (): void => {
+      this.putParts([0], urgency, onAllWritten, onFailed);
     };
-    const further = this.parts.map((_, index) => index).filter((index) => index > 0);
-    if (further.length === 0) putFirst();
-    else this.putParts(further, urgent, putFirst, onFailed);
+    const furtherParts = this.parts.map((_, index) => index).filter((index) => index > 0);
+    if (furtherParts.length === 0) putFirstPart();
+    else this.putParts(furtherParts, urgency, putFirstPart, onFailed);
   }
 
-  /** Begins a layout in new keys; returns all keys of the old ones with their numbers. */
+  /** Starts a layout under new keys; returns all keys of the old layouts with their part numbers. */
   private beginLayout(): ReadonlyMap<string, number> {
-    const oldKeys = new Map(this.otherLayout);
+    const oldKeys = new Map(this.obsoleteKeys);
     this.parts.forEach((_, index) => {
-      if (index > 0) oldKeys.set(this.keyOf(index), (this.firstNumber ?? 0) + index);
+      if (index > 0) oldKeys.set(this.keyOf(index), (this.partNumberBase ?? 0) + index);
     });
-    this.firstNumber = Math.max(0, ...oldKeys.values());
+    this.partNumberBase = Math.max(0, ...oldKeys.values());
     this.parts = [];
-    this.changed.clear();
+    this.changedParts.clear();
     this.assignMachines();
     return oldKeys;
   }
 
-  private endLayoutChange(report: () => void): void {
-    const waiting = this.waitingForLayout ?? [];
-    this.waitingForLayout = null;
-    report();
-    for (const write of waiting) write();
+  /** Ends the layout change, and starts the writes that waited for it after `callback`. */
+  private endLayoutChange(callback: () => void): void {
+    const waitingWrites = this.writesAwaitingLayout ?? [];
+    this.writesAwaitingLayout = null;
+    callback();
+    for (const write of waitingWrites) write();
   }
 
-  /** All keys of the job's progress, to be removed with it. */
+  /** Returns all keys of the job's progress, to be removed when the job ends. */
   keys(): string[] {
     const count = Math.max(this.parts.length, 1);
     const ownKeys = Array.from({ length: count }, (_, index) => this.keyOf(index));
-    return [...new Set([...ownKeys, ...this.otherLayout.keys()])];
+    return [...new Set([...ownKeys, ...this.obsoleteKeys.keys()])];
   }
 }
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,17 +1,17 @@
-/** Machines on record: nothing is started on one that is not, and one to be deleted is marked as retiring first. */
+/** Stores machine records. A task starts only on a machine with a record, and a machine is marked as retiring before deletion. */
 import type { Machine } from '../cluster/cluster-model.js';
-import { FORMER_MACHINES_PREFIX, formerMachineKey, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
+import { FORMER_MACHINES_PREFIX, legacyMachineKey, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
 import {
   decodeMachine,
   encodeMachine,
-  largestMachineRecord,
   type MachineRecord,
+  maxMachineRecordBytes,
 } from '../codecs/machine-codec.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 import { PackedPages, readPage } from './packed-pages.js';
 
-const recordOf = (machine: Machine): MachineRecord => ({
+const toRecord = (machine: Machine): MachineRecord => ({
   address: machine.address,
   type: machine.type,
   zone: machine.zone,
@@ -20,43 +20,43 @@
   preprovisioned: machine.preprovisioned,
 });
 
-/** A mark that any copy of a record has holds: what is being returned must not be used again. */
-const mergeCopies = (record: MachineRecord, other: MachineRecord | undefined): MachineRecord => ({
+/** Merges two copies of a record. A flag that is set in either copy holds: a machine being returned must not be used again. */
+const mergeRecords = (record: MachineRecord, other: MachineRecord | undefined): MachineRecord => ({
   ...record,
   retiring: record.retiring || other?.retiring === true,
   preprovisioned: record.preprovisioned || other?.preprovisioned === true,
 });
 
-/** Records of machines in packed pages. */
+/** Loads and writes machine records, packed into pages. */
 export class MachineStore {
   private readonly pages: PackedPages;
-  /** Whether all that was on record could be read. */
+  /** Whether all stored machine records could be read. */
   isComplete = true;
 
-  /** `roomLimit`: room for records in a page (`pageRoom`). `onUnreadable`: called with the key or name of a record. */
+  /** `pageCapacity`: see `pageRoom`. `onUnreadable`: called with the page key or machine name of an unreadable record. */
   constructor(
     private readonly writer: FencedWriter,
-    roomLimit: number,
+    pageCapacity: number,
     find: (name: string) => Machine | undefined,
     private readonly onUnreadable: (key: string) => void,
   ) {
-    this.pages = new PackedPages(writer, MACHINE_PAGES_PREFIX, roomLimit, {
-      describe: (name) => {
+    this.pages = new PackedPages(writer, MACHINE_PAGES_PREFIX, pageCapacity, {
+      encode: (name) => {
         const machine = find(name);
-        return machine === undefined ? null : encodeMachine(recordOf(machine));
+        return machine === undefined ? null : encodeMachine(toRecord(machine));
       },
-      move: (name, then) => {
+      move: (name, onMoved) => {
         const machine = find(name);
-        if (machine === undefined) then(true);
-        else this.move(machine, then);
+        if (machine === undefined) onMoved(true);
+        else this.move(machine, onMoved);
       },
     });
   }
 
-  /** Machines that an earlier leader recorded, in pages or, by an earlier version, under a key for each machine. */
-  load(pages: readonly StoredItem[], unpacked: readonly StoredItem[]): Map<string, MachineRecord> {
+  /** Returns the machines that earlier leaders recorded, in pages or, in earlier versions, under one key per machine. */
+  load(pages: readonly StoredItem[], legacyItems: readonly StoredItem[]): Map<string, MachineRecord> {
     const found = new Map<string, MachineRecord>();
-    for (const item of unpacked)
+    for (const item of legacyItems)
       this.loadRecord(found, item.key.slice(FORMER_MACHINES_PREFIX.length), item.value);
     for (const item of pages) {
       const entries = readPage(item.value);
@@ -66,7 +66,7 @@
     for (const item of pages)
       this.pages.load(item, (name) => {
         const record = found.get(name);
-        return record === undefined ? null : largestMachineRecord(name, record);
+        return record === undefined ? null : maxMachineRecordBytes(name, record);
       });
     return found;
   }
@@ -78,17 +78,17 @@
       this.reportUnreadable(name);
       return;
     }
-    // A machine may stand on two pages while one of them is emptied, or because an older version led meanwhile.
-    found.set(name, mergeCopies(record, found.get(name)));
+    // A machine may be on two pages while one of them is being emptied, or because an older version led in between.
+    found.set(name, mergeRecords(record, found.get(name)));
   }
 
-  /** Moves what an earlier version wrote into pages; its keys are removed once that is confirmed. */
-  adopt(unpacked: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
-    for (const item of unpacked) {
+  /** Moves the records of an earlier version into pages; each old key is removed once the move is confirmed. */
+  adopt(legacyItems: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
+    for (const item of legacyItems) {
       const machine = find(item.key.slice(FORMER_MACHINES_PREFIX.length));
       if (machine === undefined) continue;
       this.put(machine, () => {
-        this.writer.remove(formerMachineKey(machine.name));
+        this.writer.remove(legacyMachineKey(machine.name));
       });
     }
   }
@@ -98,36 +98,47 @@
     this.onUnreadable(key);
   }
 
-  /** Writes the machine's record, and calls back once the store has confirmed it. */
-  put(machine: Machine, done: () => void): void {
-    this.write(machine, 'now', done);
+  /** Writes the machine's record; calls `onConfirmed` once the store has confirmed it. */
+  put(machine: Machine, onConfirmed: () => void): void {
+    this.write(machine, 'now', onConfirmed);
   }
 
-  private move(machine: Machine, then: (ok: boolean) => void): void {
+  private move(machine: Machine, onMoved: (ok: boolean) => void): void {
     const onWritten = (): void => {
-      then(true);
+      onMoved(true);
     };
     const onRefused = (): void => {
-      then(false);
+      onMoved(false);
     };
     this.write(machine, 'later', onWritten, onRefused);
   }
 
-  private write(machine: Machine, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
-    this.pages.put(machine.name, largestMachineRecord(machine.name, machine), urgent, done, refused);
+  private write(
+    machine: Machine,
+    urgency: WriteUrgency,
+    onConfirmed: () => void,
+    onRefused?: () => void,
+  ): void {
+    this.pages.put(
+      machine.name,
+      maxMachineRecordBytes(machine.name, machine),
+      urgency,
+      onConfirmed,
+      onRefused,
+    );
   }
 
-  /** Empties the next page that is too large or of the version before. */
+  /** Empties the next page that is too large or was written by the previous version. */
   compact(): void {
     this.pages.compact();
   }
 
-  /** The machine is gone; the next write of its page leaves it out. */
+  /** Drops the record of a removed machine; the next write of its page omits it. */
   drop(machine: Machine): void {
     this.pages.drop(machine.name);
   }
 
-  /** Writes pages that still hold machines that were dropped. */
+  /** Rewrites pages that still contain records of removed machines. */
   rewriteStalePages(): void {
     this.pages.rewriteStalePages();
   }
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -1,72 +1,73 @@
 /**
- * Many small records packed into few values. The state service counts every put, so at five hundred machines and twenty-five
- * changes a second a key for each would cost more than all else. A record keeps its page for as long as that page fits the
- * state service's limits, and the page has room set aside for the largest that the record can become.
+ * Packs many small records into few values. The key-value store counts every put against its write limit, so with five hundred
+ * machines and twenty-five changes a second, one key per record would cost more than all other writes. A record stays on its
+ * page as long as the page fits the store's limits, and each page reserves space for the maximum size of its records.
  *
- * Pages of this version have keys of their own (`q/s0`, `r/s0`); those of the version before (`q/0`) are read, never
- * written to again, and emptied once everything on them stands on pages of this version. The version before reads those too
- * and never writes them, so that neither can take a record away from the other: what holds of a record is what all its
- * copies together contain. Pages that have become too large are emptied likewise: copies are written and confirmed first, the
- * old page is emptied last.
+ * Pages of this version have separate keys (`q/s0`, `r/s0`). Pages of the previous version (`q/0`) are read but no longer
+ * written, and are emptied once all of their records have been written to pages of this version. The previous version reads
+ * the new pages too but never writes them, so neither version can delete a record of the other: the valid state of a record
+ * is the union of all its copies. Pages that have become too large are emptied in the same way: the copies are written and
+ * confirmed first, and the old page is emptied last.
  */
 import { bytesOf } from '../codecs/value-size.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
-import { PAGE_FRAME_BYTES, readPage, smallerPageRoom } from './page-format.js';
+import { PAGE_FRAME_BYTES, readPage, reducedPageCapacity } from './page-format.js';
 
 export { pageRoom, readPage } from './page-format.js';
 
 interface Page {
   readonly key: string;
-  /** Room set aside, by record. */
-  readonly records: Map<string, number>;
-  size: number;
-  /** Holds records that are not needed any more. */
+  /** Reserved size by record id, in characters of JSON. */
+  readonly reservations: Map<string, number>;
+  /** Sum of the reservations. */
+  reservedSize: number;
+  /** The stored page still contains records that were dropped. */
   stale: boolean;
-  /** Nothing new is put there: it can't be read, or is being emptied. */
+  /** Accepts no new records: the page is unreadable or is being emptied. */
   closed: boolean;
 }
 
-/** Begins the name of a page of this version, after the prefix. */
+/** Follows the key prefix in the key of a page of this version. */
 const PAGE_NAME_PREFIX = 's';
 const MAX_PAGE_NUMBER = 100_000;
-/** So many of the largest records must fit into a page. */
+/** Minimum number of records of the maximum size that fit into a page. */
 const MIN_RECORDS_PER_PAGE = 3;
 
-/** Where the records of the pages come from. */
+/** Source of the records that are packed into pages. */
 export interface PackedRecordSource {
-  /** The record as it is now; null if it is not needed any more. */
-  readonly describe: (id: string) => unknown;
-  /** The store has confirmed a record with this value. */
-  readonly written?: (id: string, value: unknown) => void;
-  /** Writes the record of a page that is emptied to where it belongs now; `ok` once the store has confirmed that. */
-  readonly move: (id: string, then: (ok: boolean) => void) => void;
+  /** Returns the current stored form of the record; null if it is no longer needed. */
+  readonly encode: (id: string) => unknown;
+  /** Called when the store has confirmed the record with this value. */
+  readonly onWritten?: (id: string, value: unknown) => void;
+  /** Writes a record of a page that is being emptied to its new page; `ok` tells whether the store accepted it. */
+  readonly move: (id: string, onMoved: (ok: boolean) => void) => void;
 }
 
-/** The pages under one prefix, and which page each record is on. */
+/** The pages under one key prefix, and the page of each record. */
 export class PackedPages {
   private readonly pages: Page[] = [];
   private readonly pageOf = new Map<string, Page>();
-  /** Further pages of this version that hold a record, from a move that a crash cut short. */
-  private readonly copies = new Map<string, Set<Page>>();
-  /** Keys of pages to be emptied, with the records that must be written elsewhere before. */
+  /** Additional pages of this version that contain a record, left by a move that a crash interrupted. */
+  private readonly duplicates = new Map<string, Set<Page>>();
+  /** Keys of pages to be emptied, with the ids of the records that have to be moved first. */
   private readonly pagesToEmpty = new Map<string, ReadonlySet<string>>();
   private compacting = false;
 
-  /** `roomLimit`: characters of JSON that the records of a page may take; see `pageRoom`. */
+  /** `pageCapacity`: characters of JSON that the records of a page may take; see `pageRoom`. */
   constructor(
     private readonly writer: FencedWriter,
     private readonly prefix: string,
-    private roomLimit: number,
+    private pageCapacity: number,
     private readonly records: PackedRecordSource,
   ) {}
 
-  /** The largest record that may be kept here: several must fit into a page. */
-  get largestRecord(): number {
-    return Math.floor(this.roomLimit / MIN_RECORDS_PER_PAGE);
+  /** Maximum size of a record that may be stored on a page, in characters of JSON: several records must fit into one. */
+  get maxRecordSize(): number {
+    return Math.floor(this.pageCapacity / MIN_RECORDS_PER_PAGE);
   }
 
-  /** Whether the record has a page. */
+  /** Whether the record is assigned to a page. */
   has(id: string): boolean {
     return this.pageOf.has(id);
   }
@@ -75,109 +76,116 @@
     for (let i = this.pages.length; i <= number; i++)
       this.pages.push({
         key: `${this.prefix}${PAGE_NAME_PREFIX}${i}`,
-        records: new Map(),
-        size: 0,
+        reservations: new Map(),
+        reservedSize: 0,
         stale: false,
         closed: false,
       });
     return this.pages[number]!;
   }
 
-  /** A page as it was read; `keep` returns the room of a record that is still needed, null if it is not. */
-  load(item: StoredItem, keep: (id: string) => number | null): void {
+  /** Loads a stored page. `maxSizeOf` returns the maximum size of a record, or null if the record is no longer needed. */
+  load(item: StoredItem, maxSizeOf: (id: string) => number | null): void {
     const name = item.key.slice(this.prefix.length);
     const entries = readPage(item.value);
     const ids = Object.keys(entries ?? {});
     this.writer.rememberVersion(item.key, item.version);
     if (!name.startsWith(PAGE_NAME_PREFIX)) {
-      // Of the version before, whatever its size.
+      // Written by the previous version: emptied whatever its size.
       if (ids.length > 0) this.pagesToEmpty.set(item.key, new Set(ids));
       return;
     }
     const number = Number(name.slice(PAGE_NAME_PREFIX.length));
     if (!Number.isInteger(number) || number < 0 || number > MAX_PAGE_NUMBER) return;
     const page = this.pageAt(number);
-    // What can't be read is left as it is: nothing more is put there.
+    // An unreadable page is left as it is and accepts no new records.
     if (entries === null) page.closed = true;
-    for (const id of ids) this.loadRecord(page, id, keep(id));
-    if (page.size > this.roomLimit || bytesOf(item.value) > this.roomLimit + PAGE_FRAME_BYTES)
+    for (const id of ids) this.loadRecord(page, id, maxSizeOf(id));
+    if (page.reservedSize > this.pageCapacity || bytesOf(item.value) > this.pageCapacity + PAGE_FRAME_BYTES)
       this.closeAndEmpty(page);
   }
 
-  private loadRecord(page: Page, id: string, room: number | null): void {
-    if (room === null) page.stale = true;
+  private loadRecord(page: Page, id: string, maxSize: number | null): void {
+    if (maxSize === null) page.stale = true;
     else if (this.pageOf.has(id)) {
-      // Either copy may be the newer one: this one goes only once the other holds all that both do.
-      page.records.set(id, room);
-      page.size += room;
-      this.copies.set(id, (this.copies.get(id) ?? new Set()).add(page));
-    } else this.assign(page, id, room);
+      // Either copy may be the newer one: this one is removed only after the other contains the data of both.
+      page.reservations.set(id, maxSize);
+      page.reservedSize += maxSize;
+      this.duplicates.set(id, (this.duplicates.get(id) ?? new Set()).add(page));
+    } else this.assign(page, id, maxSize);
   }
 
-  /** Takes the page out of use: its records move to others. */
+  /** Closes the page and queues its records for a move to other pages. */
   private closeAndEmpty(page: Page): void {
     if (this.pagesToEmpty.has(page.key)) return;
     page.closed = true;
-    this.pagesToEmpty.set(page.key, new Set(page.records.keys()));
-    for (const id of page.records.keys()) if (this.pageOf.get(id) === page) this.pageOf.delete(id);
-    page.records.clear();
+    this.pagesToEmpty.set(page.key, new Set(page.reservations.keys()));
+    for (const id of page.reservations.keys()) if (this.pageOf.get(id) === page) this.pageOf.delete(id);
+    page.reservations.clear();
   }
 
-  private assign(page: Page, id: string, room: number): void {
-    page.records.set(id, room);
-    page.size += room;
+  private assign(page: Page, id: string, maxSize: number): void {
+    page.reservations.set(id, maxSize);
+    page.reservedSize += maxSize;
     this.pageOf.set(id, page);
   }
 
   private removeRecord(page: Page, id: string): void {
-    page.size -= page.records.get(id) ?? 0;
-    page.records.delete(id);
+    page.reservedSize -= page.reservations.get(id) ?? 0;
+    page.reservations.delete(id);
     page.stale = true;
   }
 
-  private pageWithRoom(room: number): Page {
-    for (const page of this.pages) if (!page.closed && page.size + room <= this.roomLimit) return page;
+  private findPageWithCapacity(maxSize: number): Page {
+    for (const page of this.pages)
+      if (!page.closed && page.reservedSize + maxSize <= this.pageCapacity) return page;
     return this.pageAt(this.pages.length);
   }
 
-  /** Writes a record. `room`: the largest that it can become, in characters of JSON with its key. */
-  put(id: string, room: number, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
-    if (!this.pageOf.has(id)) this.assign(this.pageWithRoom(room), id, room);
-    this.write(this.pageOf.get(id)!, urgent, done, refused);
+  /** Writes a record. `maxSize`: the maximum size that it can reach, in characters of JSON including its key. */
+  put(
+    id: string,
+    maxSize: number,
+    urgency: WriteUrgency,
+    onConfirmed: () => void,
+    onRefused?: () => void,
+  ): void {
+    if (!this.pageOf.has(id)) this.assign(this.findPageWithCapacity(maxSize), id, maxSize);
+    this.write(this.pageOf.get(id)!, urgency, onConfirmed, onRefused);
   }
 
-  /** The record is not needed any more; the next write of its page leaves it out. */
+  /** Drops a record that is no longer needed; the next write of its page omits it. */
   drop(id: string): void {
-    for (const page of [this.pageOf.get(id), ...(this.copies.get(id) ?? [])])
+    for (const page of [this.pageOf.get(id), ...(this.duplicates.get(id) ?? [])])
       if (page !== undefined) this.removeRecord(page, id);
     this.pageOf.delete(id);
-    this.copies.delete(id);
+    this.duplicates.delete(id);
   }
 
-  /** Writes pages that still hold records that were dropped. */
+  /** Rewrites pages that still contain dropped records. */
   rewriteStalePages(): void {
     for (const page of this.pages) if (page.stale && !page.closed) this.write(page, 'later', () => undefined);
   }
 
-  /** Merges the next record with copies, or empties the next page, one at a time. To be called often; cheap when idle. */
+  /** Merges the next duplicated record or empties the next page, one at a time. Called periodically; cheap when idle. */
   compact(): void {
-    if (this.compacting || this.mergeNextCopies()) return;
+    if (this.compacting || this.mergeNextDuplicate()) return;
     const next = this.pagesToEmpty.entries().next();
     if (next.done !== true) this.moveRecords(...next.value);
   }
 
-  /** Returns whether the write of a record that stands on several pages has begun. */
-  private mergeNextCopies(): boolean {
-    for (const [id, pages] of this.copies) {
+  /** Starts the write that merges the next duplicated record; returns false if there is none. */
+  private mergeNextDuplicate(): boolean {
+    for (const [id, pages] of this.duplicates) {
       const page = this.pageOf.get(id);
       if (page === undefined) {
-        this.copies.delete(id);
+        this.duplicates.delete(id);
         continue;
       }
       this.compacting = true;
       const onWritten = (): void => {
         this.compacting = false;
-        this.copies.delete(id);
+        this.duplicates.delete(id);
         for (const copy of pages) this.removeRecord(copy, id);
       };
       this.write(page, 'later', onWritten, () => {
@@ -191,7 +199,7 @@
   /** Writes the records elsewhere, and empties the page once all of that is confirmed. */
   private moveRecords(key: string, ids: ReadonlySet<string>): void {
     this.compacting = true;
-    // One more than the moves that were begun, so that none of them is the last before all are.
+    // One more than the number of moves started, so that the count can't reach 0 before all moves have been started.
     let remaining = 1;
     let allMoved = true;
     const onMoved = (ok: boolean): void => {
@@ -199,14 +207,14 @@
       if (--remaining > 0) return;
       if (allMoved) this.emptyPage(key);
       else {
-        // Something on it could not be written elsewhere: it stays, and the other pages come first.
+        // A record could not be moved: keep the page, and retry it after the other pages.
         this.compacting = false;
         this.pagesToEmpty.delete(key);
         this.pagesToEmpty.set(key, ids);
       }
     };
     for (const id of ids) {
-      if (this.records.describe(id) === null) continue;
+      if (this.records.encode(id) === null) continue;
       remaining++;
       this.records.move(id, onMoved);
     }
@@ -220,33 +228,33 @@
       const page = this.pages.find((candidate) => candidate.key === key);
       if (page === undefined) return;
       page.closed = false;
-      page.size = 0;
+      page.reservedSize = 0;
       page.stale = false;
     };
     this.writer.put(key, () => ({ entries: {} }), onWritten, { urgency: 'later' });
   }
 
-  private write(page: Page, urgent: WriteUrgency, done: () => void, refused?: () => void): void {
+  private write(page: Page, urgency: WriteUrgency, onConfirmed: () => void, onRefused?: () => void): void {
     const onWritten = (value: unknown): void => {
-      for (const [id, record] of Object.entries(readPage(value) ?? {})) this.records.written?.(id, record);
-      done();
+      for (const [id, record] of Object.entries(readPage(value) ?? {})) this.records.onWritten?.(id, record);
+      onConfirmed();
     };
-    // The state service takes less than the settings name: smaller pages from now on.
-    const onRefused = (bytes: number): void => {
-      this.roomLimit = smallerPageRoom(this.roomLimit, bytes);
-      if (page.records.size > 1) this.closeAndEmpty(page);
-      refused?.();
+    // The store accepts less than the configured value size: use smaller pages from now on.
+    const onPageRefused = (bytes: number): void => {
+      this.pageCapacity = reducedPageCapacity(this.pageCapacity, bytes);
+      if (page.reservations.size > 1) this.closeAndEmpty(page);
+      onRefused?.();
     };
     this.writer.put(page.key, () => this.encodePage(page), onWritten, {
-      urgency: urgent,
-      onRefused: onRefused,
+      urgency,
+      onRefused: onPageRefused,
     });
   }
 
   private encodePage(page: Page): unknown {
     page.stale = false;
     const entries: Record<string, unknown> = {};
-    for (const id of page.records.keys()) entries[id] = this.records.describe(id);
+    for (const id of page.reservations.keys()) entries[id] = this.records.encode(id);
     return { entries };
   }
 }
--- a/packages/core/src/storage/page-format.ts
+++ b/packages/core/src/storage/page-format.ts
@@ -1,28 +1,28 @@
-/** The stored form of a page of records, `{"entries":{ID:RECORD}}`, and how much fits into one. */
+/** The stored form of a page of records, `{"entries":{ID:RECORD}}`, and the capacity of a page. */
 import { isStoredMap, type StoredMap } from '../codecs/stored-map.js';
 
-/** `{"entries":{}}` and some reserve; what is left of a value is for records. */
+/** The envelope `{"entries":{}}` plus a reserve; the rest of the value holds records. */
 export const PAGE_FRAME_BYTES = 128;
-/** What a page leaves free at most, whatever the size of a value. */
+/** Upper bound of the space that a page leaves free, whatever the maximum value size. */
 const MAX_PAGE_RESERVE_BYTES = 512;
-/** Part of a value that a page leaves free, besides its frame. */
+/** Fraction of the maximum value size that a page leaves free in addition to its envelope. */
 const PAGE_RESERVE_FRACTION = 1 / 16;
-const MIN_PAGE_ROOM = 256;
-/** Of the bytes of a page that was refused: the room in the pages that follow. */
-const ROOM_AFTER_REFUSAL = 0.7;
+const MIN_PAGE_CAPACITY = 256;
+/** Capacity of later pages, as a fraction of the size of a page that the store refused. */
+const CAPACITY_FRACTION_AFTER_REFUSAL = 0.7;
 
-/** The records of a page by id; null for what can't be read. */
+/** Returns the records of a stored page by id, or null if the value is malformed. */
 export const readPage = (value: unknown): StoredMap | null => {
   const entries = isStoredMap(value) ? value['entries'] : null;
   return isStoredMap(entries) ? entries : null;
 };
 
-/** Room for records in a page, in characters of JSON, where a value may have so many bytes. */
+/** Capacity of a page for records, in characters of JSON, where a value may have `valueBytes` bytes. */
 export const pageRoom = (valueBytes: number): number => {
   const reserve = PAGE_FRAME_BYTES + Math.floor(valueBytes * PAGE_RESERVE_FRACTION);
-  return Math.max(MIN_PAGE_ROOM, valueBytes - Math.min(MAX_PAGE_RESERVE_BYTES, reserve));
+  return Math.max(MIN_PAGE_CAPACITY, valueBytes - Math.min(MAX_PAGE_RESERVE_BYTES, reserve));
 };
 
-/** Room for records once a page of so many bytes was refused. */
-export const smallerPageRoom = (room: number, refusedBytes: number): number =>
-  Math.max(MIN_PAGE_ROOM, Math.min(room, Math.floor(refusedBytes * ROOM_AFTER_REFUSAL)));
+/** Returns the reduced page capacity after the store refused a page of `refusedBytes` bytes. */
+export const reducedPageCapacity = (capacity: number, refusedBytes: number): number =>
+  Math.max(MIN_PAGE_CAPACITY, Math.min(capacity, Math.floor(refusedBytes * CAPACITY_FRACTION_AFTER_REFUSAL)));
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -1,9 +1,9 @@
 /**
- * Which tasks are done and which machines may hold a job's tasks, in the state service. Jobs of ordinary size share pages;
- * one with very many tasks has keys of its own.
+ * Stores which tasks of a job are done and which machines may hold its tasks. Jobs of ordinary size share pages; a job with a
+ * very large number of tasks has separate keys.
  */
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
-import { LARGE_PROGRESS_PREFIX, partOfKeyNumber, PROGRESS_PAGES_PREFIX } from '../codecs/keys.js';
+import { LARGE_PROGRESS_PREFIX, partNumberOfKeyNumber, PROGRESS_PAGES_PREFIX } from '../codecs/keys.js';
 import {
   decodeProgress,
   encodeProgress,
@@ -17,27 +17,27 @@
 import { LargeProgress } from './large-progress.js';
 import { PackedPages, pageRoom, readPage } from './packed-pages.js';
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
-/** Room that is set aside for a machine's name at first. */
-const MIN_NAME_LENGTH = 12;
-/** What a record takes besides its job's id, names and bits. */
-const RECORD_FRAME_BYTES = 40;
-/** Tasks whose bits take one group of base64, and the characters of a group. */
+/** Initial space reserved for a machine name, in characters. */
+const INITIAL_MAX_NAME_LENGTH = 12;
+/** Size of a record besides the job id, the machine names and the bitset. */
+const RECORD_ENVELOPE_BYTES = 40;
+/** Tasks whose bits are encoded by one base64 group, and the characters in a group. */
 const TASKS_PER_BASE64_GROUP = 24;
 const BASE64_GROUP_CHARACTERS = 4;
-/** What the version before left free in the value of a segment. */
-const FORMER_SEGMENT_RESERVE_BYTES = 4096;
+/** Bytes that the previous version left free in the value of a segment. */
+const LEGACY_SEGMENT_RESERVE_BYTES = 4096;
 
-/** Applies a record of a job's progress, or of a part of it; `from`: the byte at which its bits begin, if known. */
+/** Applies a stored progress record of a job, or of a part of it. `from`: byte offset of its bits; null if unknown. */
 type RecordMerger = (id: string, from: number | null, value: unknown) => void;
 
-/** The progress of all jobs, on pages or in keys of their own. */
+/** Loads and writes the progress of all jobs, on shared pages or under separate keys. */
 export class ProgressStore {
   private readonly pages: PackedPages;
   private readonly large = new Map<string, LargeProgress>();
-  /** The longest name of a machine so far: room for names is set aside by it. */
-  private nameLength = MIN_NAME_LENGTH;
+  /** Length of the longest machine name so far; determines the space reserved for names. */
+  private maxNameLength = INITIAL_MAX_NAME_LENGTH;
 
   constructor(
     private readonly context: NodeContext,
@@ -46,24 +46,24 @@
     private readonly findMachine: (name: string) => Machine | undefined,
   ) {
     this.pages = new PackedPages(writer, PROGRESS_PAGES_PREFIX, pageRoom(context.settings.maxValueBytes), {
-      describe: (id) => this.describe(id),
-      written: (id, value) => {
+      encode: (id) => this.encodeRecord(id),
+      onWritten: (id, value) => {
         this.applyWritten(id, decodeProgress(value));
       },
-      move: (id, then) => {
+      move: (id, onMoved) => {
         const job = this.findJob(id);
-        if (job === undefined) then(true);
-        else this.move(job, then);
+        if (job === undefined) onMoved(true);
+        else this.move(job, onMoved);
       },
     });
   }
 
-  /** Applies what an earlier leader wrote, in pages or in keys of a job's own, to the jobs. */
+  /** Applies the progress that earlier leaders wrote, on pages (`pages`) or under separate keys (`largeItems`), to the jobs. */
   load(
     pages: readonly StoredItem[],
-    ownKeys: readonly StoredItem[],
+    largeItems: readonly StoredItem[],
     jobs: Iterable<ActiveJob>,
-    /** Whether every machine that an earlier leader used is known; else a machine that is not known may exist. */
+    /** Whether every machine that an earlier leader used is known; otherwise an unknown machine may still exist. */
     allMachinesKnown: boolean,
   ): void {
     const loaded = new Set<ActiveJob>();
@@ -73,27 +73,27 @@
       loaded.add(job);
       this.merge(job, from, value, allMachinesKnown);
     };
-    for (const item of ownKeys) this.loadOwnKey(item, merge);
+    for (const item of largeItems) this.loadLargeItem(item, merge);
     let allPagesReadable = true;
     for (const item of pages) if (!this.loadPage(item, merge)) allPagesReadable = false;
-    // Any job of that time may have been in a page that can't be read.
+    // An unreadable page may have contained the progress of any of these jobs.
     if (!allPagesReadable) for (const job of jobs) if (!loaded.has(job)) job.progressUnreadable = true;
     this.moveSmallJobsToPages();
   }
 
-  /** Returns whether the page could be read. */
+  /** Loads one page; returns false if it is unreadable. */
   private loadPage(item: StoredItem, merge: RecordMerger): boolean {
     const entries = readPage(item.value);
     if (entries === null) this.context.error('progress.record_unreadable', { key: item.key });
     for (const [id, value] of Object.entries(entries ?? {})) merge(id, 0, value);
     this.pages.load(item, (id) => {
       const job = this.findJob(id);
-      return job === undefined ? null : this.roomOf(job);
+      return job === undefined ? null : this.maxRecordSizeOf(job);
     });
     return entries !== null;
   }
 
-  /** What has keys of its own but would have room on a page moves there: earlier versions had no pages. */
+  /** Moves progress from separate keys to a page where it fits: earlier versions had no pages. */
   private moveSmallJobsToPages(): void {
     for (const [id, large] of this.large) {
       const job = this.findJob(id);
@@ -105,7 +105,7 @@
     }
   }
 
-  private loadOwnKey(item: StoredItem, merge: RecordMerger): void {
+  private loadLargeItem(item: StoredItem, merge: RecordMerger): void {
     const [id, suffix] = item.key.slice(LARGE_PROGRESS_PREFIX.length).split('/');
     const job = this.findJob(id!);
     if (job === undefined) {
@@ -115,27 +115,29 @@
     this.writer.rememberVersion(item.key, item.version);
     const keyNumber = Number(suffix ?? 0);
     const record = decodeProgress(item.value);
-    merge(id!, record?.from ?? this.formerSegmentStart(keyNumber), item.value);
+    merge(id!, record?.from ?? this.legacySegmentStart(keyNumber), item.value);
     if (record !== null)
-      this.largeOf(job).adopt(item.key, partOfKeyNumber(keyNumber), record, bytesOf(item.value));
+      this.largeOf(job).loadKey(item.key, partNumberOfKeyNumber(keyNumber), record, bytesOf(item.value));
   }
 
   /**
-   * The byte at which a segment begins that does not name it: the version before went by the limit on values of its time,
-   * which the settings still name. Null if that is not known: then its bits are not used.
+   * Returns the byte offset of a segment whose record does not contain it. The previous version derived the offset from the
+   * value size limit of its time, which is still in the settings. Null if it is unknown; the segment's bits are then ignored.
    */
-  private formerSegmentStart(segment: number): number | null {
+  private legacySegmentStart(segment: number): number | null {
     if (segment === 0) return 0;
-    const room = this.context.settings.formerMaxValueBytes - FORMER_SEGMENT_RESERVE_BYTES;
-    const segmentBytes = Math.floor((room * 3) / 4);
+    const capacity = this.context.settings.formerMaxValueBytes - LEGACY_SEGMENT_RESERVE_BYTES;
+    const segmentBytes = Math.floor((capacity * 3) / 4);
     return segmentBytes > 0 && Number.isInteger(segment) ? segment * segmentBytes : null;
   }
 
   private largeOf(job: ActiveJob): LargeProgress {
     const existing = this.large.get(job.id);
     if (existing !== undefined) return existing;
-    const room = pageRoom(this.context.settings.maxValueBytes);
-    const large = new LargeProgress(this.writer, job, room, this.nameLength, () => this.machinesOf(job));
+    const maxPartBytes = pageRoom(this.context.settings.maxValueBytes);
+    const large = new LargeProgress(this.writer, job, maxPartBytes, this.maxNameLength, () =>
+      this.machinesOf(job),
+    );
     this.large.set(job.id, large);
     return large;
   }
@@ -143,7 +145,7 @@
   private merge(job: ActiveJob, from: number | null, value: unknown, allMachinesKnown: boolean): void {
     const record = decodeProgress(value);
     if (record === null) {
-      // Never taken for absence: where its tasks are can't be known, so none is started by this leader.
+      // Not treated as missing: it is unknown where the job's tasks are, so this leader starts none of them.
       this.context.error('progress.record_unreadable', { job: job.id });
       job.progressUnreadable = true;
       return;
@@ -154,7 +156,7 @@
     }
     for (const name of record.machines) {
       job.recordedMachines.add(name);
-      this.nameLength = Math.max(this.nameLength, name.length);
+      this.maxNameLength = Math.max(this.maxNameLength, name.length);
       const machine = this.findMachine(name);
       if (machine?.awaitingReconciliation === true) job.unreconciledMachines.add(name);
       if (machine === undefined && !allMachinesKnown) job.progressUnreadable = true;
@@ -162,19 +164,19 @@
     if (record.machines.length > 0 || job.done.count > 0) job.startedBefore = true;
   }
 
-  /** The largest that the job's record can become, in characters of JSON with its key. */
-  private roomOf(job: ActiveJob): number {
+  /** Maximum size that the job's record can reach, in characters of JSON including its key. */
+  private maxRecordSizeOf(job: ActiveJob): number {
     const { tasks } = job.spec;
-    const names = tasks * (this.nameLength + NAME_OVERHEAD_BYTES);
+    const names = tasks * (this.maxNameLength + NAME_OVERHEAD_BYTES);
     const bits = BASE64_GROUP_CHARACTERS * Math.ceil(tasks / TASKS_PER_BASE64_GROUP);
-    return job.id.length + RECORD_FRAME_BYTES + names + bits;
+    return job.id.length + RECORD_ENVELOPE_BYTES + names + bits;
   }
 
   private isLarge(job: ActiveJob): boolean {
-    return !this.pages.has(job.id) && this.roomOf(job) > this.pages.largestRecord;
+    return !this.pages.has(job.id) && this.maxRecordSizeOf(job) > this.pages.maxRecordSize;
   }
 
-  /** Names of machines that hold or may hold tasks of the job; one that is confirmed to be gone is left out. */
+  /** Names of the machines that hold or may hold tasks of the job, without those confirmed to be gone. */
   private machinesOf(job: ActiveJob): string[] {
     const names = new Set<string>();
     for (const attempt of job.liveAttempts.values()) names.add(attempt.machine.name);
@@ -185,15 +187,15 @@
     return [...names];
   }
 
-  private describe(id: string): unknown {
+  private encodeRecord(id: string): unknown {
     const job = this.findJob(id);
     if (job === undefined) return null;
     job.progressDirty = false;
     const machines = this.machinesOf(job);
-    // Whoever is left out counts as not on record from now on, not from the confirmation: a start there in between would
-    // else be on no record, and be started again elsewhere by the next leader.
-    const named = new Set(machines);
-    for (const name of [...job.recordedMachines]) if (!named.has(name)) job.recordedMachines.delete(name);
+    // A machine that is left out counts as not recorded from now on, not only from the confirmation: otherwise a task started
+    // there in between would not be recorded, and the next leader would start it again on another machine.
+    const included = new Set(machines);
+    for (const name of [...job.recordedMachines]) if (!included.has(name)) job.recordedMachines.delete(name);
     return encodeProgress({ machines, bits: job.done.encode(0, job.done.bytes.length), from: null });
   }
 
@@ -204,39 +206,44 @@
     if (job.durablyDone.count < job.done.count) job.durablyDone.merge(0, record.bits);
   }
 
-  /** Writes which machines hold the job's tasks; calls `then` once that is on record, `refused` if it can't be. */
-  recordPlacement(job: ActiveJob, then: () => void, refused: () => void = ignore): void {
-    this.write(job, 'now', then, refused);
+  /** Writes which machines hold the job's tasks; calls `onRecorded` once confirmed, `onRefused` if the store refuses it. */
+  recordPlacement(job: ActiveJob, onRecorded: () => void, onRefused: () => void = noop): void {
+    this.write(job, 'now', onRecorded, onRefused);
   }
 
-  private move(job: ActiveJob, then: (ok: boolean) => void): void {
+  private move(job: ActiveJob, onMoved: (ok: boolean) => void): void {
     const onWritten = (): void => {
-      then(true);
+      onMoved(true);
     };
     const onRefused = (): void => {
-      then(false);
+      onMoved(false);
     };
     this.write(job, 'later', onWritten, onRefused);
   }
 
-  private write(job: ActiveJob, urgent: WriteUrgency, then: () => void, refused: () => void): void {
+  private write(job: ActiveJob, urgency: WriteUrgency, onRecorded: () => void, onRefused: () => void): void {
     for (const attempt of job.liveAttempts.values())
-      this.nameLength = Math.max(this.nameLength, attempt.machine.name.length);
-    if (this.large.has(job.id) || this.isLarge(job)) this.largeOf(job).write(urgent, then, refused);
-    else this.writePage(job, urgent, then, refused);
+      this.maxNameLength = Math.max(this.maxNameLength, attempt.machine.name.length);
+    if (this.large.has(job.id) || this.isLarge(job)) this.largeOf(job).write(urgency, onRecorded, onRefused);
+    else this.writePage(job, urgency, onRecorded, onRefused);
   }
 
-  private writePage(job: ActiveJob, urgent: WriteUrgency, then: () => void, refused?: () => void): void {
-    this.pages.put(job.id, this.roomOf(job), urgent, then, refused);
+  private writePage(
+    job: ActiveJob,
+    urgency: WriteUrgency,
+    onRecorded: () => void,
+    onRefused?: () => void,
+  ): void {
+    this.pages.put(job.id, this.maxRecordSizeOf(job), urgency, onRecorded, onRefused);
   }
 
-  /** Writes the progress that was made since the last time. */
+  /** Writes the progress that active jobs have made since the last call. */
   flush(jobs: Iterable<ActiveJob>): void {
     for (const job of jobs)
-      if (job.progressDirty && job.phase === 'active') this.write(job, 'later', ignore, ignore);
+      if (job.progressDirty && job.phase === 'active') this.write(job, 'later', noop, noop);
   }
 
-  /** The job has ended: removes its progress. */
+  /** Removes the stored progress of a job that has ended. */
   drop(job: ActiveJob): void {
     this.pages.drop(job.id);
     const large = this.large.get(job.id);
@@ -244,18 +251,18 @@
     for (const key of large?.keys() ?? []) this.writer.remove(key);
   }
 
-  /** Writes pages that still hold jobs that were dropped. */
+  /** Rewrites pages that still contain the progress of dropped jobs. */
   rewriteStalePages(): void {
     this.pages.rewriteStalePages();
   }
 
-  /** Empties the next page that is too large or of the version before, and writes one large job in the layout of today. */
+  /** Empties the next page that is too large or of the previous version, and rewrites one large job in the current layout. */
   compact(jobs: Iterable<ActiveJob>): void {
     this.pages.compact();
     for (const job of jobs) {
       const large = this.large.get(job.id);
       if (large?.needsLayoutChange !== true || job.phase !== 'active') continue;
-      large.write('later', ignore, ignore);
+      large.write('later', noop, noop);
       return;
     }
   }
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -135,7 +135,7 @@
     const current = new Map<string, number>();
     const confirmed = new Map<string, number>();
     const pages = new PackedPages(writer, 'q/', 2_000, {
-      describe: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
+      encode: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
       move: () => assert.fail('nothing to empty'),
     });
     const stored = (id: string): number | undefined => {
@@ -431,7 +431,7 @@
   assert.deepEqual(done.length, 11);
   // Smaller limits than announced: pages are made smaller, and every record gets its place.
   const pages: PackedPages = new PackedPages(writer, 'q/', pageRoom(settings.maxValueBytes), {
-    describe: (id) => ({ id, pad: 'z'.repeat(60) }),
+    encode: (id) => ({ id, pad: 'z'.repeat(60) }),
     move: (id, then) => {
       pages.put(
         id,
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -17,7 +17,7 @@
   activeJobKey,
   endedJobKey,
   FORMER_MACHINES_PREFIX,
-  formerMachineKey,
+  legacyMachineKey,
   LARGE_PROGRESS_PREFIX,
   LEADER_KEY,
   MACHINE_PAGES_PREFIX,
@@ -223,7 +223,7 @@
     ['j/', 'q/', 'r/', 'p/', 'h/'],
   );
   assert.deepEqual(
-    [activeJobKey('run-1'), endedJobKey('run-1'), formerMachineKey('m-1')],
+    [activeJobKey('run-1'), endedJobKey('run-1'), legacyMachineKey('m-1')],
     ['j/run-1', 't/run-1', 'h/m-1'],
   );
   assert.deepEqual([progressKey('run-1', 0), progressKey('run-1', 3)], ['p/run-1', 'p/run-1/1000003']);
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -22,7 +22,7 @@
   {
     name: 'a leader writes without its office',
     file: 'storage/fenced-writer.ts',
-    from: 'const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leadVersion }];',
+    from: 'const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leaderKeyVersion }];',
     to: 'const conditions: VersionCondition[] = [];',
   },
   {
