--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -1,6 +1,6 @@
 /**
- * The life of an attempt: decided, put on record, sent, reported, stopped, ended. An attempt counts as present on its machine
- * from the decision until proven otherwise (docs/safety.md).
+ * Lifecycle of a task attempt: created, recorded, sent, reported, stopped, ended. An attempt counts as present on its machine
+ * from its creation until the machine is known not to run it (docs/safety.md).
  */
 import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
@@ -11,36 +11,38 @@
 import { GangSupervisor } from './gang-attempts.js';
 import { delayRetry, recordRun, recordTaskFailure } from './run-outcomes.js';
 
-/** A job whose places can't be put on record is not tried again before so many seconds have passed. */
-const RETRY_SECONDS_AFTER_UNRECORDED = 30;
-/** A worker that had no room, or was busy, is not asked again at once. */
+/** Delay before a job is started again after the store refused the record of its placement. */
+const RETRY_SECONDS_AFTER_REFUSED_RECORD = 30;
+/** Delay before a job is started again after a worker rejected one of its tasks. */
 const RETRY_SECONDS_AFTER_REJECTION = 1;
-/** A faulty machine is retired after this time even if it is not empty by then. */
-const FAULTY_MACHINE_DRAIN: Micros = 8 * SECOND;
+/** A faulty machine is retired after this time even if it still runs tasks. */
+const FAULTY_MACHINE_DRAIN_TIMEOUT: Micros = 8 * SECOND;
 
-/** What the attempts' life needs of the other parts of the scheduler, and what it reports to them. */
+/** Operations of the scheduler that the lifecycle depends on, and notifications that it sends. */
 export interface AttemptEvents {
-  /** Puts the places of a job on record: nothing is sent there before. Calls `then` once it is done, or `refused`. */
-  recordPlacement(job: ActiveJob, then: () => void, refused: () => void): void;
-  /** A heartbeat that came with the answer to commands. */
+  /** Records the job's machines; calls `onRecorded` once confirmed or `onRefused`. No start is sent before that. */
+  recordPlacement(job: ActiveJob, onRecorded: () => void, onRefused: () => void): void;
+  /** A reply to commands contained a newer heartbeat. */
   heartbeatReceived(machine: Machine, heartbeat: Heartbeat): void;
-  /** An attempt of the job is gone: of an ended job none may be left. */
+  /** An attempt of the job was removed from the cluster state; an ended job is dropped from it once none is left. */
   attemptReleased(job: ActiveJob): void;
-  /** An attempt is not on its machine any more; `exit` is how it ended, where that is known. */
+  /** An attempt is no longer on its machine; `exit` is its last report, or null if how it ended is unknown. */
   attemptEnded(attempt: TaskAttempt, exit: ReportedTask | null): void;
-  /** Takes a machine out of use once it is empty, or at `latest`. */
+  /** Retires a machine once it is empty, at `latest` in any case. */
   retireWhenEmpty(machine: Machine, reason: string, latest: Micros): void;
 }
 
-/** Where a task is to be started. */
-export interface TaskPlace {
+/** A task and the machine on which it is to be started. */
+export interface TaskPlacement {
+  /** Index of the task in its job. */
   readonly index: number;
+  /** Machine that the scheduler selected. */
   readonly machine: Machine;
 }
 
-/** Begins, adopts, stops and ends attempts, and keeps them in the cluster state. */
+/** Starts, adopts, stops and ends attempts, and maintains them in the cluster state. */
 export class AttemptLifecycle {
-  /** Completed runs that the runtime estimates learned from since the caller last reset this. */
+  /** Number of completed runs added to the runtime estimates since the caller last reset it. */
   learnedRuns = 0;
   private readonly commands: CommandQueue;
   private readonly gangs: GangSupervisor;
@@ -62,21 +64,21 @@
     });
   }
 
-  // ---- beginning ---------------------------------------------------------------------------------
+  // ---- starting ----------------------------------------------------------------------------------
 
-  /** Begins attempts at the given places: from here on the tasks count as being there. */
-  begin(job: ActiveJob, places: readonly TaskPlace[]): void {
+  /** Creates attempts with the given placements; from now on the tasks count as present on those machines. */
+  begin(job: ActiveJob, placements: readonly TaskPlacement[]): void {
     const { context: ctx } = this.term;
-    const attempts = this.createAttempts(job, places);
+    const attempts = this.createAttempts(job, placements);
     job.startedBefore = true;
     ctx.debug('job.tasks_dispatched', () => ({
       job: job.id,
-      tasks: places.map((place) => `${place.index}@${place.machine.name}`),
+      tasks: placements.map((placement) => `${placement.index}@${placement.machine.name}`),
       attempt: attempts.at(-1)?.number ?? 0,
       waitedS: (ctx.wallNow - job.acceptedAt) / SECOND,
     }));
-    // A job's places are on record before anything is sent there: a new leader then knows which
-    // machines may hold its tasks, and waits for no others.
+    // The placement is recorded before any start is sent, so that a new leader knows which machines
+    // may hold the job's tasks and doesn't have to wait for others.
     const unrecorded = attempts.some((attempt) => !job.recordedMachines.has(attempt.machine.name));
     const start = (): void => {
       for (const attempt of attempts) this.commands.queueStart(attempt);
@@ -84,19 +86,19 @@
     if (!unrecorded) start();
     else
       this.events.recordPlacement(job, start, () => {
-        // What can't be put on record is not started, and not tried again at once.
-        delayRetry(this.term, job, RETRY_SECONDS_AFTER_UNRECORDED);
+        // Without a record the tasks aren't started, and the job is retried only after a delay.
+        delayRetry(this.term, job, RETRY_SECONDS_AFTER_REFUSED_RECORD);
         for (const attempt of attempts) if (attempt.state === 'recording') this.end(attempt, null);
       });
   }
 
-  private createAttempts(job: ActiveJob, places: readonly TaskPlace[]): TaskAttempt[] {
+  private createAttempts(job: ActiveJob, placements: readonly TaskPlacement[]): TaskAttempt[] {
     const { now } = this.term.context;
     const isGang = job.spec.shape === 'gang';
     // The members of a gang share one attempt number.
     let number = isGang ? this.term.nextAttemptNumber() : 0;
     const attempts: TaskAttempt[] = [];
-    for (const { index, machine } of places) {
+    for (const { index, machine } of placements) {
       if (!isGang) number = this.term.nextAttemptNumber();
       const attempt: TaskAttempt = {
         job,
@@ -119,7 +121,7 @@
     return attempts;
   }
 
-  /** Takes in a task of an earlier leader's attempt, as a machine reports it; `confirmed` with a token of this term. */
+  /** Adopts an attempt of an earlier leader that a machine reports; `confirmed` if the heartbeat has a token of this term. */
   adopt(machine: Machine, job: ActiveJob, task: ReportedTask, confirmed: boolean): TaskAttempt {
     const { context: ctx } = this.term;
     const attempt: TaskAttempt = {
@@ -169,8 +171,8 @@
   }
 
   /**
-   * Drops an attempt that only an older heartbeat reported and that is not there, or is elsewhere: it need never have been
-   * there in this term, so nothing is learned from it, and no gang is broken by it.
+   * Removes an attempt that only a heartbeat from before this term reported, and that turned out to be absent or on another
+   * machine. It may never have been there in this term, so it affects neither runtime estimates nor the job's gang.
    */
   discard(attempt: TaskAttempt): void {
     if (!this.detach(attempt)) return;
@@ -186,7 +188,7 @@
     this.term.schedulePass();
   }
 
-  /** An attempt is surely not on its machine any more. `exit` is how it ended, where that is known. */
+  /** Ends an attempt that is certainly not on its machine any more. `exit` is its last report; null if unknown. */
   end(attempt: TaskAttempt, exit: ReportedTask | null): void {
     if (!attempt.confirmed && exit === null) {
       this.discard(attempt);
@@ -217,24 +219,24 @@
     machine.retirementReason = 'faulty';
     for (const attempt of [...machine.attempts.values()])
       this.stop(attempt, attempt.job.spec.checkpointDurationUs + SECOND);
-    this.events.retireWhenEmpty(machine, 'faulty', this.term.context.now + FAULTY_MACHINE_DRAIN);
+    this.events.retireWhenEmpty(machine, 'faulty', this.term.context.now + FAULTY_MACHINE_DRAIN_TIMEOUT);
   }
 
-  /** Stops attempts of gangs that can't become whole any more, for example after a failover. */
+  /** Stops the attempts of gangs that can no longer become complete, for example after a failover. */
   breakIncompleteGangs(): void {
     this.gangs.breakIncompleteGangs();
   }
 
   // ---- commands ----------------------------------------------------------------------------------
 
-  /** Stops an attempt. `graceUs`: time to save its checkpoint; 0 stops at once. */
+  /** Stops an attempt. `graceUs`: time to save its checkpoint; 0 stops it immediately. */
   stop(attempt: TaskAttempt, graceUs: Micros): void {
     const { job, machine, stopping } = attempt;
-    // A task that is saving is not waited for once the job is over.
-    const sooner = job.phase !== 'active' && graceUs === 0 && stopping !== null && stopping.graceUs > 0;
-    if (stopping !== null && !sooner) return;
+    // Once the job is over, a stop without grace replaces one that waits for a checkpoint.
+    const endsGrace = job.phase !== 'active' && graceUs === 0 && stopping !== null && stopping.graceUs > 0;
+    if (stopping !== null && !endsGrace) return;
     if (attempt.state === 'recording') {
-      // Never sent, so it is nowhere.
+      // The start was never sent, so no worker runs it.
       this.end(attempt, null);
       return;
     }
@@ -250,17 +252,17 @@
     this.commands.queueStop(attempt, graceUs);
   }
 
-  /** Sends the commands that wait for a machine, one call at a time. */
+  /** Sends the queued commands of a machine, one call at a time. */
   dispatchQueued(machine: Machine): void {
     this.commands.dispatchQueued(machine);
   }
 
-  /** Prepares a `forget` of what ended on the machine; false if it may not be sent now. */
+  /** Raises the fencing token before a `forget` is sent to the machine; returns false if it may not be sent now. */
   prepareForget(machine: Machine): boolean {
     return this.commands.prepareForget(machine);
   }
 
-  /** Fences starts that are on their way to the machine for jobs that have ended. */
+  /** Fences starts of ended jobs that are still in flight to the machine. */
   fenceStartsOfEndedJobs(machine: Machine): void {
     this.commands.fenceStartsOfEndedJobs(machine);
   }
--- a/packages/core/src/tasks/command-queue.ts
+++ b/packages/core/src/tasks/command-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Commands to workers: queued by machine, sent one call at a time, and fenced by tokens. A worker refuses calls with a token
- * below the highest that it has seen, so raising a machine's token keeps late copies of earlier starts from being executed.
+ * Queues commands to workers by machine and sends them one call at a time, with fencing tokens. A worker refuses calls with a
+ * token below the highest that it has seen, so raising a machine's token prevents delayed copies of earlier starts from being
+ * executed.
  */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
@@ -8,28 +9,28 @@
 import type { Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Commands that one message to a worker holds: it may have 64 KiB. */
-export const MAX_COMMANDS = 400;
+/** Maximum number of commands in a message to a worker, whose size limit is 64 KiB. */
+export const MAX_COMMANDS_PER_MESSAGE = 400;
 
-/** What follows from commands that were not executed, and from the answers to others. */
+/** Notifications about failed starts and about replies to commands. */
 export interface CommandQueueEvents {
-  /** The start was never sent or was refused: the attempt is surely not on its machine. */
+  /** A start was never sent or was refused, so the attempt is certainly not on its machine. */
   startFailed(attempt: TaskAttempt): void;
-  /** A newer heartbeat came with the answer to commands. */
+  /** A reply to commands contained a newer heartbeat. */
   heartbeatReceived(machine: Machine, heartbeat: Heartbeat): void;
 }
 
-/** Queues and sends the start and stop commands of one term, and takes in their answers. */
+/** Queues and sends the start and stop commands of one term, and handles the replies. */
 export class CommandQueue {
-  /** Machines with starts that are sent at the end of the step. */
-  private readonly dispatchAtEndOfStep = new Set<Machine>();
+  /** Machines whose queued starts are sent at the end of the current step. */
+  private readonly machinesToDispatch = new Set<Machine>();
 
   constructor(
     private readonly term: LeaderTerm,
     private readonly events: CommandQueueEvents,
   ) {}
 
-  /** Queues the start of an attempt whose place is on record; it fails if the attempt may not start any more. */
+  /** Queues the start of an attempt whose placement is recorded; reports a failed start if it may no longer start. */
   queueStart(attempt: TaskAttempt): void {
     const { machine, job } = attempt;
     const isCurrent = machine.attempts.get(attemptKey(job.id, attempt.index)) === attempt;
@@ -51,7 +52,7 @@
       index: attempt.index,
       attempt: attempt.number,
     });
-    this.dispatchTogether(machine);
+    this.dispatchAtEndOfStep(machine);
   }
 
   /** Queues the stop of an attempt and sends it as soon as possible. */
@@ -61,22 +62,22 @@
     this.dispatchQueued(machine);
   }
 
-  /** Starts on a machine that are decided, or put on record, in one step go out in one call. */
-  private dispatchTogether(machine: Machine): void {
-    if (this.dispatchAtEndOfStep.size === 0)
+  /** Batches the starts that are queued for a machine within one step into one call. */
+  private dispatchAtEndOfStep(machine: Machine): void {
+    if (this.machinesToDispatch.size === 0)
       this.term.context.atEndOfStep(() => {
-        const machines = [...this.dispatchAtEndOfStep];
-        this.dispatchAtEndOfStep.clear();
+        const machines = [...this.machinesToDispatch];
+        this.machinesToDispatch.clear();
         for (const next of machines) this.dispatchQueued(next);
       });
-    this.dispatchAtEndOfStep.add(machine);
+    this.machinesToDispatch.add(machine);
   }
 
-  /** Sends the commands that wait for a machine, one call at a time. */
+  /** Sends the queued commands of a machine, one call at a time. */
   dispatchQueued(machine: Machine): void {
     if (machine.commandInFlight || machine.queuedCommands.length === 0 || machine.address === '') return;
-    const batch = machine.queuedCommands.splice(0, MAX_COMMANDS);
-    // The same task again replaces what the worker keeps of its end, as a `forget` does.
+    const batch = machine.queuedCommands.splice(0, MAX_COMMANDS_PER_MESSAGE);
+    // Restarting a task replaces the worker's record of its exit, with the same effect as a `forget`.
     const restartsEnded = batch.some(
       (command) =>
         command.op === 'start' && machine.endedSinceFencing.has(attemptKey(command.job, command.index)),
@@ -96,7 +97,7 @@
     });
   }
 
-  /** The commands of a batch that may still be sent; the attempts that they start are added to `starts`. */
+  /** Returns the commands of a batch that may still be sent; adds the attempts that they start to `starts`. */
   private takeValidCommands(
     machine: Machine,
     batch: readonly WorkerCommand[],
@@ -134,7 +135,7 @@
       ctx.info('command.rejected', { machine: machine.name, starts: starts.length });
       for (const attempt of starts) if (attempt.state === 'sent') this.events.startFailed(attempt);
     } else {
-      // Executed before its heartbeat was made: what the heartbeat doesn't list is not there.
+      // The starts were executed before the reply's heartbeat was created, so a task that it doesn't list is not there.
       for (const attempt of starts) if (attempt.state === 'sent') attempt.state = 'fetching';
     }
     const { heartbeat } = reply;
@@ -143,9 +144,10 @@
   }
 
   /**
-   * Prepares a `forget` of what ended on the machine; false if it may not be sent now. After a `forget` the worker would take
-   * a late copy of the start for a new one, and run a task that is elsewhere by then (found by a generated history of repeated
-   * messages): so the token is raised with it, unless a start is on its way, which that would refuse.
+   * Raises the fencing token before a `forget` is sent to the machine; returns false if it may not be sent now. After a
+   * `forget` the worker would treat a delayed copy of the start as new, and run a task that is on another machine by then
+   * (found by a generated history with repeated messages). While a call is in flight the token is not raised, because the
+   * worker would refuse the starts in that call.
    */
   prepareForget(machine: Machine): boolean {
     if (machine.commandInFlight) return false;
@@ -154,8 +156,8 @@
   }
 
   /**
-   * Fences starts that are on their way for jobs that have ended: a worker that is answered without having received such a
-   * start must refuse it, else it could begin the task for as long as the lease that the answer renews.
+   * Fences starts of ended jobs that are still in flight: a worker whose heartbeat is answered before it receives such a start
+   * must refuse it, otherwise it could start the task at any time during the lease that the answer renews.
    */
   fenceStartsOfEndedJobs(machine: Machine): void {
     const token = this.term.fencingTokenOf(machine);
@@ -166,7 +168,7 @@
       }
   }
 
-  /** From the worker's next message on, copies of all starts sent so far are refused. */
+  /** Makes the worker refuse copies of all starts sent so far, once it has received the next message. */
   private fenceEarlierStarts(machine: Machine): void {
     if (machine.lastStartToken === this.term.fencingTokenOf(machine)) machine.fencingCounter++;
     machine.endedSinceFencing.clear();
--- a/packages/core/src/tasks/gang-attempts.ts
+++ b/packages/core/src/tasks/gang-attempts.ts
@@ -1,9 +1,9 @@
-/** Gang scheduling: all members of a gang share one attempt number, and they run together or not at all. */
+/** Gang scheduling: all members of a gang share one attempt number, and run together or not at all. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import type { Micros } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Whether the gang's live members make up one whole attempt. */
+/** Whether all members of the gang are live with the same attempt number. */
 const isWholeGang = (job: ActiveJob): boolean => {
   if (job.liveAttempts.size !== job.spec.tasks) return false;
   let attemptNumber: number | null = null;
@@ -14,11 +14,11 @@
   return true;
 };
 
-/** The live members that are not being stopped yet: those to stop once the attempt can't be whole any more. */
+/** Returns the live members without a pending stop, which are stopped when the gang attempt is broken. */
 export const unstoppedMembers = (job: ActiveJob): TaskAttempt[] =>
   [...job.liveAttempts.values()].filter((member) => member.stopping === null);
 
-/** The attempt number that an adopted member must have; null while no member is live. */
+/** Returns the attempt number that an adopted member must have: the newest of the live members; null if there are none. */
 export const gangAttemptNumber = (job: ActiveJob): number | null => {
   let newest: number | null = null;
   for (const member of job.liveAttempts.values())
@@ -26,15 +26,15 @@
   return newest;
 };
 
-/** Stops the remaining members of gangs whose attempt can't be whole any more. */
+/** Stops the remaining members of gangs whose attempt can no longer be complete. */
 export class GangSupervisor {
-  /** `stop` stops an attempt, with time to save its checkpoint; 0 stops it at once. */
+  /** `stop`: stops an attempt; `graceUs` is the time to save its checkpoint, 0 stops it immediately. */
   constructor(
     private readonly term: LeaderTerm,
     private readonly stop: (attempt: TaskAttempt, graceUs: Micros) => void,
   ) {}
 
-  /** A member of the gang is lost: stops the others at once. */
+  /** Stops the remaining members of a gang immediately after one was lost. */
   breakGang(job: ActiveJob): void {
     if (job.phase !== 'active' || job.isComplete) return;
     if (!job.gangBroken) this.term.context.info('gang.broken', { job: job.id, left: job.liveAttempts.size });
@@ -42,7 +42,7 @@
     for (const member of unstoppedMembers(job)) this.stop(member, 0);
   }
 
-  /** Breaks the gangs that are not whole although every machine that may hold a member is reconciled. */
+  /** Breaks gangs that are incomplete although every machine that may hold a member has been reconciled. */
   breakIncompleteGangs(): void {
     for (const job of this.term.cluster.jobs.values()) {
       if (
--- a/packages/core/src/tasks/heartbeat-commands.ts
+++ b/packages/core/src/tasks/heartbeat-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands that answer a heartbeat: stops of what is over, and `forget` for ends that need not be kept. They are derived
- * anew from each heartbeat, so nothing is lost when an answer is.
+ * Commands in the response to a heartbeat: stops for tasks that are no longer wanted, and `forget` for exits that the worker
+ * need not retain. They are derived again from each heartbeat, so a lost response loses no command.
  */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
@@ -11,10 +11,10 @@
 import { isFromThisTerm, isWanted } from './reported-tasks.js';
 import type { TaskEvents } from './task-events.js';
 
-/** A task that is still there so long after its grace period is stopped at once. */
-const STOP_OVERDUE: Micros = 3 * SECOND;
+/** A task still present this long after its grace period is stopped immediately. */
+const STOP_OVERDUE_AFTER: Micros = 3 * SECOND;
 
-/** Derives the commands that answer a heartbeat from the cluster state. */
+/** Derives the commands in the response to a heartbeat from the cluster state. */
 export class HeartbeatCommands {
   constructor(
     private readonly term: LeaderTerm,
@@ -22,7 +22,7 @@
     private readonly events: Pick<TaskEvents, 'mustRetain'>,
   ) {}
 
-  /** Stops for everything on the machine that is over or unknown. */
+  /** Returns stops for all tasks on the machine that are over or unknown. */
   stopsFor(machine: Machine, heartbeat: Heartbeat): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     const listed = new Set<TaskAttempt>();
@@ -30,16 +30,16 @@
       if (task.state === 'exited') continue;
       const attempt = machine.attempts.get(attemptKey(task.job, task.index));
       if (attempt?.number !== task.attempt) {
-        // Which attempt is the true one is known only from a heartbeat of this term.
+        // Only a heartbeat of this term shows which of two attempts is the current one.
         if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
-          commands.push(stopOf(task, 0));
+          commands.push(stopCommand(task, 0));
         continue;
       }
       listed.add(attempt);
       const graceUs = this.repeatedStopGrace(attempt, task);
-      if (graceUs !== null) commands.push(stopOf(task, graceUs));
+      if (graceUs !== null) commands.push(stopCommand(task, graceUs));
     }
-    // Begun since the heartbeat was made, or the stop command is still on its way.
+    // Attempts that started after the heartbeat was created, or whose stop command is still in flight.
     for (const attempt of machine.attempts.values())
       if (!listed.has(attempt) && attempt.stopping !== null && attempt.job.phase === 'ended')
         commands.push({
@@ -52,24 +52,24 @@
     return commands;
   }
 
-  /** Grace period of the stop to send once more to a listed attempt; null if none is to be sent. */
+  /** Returns the grace period of the stop to repeat for a listed attempt; null if no stop is to be sent. */
   private repeatedStopGrace({ job, stopping }: TaskAttempt, task: ReportedTask): Micros | null {
     if (stopping === null) return null;
-    const isOverdue = this.term.context.now - stopping.since > stopping.graceUs + STOP_OVERDUE;
+    const isOverdue = this.term.context.now - stopping.since > stopping.graceUs + STOP_OVERDUE_AFTER;
     if (isOverdue || job.phase === 'ended') return 0;
     return task.state === 'saving' ? null : stopping.graceUs;
   }
 
-  /** Before the records are read: stops for jobs that had ended by then. Nothing else is known to be over. */
+  /** Returns stops for jobs that are known to have ended before the records are read; nothing else is known to be over. */
   stopsBeforeRecordsAreRead(heartbeat: Heartbeat): WorkerCommand[] {
-    const { activeJobIds: unendedJobs } = this.term;
-    if (unendedJobs === null) return [];
+    const { activeJobIds } = this.term;
+    if (activeJobIds === null) return [];
     return heartbeat.tasks
-      .filter((task) => task.state !== 'exited' && !unendedJobs.has(task.job))
-      .map((task) => stopOf(task, 0));
+      .filter((task) => task.state !== 'exited' && !activeJobIds.has(task.job))
+      .map((task) => stopCommand(task, 0));
   }
 
-  /** At most `limit` commands to forget the ends that are on record or of no use. */
+  /** Returns at most `limit` `forget` commands for exits that are recorded or not needed. */
   forgetsFor(machine: Machine, heartbeat: Heartbeat, limit: number): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
     for (const task of heartbeat.tasks) {
@@ -82,9 +82,9 @@
   }
 
   private mustRetain(task: ReportedTask): boolean {
-    // Only what is done: such a task never starts again, so no start is refused for what is kept there.
+    // Only done tasks are retained: they never start again, so no start is refused because of a retained exit.
     if (task.cause !== 'done') return false;
-    // The worker keeps a result until it is written; only then may it forget.
+    // The worker has to retain a result until the store has confirmed it.
     const job = this.term.cluster.jobs.get(task.job);
     const isUnwritten =
       job !== undefined &&
@@ -93,7 +93,7 @@
   }
 }
 
-const stopOf = (task: ReportedTask, graceUs: Micros): WorkerCommand => ({
+const stopCommand = (task: ReportedTask, graceUs: Micros): WorkerCommand => ({
   op: 'stop',
   job: task.job,
   index: task.index,
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -1,18 +1,18 @@
-/** Heartbeats of workers: registers them, renews leases, and answers with commands. */
+/** Handles worker heartbeats: registers machines, renews leases, and responds with commands. */
 import type { Machine } from '../cluster/cluster-model.js';
 import type { Heartbeat, HeartbeatResponse, WorkerCommand } from '../domain/heartbeat.js';
 import { SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineLifecycle } from '../machines/machine-lifecycle.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
-import { MAX_COMMANDS } from './command-queue.js';
+import { MAX_COMMANDS_PER_MESSAGE } from './command-queue.js';
 import { HeartbeatCommands } from './heartbeat-commands.js';
 import { Reconciler } from './reconciliation.js';
 import type { TaskEvents } from './task-events.js';
 
-/** Takes in the workers' heartbeats during one leader's term. */
+/** Processes worker heartbeats during one leader's term. */
 export class HeartbeatHandler {
-  /** The newest heartbeats that came while the records of earlier leaders were being read. */
+  /** Newest heartbeat of each machine that arrived while the records of earlier leaders were being read. */
   private readonly earlyHeartbeats = new Map<Machine, Heartbeat>();
   private readonly reconciler: Reconciler;
   private readonly commands: HeartbeatCommands;
@@ -27,25 +27,26 @@
     this.commands = new HeartbeatCommands(term, attempts, events);
   }
 
-  /** A heartbeat that could not be answered with 200 still shows that its sender is alive. */
+  /** Records that the sender of a heartbeat is alive although it could not be answered with 200. */
   recordLiveness(heartbeat: Heartbeat): void {
     const machine = this.term.cluster.machines.get(heartbeat.machine);
     if (machine?.isNewerHeartbeat(heartbeat) === true) machine.lastHeartbeatAt = this.term.context.now;
   }
 
-  /** Takes in a heartbeat and answers it; an accepted one renews the worker's lease. */
+  /** Processes a heartbeat and returns the response; `accepted` renews the worker's lease. */
   respond(heartbeat: Heartbeat): HeartbeatResponse {
     const { context: ctx } = this.term;
     const machine = this.machineLifecycle.registerHeartbeat(heartbeat);
-    // A heartbeat that was held back outlives its machine.
+    // A delayed heartbeat of a machine that has been removed.
     if (machine === null) return { kind: 'unavailable' };
     if (heartbeat.fencingToken > this.term.fencingTokenOf(machine)) {
-      // The worker would drop a 200 of ours, and stay with this leader until its lease has run out.
+      // The worker would ignore a 200 with a lower token, and keep sending to this leader until its lease has expired.
       ctx.info('heartbeat.token_ahead', { machine: machine.name, token: heartbeat.fencingToken });
       return { kind: 'unavailable' };
     }
     const newer = machine.isNewerHeartbeat(heartbeat);
-    // The answer renews the lease unless this is a late copy, which can't be ruled out; but a copy shows nothing of now.
+    // The response may renew the lease, so it counts as renewed even if this is a late copy. Only a newer heartbeat shows the
+    // machine's current state.
     machine.leaseRenewedAt = ctx.now;
     if (newer) {
       machine.address = heartbeat.address;
@@ -57,11 +58,11 @@
   }
 
   private respondWithCommands(machine: Machine, heartbeat: Heartbeat, newer: boolean): HeartbeatResponse {
-    // Whatever is answered with 200 renews the lease of all that runs there: the answer has the commands to stop what is over,
-    // also if something newer was received meanwhile by another way, and while the records are still being read.
+    // A 200 renews the lease of all tasks on the machine, so it always carries the stops of tasks that are over: also when newer
+    // state has arrived by another path, and while the records are still being read.
     const stops = this.stopsFor(machine, heartbeat);
-    if (stops.length > MAX_COMMANDS) {
-      // More than an answer holds: they are sent directly, and the lease is not renewed before there are fewer.
+    if (stops.length > MAX_COMMANDS_PER_MESSAGE) {
+      // Too many for a response: send them directly, and don't renew the lease until there are fewer.
       if (machine.queuedCommands.length === 0) machine.queuedCommands.push(...stops);
       this.attempts.dispatchQueued(machine);
       return { kind: 'unavailable' };
@@ -69,7 +70,7 @@
     this.attempts.fenceStartsOfEndedJobs(machine);
     const forgets =
       newer && this.term.isRestored
-        ? this.commands.forgetsFor(machine, heartbeat, MAX_COMMANDS - stops.length)
+        ? this.commands.forgetsFor(machine, heartbeat, MAX_COMMANDS_PER_MESSAGE - stops.length)
         : [];
     return {
       kind: 'accepted',
@@ -84,8 +85,9 @@
   }
 
   /**
-   * Reconciles the heartbeats that came while the records were being read. A machine that sent one is not empty just because
-   * it could not be reconciled yet: its tasks were once started anew elsewhere (ran_twice on a grown krakow day).
+   * Reconciles the heartbeats that arrived while the records were being read. A machine that could not be reconciled yet must
+   * not count as empty: its tasks would be started again on other machines (seen as ran_twice with an enlarged krakow
+   * workload).
    */
   replayEarlyHeartbeats(): void {
     for (const [machine, heartbeat] of this.earlyHeartbeats)
@@ -97,7 +99,7 @@
     this.earlyHeartbeats.clear();
   }
 
-  /** Takes in a heartbeat newer than all that is known of its machine. */
+  /** Applies a heartbeat that is newer than everything known of its machine. */
   apply(machine: Machine, heartbeat: Heartbeat): void {
     if (heartbeat.agentEpoch > machine.agentEpoch) this.beginEpoch(machine, heartbeat.agentEpoch);
     machine.lastSequence = heartbeat.sequence;
@@ -111,7 +113,7 @@
     this.reconciler.reconcile(machine, heartbeat);
   }
 
-  /** The worker was started anew: nothing of its earlier epochs is there any more. */
+  /** Starts a new epoch of the worker's agent; all tasks of earlier epochs are gone. */
   private beginEpoch(machine: Machine, agentEpoch: number): void {
     const { context: ctx } = this.term;
     if (machine.agentEpoch > 0)
@@ -119,8 +121,8 @@
     for (const attempt of [...machine.attempts.values()])
       if (attempt.agentEpoch < agentEpoch) this.attempts.end(attempt, null);
     machine.agentEpoch = agentEpoch;
-    // The epoch began by now, and lasts for a whole lease from its beginning. Where it is first seen in the answer to a
-    // command, which renews nothing, what was just started there would else be ended at once (ran_twice in a generated history).
+    // The epoch has begun, and lasts at least one lease from its beginning. A reply to commands renews no lease, so if the epoch
+    // is first seen in one, a task just started there would otherwise be ended at once (ran_twice in a generated history).
     machine.leaseRenewedAt = ctx.now;
     machine.cachedImages.clear();
     machine.markChanged();
--- a/packages/core/src/tasks/image-cache.ts
+++ b/packages/core/src/tasks/image-cache.ts
@@ -1,14 +1,14 @@
-/** Which container images a machine has in its cache, as far as its tasks show. */
+/** Tracks the container images in a machine's cache, inferred from the tasks that ran on it. */
 import type { Machine } from '../cluster/cluster-model.js';
 import type { JobSpec } from '../domain/job.js';
 
 /**
- * Records that the job's image is cached on the machine. The least recently used images are dropped while the rest exceeds
- * `capacityGb`, as the worker does it.
+ * Records that the job's image is cached on the machine, and evicts the least recently used images while the total exceeds
+ * `capacityGb`, as the worker does.
  */
 export const recordCachedImage = (machine: Machine, spec: JobSpec, capacityGb: number): void => {
   const { cachedImages } = machine;
-  // Deleted first: the order of insertion is the order of use.
+  // Deleted first so that insertion order is the order of use.
   cachedImages.delete(spec.image);
   cachedImages.set(spec.image, spec.imageGb);
   let totalGb = 0;
--- a/packages/core/src/tasks/reconciliation.ts
+++ b/packages/core/src/tasks/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Reconciliation: matches the tasks that workers report with the attempts of the cluster state. */
+/** Reconciles the tasks that workers report with the attempts in the cluster state. */
 import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { attemptKey } from '../cluster/task-attempt.js';
 import type { Heartbeat, ReportedTask } from '../domain/heartbeat.js';
@@ -10,7 +10,7 @@
 import type { TaskEvents } from './task-events.js';
 import { drainBeforeTermination } from './termination-drain.js';
 
-/** Brings the cluster state in line with what a machine reports. */
+/** Updates the cluster state from a machine's reported tasks. */
 export class Reconciler {
   constructor(
     private readonly term: LeaderTerm,
@@ -18,10 +18,10 @@
     private readonly events: Pick<TaskEvents, 'markDone' | 'taskRunning' | 'unknownAttemptExited'>,
   ) {}
 
-  /** Takes over what the machine's newest heartbeat lists. The records of earlier leaders must have been read. */
+  /** Applies the task list of the machine's newest heartbeat. The records of earlier leaders must have been read. */
   reconcile(machine: Machine, heartbeat: Heartbeat): void {
     if (machine.awaitingReconciliation && heartbeat.fencingToken >= this.term.firstFencingToken) {
-      // Fenced from every older leader: what it lists is all there can be.
+      // The worker is fenced from all earlier leaders, so its list is complete.
       machine.awaitingReconciliation = false;
       this.term.schedulePass();
     }
@@ -32,7 +32,7 @@
     if (machine.attempts.size > 0 || machine.unknownTaskCount > 0) machine.idleSince = this.term.context.now;
   }
 
-  /** Returns the attempts that the heartbeat lists as present; counts the tasks that match none. */
+  /** Returns the attempts that the heartbeat lists as present, and counts the tasks that match no attempt. */
   private matchListedTasks(machine: Machine, heartbeat: Heartbeat): ReadonlySet<TaskAttempt> {
     const listed = new Set<TaskAttempt>();
     const confirmed = isFromThisTerm(this.term, heartbeat);
@@ -47,7 +47,7 @@
     return listed;
   }
 
-  /** The attempt that a listed task is; null if it has exited or is unknown, in which case it is counted. */
+  /** Returns the attempt of a listed task; null if the task has exited or is unknown. Unknown tasks are counted. */
   private matchTask(machine: Machine, task: ReportedTask, confirmed: boolean): TaskAttempt | null {
     const job = this.term.cluster.jobs.get(task.job);
     let attempt = machine.attempts.get(attemptKey(task.job, task.index));
@@ -78,7 +78,7 @@
   ): void {
     for (const attempt of [...machine.attempts.values()]) {
       if (listed.has(attempt)) continue;
-      // A start whose answer was lost may still be executed, until the worker is fenced from it.
+      // A start whose reply was lost may still be executed until the worker has seen a higher fencing token.
       if (attempt.state === 'recording' || attempt.state === 'sent') continue;
       if (attempt.state === 'unknown' && heartbeat.fencingToken <= attempt.fencingToken) continue;
       this.attempts.end(attempt, null);
@@ -92,9 +92,10 @@
     confirmed: boolean,
   ): TaskAttempt | undefined {
     if (!isWanted(this.term, task)) return undefined;
-    // The task is here by now, so what older heartbeats reported of it is over.
+    // The task is on this machine now, so attempts that only earlier heartbeats reported are over.
     if (confirmed)
-      for (const rival of rivalsOf(job, task)) if (!rival.confirmed) this.attempts.discard(rival);
+      for (const conflicting of conflictingAttempts(job, task))
+        if (!conflicting.confirmed) this.attempts.discard(conflicting);
     if (job.liveAttempts.has(task.index)) return undefined;
     if (job.spec.shape === 'gang') {
       const attemptNumber = gangAttemptNumber(job);
@@ -147,8 +148,8 @@
   }
 }
 
-/** Live attempts that can't be there if the task is: those of the same task, and those of a gang's other attempts. */
-const rivalsOf = (job: ActiveJob, task: ReportedTask): readonly TaskAttempt[] => {
+/** Live attempts that exclude the reported one: other attempts of the same task or, in a gang, with another number. */
+const conflictingAttempts = (job: ActiveJob, task: ReportedTask): readonly TaskAttempt[] => {
   if (job.spec.shape === 'gang')
     return [...job.liveAttempts.values()].filter(
       (attempt) => attempt.number !== task.attempt || attempt.index === task.index,
--- a/packages/core/src/tasks/run-outcomes.ts
+++ b/packages/core/src/tasks/run-outcomes.ts
@@ -1,27 +1,28 @@
-/** What is learned from the end of a run: runtime estimates, checkpointed progress, faulty machines, failing jobs. */
+/** Effects of the end of a run: runtime estimates, checkpointed progress, faulty machines and failing jobs. */
 import type { ActiveJob, Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { RuntimeEstimates } from '../cluster/runtime-estimates.js';
 import type { ExitCause } from '../domain/heartbeat.js';
 import { SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 
-/** Key of a gang's checkpointed progress: its members save together. */
-const WHOLE_GANG = -1;
-/** A job that failed on so many machines, with no task done, is itself at fault. */
-const FAILING_EVERYWHERE_MACHINES = 3;
+/** Key of a gang's checkpointed progress, which is shared because its members save together. */
+const GANG_PROGRESS_KEY = -1;
+/** A job that failed on this many machines without a done task is considered faulty itself. */
+const FAILING_EVERYWHERE_MACHINE_COUNT = 3;
+/** Limits of the exponential backoff of a failing job. */
 const MAX_BACKOFF_SECONDS = 60;
 const MAX_BACKOFF_EXPONENT = 6;
-/** Consecutive failures that the exponential backoff of a job leaves out. */
+/** Consecutive failures of a job that don't count towards its exponential backoff. */
 const FAILURES_BEFORE_BACKOFF = 2;
-/** A machine is faulty after so many failures in a row of different jobs ... */
-const FAULTY_AFTER_ERRORS = 2;
-const FAULTY_AFTER_JOBS = 2;
-/** ... or after so many of one job. */
-const FAULTY_AFTER_ERRORS_OF_ONE_JOB = 4;
+/** A machine is faulty after this many consecutive errors of this many different jobs ... */
+const FAULTY_AFTER_ERROR_COUNT = 2;
+const FAULTY_AFTER_JOB_COUNT = 2;
+/** ... or after this many consecutive errors of one job. */
+const FAULTY_AFTER_ERROR_COUNT_OF_ONE_JOB = 4;
 
 /**
- * Records how long an attempt that is over ran, and what progress is safe. Returns whether the runtime estimates learned
- * from a completed run.
+ * Records the run time of an ended attempt and the progress that its checkpoints preserve. Returns whether a completed run was
+ * added to the runtime estimates.
  */
 export const recordRun = (
   term: LeaderTerm,
@@ -33,15 +34,15 @@
   const { spec } = job;
   if (attempt.runningAt === null || spec.shape === 'service') return false;
   const { runtimeEstimates } = term.cluster;
-  const progressKey = spec.shape === 'gang' ? WHOLE_GANG : attempt.index;
+  const progressKey = spec.shape === 'gang' ? GANG_PROGRESS_KEY : attempt.index;
   const progressBefore = job.checkpointedProgress.get(progressKey) ?? 0;
   const progress = progressBefore + (term.context.now - attempt.runningAt);
   if (cause === 'done') {
     job.checkpointedProgress.delete(progressKey);
-    // A gang counts as one run: that of its first member.
-    const counts = attempt.startTimeKnown && (spec.shape !== 'gang' || attempt.index === 0);
-    if (counts) recordEstimate(runtimeEstimates, attempt, progress, true);
-    return counts;
+    // A gang counts as one run, measured on its first member.
+    const isMeasured = attempt.startTimeKnown && (spec.shape !== 'gang' || attempt.index === 0);
+    if (isMeasured) recordEstimate(runtimeEstimates, attempt, progress, true);
+    return isMeasured;
   }
   if (cause === 'error') return false;
   if (attempt.startTimeKnown) recordEstimate(runtimeEstimates, attempt, progress, false);
@@ -65,13 +66,14 @@
 };
 
 /**
- * Counts a failed task against its machine and its job. Mostly the machine is at fault, but a job that fails everywhere is
- * not held against machines: it is retried with exponential backoff. Returns whether the machine counts as faulty from now on.
+ * Counts a failed task against its machine and its job. Usually the machine is at fault; a job that fails on several machines is
+ * not counted against them but retried with exponential backoff. Returns whether the machine has just become faulty.
  */
 export const recordTaskFailure = (term: LeaderTerm, machine: Machine, job: ActiveJob): boolean => {
   job.failuresByMachine.set(machine.name, (job.failuresByMachine.get(machine.name) ?? 0) + 1);
   job.consecutiveFailures++;
-  const failsEverywhere = job.failuresByMachine.size >= FAILING_EVERYWHERE_MACHINES && job.done.count === 0;
+  const failsEverywhere =
+    job.failuresByMachine.size >= FAILING_EVERYWHERE_MACHINE_COUNT && job.done.count === 0;
   delayRetry(term, job, failsEverywhere ? backoffSeconds(job.consecutiveFailures) : 0);
   if (failsEverywhere) {
     term.context.info('job.failing_everywhere', { job: job.id, failures: job.consecutiveFailures });
@@ -82,14 +84,14 @@
   machine.consecutiveErrors++;
   machine.failedJobs.add(job.id);
   return (
-    machine.consecutiveErrors >= FAULTY_AFTER_ERRORS &&
-    (machine.failedJobs.size >= FAULTY_AFTER_JOBS ||
-      machine.consecutiveErrors >= FAULTY_AFTER_ERRORS_OF_ONE_JOB) &&
+    machine.consecutiveErrors >= FAULTY_AFTER_ERROR_COUNT &&
+    (machine.failedJobs.size >= FAULTY_AFTER_JOB_COUNT ||
+      machine.consecutiveErrors >= FAULTY_AFTER_ERROR_COUNT_OF_ONE_JOB) &&
     machine.retirementReason === null
   );
 };
 
-/** The job's tasks are not started again before so many seconds have passed. */
+/** Delays further starts of the job's tasks by at least `seconds` from now. */
 export const delayRetry = (term: LeaderTerm, job: ActiveJob, seconds: number): void => {
   job.retryNotBefore = Math.max(job.retryNotBefore, term.context.now + seconds * SECOND);
 };
--- a/packages/core/src/tasks/task-events.ts
+++ b/packages/core/src/tasks/task-events.ts
@@ -1,15 +1,15 @@
-/** What reconciliation reports to the other parts of the scheduler, and asks of them. */
+/** Interface through which reconciliation notifies and queries the other parts of the scheduler. */
 import type { ActiveJob, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ReportedTask } from '../domain/heartbeat.js';
 
-/** What workers' heartbeats show of tasks. */
+/** Notifications about tasks that result from worker heartbeats. */
 export interface TaskEvents {
-  /** The results of a task are there. */
+  /** A task completed successfully. */
   markDone(job: ActiveJob, index: number): void;
-  /** A task runs. */
+  /** A confirmed attempt has started running. */
   taskRunning(attempt: TaskAttempt): void;
-  /** The end of an attempt that this leader did not know. */
+  /** A worker reported the exit of an attempt that is not in the cluster state. */
   unknownAttemptExited(job: string, exit: ReportedTask): void;
-  /** Whether its worker is to keep the end of a done attempt, though it is on record. */
+  /** Whether the worker has to retain the exit of a done attempt although it is recorded. */
   mustRetain(exit: ReportedTask): boolean;
 }
--- a/packages/core/src/tasks/termination-drain.ts
+++ b/packages/core/src/tasks/termination-drain.ts
@@ -1,16 +1,16 @@
-/** Graceful eviction from machines whose termination was announced, for example preempted spot instances. */
+/** Evicts tasks gracefully from machines with a termination notice, for example preempted spot instances. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
 import { unstoppedMembers } from './gang-attempts.js';
 
-/** A task that is expected to end within this share of the time left is not stopped: the estimate may be short. */
-const LEFT_TO_END_BY_ITSELF = 0.6;
-/** Beyond the duration of a checkpoint, and kept free before the machine's end. */
+/** A task expected to end within this fraction of the time left is not stopped; the margin covers estimates that are too low. */
+const MAX_REMAINING_FRACTION_TO_FINISH = 0.6;
+/** Added to the duration of a checkpoint, and kept free before the machine is terminated. */
 const CHECKPOINT_MARGIN: Micros = SECOND;
 
-/** Before the machine is terminated: stops, with time to save a checkpoint, what does not end by itself in time. */
+/** Stops the tasks that won't end before the machine is terminated, with time to save a checkpoint. */
 export const drainBeforeTermination = (
   term: LeaderTerm,
   attempts: Pick<AttemptLifecycle, 'stop'>,
@@ -36,5 +36,5 @@
 
 const endsInTime = (term: LeaderTerm, attempt: TaskAttempt, timeLeft: Micros): boolean => {
   const remaining = term.cluster.remainingRunTime(attempt);
-  return attempt.job.spec.shape !== 'service' && remaining < timeLeft * LEFT_TO_END_BY_ITSELF;
+  return attempt.job.spec.shape !== 'service' && remaining < timeLeft * MAX_REMAINING_FRACTION_TO_FINISH;
 };
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -42,9 +42,9 @@
     name: 'unproven attempts are not let go',
     file: 'tasks/reconciliation.ts',
     from: `if (confirmed)
-      for (const rival`,
+      for (const conflicting`,
     to: `if (false as boolean)
-      for (const rival`,
+      for (const conflicting`,
   },
   {
     name: 'what an older report tells of counts as known for limits',
@@ -169,8 +169,8 @@
   {
     name: 'a job that is over is waited for while it saves',
     file: 'tasks/attempt-lifecycle.ts',
-    from: "const sooner = job.phase !== 'active' && graceUs === 0",
-    to: "const sooner = job.phase !== 'active' && graceUs < 0",
+    from: "const endsGrace = job.phase !== 'active' && graceUs === 0",
+    to: "const endsGrace = job.phase !== 'active' && graceUs < 0",
   },
   {
     name: 'a slice of a plan starts what may not start any more',
