--- a/packages/core/src/domain/client-api.ts
+++ b/packages/core/src/domain/client-api.ts
@@ -1,22 +1,26 @@
-/** Requests of users and of features' clients, and the answers to them. */
+/** Requests from users and from clients of features, and the responses to them. */
 import type { JobSpec, JobView } from './job.js';
 import type { StoreWrite, VersionCondition } from './key-value-store.js';
 
-/** Conditions and writes of a feature, in the transaction that accepts a job. */
+/** Conditions and writes that a feature adds to the transaction that accepts a job. */
 export interface ExtraWrites {
+  /** Versions that must hold for the job to be accepted. */
   readonly conditions: readonly VersionCondition[];
+  /** Writes applied together with the job's record. */
   readonly writes: readonly StoreWrite[];
 }
 
-/** A request of a user, or of a feature for one of its clients. */
+/** A request from a user, or from a feature on behalf of one of its clients. */
 export type ClientRequest =
   | {
       readonly kind: 'submit';
-      /** The id, if at least that could be decoded. */
+      /** Id of the job; null if it could not be decoded. */
       readonly id: string | null;
+      /** Null if the specification is malformed. */
       readonly spec: JobSpec | null;
+      /** Why the specification is malformed; null if it isn't. */
       readonly problem: string | null;
-      /** Only from features. */
+      /** Set only by features. */
       readonly extraWrites?: ExtraWrites;
     }
   | { readonly kind: 'poll'; readonly id: string }
@@ -24,14 +28,15 @@
   | { readonly kind: 'health' };
 
 /**
- * The response to a request. `impossible`: the job can never run; `absent`: no such job was accepted; `unavailable`: try again.
+ * Response to a client request. `malformed`: the request is invalid; `impossible`: the job can never run; `absent`: no such job
+ * was accepted; `unavailable`: retry later.
  */
 export type ClientResponse =
   | {
       readonly kind: 'view';
       readonly created: boolean;
       readonly view: JobView;
-      /** Of the transaction that accepted it just now. */
+      /** Revision of the transaction that has just accepted the job. */
       readonly revision?: number;
     }
   | { readonly kind: 'malformed'; readonly problem: string }
@@ -40,5 +45,5 @@
   | { readonly kind: 'unavailable'; readonly retryAfterS: number; readonly problem: string }
   | { readonly kind: 'healthy' };
 
-/** The response to a feature's request; `taken`: keys of its extra conditions that did not hold. */
+/** Response to a feature's request. `taken`: its extra conditions on `keys` did not hold. */
 export type InternalResponse = ClientResponse | { readonly kind: 'taken'; readonly keys: readonly string[] };
--- a/packages/core/src/domain/cloud.ts
+++ b/packages/core/src/domain/cloud.ts
@@ -1,7 +1,7 @@
-/** Operations on the cloud's interface, and its answers. */
+/** Operations of the cloud API and their results. */
 import type { ListedMachine, MachineType } from './machine.js';
 
-/** A request to the cloud. The request id of `rent` makes it idempotent. */
+/** A request to the cloud. `request` is an idempotency key; `list` returns a page of machines after the name `after`. */
 export type CloudOperation =
   | { readonly kind: 'types' }
   | {
@@ -15,7 +15,7 @@
   | { readonly kind: 'delete'; readonly machines: readonly string[] }
   | { readonly kind: 'list'; readonly after: string; readonly limit: number };
 
-/** The cloud's answer. */
+/** Reply of the cloud. `noCapacity`: it has no such machines at present; `more`: further pages follow. */
 export type CloudReply =
   | { readonly kind: 'types'; readonly types: readonly MachineType[] }
   | { readonly kind: 'rented'; readonly machines: readonly string[] }
--- a/packages/core/src/domain/effects.ts
+++ b/packages/core/src/domain/effects.ts
@@ -1,4 +1,4 @@
-/** Inputs and effects of the controller's state machine. */
+/** Inputs and effects of the controller's deterministic state machine. */
 import type { ClientRequest, ClientResponse } from './client-api.js';
 import type { CloudOperation, CloudReply } from './cloud.js';
 import type { CommandReply, Heartbeat, HeartbeatResponse, WorkerCommand } from './heartbeat.js';
@@ -7,10 +7,10 @@
 import type { PeerMessage } from './peer.js';
 import type { Micros } from './time.js';
 
-/** 0 is the most urgent: lease renewal, then answers to users, then the rest. */
+/** Urgency of a request, 0 being the highest: 0 for lease renewals, 1 for work that users wait for, 2 for the rest. */
 export type RequestUrgency = 0 | 1 | 2;
 
-/** What happened outside: `step` takes one at a time. */
+/** An external event; `step` processes one at a time. */
 export type Input =
   | { readonly kind: 'start'; readonly wallUs: Micros }
   | { readonly kind: 'timer' }
@@ -24,7 +24,7 @@
       readonly wallUs: Micros;
     }
   | { readonly kind: 'heartbeat'; readonly request: number; readonly heartbeat: Heartbeat }
-  /** A request of a feature's client; only the feature knows the form of `body`. */
+  /** A request from a feature's client; only the feature interprets `body`. */
   | {
       readonly kind: 'featureRequest';
       readonly feature: string;
@@ -37,10 +37,10 @@
 /** Severity of a log event. */
 export type LogLevel = 'debug' | 'info' | 'error';
 
-/** Further fields of a log event. */
+/** Structured fields of a log event. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** What the core wants done; the controller's process does it and passes the result back as an input. */
+/** A side effect that the core requests; the controller's process executes it and passes any result back as an input. */
 export type CoreEffect =
   | {
       readonly kind: 'storeRequest';
@@ -64,7 +64,7 @@
     }
   | { readonly kind: 'clientResponse'; readonly request: number; readonly answer: ClientResponse }
   | { readonly kind: 'heartbeatResponse'; readonly request: number; readonly answer: HeartbeatResponse }
-  /** One of possibly several responses to the same request, until `last`. */
+  /** One of possibly several responses to the same request; `last` marks the final one. */
   | {
       readonly kind: 'featureResponse';
       readonly feature: string;
@@ -74,6 +74,6 @@
     }
   | { readonly kind: 'peerMessage'; readonly member: string; readonly message: PeerMessage }
   | { readonly kind: 'wake'; readonly at: Micros }
-  /** The leader gets the larger part of the request budget that the controllers share. */
+  /** Leadership has changed; the leader gets the larger share of the request budget that the controllers divide. */
   | { readonly kind: 'role'; readonly leader: boolean }
   | { readonly kind: 'log'; readonly level: LogLevel; readonly event: LogEvent; readonly fields: LogFields };
--- a/packages/core/src/domain/log-events.ts
+++ b/packages/core/src/domain/log-events.ts
@@ -1,6 +1,6 @@
-/** The names of all events that are logged (docs/operations.md). Features log under a prefix of their own. */
+/** Names of all log events (docs/operations.md). Features use their own prefixes. */
 
-/** Events of the core. */
+/** Log events of the core, as component and event. */
 export type CoreLogEvent =
   | 'attempt.adopted'
   | 'attempt.discarded'
@@ -67,5 +67,5 @@
   | 'write.batch_rejected'
   | 'write.rejected';
 
-/** All events: those of the core, and those of features with the feature's prefix. */
+/** All log events, including those of features, which start with the feature's prefix. */
 export type LogEvent = CoreLogEvent | `budgets.${string}` | `kubernetes.${string}`;
--- a/packages/core/src/domain/peer.ts
+++ b/packages/core/src/domain/peer.ts
@@ -1,41 +1,51 @@
-/** Messages between controllers. */
+/** Messages between the controllers of a cluster. */
 import type { Micros } from './time.js';
 
-/** How many tasks of a job are done and running. */
+/** Task counts of a job. */
 export interface JobProgress {
+  /** Id of the job. */
   readonly id: string;
+  /** Number of tasks that are done. */
   readonly done: number;
+  /** Number of tasks that are running. */
   readonly running: number;
 }
 
-/** Counts that a leader publishes for display; sent without any, it announces the leader. */
+/** Task counts that a leader publishes so that its peers can display them. An update without jobs announces the leader. */
 export interface ProgressUpdate {
+  /** Discriminates peer messages. */
   readonly kind: 'progress';
+  /** Name of the controller that leads. */
   readonly member: string;
+  /** Term in which it leads. */
   readonly term: number;
+  /** Jobs whose counts are published. */
   readonly jobs: readonly JobProgress[];
 }
 
-/** A controller's status as its peers receive it. */
+/** Status that a controller sends to its peers. */
 export interface PeerStatus {
+  /** Name of the controller. */
   readonly member: string;
-  /** Number of the process: raised with each restart. */
+  /** Incarnation of its process, increased with each restart. */
   readonly incarnation: number;
-  /** The term that it leads and may act in; null: none. */
+  /** Term in which it leads and may act; null if it doesn't. */
   readonly term: number | null;
-  /** Time since the store gave it a good answer; null: it never did. */
+  /** Time since its last successful store request; null if there was none. */
   readonly storeAnswerAgeUs: Micros | null;
-  /** How late its timers fire. */
+  /** Delay with which its timers fire. */
   readonly timerDelayUs: Micros;
-  /** Workers whose heartbeats reached it lately. */
+  /** Number of workers whose heartbeats it received recently. */
   readonly workerCount: number;
 }
 
-/** A controller's heartbeat to its peers, with what it knows of the others. */
+/** Heartbeat of a controller to its peers, with its view of the other controllers. */
 export interface PeerHeartbeat extends PeerStatus {
+  /** Discriminates peer messages. */
   readonly kind: 'beat';
-  /** Counts the heartbeats of this process: a delayed one with a lower number is ignored. */
+  /** Increases with each heartbeat of this process; a delayed heartbeat with a lower number is ignored. */
   readonly sequence: number;
+  /** The other controllers as this one sees them; `ageUs` is the time since their last heartbeat. */
   readonly peers: readonly {
     readonly member: string;
     readonly incarnation: number;
@@ -44,5 +54,5 @@
   }[];
 }
 
-/** A message between controllers. */
+/** Any message between controllers. */
 export type PeerMessage = ProgressUpdate | PeerHeartbeat;
--- a/packages/core/src/domain/resources.ts
+++ b/packages/core/src/domain/resources.ts
@@ -1,68 +1,71 @@
-/** Amounts of cores, GPUs and memory, and what a job's description allows. */
+/** Resource amounts, and the placement constraints of a job specification. */
 import type { JobSpec } from './job.js';
 import type { MachineType } from './machine.js';
 
-/** Amounts of what a task needs or a machine has. */
+/** Resources that a task requests or a machine has. */
 export interface Amounts {
+  /** CPU cores; may be fractional. */
   cores: number;
+  /** Number of GPUs. */
   gpus: number;
+  /** Memory in gigabytes. */
   memoryGb: number;
 }
 
-/** Amounts are decimals; sums of them are compared with this tolerance. */
+/** Tolerance for comparisons of summed amounts, which are floating-point numbers. */
 export const AMOUNT_TOLERANCE = 1e-6;
-/** How often something that needs nothing at all fits. */
-const FITS_ANY_TIMES = 1_000;
+/** Fit count of a request for no resources, which would fit without limit. */
+const FIT_COUNT_OF_EMPTY_REQUEST = 1_000;
 
-/** Whether what is needed fits into what is free. */
+/** Whether the requested amounts fit into the free ones. */
 export const fits = (need: Readonly<Amounts>, free: Readonly<Amounts>): boolean =>
   need.cores <= free.cores + AMOUNT_TOLERANCE &&
   need.gpus <= free.gpus + AMOUNT_TOLERANCE &&
   need.memoryGb <= free.memoryGb + AMOUNT_TOLERANCE;
 
-/** Adds an amount to a total, in place. */
+/** Adds the amounts to `total` in place. */
 export const addTo = (total: Amounts, amount: Readonly<Amounts>): void => {
   total.cores += amount.cores;
   total.gpus += amount.gpus;
   total.memoryGb += amount.memoryGb;
 };
 
-/** Takes an amount off a total, in place. */
+/** Subtracts the amounts from `total` in place. */
 export const takeFrom = (total: Amounts, amount: Readonly<Amounts>): void => {
   total.cores -= amount.cores;
   total.gpus -= amount.gpus;
   total.memoryGb -= amount.memoryGb;
 };
 
-const timesOf = (need: number, free: number): number =>
+const fitCountOf = (need: number, free: number): number =>
   need > 0 ? Math.floor((free + AMOUNT_TOLERANCE) / need) : Infinity;
 
-/** How many times `need` fits into `free`. */
+/** Number of requests of size `need` that fit into `free` together. */
 export const timesFits = (need: Readonly<Amounts>, free: Readonly<Amounts>): number => {
-  const times = Math.min(
-    timesOf(need.cores, free.cores),
-    timesOf(need.gpus, free.gpus),
-    timesOf(need.memoryGb, free.memoryGb),
+  const fitCount = Math.min(
+    fitCountOf(need.cores, free.cores),
+    fitCountOf(need.gpus, free.gpus),
+    fitCountOf(need.memoryGb, free.memoryGb),
   );
-  return times === Infinity ? FITS_ANY_TIMES : Math.max(0, times);
+  return fitCount === Infinity ? FIT_COUNT_OF_EMPTY_REQUEST : Math.max(0, fitCount);
 };
 
-/** Whether a task fits an empty machine of the type, and may run on that type. */
+/** Whether the job may run on the machine type and one of its tasks fits on an empty machine of it. */
 export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type.name)) && fits(spec, type);
 
-/** Whether the job may run on machines of this type, zone and kind, however much room they have. */
+/** Whether the job may run on machines of this type, zone and pricing model, regardless of their free capacity. */
 export const placeAllowed = (spec: JobSpec, type: string, zone: string, spot: boolean): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type)) &&
   (spec.zone === null || spec.zone === zone) &&
   (spec.spot || !spot);
 
-/** Whether any machine type could run a task of the job. */
+/** Whether any machine type could run a task of the job in a zone that the job allows. */
 export const fitsSomewhere = (spec: JobSpec, types: ReadonlyMap<string, MachineType>): boolean => {
   for (const type of types.values())
     if (typeAllowed(spec, type) && (spec.zone === null || type.zones.includes(spec.zone))) return true;
   return false;
 };
 
-/** How many tasks of a job that spreads across zones may be in one zone: half of them, rounded up. */
+/** Maximum number of tasks per zone for a job that is spread across zones: half of them, rounded up. */
 export const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
--- a/packages/core/src/domain/task-bitset.ts
+++ b/packages/core/src/domain/task-bitset.ts
@@ -1,14 +1,15 @@
-/** Sets of task numbers, such as a job's tasks that are done. */
+/** Compact sets of task indices, for example the done tasks of a job. */
 
 const BITS_PER_BYTE = 8;
 
-/** A set of task numbers below a fixed size, one bit each. */
+/** A set of task indices below a fixed size, stored as one bit per task. */
 export class TaskBitset {
-  /** The bits, the lowest task in the lowest bit of the first byte. */
+  /** The bits; task 0 is the least significant bit of the first byte. */
   readonly bytes: Uint8Array;
-  /** How many tasks are in the set. */
+  /** Number of tasks in the set. */
   count = 0;
 
+  /** `size`: number of tasks, and one more than the highest index that can be added. */
   constructor(readonly size: number) {
     this.bytes = new Uint8Array(Math.ceil(size / BITS_PER_BYTE));
   }
@@ -18,7 +19,7 @@
     return (this.bytes[index >> 3]! & (1 << (index & 7))) !== 0;
   }
 
-  /** Whether the task was not in the set before. */
+  /** Adds a task; returns false if it was in the set already or is out of range. */
   add(index: number): boolean {
     if (index < 0 || index >= this.size || this.has(index)) return false;
     this.bytes[index >> 3]! |= 1 << (index & 7);
@@ -26,14 +27,14 @@
     return true;
   }
 
-  /** Bytes `from` to `to`, in base64, with trailing zeros left out. */
+  /** Encodes the bytes from `from` up to but excluding `to` in base64, without trailing zero bytes. */
   encode(from: number, to: number): string {
     let end = Math.min(to, this.bytes.length);
     while (end > from && this.bytes[end - 1] === 0) end--;
     return Buffer.from(this.bytes.subarray(from, end)).toString('base64');
   }
 
-  /** Adds what `encode` gave, beginning at the byte `from`. */
+  /** Adds the tasks of a string returned by `encode` that starts at the byte offset `from`. */
   merge(from: number, encoded: string): void {
     const bytes = Buffer.from(encoded, 'base64');
     bytes.forEach((byte, offset) => {
--- a/packages/core/src/domain/time.ts
+++ b/packages/core/src/domain/time.ts
@@ -1,6 +1,6 @@
-/** Points and spans of time. */
+/** Units of time. */
 
-/** A point or span of time in whole microseconds. */
+/** A point in time or a duration, in whole microseconds. */
 export type Micros = number;
 
 /** One second in microseconds. */
