--- a/packages/core/src/codecs/leadership-codec.ts
+++ b/packages/core/src/codecs/leadership-codec.ts
@@ -34,6 +34,6 @@
 /** Decodes the term record; null if it is malformed. */
 export const decodeTerm = (value: unknown): TermRecord | null => {
   if (!isStoredMap(value)) return null;
-  const { n, first } = value;
-  return typeof n === 'number' ? { number: n, first: first === true } : null;
+  const { n: number, first } = value;
+  return typeof number === 'number' ? { number, first: first === true } : null;
 };
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -245,7 +245,7 @@
     this.scheduleRemaining();
   }
 
-  /** Queues the writes of a batch again. Whether it was executed is unknown; the next attempt writes newer values, which is safe. */
+  /** Queues the writes of a batch again. Whether it was executed is unknown; the next attempt safely writes newer values. */
   private requeue(batch: Batch): void {
     for (const { entry } of batch.writes) {
       const newer = this.pending.get(entry.key);
--- a/packages/core/src/storage/large-progress.ts
+++ b/packages/core/src/storage/large-progress.ts
@@ -232,7 +232,7 @@
     this.writesAwaitingLayout = [];
     const oldKeys = this.beginLayout();
     const onFailed = (): void => {
-      for (const [key, number] of oldKeys) this.obsoleteKeys.set(key, number);
+      for (const [key, partNumber] of oldKeys) this.obsoleteKeys.set(key, partNumber);
       this.endLayoutChange(onRefused);
     };
     const onAllWritten = (): void => {
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -59,7 +59,7 @@
     private readonly writer: FencedWriter,
     private readonly prefix: string,
     private pageCapacity: number,
-    private readonly records: PackedRecordSource,
+    private readonly source: PackedRecordSource,
   ) {}
 
   /** Maximum size of a record that may be stored on a page, in characters of JSON: several records must fit into one. */
@@ -72,8 +72,8 @@
     return this.pageOf.has(id);
   }
 
-  private pageAt(number: number): Page {
-    for (let i = this.pages.length; i <= number; i++)
+  private pageAt(pageNumber: number): Page {
+    for (let i = this.pages.length; i <= pageNumber; i++)
       this.pages.push({
         key: `${this.prefix}${PAGE_NAME_PREFIX}${i}`,
         reservations: new Map(),
@@ -81,7 +81,7 @@
         stale: false,
         closed: false,
       });
-    return this.pages[number]!;
+    return this.pages[pageNumber]!;
   }
 
   /** Loads a stored page. `maxSizeOf` returns the maximum size of a record, or null if the record is no longer needed. */
@@ -95,9 +95,9 @@
       if (ids.length > 0) this.pagesToEmpty.set(item.key, new Set(ids));
       return;
     }
-    const number = Number(name.slice(PAGE_NAME_PREFIX.length));
-    if (!Number.isInteger(number) || number < 0 || number > MAX_PAGE_NUMBER) return;
-    const page = this.pageAt(number);
+    const pageNumber = Number(name.slice(PAGE_NAME_PREFIX.length));
+    if (!Number.isInteger(pageNumber) || pageNumber < 0 || pageNumber > MAX_PAGE_NUMBER) return;
+    const page = this.pageAt(pageNumber);
     // An unreadable page is left as it is and accepts no new records.
     if (entries === null) page.closed = true;
     for (const id of ids) this.loadRecord(page, id, maxSizeOf(id));
@@ -214,9 +214,9 @@
       }
     };
     for (const id of ids) {
-      if (this.records.encode(id) === null) continue;
+      if (this.source.encode(id) === null) continue;
       remaining++;
-      this.records.move(id, onMoved);
+      this.source.move(id, onMoved);
     }
     onMoved(true);
   }
@@ -236,7 +236,7 @@
 
   private write(page: Page, urgency: WriteUrgency, onConfirmed: () => void, onRefused?: () => void): void {
     const onWritten = (value: unknown): void => {
-      for (const [id, record] of Object.entries(readPage(value) ?? {})) this.records.onWritten?.(id, record);
+      for (const [id, record] of Object.entries(readPage(value) ?? {})) this.source.onWritten?.(id, record);
       onConfirmed();
     };
     // The store accepts less than the configured value size: use smaller pages from now on.
@@ -254,7 +254,7 @@
   private encodePage(page: Page): unknown {
     page.stale = false;
     const entries: Record<string, unknown> = {};
-    for (const id of page.reservations.keys()) entries[id] = this.records.encode(id);
+    for (const id of page.reservations.keys()) entries[id] = this.source.encode(id);
     return { entries };
   }
 }
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -96,14 +96,14 @@
     const { now } = this.term.context;
     const isGang = job.spec.shape === 'gang';
     // The members of a gang share one attempt number.
-    let number = isGang ? this.term.nextAttemptNumber() : 0;
+    let attemptNumber = isGang ? this.term.nextAttemptNumber() : 0;
     const attempts: TaskAttempt[] = [];
     for (const { index, machine } of placements) {
-      if (!isGang) number = this.term.nextAttemptNumber();
+      if (!isGang) attemptNumber = this.term.nextAttemptNumber();
       const attempt: TaskAttempt = {
         job,
         index,
-        number,
+        number: attemptNumber,
         machine,
         agentEpoch: machine.agentEpoch,
         state: 'recording',
@@ -188,7 +188,7 @@
     this.term.schedulePass();
   }
 
-  /** Ends an attempt that is certainly not on its machine any more. `exit` is its last report; null if unknown. */
+  /** Ends an attempt that is certainly no longer on its machine. `exit` is its last report; null if unknown. */
   end(attempt: TaskAttempt, exit: ReportedTask | null): void {
     if (!attempt.confirmed && exit === null) {
       this.discard(attempt);
--- a/packages/core/src/tasks/heartbeat-commands.ts
+++ b/packages/core/src/tasks/heartbeat-commands.ts
@@ -8,7 +8,7 @@
 import { type Micros, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
-import { isFromThisTerm, isWanted } from './reported-tasks.js';
+import { isFromThisTerm, isStillNeeded } from './reported-tasks.js';
 import type { TaskEvents } from './task-events.js';
 
 /** A task still present this long after its grace period is stopped immediately. */
@@ -31,7 +31,7 @@
       const attempt = machine.attempts.get(attemptKey(task.job, task.index));
       if (attempt?.number !== task.attempt) {
         // Only a heartbeat of this term shows which of two attempts is the current one.
-        if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
+        if (isFromThisTerm(this.term, heartbeat) || !isStillNeeded(this.term, task))
           commands.push(stopCommand(task, 0));
         continue;
       }
--- a/packages/core/src/tasks/reconciliation.ts
+++ b/packages/core/src/tasks/reconciliation.ts
@@ -6,7 +6,7 @@
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
 import { gangAttemptNumber } from './gang-attempts.js';
 import { recordCachedImage } from './image-cache.js';
-import { isFromThisTerm, isWanted } from './reported-tasks.js';
+import { isFromThisTerm, isStillNeeded } from './reported-tasks.js';
 import type { TaskEvents } from './task-events.js';
 import { drainBeforeTermination } from './termination-drain.js';
 
@@ -91,7 +91,7 @@
     task: ReportedTask,
     confirmed: boolean,
   ): TaskAttempt | undefined {
-    if (!isWanted(this.term, task)) return undefined;
+    if (!isStillNeeded(this.term, task)) return undefined;
     // The task is on this machine now, so attempts that only earlier heartbeats reported are over.
     if (confirmed)
       for (const conflicting of conflictingAttempts(job, task))
--- a/packages/core/src/tasks/reported-tasks.ts
+++ b/packages/core/src/tasks/reported-tasks.ts
@@ -11,7 +11,7 @@
   heartbeat.fencingToken >= term.firstFencingToken;
 
 /** Whether the reported task is still needed: its job is active and the task is not done. */
-export const isWanted = (term: LeaderTerm, task: ReportedTask): boolean => {
+export const isStillNeeded = (term: LeaderTerm, task: ReportedTask): boolean => {
   const job = term.cluster.jobs.get(task.job);
   return job?.phase === 'active' && task.index < job.spec.tasks && !job.done.has(task.index);
 };
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -34,7 +34,7 @@
   {
     name: 'an older report stops what it tells of',
     file: 'tasks/heartbeat-commands.ts',
-    from: `if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
+    from: `if (isFromThisTerm(this.term, heartbeat) || !isStillNeeded(this.term, task))
           commands.push`,
     to: 'commands.push',
   },
