--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -1,42 +1,51 @@
 /**
- * How old this leader's knowledge of cancellations may be: the one owner of that. Any node confirms cancellations, also
- * while this one leads, so that holding the leader lease alone shows nothing of what was confirmed to users meanwhile.
+ * Bounds the age of the leader's cancellation data; no other module decides this. Every node can confirm a cancellation
+ * to a user, including while another node leads, so holding the leader lease does not show that the leader knows of it.
  *
- * Whatever renews a worker's lease or starts a task is sent with knowledge of all cancellations that were confirmed
- * until `maxAgeUs` before. So of a job that was cancelled at t nothing is renewed or started after t + `maxAgeUs` without
- * the command to stop it, and what was renewed until then has expired a lease later: within `cancel_s` (docs/safety.md).
+ * A message that renews a worker's lease or starts a task is sent only if all cancellations confirmed more than
+ * `maxAgeUs` ago are known. After a cancellation at time t, the leader therefore renews and starts nothing of that job
+ * later than t + `maxAgeUs` without also ordering it to stop. Leases renewed before then expire one lease duration later,
+ * which is within `cancel_s` (docs/safety.md).
  */
 import type { Settings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
 
-/** The settings that bound the age. */
+/** The settings from which the maximum age is derived. */
 type CancellationSettings = Pick<Settings, 'cancellationDeadlineUs' | 'workerLeaseUs'>;
 
-/** Steady clocks drift apart by up to 0.05%; twice that is taken off every lease. */
+/**
+ * Safety factor for clock drift: monotonic clocks drift apart by up to 0.05%, and leases are shortened by twice that.
+ */
 export const CLOCK_DRIFT = 0.001;
 
-/** Time between the end of a worker's lease and its tasks being gone. */
-const TASK_STOP_MARGIN: Micros = SECOND;
+/** Time that a worker needs to stop its tasks after its lease has expired. */
+const TASK_STOP_MARGIN_US: Micros = SECOND;
 
-/** The least age that is allowed: where `cancel_s` leaves less it is not kept, since no leader could work (`check-config`). */
+/**
+ * Lower bound of the maximum age, below which no leader could operate. If `cancel_s` leaves less than this, the
+ * cancellation deadline is not met; `check-config` reports such a configuration.
+ */
 export const MIN_CANCELLATION_AGE_LIMIT: Micros = 3 * SECOND;
 
-/** Of the greatest age: a probe is due after this part of it, since the watch may never be answered. */
-const PROBE_FRACTION = 1 / 2;
-/** Of the greatest age: after this part of it another node may do better as leader. */
-const LOST_FRACTION = 3 / 2;
+/** Fraction of the maximum age after which a probe is due, because the open watch might never be answered. */
+const PROBE_AGE_FACTOR = 1 / 2;
+/** Multiple of the maximum age after which another node is likely to be a better leader. */
+const OUTDATED_AGE_FACTOR = 3 / 2;
 
-/** What `cancel_s` leaves besides a worker's lease, with clocks at their worst: the leader's knowledge may be that old. */
+/**
+ * The maximum age that meets `cancel_s`: the cancellation deadline less a worker's lease and the time to stop its tasks,
+ * for the worst case of clock drift. Can be too short to operate with, or negative.
+ */
 export const maxCancellationAge = (settings: CancellationSettings): Micros => {
   const longestLease = settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT);
-  const remaining = settings.cancellationDeadlineUs - longestLease - TASK_STOP_MARGIN;
+  const remaining = settings.cancellationDeadlineUs - longestLease - TASK_STOP_MARGIN_US;
   return Math.floor(remaining * (1 - CLOCK_DRIFT));
 };
 
-/** How old a leader's knowledge of confirmed cancellations is. */
+/** Tracks up to which time a leader knows all confirmed cancellations. */
 export class CancellationFreshness {
-  /** The greatest age at which the leader may still act. */
+  /** The leader may act only while its cancellation data is younger than this. */
   readonly maxAgeUs: Micros;
   private confirmedUpTo: Micros | null = null;
 
@@ -44,25 +53,31 @@
     this.maxAgeUs = Math.max(MIN_CANCELLATION_AGE_LIMIT, maxCancellationAge(settings));
   }
 
-  /** All that was confirmed before is known; `requestedAt`: when the request was sent whose reply showed it. */
+  /**
+   * Records that all cancellations confirmed before `requestedAt` are known: the send time of a request that was
+   * answered.
+   */
   confirmUpTo(requestedAt: Micros): void {
     this.confirmedUpTo = Math.max(this.confirmedUpTo ?? requestedAt, requestedAt);
   }
 
-  /** Whether the knowledge is recent enough to act on. */
+  /** Whether the cancellation data is recent enough for the leader to act. */
   isFresh(now: Micros): boolean {
     return this.confirmedUpTo !== null && now < this.confirmedUpTo + this.maxAgeUs;
   }
 
-  /** Whether nothing was learned for so long, counted from `since` at the earliest, that another node may do better. */
-  isLost(now: Micros, since: Micros): boolean {
-    return now >= (this.confirmedUpTo ?? since) + Math.floor(this.maxAgeUs * LOST_FRACTION);
+  /**
+   * Whether the data is so old that another node is likely to be a better leader. If nothing was ever confirmed, the age
+   * counts from `since`.
+   */
+  isOutdated(now: Micros, since: Micros): boolean {
+    return now >= (this.confirmedUpTo ?? since) + Math.floor(this.maxAgeUs * OUTDATED_AGE_FACTOR);
   }
 
-  /** Whether it is time to request changes without waiting, since the watch may never be answered. */
+  /** Whether a request for changes that does not wait is due, because the open watch might never be answered. */
   isProbeDue(now: Micros): boolean {
     return (
-      this.confirmedUpTo !== null && now >= this.confirmedUpTo + Math.floor(this.maxAgeUs * PROBE_FRACTION)
+      this.confirmedUpTo !== null && now >= this.confirmedUpTo + Math.floor(this.maxAgeUs * PROBE_AGE_FACTOR)
     );
   }
 }
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,4 +1,4 @@
-/** Reads the records of earlier leaders when a term begins, and follows changes of job records from then on. */
+/** Restores the state stored by earlier leaders when a term begins, then watches the job records for changes. */
 import {
   ACTIVE_JOBS_PREFIX,
   FORMER_MACHINES_PREFIX,
@@ -15,8 +15,8 @@
 import type { CancellationFreshness } from './cancellation-freshness.js';
 import { listAllItems, type ListingTerm } from './paged-list.js';
 
-/** What a new leader reads. The jobs come first: workers are answered from then on. */
-const PREFIXES_TO_RESTORE = [
+/** Key prefixes that a new leader reads. Jobs come first, because workers are answered as soon as those are known. */
+const RESTORED_PREFIXES = [
   ACTIVE_JOBS_PREFIX,
   PROGRESS_PAGES_PREFIX,
   MACHINE_PAGES_PREFIX,
@@ -24,44 +24,45 @@
   FORMER_MACHINES_PREFIX,
 ] as const;
 
-/** The longest and the shortest wait of a watch for changes. */
+/** Upper bound of the time that a watch request waits for a change. */
 const MAX_WATCH_MS = 8_000;
+/** Lower bound of that time, for short cancellation deadlines. */
 const MIN_WATCH_MS = 100;
 /**
- * How long a watch waits, as a part of the greatest age that the leader's knowledge of cancellations may have: an open
- * watch confirms nothing before it is answered.
+ * Wait of a watch request as a fraction of the maximum age of the leader's cancellation data. An open watch confirms
+ * nothing until it is answered.
  */
 const WATCH_FRACTION_OF_MAX_AGE = 0.25;
-const WATCH_RETRY_DELAY: Micros = 200 * MILLI;
-/** How often changes are requested without waiting, once the watch is late. */
-const PROBE_INTERVAL: Micros = SECOND;
+const WATCH_RETRY_DELAY_US: Micros = 200 * MILLI;
+/** Pause between requests for changes that do not wait, while the watch is late. */
+const PROBE_INTERVAL_US: Micros = SECOND;
 
-/** What a failover needs of the leader's term. */
+/** The part of the leader's term that `Failover` depends on. */
 export interface FailoverTerm extends ListingTerm {
   readonly context: Pick<NodeContext, 'now' | 'requestStore' | 'info'>;
-  /** The records of earlier leaders are read. */
+  /** Whether the records of earlier leaders have been read. */
   readonly isRestored: boolean;
-  /** Ids of the jobs that had not ended when they were listed; set by the failover. */
+  /** Ids of the jobs that were active when they were listed; null until then. Set by `Failover`. */
   activeJobIds: ReadonlySet<string> | null;
 }
 
-/** Receives what a failover reads. */
+/** Receives the records that `Failover` reads. */
 export interface FailoverEvents {
-  /** Everything is read; `read` returns the items under a prefix. `timings`: the stored summary, or null. */
+  /** All records are read: `read` returns the items under a prefix, `timings` is the stored runtime summary, if any. */
   restore(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
-  /** A job's record exists: from a list, or from a watch. */
+  /** A job's record was created or changed, as found by a watch or a list. */
   jobPut(id: string, value: unknown, version: number): void;
-  /** A job's record was deleted, by a change of this version or a later one. */
+  /** A job's record was deleted by a change with this version. */
   jobDeleted(id: string, version: number): void;
-  /** All jobs that existed at a revision: those not among them are deleted. */
+  /** `ids` are all jobs that existed at this revision; any other job was deleted. */
   jobsListed(ids: ReadonlySet<string>, revision: number): void;
 }
 
-/** A new leader's reading of the store, and its watch of job records while the term lasts. */
+/** Reads the store for a new leader, and watches the job records until the term ends. */
 export class Failover {
   /**
-   * All changes of jobs up to this revision are applied to the cluster state. A change that is received once more is
-   * ignored: a watch that had hung once reported a job's creation after a list had shown that it had ended.
+   * All job changes up to this revision are applied to the cluster state. Changes received again are ignored: a delayed
+   * watch reply can report that a job was created after a list has already shown that it ended.
    */
   private appliedRevision = 0;
   private isProbing = false;
@@ -72,11 +73,14 @@
     private readonly events: FailoverEvents,
   ) {}
 
-  /** Reads all records, then calls `restore` and begins to watch. Six reads at any size, since records are packed. */
+  /**
+   * Reads all records, then reports `restore` and starts the watch. Records are packed into pages, so that this takes six
+   * reads whatever the size of the cluster.
+   */
   start(): void {
     const listed = new Map<string, StoredItem[]>();
     const listNext = (index: number): void => {
-      const prefix = PREFIXES_TO_RESTORE[index];
+      const prefix = RESTORED_PREFIXES[index];
       if (prefix === undefined) {
         this.restore(listed);
         return;
@@ -95,15 +99,15 @@
   }
 
   /**
-   * Requests changes without waiting when the watch is late, and lists the jobs anew if that fails too. To be called
-   * often: does nothing while the knowledge of cancellations is fresh.
+   * Requests changes without waiting if the watch is late, and lists all jobs again if that fails too. Meant to be called
+   * periodically; does nothing while the cancellation data is recent.
    */
   probeIfStale(): void {
     const { now } = this.term.context;
     if (this.isProbing || !this.term.isRestored || !this.freshness.isProbeDue(now)) return;
     this.isProbing = true;
     const pause = (): void => {
-      this.term.after(PROBE_INTERVAL, () => {
+      this.term.after(PROBE_INTERVAL_US, () => {
         this.isProbing = false;
       });
     };
@@ -117,7 +121,7 @@
     this.term.context.requestStore({ kind: 'get', key: RUNTIME_SUMMARY_KEY }, 2, (reply) => {
       if (this.term.hasEnded) return;
       this.events.restore((prefix) => listed.get(prefix) ?? [], reply.kind === 'item' ? reply.item : null);
-      // Jobs may have changed while the rest was read.
+      // Does not wait: jobs may have changed while the other records were read.
       this.watch(0);
     });
   }
@@ -131,15 +135,15 @@
     this.requestChanges(waitMs, (succeeded) => {
       if (succeeded) this.watch();
       else
-        this.term.after(WATCH_RETRY_DELAY, () => {
+        this.term.after(WATCH_RETRY_DELAY_US, () => {
           this.watch();
         });
     });
   }
 
   /**
-   * Requests all changes since the last that was applied. A reply shows what was confirmed before it was requested,
-   * whether it waited or not; nothing else does.
+   * Requests all changes after the last applied revision. Only a reply, whether or not the request waited, shows that all
+   * cancellations confirmed before the request was sent are known.
    */
   private requestChanges(waitMs: number, onReply: (succeeded: boolean) => void): void {
     const requestedAt = this.term.context.now;
@@ -160,7 +164,7 @@
     );
   }
 
-  /** Returns whether the reply was applied: one of a revision before `after` confirms nothing. */
+  /** Returns whether the reply was applied. A reply with a revision before `after` is stale and confirms nothing. */
   private applyChanges(reply: StoreReply & { kind: 'events' }, after: number, requestedAt: Micros): boolean {
     if (reply.revision < after) {
       this.term.context.info('watch.revision_regressed', { to: reply.revision, from: after });
--- a/packages/core/src/leadership/held-lease.ts
+++ b/packages/core/src/leadership/held-lease.ts
@@ -1,6 +1,7 @@
 /**
- * The leader lease while this node holds it: its renewal, and until when the leader may act under it. That ends by the
- * node's own steady clock, counted from when the last successful renewal was sent, less what clocks may drift.
+ * The leader lease while this node holds it: renews the lease, and decides until when the leader may act under it. The
+ * validity is measured by this node's monotonic clock from the time at which the last successful renewal was sent, less
+ * a margin for clock drift.
  */
 import type { Micros } from '../domain/time.js';
 import { MILLI } from '../domain/time.js';
@@ -8,75 +9,78 @@
 import { CLOCK_DRIFT } from './cancellation-freshness.js';
 import type { LeaderLease } from './leader-lease.js';
 
-/** Renewals in the length of one lease. */
+/** Number of renewals within the duration of one lease. */
 const RENEWALS_PER_LEASE = 5;
-/** Taken off every lease, besides what clocks may drift. */
-const EXPIRY_MARGIN: Micros = 20 * MILLI;
+/** Fixed margin by which the validity is shortened, in addition to the one for clock drift. */
+const EXPIRY_MARGIN_US: Micros = 20 * MILLI;
 
-/** Receives what becomes of the renewals. */
+/** Receives the outcomes of renewals. */
 export interface HeldLeaseEvents {
-  /** A renewal was confirmed. */
+  /** The store confirmed a renewal. */
   onRenewed(): void;
-  /** The store does not know the lease any more. */
+  /** The lease no longer exists in the store. */
   onExpired(): void;
 }
 
-/** Renews a lease until it is released, and tells whether the leader may act under it. */
+/** Renews a lease until it is released, and reports whether the leader may act under it. */
 export class HeldLease {
   private validUntil: Micros = 0;
-  /** Renewals do not extend the validity before this time: the leader has resigned. */
+  /** Set on resignation: until this time, renewals do not extend the validity. */
   private resignedUntil: Micros = 0;
   private released = false;
   private suspended = false;
 
   constructor(
     private readonly context: NodeContext,
+    /** The lease as it was acquired. */
     readonly lease: LeaderLease,
     private readonly events: HeldLeaseEvents,
   ) {}
 
-  /** Whether the lease has not expired by this node's clock. */
+  /** Whether the lease is unexpired by this node's monotonic clock. */
   private isValid(now: Micros): boolean {
     return now < this.validUntil;
   }
 
   /**
-   * Whether commands and confirmations may be sent now: the lease is held, and the cancellations that other nodes
-   * confirmed are known. Renewals show only the first: where only replies were lost, or a watch hung, renewals went on
-   * while other nodes confirmed cancellations (ran_cancelled, in generated histories).
+   * Whether commands and confirmations may be sent now: the lease is valid, and the cancellations that other nodes
+   * confirmed are known. Renewals only prove the first: they can go on while watch replies are lost or a watch hangs,
+   * and other nodes confirm cancellations meanwhile. In generated histories cancelled jobs then ran (`ran_cancelled`).
    */
   canAct(): boolean {
     const { now } = this.context;
     return this.isValid(now) && this.lease.freshness.isFresh(now);
   }
 
-  /** Whether the lease is valid, but no cancellations were learned of for long: watches and lists fail here. */
-  missesCancellations(): boolean {
+  /**
+   * Whether the lease is valid, but watches and lists have failed on this node for too long to learn of cancellations.
+   */
+  isCancellationDataOutdated(): boolean {
     const { now } = this.context;
-    return this.isValid(now) && this.lease.freshness.isLost(now, this.lease.heldSince);
+    return this.isValid(now) && this.lease.freshness.isOutdated(now, this.lease.heldSince);
   }
 
-  /** A grant or a renewal that was sent at this time has succeeded. */
+  /** Extends the validity after a successful grant or renewal that was sent at `requestedAt`. */
   extend(requestedAt: Micros): void {
     const leaseUs = this.context.settings.tuning.leaderLeaseUs;
     this.validUntil = Math.max(
       this.validUntil,
-      requestedAt + Math.floor(leaseUs * (1 - CLOCK_DRIFT)) - EXPIRY_MARGIN,
+      requestedAt + Math.floor(leaseUs * (1 - CLOCK_DRIFT)) - EXPIRY_MARGIN_US,
     );
   }
 
-  /** Ends the permission to act, and keeps renewals from extending it before `until`. */
+  /** Ends the validity now, and prevents renewals from extending it before `until`. */
   resign(until: Micros): void {
     this.resignedUntil = until;
     this.validUntil = 0;
   }
 
-  /** The lease is not held any more: ends its renewal. */
+  /** Stops the renewals, because the lease is no longer held. */
   release(): void {
     this.released = true;
   }
 
-  /** Schedules the next renewal, and with it all further ones. */
+  /** Schedules the next renewal, which in turn schedules the one after it. */
   startRenewal(): void {
     const interval = Math.floor(this.context.settings.tuning.leaderLeaseUs / RENEWALS_PER_LEASE);
     this.context.after(interval, () => {
@@ -105,7 +109,7 @@
     const wasSuspended = this.suspended;
     this.suspended = !this.canAct();
     const { term } = this.lease;
-    // The lease is held, but what other nodes confirmed is not known.
+    // The lease is valid, but the cancellation data is too old.
     const behind = this.suspended && this.isValid(this.context.now);
     if (this.suspended) this.context.info('leader.suspended', { term, ...(behind ? { behind } : {}) });
     else if (wasSuspended) this.context.info('leader.resumed', { term });
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -1,6 +1,6 @@
 /**
- * Leader election by a key in the key-value store: this node follows the leader's key, acquires it when it is vacant, and
- * renews its lease while it leads. One leader at a time, in terms of increasing number.
+ * Leader election with a key in the key-value store: a node watches the leader's key, acquires it when it is vacant, and
+ * renews its lease while leading. There is at most one leader at a time, and term numbers increase.
  */
 import { type Micros, MILLI, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -13,20 +13,20 @@
 
 export type { LeaderLease } from './leader-lease.js';
 
-/** How often a node that has resigned looks whether somebody else leads, while it holds off. */
-const HOLD_OFF_CHECK_INTERVAL: Micros = 500 * MILLI;
-/** A node that resigned on purpose does not stand for election again for this long. */
-const RESIGNATION_HOLD_OFF: Micros = 20 * SECOND;
-/** A leader that resigned on purpose does not do so again within so many worker leases. */
+/** Interval at which a node that has resigned checks for a new leader during its hold-off. */
+const HOLD_OFF_CHECK_INTERVAL_US: Micros = 500 * MILLI;
+/** Time for which a node does not try to become leader again after resigning. */
+const RESIGNATION_HOLD_OFF_US: Micros = 20 * SECOND;
+/** Minimum number of worker lease durations between two resignations of a process. */
 const LEASES_BETWEEN_RESIGNATIONS = 4;
 
-/** This node's part in the election: who leads, whether this node does, and whether it may act as leader. */
+/** Takes part in the election for this node: knows which member leads, and whether this node may act as leader. */
 export class LeaderElection {
-  /** When this process last resigned the lease on purpose. */
+  /** When this process last resigned; null if it never did. */
   resignedAt: Micros | null = null;
-  /** Called for each renewal that was confirmed. */
+  /** Called after each confirmed renewal of the lease. */
   onRenewed: (() => void) | null = null;
-  private held: HeldLease | null = null;
+  private heldLease: HeldLease | null = null;
   private holdOffUntil: Micros = 0;
   private readonly knownLeader = new KnownLeader();
   private readonly keyWatch: LeaderKeyWatch;
@@ -38,14 +38,14 @@
     private readonly onSteppedDown: () => void,
   ) {
     this.keyWatch = new LeaderKeyWatch(context, this.knownLeader, {
-      shouldWatch: () => !this.acquisition.inProgress && this.held === null,
+      shouldWatch: () => !this.acquisition.inProgress && this.heldLease === null,
       onKeyVacant: () => {
         this.acquire();
       },
     });
     this.acquisition = new LeaseAcquisition(context, {
       onAcquired: (lease, requestedAt) => {
-        this.lead(lease, requestedAt);
+        this.becomeLeader(lease, requestedAt);
       },
       onFailed: (retryDelay) => {
         this.keyWatch.resumeAfter(retryDelay);
@@ -53,42 +53,44 @@
     });
   }
 
-  /** The lease that this node holds, whether it may act under it or not. */
+  /** The lease that this node holds, whether or not it may act under it. */
   get lease(): LeaderLease | null {
-    return this.held === null ? null : this.held.lease;
+    return this.heldLease === null ? null : this.heldLease.lease;
   }
 
-  /** Whether this node leads and may send commands and confirmations now. */
+  /** Whether this node holds the lease and may send commands and confirmations now. */
   canActAsLeader(): boolean {
-    return this.held?.canAct() === true;
+    return this.heldLease?.canAct() === true;
   }
 
-  /** Whether the lease is held, but no cancellations were learned of for long: watches and lists fail here. */
+  /**
+   * Whether this node holds a valid lease, but watches and lists have failed for too long to learn of cancellations.
+   */
   get missesCancellations(): boolean {
-    return this.held?.missesCancellations() === true;
+    return this.heldLease?.isCancellationDataOutdated() === true;
   }
 
-  /** The least time between two resignations on purpose. */
+  /** Minimum time between two resignations of a process. */
   get resignationInterval(): Micros {
     return LEASES_BETWEEN_RESIGNATIONS * this.context.settings.workerLeaseUs;
   }
 
-  /** The member that leads, as far as this node can tell; null for none that was confirmed within a lease. */
+  /** The member that leads, as far as this node knows; null if none was confirmed within one lease duration. */
   get leader(): string | null {
     const { member, tuning } = this.context.settings;
-    if (this.held !== null) return member;
+    if (this.heldLease !== null) return member;
     return this.knownLeader.currentMember(this.context.now, tuning.leaderLeaseUs);
   }
 
   /**
-   * A peer reports that it leads. A higher term proves that all earlier terms have ended, this node's too: it is only
-   * written when nobody holds the leader's key. Returns whether the claim is of the newest term known.
+   * Handles a peer's report that it leads. A higher term proves that all earlier terms have ended, including this node's:
+   * a term is only written while nobody holds the leader's key. Returns whether the claim is for the newest known term.
    */
   recordPeerClaim(member: string, term: number): boolean {
     if (!this.context.settings.peers.some((peer) => peer.member === member)) return false;
-    if (this.held !== null && term > this.held.lease.term) this.stepDown('succeeded');
-    // A claim that was held back on its way may be of a term that is over.
-    if (this.held !== null || term < this.knownLeader.newestTerm) return false;
+    if (this.heldLease !== null && term > this.heldLease.lease.term) this.stepDown('succeeded');
+    // A claim delayed in transit may be for a term that has ended.
+    if (this.heldLease !== null || term < this.knownLeader.newestTerm) return false;
     const isKnown = this.knownLeader.last?.member === member;
     if (term === this.knownLeader.newestTerm && !isKnown) return false;
     if (!isKnown) this.context.info('leader.announced', { member, term });
@@ -96,43 +98,43 @@
     return true;
   }
 
-  /** Begins to take part in the election. */
+  /** Starts to watch the leader's key, and with it this node's part in the election. */
   start(): void {
     this.keyWatch.start();
   }
 
-  /** Gives the lease up on purpose, so that a node that reaches the workers can lead; it holds off for a while. */
+  /** Revokes the lease so that another node can lead. This node does not try again until its hold-off has passed. */
   resign(reason: string): void {
-    if (this.held === null) return;
-    const { lease } = this.held;
+    if (this.heldLease === null) return;
+    const { lease } = this.heldLease;
     this.context.info('leader.resigned', { term: lease.term, reason });
     this.resignedAt = this.context.now;
-    this.holdOffUntil = this.context.now + RESIGNATION_HOLD_OFF;
-    this.held.resign(this.holdOffUntil);
+    this.holdOffUntil = this.context.now + RESIGNATION_HOLD_OFF_US;
+    this.heldLease.resign(this.holdOffUntil);
     this.context.requestStore({ kind: 'revoke', lease: lease.leaseId }, 0, () => {
       this.stepDown('resigned');
     });
   }
 
-  /** Stops leading, if this node does, and takes part in the next election. `reason` is logged. */
+  /** Ends this node's term, if it leads, and watches for the next election. `reason` is only logged. */
   stepDown(reason: string): void {
-    if (this.held === null) return;
-    this.context.info('leader.stepped_down', { term: this.held.lease.term, reason });
-    this.held.release();
-    this.held = null;
-    this.knownLeader.forget();
+    if (this.heldLease === null) return;
+    this.context.info('leader.stepped_down', { term: this.heldLease.lease.term, reason });
+    this.heldLease.release();
+    this.heldLease = null;
+    this.knownLeader.clear();
     this.context.emit({ kind: 'role', leader: false });
     this.onSteppedDown();
     this.keyWatch.start();
   }
 
   private acquire(): void {
-    if (this.acquisition.inProgress || this.held !== null) return;
-    if (this.context.now < this.holdOffUntil) this.keyWatch.resumeAfter(HOLD_OFF_CHECK_INTERVAL);
+    if (this.acquisition.inProgress || this.heldLease !== null) return;
+    if (this.context.now < this.holdOffUntil) this.keyWatch.resumeAfter(HOLD_OFF_CHECK_INTERVAL_US);
     else this.acquisition.start();
   }
 
-  private lead(lease: LeaderLease, requestedAt: Micros): void {
+  private becomeLeader(lease: LeaderLease, requestedAt: Micros): void {
     this.knownLeader.record(this.context.settings.member, lease.term, this.context.now);
     const held = new HeldLease(this.context, lease, {
       onRenewed: () => this.onRenewed?.(),
@@ -140,7 +142,7 @@
         this.stepDown('lease ended');
       },
     });
-    this.held = held;
+    this.heldLease = held;
     held.extend(requestedAt);
     this.context.emit({ kind: 'role', leader: true });
     this.context.info('leader.elected', {
--- a/packages/core/src/leadership/leader-key-watch.ts
+++ b/packages/core/src/leadership/leader-key-watch.ts
@@ -1,4 +1,4 @@
-/** Follows the leader's key while this node does not lead, until nobody holds it. */
+/** Watches the leader's key while this node does not lead, until the key is vacant. */
 import { LEADER_KEY } from '../codecs/keys.js';
 import { decodeLeader } from '../codecs/leadership-codec.js';
 import type { StoredItem } from '../domain/key-value-store.js';
@@ -7,16 +7,16 @@
 import type { NodeContext } from '../node/node-context.js';
 import type { KnownLeader } from './known-leader.js';
 
-/** How long one watch of the leader's key waits, as a part of the lease, so that a lost link shows soon. */
+/** Wait of a watch request as a fraction of the lease duration, so that a lost connection is noticed soon. */
 const WATCH_FRACTION_OF_LEASE = 0.5;
-const READ_RETRY_DELAY: Micros = 300 * MILLI;
-const WATCH_RETRY_DELAY: Micros = 500 * MILLI;
+const READ_RETRY_DELAY_US: Micros = 300 * MILLI;
+const WATCH_RETRY_DELAY_US: Micros = 500 * MILLI;
 
-/** What the watch asks of the election and reports to it. */
+/** The election as the watch depends on it. */
 export interface LeaderKeyWatchEvents {
-  /** Whether the key is to be followed: not while this node leads or tries to. */
+  /** Whether the key should be watched: false while this node leads or tries to. */
   shouldWatch(): boolean;
-  /** Nobody holds the leader's key. The watch has ended; `resumeAfter` begins it again. */
+  /** Nobody holds the leader's key. The watch has stopped; `resumeAfter` restarts it. */
   onKeyVacant(): void;
 }
 
@@ -30,23 +30,23 @@
     private readonly events: LeaderKeyWatchEvents,
   ) {}
 
-  /** Begins to follow the key; does nothing if it is followed already, or is not to be. */
+  /** Reads the key and starts to watch it, unless it is watched already or should not be. */
   start(): void {
     if (this.active || !this.events.shouldWatch()) return;
     this.active = true;
     this.context.requestStore({ kind: 'get', key: LEADER_KEY }, 0, (reply) => {
       if (reply.kind === 'item') this.onLeaderRead(reply.item);
       else if (reply.kind === 'missing') {
-        this.knownLeader.forget();
+        this.knownLeader.clear();
         this.active = false;
         this.events.onKeyVacant();
       } else {
-        this.resumeAfter(READ_RETRY_DELAY);
+        this.resumeAfter(READ_RETRY_DELAY_US);
       }
     });
   }
 
-  /** Ends the watch under way, and begins again after a delay. */
+  /** Stops the current watch, and starts a new one after a delay. */
   resumeAfter(delay: Micros): void {
     this.active = false;
     this.context.after(delay, () => {
@@ -57,15 +57,15 @@
   private onLeaderRead(item: StoredItem): void {
     const leader = decodeLeader(item.value);
     if (leader?.member === this.context.settings.member && item.lease !== null) {
-      // This node's own name: the key of a process before this one, surely dead, or of an attempt of this one whose
-      // reply was lost. Either way nobody acts under it.
+      // The key names this node: it was written by a previous process, which has ended, or by an attempt of this process
+      // whose reply was lost. In both cases nobody acts under the lease.
       this.context.info('leader.predecessor_found', { term: leader.term });
       this.context.requestStore({ kind: 'revoke', lease: item.lease }, 0, () => {
         this.resumeAfter(0);
       });
       return;
     }
-    // A reply that was long on its way may be older than what a peer has reported.
+    // A delayed reply may be older than what a peer has reported since.
     if (leader !== null && leader.term >= this.knownLeader.newestTerm)
       this.knownLeader.record(leader.member, leader.term, this.context.now);
     this.watch(item.version);
@@ -77,14 +77,14 @@
     const waitMs = Math.floor((leaderLeaseUs * WATCH_FRACTION_OF_LEASE) / MILLI);
     this.context.requestStore({ kind: 'watch', prefix: LEADER_KEY, after, waitMs }, 0, (reply) => {
       if (reply.kind !== 'events') {
-        this.resumeAfter(reply.kind === 'tooOld' ? 0 : WATCH_RETRY_DELAY);
+        this.resumeAfter(reply.kind === 'tooOld' ? 0 : WATCH_RETRY_DELAY_US);
         return;
       }
       if (reply.events.length > 0) {
         this.resumeAfter(0);
         return;
       }
-      // Nothing has changed: the same lease is still held.
+      // No change within the wait: the watched leader still holds its lease.
       if (watchedLeader !== null) this.knownLeader.confirm(watchedLeader, this.context.now);
       this.watch(Math.max(after, reply.revision));
     });
--- a/packages/core/src/leadership/leader-lease.ts
+++ b/packages/core/src/leadership/leader-lease.ts
@@ -1,21 +1,21 @@
-/** The leader lease: the leader's key, held under a lease of the key-value store, in one term. */
+/** Describes the leader lease: the leader's key in one term, attached to a lease of the key-value store. */
 import type { Micros } from '../domain/time.js';
 import type { CancellationFreshness } from './cancellation-freshness.js';
 
-/** A leader lease that this node has acquired. */
+/** A leader lease as this node has acquired it. */
 export interface LeaderLease {
-  /** Number of the term; higher than that of any earlier leader. */
+  /** Term number; higher than that of any earlier leader. */
   readonly term: number;
-  /** Version of the leader's key: the condition that fences every write of the leader. */
+  /** Version of the leader's key, on which every write of the leader is conditional (fencing). */
   readonly keyVersion: number;
-  /** The lease of the key-value store under which the leader's key was written. */
+  /** Id of the key-value store's lease to which the leader's key is attached. */
   readonly leaseId: number;
-  /** When the key was known to be held (steady clock). */
+  /** When this node learned that it holds the key (monotonic clock). */
   readonly heldSince: Micros;
   /**
-   * No machine was ever rented, and which machines were pre-provisioned is not on record yet: part of the term's record.
+   * Whether no machine was ever rented, and the pre-provisioned machines are not recorded yet. Stored in the term's record.
    */
   readonly firstTerm: boolean;
-  /** How much its holder knows of cancellations, and since when. */
+  /** Tracks how recent the holder's cancellation data is. */
   readonly freshness: CancellationFreshness;
 }
--- a/packages/core/src/leadership/leader-term.ts
+++ b/packages/core/src/leadership/leader-term.ts
@@ -1,4 +1,6 @@
-/** What the parts of one leader's term share: its lease, its numbers, the cluster state, and whether it still lasts. */
+/**
+ * State shared by all components of one leader's term: lease, numbering, cluster state, and whether the term has ended.
+ */
 import type { Machine } from '../cluster/cluster-model.js';
 import { ClusterState } from '../cluster/cluster-state.js';
 import type { Micros } from '../domain/time.js';
@@ -8,28 +10,34 @@
 import { LeaderPermissions } from './leader-permissions.js';
 import { TermNumbers } from './term-numbers.js';
 
-/** One leader's term, from its election until it steps down. */
+/** The term of one leader, from its election until it steps down. */
 export class LeaderTerm {
-  /** Number of the term; higher than that of any earlier leader. */
+  /** Term number; higher than that of any earlier leader. */
   readonly number: number;
-  /** What the leader knows of jobs, machines and attempts. */
+  /** The leader's in-memory state of jobs, machines and attempts. */
   readonly cluster: ClusterState;
-  /** Whether the records of earlier leaders are read. */
+  /** Whether the records of earlier leaders have been read. */
   isRestored = false;
-  /** Before that: the jobs that had not ended when they were listed, which comes first of all; null: not yet listed. */
+  /** Ids of the jobs that were active when listed, the first step of the restoration; null until then. */
   activeJobIds: ReadonlySet<string> | null = null;
-  /** The leader lease is lost: replies and timers that still arrive are dropped. */
+  /** Whether the leader lease is lost: later replies and timers of this term are dropped. */
   hasEnded = false;
-  /** Missing heartbeats count from here: the beginning of the term, or the last return of the permission to act. */
+  /**
+   * Heartbeats count as missing from here on: the start of the term, or the last time the leader regained permission to
+   * act.
+   */
   leaseHeldSince: Micros;
   private readonly numbers: TermNumbers;
   private readonly permissions: LeaderPermissions;
 
   constructor(
+    /** The node that leads. */
     readonly context: NodeContext,
+    /** The lease under which this term is held. */
     readonly lease: LeaderLease,
+    /** This node's part in the election, for stepping down or resigning. */
     readonly election: LeaderElection,
-    /** Requests a scheduling pass: something changed that may change placements. */
+    /** Requests a scheduling pass, after a change that can affect placements. */
     readonly schedulePass: () => void,
   ) {
     this.number = lease.term;
@@ -39,32 +47,32 @@
     this.permissions = new LeaderPermissions(context, election, lease);
   }
 
-  /** Whether commands and confirmations may be sent now. */
+  /** Whether the leader may send commands and confirmations now. */
   canActAsLeader(): boolean {
     return this.permissions.canActAsLeader();
   }
 
-  /** Whether tasks may be started now. */
+  /** Whether the leader may start tasks now. */
   canDispatch(): boolean {
     return this.permissions.canDispatch();
   }
 
-  /** Whether workers are still finding this new leader. */
+  /** Whether the term is so new that workers may not have found this leader yet. */
   get inFailoverGracePeriod(): boolean {
     return this.permissions.inFailoverGracePeriod;
   }
 
-  /** Every fencing token of this term is at least this one, and exceeds all of earlier terms. */
+  /** The lowest fencing token of this term; higher than any of an earlier term. */
   get firstFencingToken(): number {
     return this.numbers.firstFencingToken;
   }
 
-  /** The machine's fencing token now: raised with its counter. */
+  /** The machine's current fencing token, which increases with its counter. */
   fencingTokenOf(machine: Machine): number {
     return this.numbers.fencingToken(machine.fencingCounter);
   }
 
-  /** A number that no attempt of this or any earlier term has. */
+  /** Returns an attempt number that is unique across this and all earlier terms. */
   nextAttemptNumber(): number {
     return this.numbers.nextAttemptNumber();
   }
--- a/packages/core/src/leadership/lease-acquisition.ts
+++ b/packages/core/src/leadership/lease-acquisition.ts
@@ -1,4 +1,7 @@
-/** Acquires the leader lease: grants a lease in the key-value store, and claims the leader's key and the next term under it. */
+/**
+ * Acquires the leader lease: creates a lease in the key-value store, and claims the leader's key and the next term with
+ * it.
+ */
 import { LEADER_KEY, TERM_KEY } from '../codecs/keys.js';
 import { decodeTerm, encodeLeader, encodeTerm, type TermRecord } from '../codecs/leadership-codec.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
@@ -8,29 +11,29 @@
 import { CancellationFreshness } from './cancellation-freshness.js';
 import type { LeaderLease } from './leader-lease.js';
 
-/** Pause after a request that failed. */
-const RETRY_DELAY: Micros = 300 * MILLI;
-/** Pause after a term's record that can't be read. */
-const UNREADABLE_TERM_DELAY: Micros = SECOND;
+/** Delay before a new attempt after a failed request. */
+const RETRY_DELAY_US: Micros = 300 * MILLI;
+/** Delay before a new attempt after a term record that could not be decoded. */
+const UNREADABLE_TERM_RETRY_DELAY_US: Micros = SECOND;
 
-/** Where no term's record exists: nobody ever led. */
-const NO_TERM: TermRecord = { number: 0, first: true };
+/** Used if no term record exists, because no node ever led. */
+const TERM_BEFORE_FIRST: TermRecord = { number: 0, first: true };
 
-/** Receives the outcome of an attempt. */
+/** Receives the outcome of an attempt to acquire the lease. */
 export interface LeaseAcquisitionEvents {
-  /** The lease is held; its length counts from `requestedAt`, when it was asked for. */
+  /** The lease is held. Its duration counts from `requestedAt`, when it was requested. */
   onAcquired(lease: LeaderLease, requestedAt: Micros): void;
-  /** Another node was faster, or the store did not answer: to be tried again after this delay. */
+  /** Another node was faster, or the store did not answer. The attempt may be repeated after this delay. */
   onFailed(retryDelay: Micros): void;
 }
 
-/** A lease that was granted, under which the leader's key is to be claimed. */
+/** A lease granted by the store, not yet used to claim the leader's key. */
 interface GrantedLease {
   readonly id: number;
   readonly requestedAt: Micros;
 }
 
-/** Attempts to acquire the leader lease, one at a time. */
+/** Makes attempts to acquire the leader lease, one at a time. */
 export class LeaseAcquisition {
   private active = false;
 
@@ -39,46 +42,48 @@
     private readonly events: LeaseAcquisitionEvents,
   ) {}
 
-  /** Whether an attempt is under way. */
+  /** Whether an attempt has started and its outcome is not known yet. */
   get inProgress(): boolean {
     return this.active;
   }
 
-  /** Begins an attempt; exactly one event reports its outcome. */
+  /** Starts an attempt; exactly one event reports its outcome. */
   start(): void {
     this.active = true;
     const requestedAt = this.context.now;
     const ttlMs = Math.floor(this.context.settings.tuning.leaderLeaseUs / MILLI);
     this.context.requestStore({ kind: 'grant', ttlMs }, 0, (reply) => {
       if (reply.kind === 'granted') this.readTerm({ id: reply.lease, requestedAt });
-      else this.fail(RETRY_DELAY);
+      else this.fail(RETRY_DELAY_US);
     });
   }
 
   private readTerm(granted: GrantedLease): void {
     this.context.requestStore({ kind: 'get', key: TERM_KEY }, 0, (reply) => {
-      if (reply.kind === 'item' || reply.kind === 'missing') this.claim(granted, reply);
-      else this.revokeAndFail(granted, RETRY_DELAY);
+      if (reply.kind === 'item' || reply.kind === 'missing') this.claimTerm(granted, reply);
+      else this.revokeAndFail(granted, RETRY_DELAY_US);
     });
   }
 
-  private claim(granted: GrantedLease, termReply: StoreReply & { kind: 'item' | 'missing' }): void {
+  private claimTerm(granted: GrantedLease, termReply: StoreReply & { kind: 'item' | 'missing' }): void {
     const termVersion = termReply.kind === 'item' ? termReply.item.version : 0;
-    const lastTerm = termReply.kind === 'item' ? decodeTerm(termReply.item.value) : NO_TERM;
+    const lastTerm = termReply.kind === 'item' ? decodeTerm(termReply.item.value) : TERM_BEFORE_FIRST;
     if (lastTerm === null) {
       this.context.error('leader.term_unreadable');
-      this.revokeAndFail(granted, UNREADABLE_TERM_DELAY);
+      this.revokeAndFail(granted, UNREADABLE_TERM_RETRY_DELAY_US);
       return;
     }
     const term: TermRecord = { number: lastTerm.number + 1, first: lastTerm.first };
-    this.context.requestStore(this.claimOf(granted, term, termVersion), 0, (reply) => {
+    this.context.requestStore(this.claimTransaction(granted, term, termVersion), 0, (reply) => {
       if (reply.kind === 'ok') this.succeed(granted, term, reply.revision);
-      else this.revokeAndFail(granted, reply.kind === 'conflict' ? 0 : RETRY_DELAY);
+      else this.revokeAndFail(granted, reply.kind === 'conflict' ? 0 : RETRY_DELAY_US);
     });
   }
 
-  /** Writes the leader's key and the term, unless somebody holds the key or another term has begun. */
-  private claimOf(granted: GrantedLease, term: TermRecord, termVersion: number): StoreOperation {
+  /**
+   * The transaction that writes the leader's key and the term; fails if the key is held or another term has started.
+   */
+  private claimTransaction(granted: GrantedLease, term: TermRecord, termVersion: number): StoreOperation {
     const { member } = this.context.settings;
     return {
       kind: 'txn',
--- a/packages/core/src/leadership/paged-list.ts
+++ b/packages/core/src/leadership/paged-list.ts
@@ -4,15 +4,15 @@
 import { MILLI } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
-/** Items that one request asks for. */
-const PAGE_ITEMS = 500;
-/** Pause before a page that was not answered is requested again. */
-const RETRY_DELAY: Micros = 300 * MILLI;
+/** Maximum number of items per request. */
+const PAGE_ITEM_LIMIT = 500;
+/** Delay before a page is requested again after a failure. */
+const RETRY_DELAY_US: Micros = 300 * MILLI;
 
-/** What reading a list needs of the leader's term. */
+/** The part of the leader's term that listing depends on. */
 export interface ListingTerm {
   readonly context: Pick<NodeContext, 'now' | 'requestStore'>;
-  /** The leader lease is lost: replies that still arrive are dropped. */
+  /** Whether the leader lease is lost: later replies are dropped. */
   readonly hasEnded: boolean;
   /** Runs a callback after a delay, unless the term has ended by then. */
   after(delay: Micros, run: () => void): void;
@@ -20,14 +20,15 @@
 
 /** All items under a prefix. */
 export interface ListedItems {
+  /** The items of all pages, in the store's order. */
   readonly items: StoredItem[];
-  /** Revision of the first page: what changed later may or may not be in the list. */
+  /** Revision of the first page; later changes may or may not be included. */
   readonly revision: number;
   /** When the first page was requested. */
   readonly requestedAt: Micros;
 }
 
-/** Calls back once all items under `prefix` are read; a page that fails is requested again until the term ends. */
+/** Calls `onListed` once all items under `prefix` are read. Failed pages are requested again until the term ends. */
 export const listAllItems = (
   term: ListingTerm,
   prefix: string,
@@ -40,18 +41,18 @@
     const operation: StoreOperation = {
       kind: 'list',
       prefix,
-      limit: PAGE_ITEMS,
+      limit: PAGE_ITEM_LIMIT,
       ...(after === undefined ? {} : { after }),
     };
     term.context.requestStore(operation, 0, (reply) => {
       if (term.hasEnded) return;
       if (reply.kind !== 'items') {
-        term.after(RETRY_DELAY, () => {
+        term.after(RETRY_DELAY_US, () => {
           requestPage(after);
         });
         return;
       }
-      // The list counts as old as its first page, however long the others take: a job on that page may have ended since.
+      // The list is only as recent as its first page: a job on that page may have ended while the others were read.
       firstPage ??= { revision: reply.revision, requestedAt };
       items = items.concat(reply.items);
       const last = reply.items.at(-1);
--- a/packages/core/src/leadership/term-numbers.ts
+++ b/packages/core/src/leadership/term-numbers.ts
@@ -1,11 +1,11 @@
-/** The numbers of one term: its fencing tokens and the numbers of its attempts, which exceed all of earlier terms. */
+/** Numbering within one term: fencing tokens and attempt numbers, which exceed those of all earlier terms. */
 
-/** Room for raising a machine's fencing token within a term; products stay below 2^53. */
+/** Size of the range of fencing tokens of each term. The product with the term number has to stay below 2^53. */
 const FENCING_TOKENS_PER_TERM = 2 ** 20;
-/** Room for numbering attempts within a term; products stay below 2^53. */
+/** Size of the range of attempt numbers of each term. The product with the term number has to stay below 2^53. */
 const ATTEMPTS_PER_TERM = 2 ** 24;
 
-/** Gives out fencing tokens and attempt numbers of a term. */
+/** Allocates the fencing tokens and attempt numbers of a term. */
 export class TermNumbers {
   private lastAttemptNumber: number;
 
@@ -13,17 +13,17 @@
     this.lastAttemptNumber = term * ATTEMPTS_PER_TERM;
   }
 
-  /** Every fencing token of this term is at least this one, and exceeds all of earlier terms. */
+  /** The lowest fencing token of this term; higher than any of an earlier term. */
   get firstFencingToken(): number {
     return this.term * FENCING_TOKENS_PER_TERM;
   }
 
-  /** The token after `count` raises within this term. */
+  /** The fencing token after `count` increments within this term. */
   fencingToken(count: number): number {
     return this.firstFencingToken + count;
   }
 
-  /** A number that no attempt of this or any earlier term has. */
+  /** Returns an attempt number that is unique across this and all earlier terms. */
   nextAttemptNumber(): number {
     return ++this.lastAttemptNumber;
   }
