--- a/packages/core/src/api/active-job-sweep.ts
+++ b/packages/core/src/api/active-job-sweep.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the records of all active jobs page by page, where single reads would take more requests: after a restart a
- * controller knows no job while thousands are polled.
+ * Reads the records of all active jobs page by page, for cases in which single reads would need more requests: a
+ * restarted controller has an empty cache while clients poll thousands of jobs.
  */
 import { ACTIVE_JOBS_PREFIX } from '../codecs/keys.js';
 import type { StoreOperation } from '../domain/key-value-store.js';
@@ -8,20 +8,20 @@
 import type { JobLookup } from './job-lookup.js';
 import { CLIENT_REQUEST_URGENCY } from './request-urgency.js';
 
-/** Records that one request asks for. */
-const PAGE_ITEMS = 500;
-/** Fewer missing records than this are read one by one. */
-const MIN_MISSING = 8;
-/** A page takes as much of a controller as several single reads, so that it has to spare more than one. */
-const READS_PER_PAGE = 2;
+/** Maximum number of records per request. */
+const PAGE_ITEM_LIMIT = 500;
+/** Fewer missing records than this are read individually. */
+const MIN_MISSING_JOBS = 8;
+/** Cost of processing a page, in single reads: a sweep only pays off if each page replaces at least this many. */
+const PAGE_COST_IN_READS = 2;
 
-/** One sweep at a time over the active jobs. */
+/** Runs sweeps over the active jobs, one at a time. */
 export class ActiveJobSweep {
-  private pagesOfLastSweep = 1;
-  /** The key after which a sweep that was cut short goes on. */
+  private lastSweepPages = 1;
+  /** Key after which the next sweep continues, if the last one failed partway. */
   private resumeAfter: string | undefined;
-  private underWay = false;
-  /** Sweeps that were begun, and pages that were read. */
+  private running = false;
+  /** Number of sweeps started and of pages read since the process started; logged under these keys. */
   readonly counts = { sweeps: 0, pages: 0 };
 
   constructor(
@@ -29,53 +29,57 @@
     private readonly lookups: JobLookup,
   ) {}
 
-  /** Whether a sweep is under way. */
-  get isUnderWay(): boolean {
-    return this.underWay;
+  /** Whether a sweep has started and not finished yet. */
+  get isRunning(): boolean {
+    return this.running;
   }
 
-  /** Whether a sweep costs less than so many single reads. */
+  /** Whether a sweep is expected to cost less than reading `missing` records individually. */
   isWorthwhile(missing: number): boolean {
-    return missing >= Math.max(MIN_MISSING, READS_PER_PAGE * this.pagesOfLastSweep);
+    return missing >= Math.max(MIN_MISSING_JOBS, PAGE_COST_IN_READS * this.lastSweepPages);
   }
 
-  /** Begins a sweep. `then` is called at its end, with whether all pages were read. */
-  start(then: (isComplete: boolean) => void): void {
-    this.underWay = true;
+  /** Starts a sweep. `onFinished` is called at its end, with whether all pages were read. */
+  start(onFinished: (isComplete: boolean) => void): void {
+    this.running = true;
     this.counts.sweeps++;
-    this.requestPage(this.resumeAfter, 1, then);
+    this.requestPage(this.resumeAfter, 1, onFinished);
   }
 
-  private requestPage(after: string | undefined, page: number, then: (isComplete: boolean) => void): void {
+  private requestPage(
+    after: string | undefined,
+    page: number,
+    onFinished: (isComplete: boolean) => void,
+  ): void {
     const operation: StoreOperation = {
       kind: 'list',
       prefix: ACTIVE_JOBS_PREFIX,
-      limit: PAGE_ITEMS,
+      limit: PAGE_ITEM_LIMIT,
       ...(after === undefined ? {} : { after }),
     };
     this.context.requestStore(operation, CLIENT_REQUEST_URGENCY, (reply) => {
       if (reply.kind !== 'items') {
         this.resumeAfter = after;
-        this.finish(false, then);
+        this.finish(false, onFinished);
         return;
       }
       this.counts.pages++;
-      for (const item of reply.items) this.lookups.rememberListed(item);
+      for (const item of reply.items) this.lookups.cacheListedRecord(item);
       const last = reply.items.at(-1);
       if (reply.more && last !== undefined) {
-        this.requestPage(last.key, page + 1, then);
+        this.requestPage(last.key, page + 1, onFinished);
         return;
       }
-      // A sweep that went on where another one was cut short has read the other pages before.
-      const isWhole = this.resumeAfter === undefined;
-      if (isWhole) this.pagesOfLastSweep = page;
+      // A resumed sweep does not count all pages: the earlier ones were read by the sweep that failed.
+      const startedAtFirstPage = this.resumeAfter === undefined;
+      if (startedAtFirstPage) this.lastSweepPages = page;
       this.resumeAfter = undefined;
-      this.finish(true, then);
+      this.finish(true, onFinished);
     });
   }
 
-  private finish(isComplete: boolean, then: (isComplete: boolean) => void): void {
-    this.underWay = false;
-    then(isComplete);
+  private finish(isComplete: boolean, onFinished: (isComplete: boolean) => void): void {
+    this.running = false;
+    onFinished(isComplete);
   }
 }
--- a/packages/core/src/api/bounded-map.ts
+++ b/packages/core/src/api/bounded-map.ts
@@ -1,6 +1,6 @@
 /** Eviction from maps that are used as caches. */
 
-/** Evicts the oldest entry of a map that has grown beyond the limit; to be called after each insertion. */
+/** Evicts the entry inserted first if the map exceeds the limit. Call it after each insertion. */
 export const evictOldestBeyond = (map: Map<string, unknown>, limit: number): void => {
   if (map.size <= limit) return;
   const oldest = map.keys().next();
--- a/packages/core/src/api/cancellation.ts
+++ b/packages/core/src/api/cancellation.ts
@@ -1,4 +1,6 @@
-/** Cancels jobs: moves the record of an active job to that of an ended one, by compare-and-swap on its version. */
+/**
+ * Cancels jobs: replaces the record of the active job by one of an ended job, with a compare-and-swap on its version.
+ */
 import { encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -8,10 +10,10 @@
 import type { LinearizableReads } from './linearizable-reads.js';
 import { CLIENT_REQUEST_URGENCY } from './request-urgency.js';
 
-/** How often a cancellation is repeated whose record changed meanwhile. */
-const MAX_RETRIES = 3;
+/** Number of times that a cancellation is retried after the job's record has changed concurrently. */
+const MAX_CONFLICT_RETRIES = 3;
 
-/** Handles requests to cancel a job; they are answered only after the write. */
+/** Handles requests to cancel a job. A cancellation is confirmed only after the write has succeeded. */
 export class CancellationHandler {
   constructor(
     private readonly context: NodeContext,
@@ -21,7 +23,7 @@
     private readonly responder: ClientResponder,
   ) {}
 
-  /** Cancels the job; one that has ended is answered with its state. `retries`: how often that was tried before. */
+  /** Cancels the job, or responds with its state if it has ended. `retries`: the number of earlier attempts. */
   cancel(request: number, id: string, retries = 0): void {
     const known = this.cache.get(id);
     if (known?.kind === 'ended') {
@@ -52,7 +54,8 @@
       CLIENT_REQUEST_URGENCY,
       (reply) => {
         if (reply.kind === 'ok') this.respondCancelled(request, id, job);
-        else if (reply.kind === 'conflict' && retries < MAX_RETRIES) this.cancel(request, id, retries + 1);
+        else if (reply.kind === 'conflict' && retries < MAX_CONFLICT_RETRIES)
+          this.cancel(request, id, retries + 1);
         else this.responder.respond(request, storeUnavailable());
       },
     );
@@ -65,7 +68,7 @@
       completedTasks: 0,
       isService: job.spec.shape === 'service',
     };
-    this.cache.remember(id, cancelled);
+    this.cache.put(id, cancelled);
     this.context.info('job.cancelled', { job: id });
     this.responder.respondWithJob(request, id, this.cache.get(id) ?? cancelled);
   }
--- a/packages/core/src/api/dependency-check.ts
+++ b/packages/core/src/api/dependency-check.ts
@@ -1,8 +1,11 @@
-/** Checks the dependencies of a submitted job: each must name a job that was accepted, and that ends. */
+/**
+ * Checks the dependencies of a submitted job: each must be an accepted job, and not a service, since a service never
+ * ends.
+ */
 import type { JobCache } from './job-cache.js';
 import type { JobLookup, LookupResult } from './job-lookup.js';
 
-/** `unknown`: a dependency could not be looked up now. */
+/** Outcome of the check; `unknown`: a dependency could not be looked up at present. */
 export type DependencyCheckResult =
   | { readonly kind: 'valid' }
   | { readonly kind: 'unknown' }
@@ -23,15 +26,15 @@
   }
 };
 
-/** The result for both: an invalid dependency is final, whatever can't be looked up; the latest found is reported. */
+/** Combines two results: `invalid` takes precedence over `unknown`, and the later of two invalid ones is reported. */
 const combine = (earlier: DependencyCheckResult, later: DependencyCheckResult): DependencyCheckResult => {
   if (later.kind === 'invalid') return later;
   return earlier.kind === 'valid' ? later : earlier;
 };
 
 /**
- * Checks whether all dependencies were accepted. Acceptance is permanent, so each may be looked up by itself, however many
- * there are. The callback is called at once if all are cached.
+ * Checks that all dependencies were accepted and are no services. Acceptance is permanent, so the dependencies can be
+ * looked up independently of each other. If all are cached, the callback is called synchronously.
  */
 export const checkDependencies = (
   dependencies: readonly string[],
@@ -39,7 +42,7 @@
   lookups: JobLookup,
   callback: (result: DependencyCheckResult) => void,
 ): void => {
-  // One more than there are, so that the callback is not called before all have been asked for.
+  // One more than the dependencies, so that the callback is not called before all lookups have started.
   let outstanding = dependencies.length + 1;
   let combined: DependencyCheckResult = { kind: 'valid' };
   const finishOne = (): void => {
--- a/packages/core/src/api/job-cache.ts
+++ b/packages/core/src/api/job-cache.ts
@@ -1,22 +1,22 @@
 /**
- * What this node knows of jobs: their records as last read or written, and the counts that the leader published for
- * display. Both are bounded; the oldest entries are evicted.
+ * Caches jobs on this node: their records as last read or written, and the task counts that the leader publishes for
+ * display. Both caches are bounded and evict their oldest entries.
  */
 import type { JobSpec, JobStage, JobView } from '../domain/job.js';
 import type { ProgressUpdate } from '../domain/peer.js';
 import { evictOldestBeyond } from './bounded-map.js';
 
-/** Most jobs whose records, or whose counts, are cached. */
+/** Maximum number of cached records, and of cached task counts. */
 const MAX_CACHED_JOBS = 20_000;
 
-/** A job that has not ended, as of the given version of its record. */
+/** A job that was active at the given version of its record. */
 export interface KnownActiveJob {
   readonly kind: 'active';
   readonly version: number;
   readonly spec: JobSpec;
 }
 
-/** A job that has ended. This is final: the record of an ended job never changes. */
+/** A job that has ended. The record of an ended job never changes. */
 export interface KnownEndedJob {
   readonly kind: 'ended';
   readonly stage: 'done' | 'cancelled';
@@ -24,10 +24,10 @@
   readonly isService: boolean;
 }
 
-/** What is known of an accepted job. */
+/** The cached state of an accepted job. */
 export type KnownJob = KnownActiveJob | KnownEndedJob;
 
-/** Counts for display, as published by the leader. */
+/** Numbers of tasks for display, as published by the leader. */
 interface DisplayCounts {
   readonly done: number;
   readonly running: number;
@@ -35,39 +35,39 @@
 
 const NO_PROGRESS: DisplayCounts = { done: 0, running: 0 };
 
-/** Records and display counts of jobs, cached on this node. */
+/** Bounded cache of job records and display counts. */
 export class JobCache {
   private readonly jobs = new Map<string, KnownJob>();
   private readonly counts = new Map<string, DisplayCounts>();
 
-  /** What is known of the job, without asking the state service; an active job may have ended since. */
+  /** Returns the cached state of the job, without reading the state service; an active job may have ended since. */
   get(id: string): KnownJob | undefined {
     return this.jobs.get(id);
   }
 
-  /** Whether the end of the job is known here, which never changes. */
+  /** Whether the job is known to have ended, which is final. */
   hasEnded(id: string): boolean {
     return this.jobs.get(id)?.kind === 'ended';
   }
 
-  /** How many jobs are known. */
+  /** Number of jobs whose state is cached. */
   get size(): number {
     return this.jobs.size;
   }
 
-  /** Remembers a record. One that is known to have ended stays as it is, and so does a newer one. */
-  remember(id: string, job: KnownJob): void {
+  /** Caches a job's state, unless the job is known to have ended or a newer version is cached. */
+  put(id: string, job: KnownJob): void {
     const known = this.jobs.get(id);
     if (known?.kind === 'ended') return;
     if (known !== undefined && job.kind === 'active' && job.version < known.version) return;
-    // Deleted first, so that it becomes the newest entry.
+    // Deletes first, so that the entry moves to the end of the eviction order.
     this.jobs.delete(id);
     this.jobs.set(id, job);
     if (job.kind === 'ended') this.counts.delete(id);
     evictOldestBeyond(this.jobs, MAX_CACHED_JOBS);
   }
 
-  /** Takes over the counts that the leader published. */
+  /** Caches the task counts that the leader has published. */
   recordProgress(update: ProgressUpdate): void {
     for (const { id, done, running } of update.jobs) {
       this.counts.delete(id);
@@ -76,7 +76,7 @@
     }
   }
 
-  /** The job as it is shown to clients. */
+  /** Builds the view of the job that clients receive, with the latest published counts. */
   viewOf(id: string, job: KnownJob): JobView {
     if (job.kind === 'ended') return { id, stage: job.stage, done: job.completedTasks, running: 0 };
     const { done, running } = this.counts.get(id) ?? NO_PROGRESS;
--- a/packages/core/src/api/job-lookup.ts
+++ b/packages/core/src/api/job-lookup.ts
@@ -1,4 +1,4 @@
-/** Reads the records of jobs from the state service. */
+/** Reads job records from the state service. */
 import { decodeActiveJob, decodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, jobIdOfActiveKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
@@ -12,56 +12,61 @@
 /** Receives the result of a lookup. */
 export type LookupCallback = (result: LookupResult) => void;
 
-/** Looks jobs up in the state service, and remembers in the cache what was found. */
+/** Looks up jobs in the state service, and caches the records found. */
 export class JobLookup {
   constructor(
     private readonly context: NodeContext,
     private readonly cache: JobCache,
   ) {}
 
-  /** Reads a job's record: first that of an active job, then that of an ended one, as records only ever move that way. */
+  /**
+   * Reads a job's record. The active record is read before the ended one, since a job only ever moves in that
+   * direction.
+   */
   lookup(id: string, callback: LookupCallback): void {
     this.context.requestStore({ kind: 'get', key: activeJobKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
-      if (reply.kind === 'item') callback(this.readActive(id, reply.item));
+      if (reply.kind === 'item') callback(this.cacheActiveRecord(id, reply.item));
       else if (reply.kind === 'missing') this.lookupEnded(id, callback);
       else callback({ kind: 'unknown' });
     });
   }
 
-  /** The same for a job whose active record is gone, or whose ended record was seen: one request is enough then. */
+  /** Does the same for a job that has probably ended, for which one request usually suffices. */
   lookupLikelyEnded(id: string, callback: LookupCallback): void {
     this.lookupEnded(id, (result) => {
-      // Absence rests on both records, read in the order in which they move.
+      // Only both reads, in the order in which a job moves, prove that the job is absent.
       if (result.kind === 'absent') this.lookup(id, callback);
       else callback(result);
     });
   }
 
-  /** Remembers the record of an active job that was read with others. */
-  rememberListed(item: StoredItem): void {
+  /**
+   * Caches the record of an active job from a list, unless the job is known to have ended or this version is cached.
+   */
+  cacheListedRecord(item: StoredItem): void {
     const id = jobIdOfActiveKey(item.key);
     const known = this.cache.get(id);
     if (known === undefined || (known.kind === 'active' && known.version !== item.version))
-      this.readActive(id, item);
+      this.cacheActiveRecord(id, item);
   }
 
   private lookupEnded(id: string, callback: LookupCallback): void {
     this.context.requestStore({ kind: 'get', key: endedJobKey(id) }, CLIENT_REQUEST_URGENCY, (reply) => {
-      if (reply.kind === 'item') callback(this.readEnded(id, reply.item));
+      if (reply.kind === 'item') callback(this.cacheEndedRecord(id, reply.item));
       else callback({ kind: reply.kind === 'missing' ? 'absent' : 'unknown' });
     });
   }
 
-  private readActive(id: string, item: StoredItem): LookupResult {
+  private cacheActiveRecord(id: string, item: StoredItem): LookupResult {
     const record = decodeActiveJob(item.value);
     if (record === null) return { kind: 'unknown' };
     const job: KnownJob = { kind: 'active', version: item.version, spec: record.spec };
-    this.cache.remember(id, job);
-    // Its end may have become known while the record was being read.
+    this.cache.put(id, job);
+    // The job's end may have been cached while this record was being read.
     return this.cache.get(id) ?? job;
   }
 
-  private readEnded(id: string, item: StoredItem): LookupResult {
+  private cacheEndedRecord(id: string, item: StoredItem): LookupResult {
     const record = decodeEndedJob(item.value);
     if (record === null) return { kind: 'unknown' };
     const job: KnownEndedJob = {
@@ -70,7 +75,7 @@
       completedTasks: record.done,
       isService: record.shape === 'service',
     };
-    this.cache.remember(id, job);
+    this.cache.put(id, job);
     return job;
   }
 }
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -1,6 +1,6 @@
 /**
- * The client API, the same on every node: accepts and cancels jobs by compare-and-swap on their records and answers only
- * after the write; answers polls from records that are validated in the state service.
+ * The client API, which every node serves: accepts and cancels jobs with compare-and-swap on their records, responding
+ * only after the write, and answers polls from cached records that are validated against the state service.
  */
 import type { ClientRequest, ClientResponse, InternalResponse } from '../domain/client-api.js';
 import type { JobSpec } from '../domain/job.js';
@@ -14,7 +14,7 @@
 import { RequestMetrics } from './request-metrics.js';
 import { SubmissionHandler } from './submission.js';
 
-/** Handles the requests of clients and of features of this process. */
+/** Handles requests from clients, and from features within this process. */
 export class JobService {
   private readonly cache = new JobCache();
   private readonly metrics: RequestMetrics;
@@ -25,7 +25,7 @@
 
   constructor(
     private readonly context: NodeContext,
-    /** Whether the state service answers another node while it does not answer this one. */
+    /** Whether the state service answers another node while it doesn't answer this one. */
     private readonly isStoreServingPeers: () => boolean = () => false,
   ) {
     const { cache } = this;
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Begins to log what becomes of requests. */
+  /** Starts to log periodic summaries of request outcomes. */
   start(): void {
     this.metrics.start(() => ({
       cachedJobs: this.cache.size,
@@ -51,10 +51,10 @@
     }));
   }
 
-  /** Handles a request; its response is emitted as an effect with the same number. */
+  /** Handles a request. The response is emitted as an effect with the same request number. */
   handle(request: number, body: ClientRequest): void {
     if (body.kind !== 'health') this.metrics.recordRequest();
-    if (body.kind !== 'health' && this.isStoreLost && !this.hasEnded(body.id)) {
+    if (body.kind !== 'health' && this.isStoreDown && !this.hasEnded(body.id)) {
       this.responder.respond(request, storeUnavailable());
       return;
     }
@@ -74,51 +74,52 @@
     }
   }
 
-  /** Handles a request of a feature of this process in the same way, with the response passed to `then`. */
-  ask(body: ClientRequest, then: (answer: InternalResponse) => void): void {
-    this.handle(this.responder.registerInternal(then), body);
+  /** Handles a request from a feature within this process in the same way, and passes the response to `onResponse`. */
+  handleInternal(body: ClientRequest, onResponse: (response: InternalResponse) => void): void {
+    this.handle(this.responder.registerInternal(onResponse), body);
   }
 
-  /** Whether the end of the job is known here, which never changes. */
+  /** Whether this node knows that the job has ended, which is final. */
   hasEnded(id: string | null): boolean {
     return id !== null && this.cache.hasEnded(id);
   }
 
-  /** Takes over the counts that the leader published for display. */
+  /** Caches the task counts that the leader has published for display. */
   recordProgress(update: ProgressUpdate): void {
     this.cache.recordProgress(update);
   }
 
-  /** Takes over the record of an active job that the leader has read. */
+  /** Caches the record of an active job that the leader on this node has read. */
   recordActiveJob(spec: JobSpec, version: number): void {
-    this.cache.remember(spec.id, { kind: 'active', version, spec });
+    this.cache.put(spec.id, { kind: 'active', version, spec });
   }
 
-  /** Takes over how a job ended, from the leader's own writes and its watch. */
+  /** Caches how a job ended, as the leader on this node has written or observed it. */
   recordTerminalState(
     id: string,
     stage: 'done' | 'cancelled',
     completedTasks: number,
     isService = false,
   ): void {
-    this.cache.remember(id, { kind: 'ended', stage, completedTasks, isService });
+    this.cache.put(id, { kind: 'ended', stage, completedTasks, isService });
   }
 
   /**
-   * Whether nothing can be looked up now. Then requests are answered at once: clients that waited for call after call to a
-   * state service without answers had their requests time out, 143 to 187 of them on a day of one partition.
+   * Whether the state service doesn't answer, so that no record can be looked up. Requests then fail immediately: when
+   * each waited for calls that were not answered, 143 to 187 client requests timed out on a day with one partition.
    */
-  private get isStoreLost(): boolean {
+  private get isStoreDown(): boolean {
     return this.context.storeConnection.downSince !== null;
   }
 
   /**
-   * Clients are sent away from a node that is cut off from the state service only if another node is known to be served:
-   * in an outage all nodes would leave the load balancer, and be missing from it for seconds after its end.
+   * Reports a node that has lost the state service as unhealthy only if the service is known to answer another node. In
+   * an outage for all nodes, the load balancer would otherwise remove all of them, and add them back only seconds after
+   * its end.
    */
   private health(): ClientResponse {
     if (this.context.types.size === 0) return unavailable('machine types not known yet');
-    return this.isStoreLost && this.isStoreServingPeers()
+    return this.isStoreDown && this.isStoreServingPeers()
       ? unavailable('state service not answering this node')
       : { kind: 'healthy' };
   }
--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -1,6 +1,6 @@
 /**
- * Answers polls from cached records, validated in the state service: an answer that is not final must be no older than
- * what any other node has answered. Polls that arrive within a short time share one transaction.
+ * Answers polls from cached records, after validating their versions in the state service: a state that is not final must
+ * not be older than what any other node has answered. Polls that arrive close together share one transaction.
  */
 import { activeJobKey, endedJobKey, jobIdOfActiveKey } from '../codecs/keys.js';
 import type { ClientResponse } from '../domain/client-api.js';
@@ -21,15 +21,15 @@
   type BatchHost,
   type ValidationBatch,
 } from './validation-batch.js';
-import { type LaneHost, ValidationLane } from './validation-lane.js';
+import { ValidationQueue,type ValidationQueueHost } from './validation-queue.js';
 import { type ValidationResult, VersionValidator } from './version-validator.js';
 
-/** Clients wait so long for the answer to a poll. */
-const POLL_PATIENCE: Micros = 2 * SECOND;
-/** A poll older than this could not be validated again before its client gives it up. */
-const MAX_AGE_TO_REPEAT: Micros = SECOND;
-/** How soon polls are validated once the records of the dependencies have been read. */
-const AFTER_LOOKUP_US: Micros = MILLI;
+/** Time that clients wait for the answer to a poll. */
+const POLL_TIMEOUT_US: Micros = 2 * SECOND;
+/** Polls older than this are not validated again, since their clients would give up first. */
+const MAX_RETRY_AGE_US: Micros = SECOND;
+/** Delay of the validation of polls for which records had to be read first. */
+const POST_LOOKUP_DELAY_US: Micros = MILLI;
 
 const ABSENT: ClientResponse = { kind: 'absent' };
 
@@ -38,17 +38,17 @@
   return result.failed.size === 0 ? 'valid' : 'conflict';
 };
 
-/** Reads of jobs that are linearizable across all nodes. */
-export class LinearizableReads implements BatchHost, LaneHost {
+/** Answers polls so that reads of a job are linearizable across all nodes. */
+export class LinearizableReads implements BatchHost, ValidationQueueHost {
   private readonly suspects = new SuspectJobs();
   private readonly validator: VersionValidator;
   private readonly collector: BatchCollector;
-  private readonly regularLane: ValidationLane;
-  /** Suspect jobs neither delay others nor wait behind them. */
-  private readonly suspectLane: ValidationLane;
+  private readonly regularQueue: ValidationQueue;
+  /** Separate queue for suspect jobs, so that they and other jobs don't delay each other. */
+  private readonly suspectQueue: ValidationQueue;
   private readonly sweep: ActiveJobSweep;
-  /** Polls of active jobs whose records the sweep under way reads. */
-  private waitingForSweep: JobPolls[] = [];
+  /** Polls of active jobs whose records the running sweep is expected to read. */
+  private pollsAwaitingSweep: JobPolls[] = [];
 
   constructor(
     private readonly context: NodeContext,
@@ -59,12 +59,12 @@
   ) {
     this.validator = new VersionValidator(context);
     this.collector = new BatchCollector(cache, this.suspects, this.validator.conditionLimit, this);
-    this.regularLane = new ValidationLane(context, this.validator, this);
-    this.suspectLane = new ValidationLane(context, this.validator, this);
+    this.regularQueue = new ValidationQueue(context, this.validator, this);
+    this.suspectQueue = new ValidationQueue(context, this.validator, this);
     this.sweep = new ActiveJobSweep(context, lookups);
   }
 
-  /** Answers with the job's state, at once if its end is known, else after a validation. */
+  /** Responds with the job's state: immediately if the job is known to have ended, otherwise after a validation. */
   poll(request: number, id: string): void {
     const known = this.cache.get(id);
     if (known?.kind === 'ended') {
@@ -74,34 +74,34 @@
     this.enqueue(id, { request, arrivedAt: this.context.now });
   }
 
-  /** What waits, and what was read, for the log. */
+  /** Returns queue lengths, ages and sweep counts as log fields. */
   summary(): LogFields {
     const { now } = this.context;
-    const pending = [this.regularLane, this.suspectLane].map((lane) => lane.pending);
+    const pending = [this.regularQueue, this.suspectQueue].map((queue) => queue.pending);
     const arrivals = pending.map(({ oldestArrival }) => oldestArrival ?? now);
     return {
       pendingJobs: pending.reduce((sum, { jobCount }) => sum + jobCount, 0),
       oldestPollMs: Math.round((now - Math.min(...arrivals)) / MILLI),
       suspects: this.suspects.count,
-      waitingForSweep: this.waitingForSweep.length,
+      waitingForSweep: this.pollsAwaitingSweep.length,
       ...this.sweep.counts,
     };
   }
 
-  /** Answers all polls that wait for the next validation: clients give a poll up after two seconds. */
+  /** Fails all queued polls, because their clients give up after two seconds. */
   failPending(): void {
-    for (const lane of [this.regularLane, this.suspectLane])
-      for (const { requests } of lane.pending.takeAll()) this.fail(requests);
+    for (const queue of [this.regularQueue, this.suspectQueue])
+      for (const { requests } of queue.pending.takeAll()) this.failRequests(requests);
   }
 
-  /** Looks the job up and answers with it; with `ifAbsent` if it was never accepted. */
+  /** Looks up the job and responds with its state, or with `ifAbsent` if it was never accepted. */
   respondFromLookup(request: number, id: string, ifAbsent: ClientResponse): void {
     this.lookups.lookup(id, (result) => {
       this.respondWithLookup(request, id, result, ifAbsent);
     });
   }
 
-  /** Answers with the result of a lookup; with `ifAbsent` if the job was never accepted. */
+  /** Responds with the result of a lookup, or with `ifAbsent` if the job was never accepted. */
   respondWithLookup(
     request: number,
     id: string,
@@ -110,22 +110,22 @@
   ): void {
     if (result.kind === 'unknown') this.responder.respond(request, storeUnavailable());
     else if (result.kind === 'absent') this.respondAbsent(request, id, ifAbsent);
-    // Whether it still waits depends on the records of its dependencies as well.
+    // Its state also depends on the records of its dependencies, which have to be validated.
     else if (result.kind === 'active' && result.spec.dependsOn.length > 0) this.poll(request, id);
     else this.responder.respondWithJob(request, id, result);
   }
 
   private respondAbsent(request: number, id: string, response: ClientResponse): void {
     if (response.kind === 'unavailable') this.responder.respond(request, response);
-    // It was accepted since, as this node has learned meanwhile: the lookup is older than that.
+    // The job was accepted after the lookup, as this node has learned in the meantime.
     else if (this.cache.get(id) !== undefined) this.poll(request, id);
     else this.responder.respondRefused(request, id, response, 'lookup');
   }
 
   /**
-   * Answers the request that created the job. The job may name one that was cancelled long ago, which this node need not
-   * have heard of: then it is cancelled as well, and calling it queued would be too late (`orphaned`, found by a
-   * generated history). So the records of its dependencies are validated first, as for a poll.
+   * Responds to the request that created the job. A dependency may have been cancelled long ago without this node knowing;
+   * the new job is then cancelled as well, and must not be reported as queued (`orphaned`, found by a generated history).
+   * The records of the dependencies are therefore validated first, as for a poll.
    */
   respondCreated(request: number, job: KnownActiveJob): void {
     const { id, dependsOn } = job.spec;
@@ -147,26 +147,26 @@
 
   // ---- batches --------------------------------------------------------------------------------------
 
-  /** Takes the next batch of a lane; polls whose clients have gone are answered without. */
+  /** Takes the next batch of a queue. Polls whose clients have given up are rejected without a validation. */
   takeBatch(pending: PendingPolls): ValidationBatch {
-    for (const request of pending.takeExpired(this.context.now - POLL_PATIENCE))
+    for (const request of pending.takeExpired(this.context.now - POLL_TIMEOUT_US))
       this.responder.respond(request, overloaded());
-    if (pending === this.regularLane.pending) this.moveSuspects();
+    if (pending === this.regularQueue.pending) this.moveSuspects();
     return this.collector.collect(pending);
   }
 
-  /** Resolves the polls of a batch by the result of its validation. */
-  resolve({ polls }: ValidationBatch, result: ValidationResult): void {
+  /** Answers, retries or fails the polls of a batch, according to the result of its validation. */
+  resolveBatch({ polls }: ValidationBatch, result: ValidationResult): void {
     this.metrics.recordValidation(outcomeOf(result));
     if (result.kind === 'overBudget') {
-      for (const batched of polls) this.repeat(batched);
+      for (const batched of polls) this.requeueRecent(batched);
       return;
     }
     const ids = polls.map(({ id }) => id);
     this.suspects.recordValidation(ids, polls.length, result.kind === 'compared');
     const missing: JobPolls[] = [];
     for (const batched of polls) {
-      if (result.kind === 'unanswered') this.fail(batched.requests);
+      if (result.kind === 'unanswered') this.failRequests(batched.requests);
       else if (result.failed.size === 0) this.respondValidated(batched);
       else if (this.isMissingActiveJob(batched, result.failed)) missing.push(batched);
       else this.resolveAfterConflict(batched, result.failed);
@@ -174,105 +174,108 @@
     if (missing.length > 0) this.readMissing(missing);
   }
 
-  /** Answers polls of a job whose end is known. */
+  /** Responds to polls of a job that is known to have ended. */
   respondFinal({ id, requests }: JobPolls, job: KnownEndedJob): void {
     this.respondToAll(requests, id, job);
   }
 
-  /** A sweep may read the record of a job that is not known yet: its polls wait for that. */
-  isHeld(id: string): boolean {
-    return this.sweep.isUnderWay && this.cache.get(id) === undefined;
+  /** Polls of a job that is not cached stay queued during a sweep, which may read its record. */
+  isDeferred(id: string): boolean {
+    return this.sweep.isRunning && this.cache.get(id) === undefined;
   }
 
-  /** Reads the records of dependencies; the polls of the job wait meanwhile. */
+  /** Reads the records of dependencies, and queues the job's polls again afterwards; fails them if a read fails. */
   readDependencies(dependencies: readonly string[], polls: JobPolls): void {
     let outstanding = dependencies.length;
     let allFound = true;
     const onResult = (result: LookupResult): void => {
       allFound &&= result.kind === 'active' || result.kind === 'ended';
       if (--outstanding > 0) return;
-      if (allFound) this.putBack(polls, AFTER_LOOKUP_US);
-      else this.fail(polls.requests);
+      if (allFound) this.requeue(polls, POST_LOOKUP_DELAY_US);
+      else this.failRequests(polls.requests);
     };
     for (const dependency of dependencies) this.lookups.lookup(dependency, onResult);
   }
 
-  private laneOf(id: string): ValidationLane {
-    return this.suspects.isSuspect(id) ? this.suspectLane : this.regularLane;
+  private queueOf(id: string): ValidationQueue {
+    return this.suspects.isSuspect(id) ? this.suspectQueue : this.regularQueue;
   }
 
   private enqueue(id: string, poll: PollRequest): void {
-    const lane = this.laneOf(id);
-    if (lane.isFull) {
+    const queue = this.queueOf(id);
+    if (queue.isFull) {
       this.responder.respond(poll.request, overloaded());
       return;
     }
-    lane.pending.add(id, poll);
-    lane.schedule();
+    queue.pending.add(id, poll);
+    queue.schedule();
   }
 
-  private putBack(polls: JobPolls, delay?: Micros): void {
-    const lane = this.laneOf(polls.id);
-    lane.pending.putBack(polls);
-    lane.schedule(delay);
+  private requeue(polls: JobPolls, delay?: Micros): void {
+    const queue = this.queueOf(polls.id);
+    queue.pending.requeue(polls);
+    queue.schedule(delay);
   }
 
-  /** Jobs may have become suspect after their polls arrived. */
+  /** Moves polls of jobs that became suspect after the polls arrived. */
   private moveSuspects(): void {
     if (this.suspects.count === 0) return;
-    const { pending } = this.regularLane;
+    const { pending } = this.regularQueue;
     for (const polls of pending.inOrder()) {
       if (!this.suspects.isSuspect(polls.id)) continue;
       pending.remove(polls.id);
-      this.putBack(polls);
+      this.requeue(polls);
     }
   }
 
-  /** The validation was not sent, which says nothing about the records: it is repeated for clients that still wait. */
-  private repeat({ id, requests }: JobPolls): void {
-    const cutoff = this.context.now - MAX_AGE_TO_REPEAT;
-    const young = requests.filter(({ arrivedAt }) => arrivedAt > cutoff);
+  /** Queues polls again whose validation did not take place, if their clients still wait; rejects the others. */
+  private requeueRecent({ id, requests }: JobPolls): void {
+    const cutoff = this.context.now - MAX_RETRY_AGE_US;
+    const recent = requests.filter(({ arrivedAt }) => arrivedAt > cutoff);
     for (const { request, arrivedAt } of requests)
       if (arrivedAt <= cutoff) this.responder.respond(request, overloaded());
-    if (young.length > 0) this.putBack({ id, requests: young });
+    if (recent.length > 0) this.requeue({ id, requests: recent });
   }
 
   private respondValidated({ id, requests, known }: BatchedPolls): void {
-    // Its end may have become known meanwhile.
+    // The job's end may have become known during the validation.
     const job = this.cache.get(id) ?? known;
     if (job !== undefined) this.respondToAll(requests, id, job);
     else for (const { request } of requests) this.responder.respondRefused(request, id, ABSENT, 'validation');
   }
 
-  /** The job was taken for absent, and has not ended: its record has not been read yet. */
+  /** Whether the job was assumed absent but has an active record, which was not read yet. */
   private isMissingActiveJob({ id, known }: BatchedPolls, failed: ReadonlySet<string>): boolean {
     return known === undefined && failed.has(activeJobKey(id)) && !failed.has(endedJobKey(id));
   }
 
   private readMissing(missing: readonly JobPolls[]): void {
-    if (!this.sweep.isUnderWay && !this.sweep.isWorthwhile(missing.length)) {
+    if (!this.sweep.isRunning && !this.sweep.isWorthwhile(missing.length)) {
       for (const polls of missing) this.readJob(polls);
       return;
     }
-    this.waitingForSweep.push(...missing);
-    if (this.sweep.isUnderWay) return;
+    this.pollsAwaitingSweep.push(...missing);
+    if (this.sweep.isRunning) return;
     this.sweep.start((isComplete) => {
       this.resolveAfterSweep(isComplete);
     });
   }
 
   private resolveAfterSweep(isComplete: boolean): void {
-    const waiting = this.waitingForSweep;
-    this.waitingForSweep = [];
+    const waiting = this.pollsAwaitingSweep;
+    this.pollsAwaitingSweep = [];
     for (const polls of waiting) {
-      if (this.cache.get(polls.id) !== undefined) this.putBack(polls, AFTER_LOOKUP_US);
-      // It ended meanwhile, or its record can't be read.
+      if (this.cache.get(polls.id) !== undefined) this.requeue(polls, POST_LOOKUP_DELAY_US);
+      // The job ended in the meantime, or its record is unreadable.
       else if (isComplete) this.readJob(polls);
-      else this.repeat(polls);
+      else this.requeueRecent(polls);
     }
   }
 
-  /** Some conditions of the batch failed: what has changed is read, and the other polls are validated anew. */
+  /**
+   * Handles polls of a batch with failed conditions: reads the changed records, or validates the polls again if none of
+   * theirs changed.
+   */
   private resolveAfterConflict(polls: BatchedPolls, failed: ReadonlySet<string>): void {
     const { id, requests, keys } = polls;
     if (failed.has(activeJobKey(id)) || failed.has(endedJobKey(id))) {
@@ -283,7 +286,7 @@
     }
     const changedDependencies = keys.filter((key) => failed.has(key)).map(jobIdOfActiveKey);
     if (changedDependencies.length > 0) this.readDependencies(changedDependencies, { id, requests });
-    else this.putBack({ id, requests });
+    else this.requeue({ id, requests });
   }
 
   private readJob(polls: JobPolls): void {
@@ -300,7 +303,7 @@
     for (const { request } of requests) this.responder.respondWithJob(request, id, job);
   }
 
-  private fail(requests: readonly PollRequest[]): void {
+  private failRequests(requests: readonly PollRequest[]): void {
     for (const { request } of requests) this.responder.respond(request, storeUnavailable());
   }
 }
--- a/packages/core/src/api/pending-polls.ts
+++ b/packages/core/src/api/pending-polls.ts
@@ -1,13 +1,16 @@
-/** Polls that wait for a validation: the oldest first, none for longer than its client waits, and no more than can be served. */
+/**
+ * Queue of polls that wait for a validation, ordered by age and grouped by job. `takeExpired` drops polls whose clients
+ * have given up; the number of jobs is limited by `ValidationQueue`.
+ */
 import type { Micros } from '../domain/time.js';
 
-/** A poll and when it arrived. */
+/** A poll request and its time of arrival. */
 export interface PollRequest {
   readonly request: number;
   readonly arrivedAt: Micros;
 }
 
-/** Polls of one job. */
+/** The waiting polls of one job. */
 export interface JobPolls {
   readonly id: string;
   readonly requests: readonly PollRequest[];
@@ -16,43 +19,43 @@
 const oldestOf = (requests: readonly PollRequest[]): Micros =>
   requests.reduce((oldest, { arrivedAt }) => Math.min(oldest, arrivedAt), Infinity);
 
-/** A queue of polls, gathered by job. */
+/** Waiting polls, grouped by job. */
 export class PendingPolls {
-  /** Polls whose validation has to be repeated: they are older than those that came since. */
-  private readonly repeated = new Map<string, PollRequest[]>();
+  /** Polls whose validation has to be repeated; they are older than all fresh ones. */
+  private readonly requeued = new Map<string, PollRequest[]>();
   private readonly fresh = new Map<string, PollRequest[]>();
 
-  /** Jobs with polls that wait. */
+  /** Number of jobs that have waiting polls. */
   get jobCount(): number {
-    return this.repeated.size + this.fresh.size;
+    return this.requeued.size + this.fresh.size;
   }
 
-  /** Adds a poll that has just arrived. */
+  /** Adds a poll that has just arrived, to the other polls of its job if there are any. */
   add(id: string, poll: PollRequest): void {
-    const waiting = this.repeated.get(id) ?? this.fresh.get(id);
+    const waiting = this.requeued.get(id) ?? this.fresh.get(id);
     if (waiting === undefined) this.fresh.set(id, [poll]);
     else waiting.push(poll);
   }
 
-  /** Puts polls back that could not be answered yet; they keep their place before newer ones. */
-  putBack({ id, requests }: JobPolls): void {
-    const arrivedMeanwhile = [...(this.repeated.get(id) ?? []), ...(this.fresh.get(id) ?? [])];
+  /** Returns polls that could not be answered yet to the queue, ahead of newer ones. */
+  requeue({ id, requests }: JobPolls): void {
+    const arrivedMeanwhile = [...(this.requeued.get(id) ?? []), ...(this.fresh.get(id) ?? [])];
     this.fresh.delete(id);
-    this.repeated.set(id, [...requests, ...arrivedMeanwhile]);
+    this.requeued.set(id, [...requests, ...arrivedMeanwhile]);
   }
 
-  /** Takes the polls of a job out. */
+  /** Removes all polls of a job. */
   remove(id: string): void {
-    this.repeated.delete(id);
+    this.requeued.delete(id);
     this.fresh.delete(id);
   }
 
-  /** All polls, those of the longest waiting jobs first. */
+  /** Returns all polls; the jobs that have waited longest come first. */
   inOrder(): JobPolls[] {
-    return [...this.repeated, ...this.fresh].map(([id, requests]) => ({ id, requests }));
+    return [...this.requeued, ...this.fresh].map(([id, requests]) => ({ id, requests }));
   }
 
-  /** Takes out the polls that arrived before `cutoff`, and returns their numbers. */
+  /** Removes the polls that arrived at or before `cutoff`, and returns their request numbers. */
   takeExpired(cutoff: Micros): number[] {
     const expired: number[] = [];
     for (const { id, requests } of this.inOrder()) {
@@ -60,20 +63,20 @@
       const remaining = requests.filter(({ arrivedAt }) => arrivedAt > cutoff);
       for (const { request, arrivedAt } of requests) if (arrivedAt <= cutoff) expired.push(request);
       if (remaining.length === 0) this.remove(id);
-      else (this.repeated.has(id) ? this.repeated : this.fresh).set(id, remaining);
+      else (this.requeued.has(id) ? this.requeued : this.fresh).set(id, remaining);
     }
     return expired;
   }
 
-  /** Takes all polls out. */
+  /** Removes and returns all polls. */
   takeAll(): JobPolls[] {
     const all = this.inOrder();
-    this.repeated.clear();
+    this.requeued.clear();
     this.fresh.clear();
     return all;
   }
 
-  /** When the oldest waiting poll arrived; null: none waits. */
+  /** Arrival time of the oldest waiting poll; null if there is none. */
   get oldestArrival(): Micros | null {
     const oldest = oldestOf(this.inOrder().flatMap(({ requests }) => requests));
     return oldest === Infinity ? null : oldest;
--- a/packages/core/src/api/request-metrics.ts
+++ b/packages/core/src/api/request-metrics.ts
@@ -1,33 +1,37 @@
-/** Counts of what became of clients' requests, logged now and then together with what this node knows of jobs. */
+/** Counts the outcomes of client requests, and periodically logs them together with the state of the read path. */
 import type { InternalResponse } from '../domain/client-api.js';
 import type { LogFields } from '../domain/effects.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
-/** How often the counts are logged. */
-const SUMMARY_INTERVAL: Micros = 10 * SECOND;
-/** Refusals that are logged by themselves between two summaries; all are counted. */
+/** Interval between two logged summaries. */
+const SUMMARY_INTERVAL_US: Micros = 10 * SECOND;
+/** Maximum number of refusals logged individually between two summaries; the others are only counted. */
 const MAX_LOGGED_REFUSALS = 10;
 
-/** What a refusal rests on: a comparison at one moment, a lookup, or the request's body alone. */
+/** The evidence for a refusal: a validation of both records at once, a lookup, or only the request's body. */
 export type RefusalBasis = 'validation' | 'lookup' | 'body';
 
-/** What the counts are logged with. */
-export type ReadState = () => LogFields;
+/** Returns the fields on the read path's state that are logged with the counts. */
+export type ReadSummary = () => LogFields;
 
+/** Counts since the last summary; the keys are those of the log event. */
 interface Counts {
   requests: number;
   views: number;
   refusals: number;
   unavailable: number;
-  /** Validations that were compared, those among them with conflicts, and those that were not answered or not sent. */
+  /** Validations whose conditions were compared. */
   validations: number;
+  /** Compared validations with at least one failed condition. */
   conflicts: number;
+  /** Validations to which the state service gave no usable answer. */
   unanswered: number;
+  /** Validations rejected because of too many requests. */
   overBudget: number;
 }
 
-const noCounts = (): Counts => ({
+const zeroCounts = (): Counts => ({
   requests: 0,
   views: 0,
   refusals: 0,
@@ -38,39 +42,40 @@
   overBudget: 0,
 });
 
-/** Metrics of the client API of one node. */
+/** Request metrics of the client API on one node. */
 export class RequestMetrics {
-  private counts = noCounts();
+  private counts = zeroCounts();
 
   constructor(private readonly context: NodeContext) {}
 
-  /** Begins to log summaries. */
-  start(readState: ReadState): void {
-    this.context.after(SUMMARY_INTERVAL, () => {
-      if (this.counts.requests > 0) this.context.info('reads.summarized', { ...this.counts, ...readState() });
-      this.counts = noCounts();
-      this.start(readState);
+  /** Starts to log periodic summaries. */
+  start(readSummary: ReadSummary): void {
+    this.context.after(SUMMARY_INTERVAL_US, () => {
+      if (this.counts.requests > 0)
+        this.context.info('reads.summarized', { ...this.counts, ...readSummary() });
+      this.counts = zeroCounts();
+      this.start(readSummary);
     });
   }
 
-  /** A request has arrived. */
+  /** Counts a request on arrival. */
   recordRequest(): void {
     this.counts.requests++;
   }
 
-  /** A request was answered. */
+  /** Counts a response, if it is a job's view or says that the service is unavailable. */
   recordResponse({ kind }: InternalResponse): void {
     if (kind === 'view') this.counts.views++;
     else if (kind === 'unavailable') this.counts.unavailable++;
   }
 
-  /** A request was refused: the job was never accepted, or can't be. */
+  /** Counts a refusal (the job was never accepted, or can't be), and logs it up to a limit. */
   recordRefusal(job: string | null, refusal: string, basis: RefusalBasis): void {
     if (++this.counts.refusals <= MAX_LOGGED_REFUSALS)
       this.context.info('request.refused', { job, refusal, basis });
   }
 
-  /** A validation has ended. */
+  /** Counts a finished validation by its outcome. */
   recordValidation(outcome: 'valid' | 'conflict' | 'unanswered' | 'overBudget'): void {
     if (outcome === 'unanswered') this.counts.unanswered++;
     else if (outcome === 'overBudget') this.counts.overBudget++;
--- a/packages/core/src/api/request-urgency.ts
+++ b/packages/core/src/api/request-urgency.ts
@@ -1,4 +1,4 @@
-/** How urgent the requests to the state service are that clients wait for. */
+/** Urgency of requests to the state service on behalf of waiting clients. */
 import type { RequestUrgency } from '../domain/effects.js';
 
 /** Urgency of all requests that the client API makes to the state service. */
--- a/packages/core/src/api/submission-rules.ts
+++ b/packages/core/src/api/submission-rules.ts
@@ -1,4 +1,6 @@
-/** The rules by which a submitted job is judged on its own: its team's limits, the machine types, the record's size. */
+/**
+ * Validation of a submitted job without regard to other jobs: its team's limits, the machine types, the record's size.
+ */
 import { bytesOf } from '../codecs/value-size.js';
 import type { ClientResponse } from '../domain/client-api.js';
 import type { JobSpec } from '../domain/job.js';
@@ -7,24 +9,24 @@
 import type { Settings } from '../domain/settings.js';
 import { unavailable } from './client-responder.js';
 
-/** Bytes of a stored value that are kept free beside a job's record. */
+/** Bytes by which a job's record must stay below the maximum size of a stored value. */
 const RECORD_RESERVE_BYTES = 128;
 
-/** What the rules are checked against. */
+/** The settings and machine types that the rules refer to. */
 export interface SubmissionLimits {
   readonly settings: Settings;
   readonly types: ReadonlyMap<string, MachineType>;
 }
 
-/** Why a submission can't be accepted. */
+/** The response to a submission that can't be accepted, with the reason. */
 export type Rejection = ClientResponse & { readonly kind: 'malformed' | 'impossible' | 'unavailable' };
 
 const impossible = (problem: string): Rejection => ({ kind: 'impossible', problem });
 
-/** How many tasks have to run at the same time: those of an array may run one after the other. */
+/** Number of tasks that must run at the same time; the tasks of an array may run one after the other. */
 const concurrentTasksOf = (spec: JobSpec): number => (spec.shape === 'array' ? 1 : spec.tasks);
 
-/** Why the job can never run, or can't be judged now; null if it may be accepted. */
+/** Returns why the job can never run, or can't be checked at present; null if it may be accepted. */
 export const rejectionOf = (spec: JobSpec, { settings, types }: SubmissionLimits): Rejection | null => {
   const team = settings.teams.find((candidate) => candidate.name === spec.team);
   if (team === undefined) return impossible('unknown team');
@@ -36,7 +38,7 @@
   return fitsSomewhere(spec, types) ? null : impossible('fits no allowed machine type');
 };
 
-/** Why the job's record can't be stored; null if it can. */
+/** Returns why the job's record can't be stored; null if it can. */
 export const recordRejectionOf = (record: unknown, { settings }: SubmissionLimits): Rejection | null =>
   bytesOf(record) > settings.maxValueBytes - RECORD_RESERVE_BYTES
     ? { kind: 'malformed', problem: 'description too long' }
--- a/packages/core/src/api/submission.ts
+++ b/packages/core/src/api/submission.ts
@@ -1,4 +1,4 @@
-/** Accepts jobs: creates a job's record by compare-and-swap, so that a repeated submission is an idempotent request. */
+/** Accepts jobs: creates the job's record by compare-and-swap, which makes submissions idempotent. */
 import { encodeActiveJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { ClientRequest, ClientResponse, ExtraWrites } from '../domain/client-api.js';
@@ -13,14 +13,14 @@
 import { CLIENT_REQUEST_URGENCY } from './request-urgency.js';
 import { recordRejectionOf, rejectionOf } from './submission-rules.js';
 
-/** A request to accept a job. */
+/** A request to submit a job. */
 export type SubmitRequest = ClientRequest & { readonly kind: 'submit' };
 
-/** A job that has passed all checks. */
+/** A submission that has passed all checks. */
 interface CheckedSubmission {
   readonly request: number;
   readonly spec: JobSpec;
-  /** The job's record as it is stored. */
+  /** The encoded job record to be stored. */
   readonly record: unknown;
   readonly extraWrites: ExtraWrites | undefined;
 }
@@ -35,7 +35,7 @@
   writes: [{ kind: 'put', key: activeJobKey(spec.id), value: record }, ...(extraWrites?.writes ?? [])],
 });
 
-/** Handles submissions; they are answered only after the write. */
+/** Handles submissions. Acceptance is confirmed only after the write has succeeded. */
 export class SubmissionHandler {
   constructor(
     private readonly context: NodeContext,
@@ -45,7 +45,7 @@
     private readonly responder: ClientResponder,
   ) {}
 
-  /** Accepts the job, or answers with its state if it was accepted before. */
+  /** Accepts the job, or responds with its state if it was accepted before. */
   submit(request: number, submission: SubmitRequest): void {
     if (this.respondIfKnown(request, submission)) return;
     const { spec, extraWrites } = submission;
@@ -73,7 +73,7 @@
     });
   }
 
-  /** Answers a submission of a job that is cached; returns whether it was. */
+  /** Responds to the submission if the job is cached, and returns whether it has done so. */
   private respondIfKnown(request: number, { id, extraWrites }: SubmitRequest): boolean {
     const known = id === null ? undefined : this.cache.get(id);
     if (known === undefined || id === null) return false;
@@ -82,13 +82,16 @@
       return true;
     }
     if (extraWrites !== undefined) return false;
-    // Acceptance is permanent: a validation finds the present state. The accepting transaction would find it as well, but
-    // writes that fail count against the limit, and clients that repeat themselves used up the writes of others.
+    // Acceptance is permanent, so a validation suffices to find the current state. The accepting transaction would find
+    // it as well, but failed writes count against the write limit: retrying clients used up the writes of others.
     this.reads.poll(request, id);
     return true;
   }
 
-  /** A known job is answered with its state whatever the body says; only if it is unknown the body is judged. */
+  /**
+   * Rejects the submission only if the job is unknown; an accepted job is answered with its state, whatever the body
+   * says.
+   */
   private reject(request: number, id: string | null, rejection: ClientResponse): void {
     if (rejection.kind === 'unavailable') this.responder.respond(request, rejection);
     else if (id === null) this.responder.respondRefused(request, id, rejection, 'body');
@@ -106,7 +109,7 @@
   private respondAccepted({ request, spec, extraWrites }: CheckedSubmission, revision: number): void {
     const { id, dependsOn } = spec;
     const job: KnownActiveJob = { kind: 'active', version: revision, spec };
-    this.cache.remember(id, job);
+    this.cache.put(id, job);
     this.context.info('job.accepted', {
       job: id,
       class: spec.class,
@@ -117,7 +120,7 @@
       this.reads.respondCreated(request, job);
       return;
     }
-    // A feature's client is answered with what was written just now, and asks for the job's state later.
+    // A feature's client receives the state as just written, and polls for the job's current state later.
     const view = this.cache.viewOf(id, job);
     this.responder.respond(request, { kind: 'view', created: true, view, revision });
   }
--- a/packages/core/src/api/suspect-jobs.ts
+++ b/packages/core/src/api/suspect-jobs.ts
@@ -1,41 +1,44 @@
-/** Bisection of validation batches that could not be answered, so that one unreadable record holds up no other poll. */
+/**
+ * Bisects validation batches that were not answered, so that one unreadable record does not block the polls of other
+ * jobs.
+ */
 import { evictOldestBeyond } from './bounded-map.js';
 
-/** Most suspect jobs that are remembered. */
-const MAX_SUSPECTS = 20_000;
+/** Maximum number of suspect jobs that are tracked. */
+const MAX_SUSPECT_JOBS = 20_000;
 
 /**
- * Jobs whose last validation was not answered though others were, and with how many jobs each is validated the next time: half
- * as many. One record that the state service did not answer for once held up all clients that polled at the same moments.
+ * Tracks jobs whose last validation was not answered, and halves the size of the batch in which each is validated next.
+ * Without this, one record for which the state service did not answer blocked all polls that shared its batches.
  */
 export class SuspectJobs {
   private readonly batchLimits = new Map<string, number>();
 
-  /** Suspect jobs that are remembered. */
+  /** Number of jobs that are suspect at present. */
   get count(): number {
     return this.batchLimits.size;
   }
 
-  /** Whether the last validation of the job was not answered. */
+  /** Whether the job's last validation was not answered. */
   isSuspect(id: string): boolean {
     return this.batchLimits.has(id);
   }
 
-  /** With how many jobs at most, itself counted, a job is validated. */
+  /** Maximum number of jobs, including this one, in the batch of its next validation. */
   batchLimitOf(id: string): number {
     const limit = this.batchLimits.get(id);
     return limit === undefined ? Infinity : Math.max(1, limit);
   }
 
   /**
-   * Records whether a batch of `batchSize` jobs was answered. While the state service does not answer at all nothing is
-   * validated, so an outage makes few jobs suspect, and only until their next validation.
+   * Records whether a batch of `batchSize` jobs was answered. Nothing is validated while the state service does not answer
+   * at all, so an outage makes only a few jobs suspect, and only until their next validation.
    */
   recordValidation(ids: Iterable<string>, batchSize: number, answered: boolean): void {
     for (const id of ids) {
       if (answered) this.batchLimits.delete(id);
       else this.batchLimits.set(id, batchSize >> 1);
-      evictOldestBeyond(this.batchLimits, MAX_SUSPECTS);
+      evictOldestBeyond(this.batchLimits, MAX_SUSPECT_JOBS);
     }
   }
 }
--- a/packages/core/src/api/validation-basis.ts
+++ b/packages/core/src/api/validation-basis.ts
@@ -1,18 +1,18 @@
-/** What the answer to a poll rests on, worked out from the cached records. */
+/** Derives from the cached records what has to hold for the answer to a poll to be correct. */
 import { activeJobKey, endedJobKey } from '../codecs/keys.js';
 import type { VersionCondition } from '../domain/key-value-store.js';
 import type { JobCache, KnownEndedJob, KnownJob } from './job-cache.js';
 
-/** What the answer to a poll rests on. */
+/** The precondition for answering a poll from the cache. */
 export type ValidationBasis =
-  /** The job has ended, which never changes: nothing needs to be validated. */
+  /** The job has ended, which is final: nothing needs to be validated. */
   | { readonly kind: 'final'; readonly job: KnownEndedJob }
-  /** The answer from the cache is right if these conditions hold. */
+  /** The cached state is current if these conditions hold. */
   | { readonly kind: 'conditions'; readonly conditions: readonly VersionCondition[] }
-  /** The records of these dependencies have to be read first. */
+  /** The records of these dependencies are not cached and have to be read first. */
   | { readonly kind: 'unread'; readonly ids: readonly string[] };
 
-/** What becomes known of a job with a cancelled dependency. */
+/** The state of a job with a cancelled dependency. */
 const CANCELLED_BY_DEPENDENCY: KnownEndedJob = {
   kind: 'ended',
   stage: 'cancelled',
@@ -20,16 +20,17 @@
   isService: false,
 };
 
-/** The conditions under which a job has never been accepted. */
+/** The conditions that hold exactly if the job was never accepted. */
 const absenceConditions = (id: string): readonly VersionCondition[] => [
   { key: activeJobKey(id), version: 0 },
   { key: endedJobKey(id), version: 0 },
 ];
 
 /**
- * What must still hold for an answer that is not final: the versions of the records of the job and of all its dependencies,
- * direct and transitive. A job is cancelled if any of them is, whether or not its own record says so yet: each node
- * derives that from the records, also while there is no leader. A cancellation that is found so is remembered.
+ * Returns what must hold for the cached state of a job to be current: unless the job has ended, the versions of its record
+ * and of the records of all direct and transitive dependencies. A job is cancelled if any of its dependencies is, even
+ * before its own record says so: every node derives that from the records, also while there is no leader. A cancellation
+ * found in this way is cached.
  */
 export const validationBasisOf = (id: string, cache: JobCache): ValidationBasis => {
   const known = cache.get(id);
@@ -43,7 +44,7 @@
     const { job } = next;
     if (job.kind === 'ended') {
       if (job.stage === 'done') continue;
-      cache.remember(id, CANCELLED_BY_DEPENDENCY);
+      cache.put(id, CANCELLED_BY_DEPENDENCY);
       return { kind: 'final', job: CANCELLED_BY_DEPENDENCY };
     }
     conditions.push({ key: activeJobKey(next.id), version: job.version });
--- a/packages/core/src/api/version-validator.ts
+++ b/packages/core/src/api/version-validator.ts
@@ -1,15 +1,15 @@
-/** Compares the versions of cached records with those in the state service. */
+/** Compares the versions of cached records with the current ones in the state service. */
 import type { StoreReply, VersionCondition } from '../domain/key-value-store.js';
 import type { NodeContext } from '../node/node-context.js';
 import { CLIENT_REQUEST_URGENCY } from './request-urgency.js';
 
-/** A transaction without writes may hold so many conditions for each operation that the store allows. */
+/** Number of conditions that a transaction without writes may have per operation that the store allows. */
 const CONDITIONS_PER_OPERATION = 4;
 const MIN_CONDITION_LIMIT = 2;
 
 /**
- * `compared`: the store has compared the conditions, and those of `failed` do not hold; `overBudget`: too many requests, which
- * says nothing about these records; `unanswered`: the store gave no usable answer.
+ * `compared`: the store has evaluated the conditions, and those with keys in `failed` do not hold; `overBudget`: rejected
+ * because of too many requests, which says nothing about these records; `unanswered`: the store gave no usable answer.
  */
 export type ValidationResult =
   | { readonly kind: 'compared'; readonly failed: ReadonlySet<string> }
@@ -24,17 +24,20 @@
   return { kind: 'unanswered' };
 };
 
-/** Validates conditions by transactions that write nothing. */
+/** Validates conditions with transactions that contain no writes. */
 export class VersionValidator {
   constructor(private readonly context: NodeContext) {}
 
-  /** Most conditions that are compared in one transaction. */
+  /** Maximum number of conditions in one transaction. */
   get conditionLimit(): number {
     const { maxTransactionOperations } = this.context.settings;
     return Math.max(MIN_CONDITION_LIMIT, maxTransactionOperations * CONDITIONS_PER_OPERATION);
   }
 
-  /** Finds out which of the conditions fail, in as many transactions as it takes; the first that fails is the last. */
+  /**
+   * Determines which conditions fail, in several transactions if necessary, stopping at the first that does not
+   * succeed.
+   */
   validate(
     conditions: readonly VersionCondition[],
     callback: (result: ValidationResult) => void,
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -61,7 +61,7 @@
       const endpoint = feature.serve?.({
         context: this.context,
         submitRequest: (body, then) => {
-          this.jobService.ask(body, then);
+          this.jobService.handleInternal(body, then);
         },
       });
       if (endpoint !== undefined) endpoints.set(feature.name, endpoint);
