--- a/packages/core/src/api/client-responder.ts
+++ b/packages/core/src/api/client-responder.ts
@@ -65,12 +65,12 @@
   respondWithJob(request: number, id: string, job: KnownJob, created = false): void {
     const known = this.cache.get(id);
     const isEnded = known?.kind === 'ended';
-    const isFinalKept = this.context.invariants.check(
+    const preservesFinalState = this.context.invariants.check(
       'finalStateIsKept',
       !isEnded || job.kind === 'ended',
       () => ({ job: id }),
     );
-    const answered = isFinalKept ? job : (known ?? job);
+    const answered = preservesFinalState ? job : (known ?? job);
     this.respond(request, { kind: 'view', created, view: this.cache.viewOf(id, answered) });
   }
 
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -37,7 +37,7 @@
     this.reads = reads;
     this.submissions = new SubmissionHandler(context, cache, lookups, reads, responder);
     this.cancellations = new CancellationHandler(context, cache, lookups, reads, responder);
-    context.onStoreLost.push(() => {
+    context.storeDownListeners.push(() => {
       reads.failPending();
     });
   }
--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -21,7 +21,7 @@
   type BatchHost,
   type ValidationBatch,
 } from './validation-batch.js';
-import { ValidationQueue,type ValidationQueueHost } from './validation-queue.js';
+import { ValidationQueue, type ValidationQueueHost } from './validation-queue.js';
 import { type ValidationResult, VersionValidator } from './version-validator.js';
 
 /** Time that clients wait for the answer to a poll. */
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,4 +1,6 @@
-/** One controller as a state machine: `step` takes one input at a time and returns the effects to be carried out. */
+/**
+ * One controller as a deterministic state machine: `step` processes one input and returns the effects to be executed.
+ */
 import { JobService } from './api/job-service.js';
 import type { CoreEffect, Input } from './domain/effects.js';
 import type { Heartbeat, HeartbeatResponse } from './domain/heartbeat.js';
@@ -12,7 +14,7 @@
 import { MachineTypeLoader } from './node/machine-type-loader.js';
 import { NodeContext } from './node/node-context.js';
 
-/** Effects that only a node with the right to act may have. */
+/** Whether an effect is reserved for a node that may act as leader. */
 const isLeaderAction = (effect: CoreEffect): boolean => {
   switch (effect.kind) {
     case 'workerCommands':
@@ -20,7 +22,7 @@
     case 'heartbeatResponse':
       return effect.answer.kind === 'accepted';
     case 'cloudRequest':
-      // Deletions rest on the machine's record instead, which says that it retires: whoever leads, that is never undone.
+      // Deletions are excluded: they follow from the machine's record being marked as retired, which is never reverted.
       return effect.op.kind === 'rent';
     default:
       return false;
@@ -33,18 +35,18 @@
   private readonly jobService: JobService;
   private readonly election: LeaderElection;
   private readonly machineTypes: MachineTypeLoader;
-  /** Null: switched off. */
+  /** Null if peer heartbeats are disabled, or there are no peers. */
   private readonly peerHeartbeats: PeerHeartbeats | null;
   private currentScheduler: Scheduler | null = null;
   private readonly endpoints: ReadonlyMap<string, FeatureEndpoint>;
 
   constructor(
     settings: Settings,
-    /** Processor time in microseconds, from any origin. */
+    /** Processor time in microseconds from an arbitrary origin. */
     stopwatch: () => Micros,
-    /** Whether decisions are logged. */
+    /** Whether debug events, which record individual decisions, are logged. */
     verbose = true,
-    /** The features that are switched on. */
+    /** The enabled features. */
     private readonly features: readonly Feature[] = [],
   ) {
     this.context = new NodeContext(settings, stopwatch, verbose);
@@ -60,8 +62,8 @@
     for (const feature of this.features) {
       const endpoint = feature.serve?.({
         context: this.context,
-        submitRequest: (body, then) => {
-          this.jobService.handleInternal(body, then);
+        submitRequest: (body, onResponse) => {
+          this.jobService.handleInternal(body, onResponse);
         },
       });
       if (endpoint !== undefined) endpoints.set(feature.name, endpoint);
@@ -106,27 +108,29 @@
     );
   }
 
-  /** Takes one input at steady time `now`, and returns the effects in the order in which they are to be carried out. */
+  /**
+   * Processes one input at monotonic time `now`, and returns the effects in the order in which they must be executed.
+   */
   step(now: Micros, input: Input): CoreEffect[] {
     const { context } = this;
-    // Time never runs backwards inside, whatever the order in which inputs were stamped.
+    // Keeps time monotonic even if inputs arrive with timestamps out of order.
     context.now = Math.max(context.now, now);
-    context.out = [];
+    context.effects = [];
     context.guard(input.kind, () => {
       this.dispatch(input);
     });
     context.runDueTimers();
     context.runEndOfStep();
-    this.checkActions();
-    const wakeAt = context.nextWake();
+    this.checkOnlyLeaderActs();
+    const wakeAt = context.nextTimerAt();
     if (wakeAt !== null) context.emit({ kind: 'wake', at: wakeAt });
-    return context.out;
+    return context.effects;
   }
 
-  /** Whatever led to it, only a node that may act as leader commands workers, renews their leases, or rents machines. */
-  private checkActions(): void {
+  /** Checks that only a node that may act as leader has commanded workers, renewed their leases or rented machines. */
+  private checkOnlyLeaderActs(): void {
     const { context } = this;
-    const action = context.out.find(isLeaderAction);
+    const action = context.effects.find(isLeaderAction);
     if (action === undefined) return;
     context.invariants.check('onlyLeaderActs', this.leads(), () => ({
       action: action.kind === 'cloudRequest' ? action.op.kind : action.kind,
@@ -134,12 +138,12 @@
     }));
   }
 
-  /** The scheduler of the term that this controller leads; null while another one does. */
+  /** The scheduler of the term that this controller leads; null while it does not lead. */
   get scheduler(): Scheduler | null {
     return this.currentScheduler;
   }
 
-  /** Whether this controller leads and may act. */
+  /** Whether this controller leads and may act as leader now. */
   leads(): boolean {
     return this.election.canActAsLeader();
   }
@@ -157,13 +161,13 @@
       case 'timer':
         return;
       case 'storeReply':
-        context.storeReplied(input.call, input.reply);
+        context.handleStoreReply(input.call, input.reply);
         return;
       case 'cloudReply':
-        context.cloudReplied(input.call, input.reply);
+        context.handleCloudReply(input.call, input.reply);
         return;
       case 'commandReply':
-        context.commandsReplied(input.call, input.reply);
+        context.handleCommandReply(input.call, input.reply);
         return;
       case 'clientRequest':
         this.setWallClock(input.wallUs);
@@ -190,7 +194,7 @@
     const { member, term } = message;
     const isFromNewestLeader = term !== null && this.election.recordPeerClaim(member, term);
     if (message.kind === 'beat') this.peerHeartbeats?.receive(message);
-    // Counts of a leader that has stepped down are older than those of the next.
+    // Counts from an earlier leader are dropped, since they are older than those of the newest one.
     else if (isFromNewestLeader) this.jobService.recordProgress(message);
   }
 
--- a/packages/core/src/feature-api.ts
+++ b/packages/core/src/feature-api.ts
@@ -1,7 +1,7 @@
 /**
- * What the core offers to features. The core knows none of them: whoever makes a `Core` passes those that are switched on, and
- * each is notified of what happens in a leader's term. No feature can break a rule of the protocol: all it may do is hold back
- * a job that has not begun, and have workers keep a result a little longer.
+ * Interface between the core and its features. The core does not depend on any feature: the creator of a `Core` passes the
+ * enabled ones, which are notified of events during a leader's term. A feature can't violate the protocol: all it can do is
+ * delay the start of a job, and make workers retain a result a little longer.
  */
 import type { AdmissionHold } from './cluster/admission-hold.js';
 import type { ActiveJob, Machine, TaskAttempt } from './cluster/cluster-model.js';
@@ -10,61 +10,69 @@
 import type { LeaderTerm } from './leadership/leader-term.js';
 import type { NodeContext } from './node/node-context.js';
 
-/** A feature within one term. All calls are synchronous, and none may throw for what happens outside the process. */
+/**
+ * A feature during one leader's term. All calls are synchronous, and must not throw because of events outside the
+ * process.
+ */
 export interface FeatureTerm {
-  /** The records of earlier leaders are read: jobs and machines are known from here on. */
+  /** The records of earlier leaders have been read: from now on, jobs and machines are known. */
   stateRestored(): void;
-  /** Called twice a second once the state is restored; `canAct`: whether commands may be sent now. */
+  /** Called twice a second once the state is restored. `canAct`: whether the leader may send commands now. */
   maintain(canAct: boolean): void;
-  /** A task runs, as its machine reports. `startTimeKnown` of the attempt is false where an earlier leader started it. */
+  /** A machine reports a task as running. `attempt.startTimeKnown` is false if an earlier leader started it. */
   taskRunning(attempt: TaskAttempt): void;
-  /** An attempt is certainly not on its machine any more; `exit` is null where its end is not known. */
+  /** An attempt is certain to be no longer on its machine. `exit` is null if it is not known how it ended. */
   attemptEnded(attempt: TaskAttempt, exit: ReportedTask | null): void;
-  /** A machine reports the end of an attempt that this leader never knew to run. */
+  /** A machine reports the end of an attempt that this leader did not know as running. */
   unknownAttemptExited(job: string, exit: ReportedTask): void;
-  /** Whether a worker is to keep the result of a done attempt for now, though the core has recorded it. */
+  /** Whether a worker must retain the result of a finished attempt for now, although the core has recorded it. */
   retainsResult(exit: ReportedTask): boolean;
-  /** The machine and everything on it are gone; its attempts ended before. */
+  /** A machine was removed, after all of its attempts had ended. */
   machineRemoved(machine: Machine): void;
-  /** No task of the job is anywhere any more, and its record holds how it ended. */
+  /** No task of the job exists on any machine, and the job's record says how it ended. */
   jobClosed(job: ActiveJob): void;
-  /** Why a job that has not begun may not begin now; null if it may. */
+  /** Returns why a job that has not started may not start now; null if it may. */
   admissionHold(job: ActiveJob): AdmissionHold | null;
-  /** The leader has stepped down; no further call follows. */
+  /** The leader has stepped down. No further calls follow. */
   termEnded(): void;
 }
 
-/** How jobs depend on each other, as far as the leader knows. */
+/** The dependencies between jobs that are known to the leader. */
 export interface DependencyLinks {
-  /** Jobs that directly depend on this one and have not ended. */
+  /** Returns the jobs that directly depend on this one and have not ended. */
   dependentsOf(id: string): Iterable<ActiveJob>;
 }
 
-/** What a feature may use on any controller, whoever leads. */
+/** Services available to a feature on every controller, whether or not it leads. */
 export interface NodeServices {
+  /** Clocks, calls, timers and logs of the controller. */
   readonly context: NodeContext;
-  /** Submits a request on the same path as a user of this controller. */
-  submitRequest(body: ClientRequest, then: (response: InternalResponse) => void): void;
+  /** Handles a request in the same way as one from a client of this controller. */
+  submitRequest(body: ClientRequest, onResponse: (response: InternalResponse) => void): void;
 }
 
-/** The endpoint of a feature on one controller, for clients of its own. */
+/** A feature's endpoint on one controller, which serves the feature's own clients. */
 export interface FeatureEndpoint {
-  /** Each answer is an effect `featureResponse` for `request`, until the last. */
+  /** Handles a request. Each response is emitted as a `featureResponse` effect for `request`; there may be several. */
   handle(request: number, body: unknown): void;
 }
 
-/** Passes a client's request to a feature's endpoint; returns its number. `onAnswer` is called until the last answer. */
+/**
+ * Passes a client's request to a feature's endpoint, and returns the request's number. `onAnswer` is called for each
+ * response.
+ */
 export type AskFeature = (
   feature: string,
   body: unknown,
   onAnswer: (answer: unknown, last: boolean) => void,
 ) => number;
 
-/** A part of the product that the core does not depend on. */
+/** An optional part of the product, on which the core does not depend. */
 export interface Feature {
+  /** Unique name, by which requests to its endpoint are routed. */
   readonly name: string;
-  /** Called once for a process, before anything else. */
+  /** Called once per process, before anything else. Returns the feature's endpoint. */
   serve?(services: NodeServices): FeatureEndpoint;
-  /** A new term; called before anything of it is known. */
+  /** Called at the start of a leader's term, before the stored state is restored. */
   begin(term: LeaderTerm, dependencies: DependencyLinks): FeatureTerm;
 }
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -1,68 +1,72 @@
 /**
- * What a node knows of the other controllers: which are alive, which are suspected, and what each of them reaches. A state
- * machine of heartbeats and time. Suspicion is no proof: nothing that can't be undone depends on it (docs/membership.md).
+ * Failure detector for the other controllers: which of them are alive or suspected, and which reach the state service. A
+ * state machine driven by heartbeats and time. A suspicion may be wrong, so no irreversible action depends on it
+ * (docs/membership.md).
  */
 import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 
-/** How many gaps between heartbeats are remembered of each peer. */
-const MAX_GAPS = 20;
-/** With fewer gaps than that nothing is concluded from how evenly heartbeats arrive. */
-const MIN_GAPS = 3;
-/** A peer is suspected if its heartbeat is overdue by so many standard deviations beyond the mean gap. */
-const SUSPICION_DEVIATIONS = 6;
-/** So many heartbeats of an older process, one interval apart, show that it is alive and that its clock was behind. */
+/** Number of recent intervals between heartbeats kept for each peer. */
+const MAX_ARRIVAL_INTERVALS = 20;
+/** Minimum number of intervals for an estimate of the variation between them. */
+const MIN_ARRIVAL_INTERVALS = 3;
+/** Standard deviations above the mean interval after which a heartbeat counts as overdue. */
+const SUSPICION_STANDARD_DEVIATIONS = 6;
+/**
+ * Number of heartbeats of an older incarnation, arriving an interval apart, that show that it is the current process and
+ * that its clock was behind.
+ */
 const STALE_HEARTBEATS_TO_ACCEPT = 3;
-/** However late this node itself is, it waits no longer than so many times the usual limit. */
-const MAX_PATIENCE = 4;
+/** Upper bound of the factors by which irregular heartbeats and this node's own delay each extend the timeout. */
+const MAX_TIMEOUT_FACTOR = 4;
 
-/** Whether a peer is alive, as far as this node knows; `unknown`: no heartbeat of it has been received. */
+/** A peer's state as far as this node knows; `unknown`: no heartbeat was received from it yet. */
 export type PeerState = 'unknown' | 'alive' | 'suspected';
 
-/** Heartbeats of an older process than the newest that is known. */
+/** Heartbeats of an incarnation older than the newest known one. */
 interface StaleHeartbeats {
   readonly incarnation: number;
-  /** When the last that counts was received. */
+  /** When the last counted one was received. */
   readonly receivedAt: Micros;
   readonly count: number;
 }
 
-/** What is known of a peer. */
+/** The state that this node keeps of a peer. */
 export interface Peer {
-  /** Its member name. */
+  /** Member name from the settings. */
   readonly name: string;
-  /** Whether it is alive. */
+  /** The failure detector's current verdict. */
   state: PeerState;
-  /** Number of its process: a restarted one has a higher one. */
+  /** Number of the peer's process; higher after a restart, unless the clock was set back. */
   incarnation: number;
-  /** When its newest heartbeat was received, by this node's clock. */
+  /** When its newest heartbeat was received, by this node's monotonic clock. */
   lastReceivedAt: Micros;
-  /** Its newest heartbeat. */
+  /** Its newest heartbeat; null if none was received. */
   lastHeartbeat: PeerHeartbeat | null;
-  /** When the state service last gave it a good answer, as it reports; null: never, or not reported. */
+  /** When the state service last answered it successfully, according to its report; null if never or not reported. */
   storeAnsweredAt: Micros | null;
-  /** The latest gaps between its heartbeats. */
-  readonly gaps: Micros[];
-  /** Heartbeats of an older process, as they arrive: delayed ones, or those of a newer process whose clock is behind. */
+  /** The latest intervals between its heartbeats. */
+  readonly arrivalIntervals: Micros[];
+  /** Heartbeats of an older incarnation: delayed ones, or those of a newer process whose clock is behind. */
   staleHeartbeats: StaleHeartbeats | null;
 }
 
-/** A change of what is known of a peer. */
+/** A change of a peer's state. */
 export type PeerChange =
   | {
       readonly kind: 'suspected';
       readonly member: string;
-      readonly silentUs: Micros;
-      readonly limitUs: Micros;
+      readonly sinceHeartbeatUs: Micros;
+      readonly timeoutUs: Micros;
     }
-  /** `silentUs`: time since the heartbeat before; null for the first one. */
-  | { readonly kind: 'alive'; readonly member: string; readonly silentUs: Micros | null }
+  /** `sinceHeartbeatUs`: time since the previous heartbeat; null for the first one. */
+  | { readonly kind: 'alive'; readonly member: string; readonly sinceHeartbeatUs: Micros | null }
   | { readonly kind: 'restarted'; readonly member: string; readonly incarnation: number };
 
-/** Suspects peers whose heartbeats stay away, and keeps what the newest heartbeat of each reports. */
+/** Suspects peers whose heartbeats are overdue, and keeps the newest heartbeat of each. */
 export class PeerFailureDetector {
-  /** All peers, by member name. */
+  /** State of all peers, by member name. */
   readonly peers = new Map<string, Peer>();
   private lastSequence = 0;
 
@@ -79,12 +83,12 @@
         lastReceivedAt: 0,
         lastHeartbeat: null,
         storeAnsweredAt: null,
-        gaps: [],
+        arrivalIntervals: [],
         staleHeartbeats: null,
       });
   }
 
-  /** Takes a heartbeat. Returns what it changes; null if it brings nothing new, or comes from an unknown member. */
+  /** Processes a heartbeat. Returns the change of state; null if nothing changes, or the member is unknown. */
   receive(heartbeat: PeerHeartbeat): PeerChange | null {
     const peer = this.peers.get(heartbeat.member);
     if (peer === undefined) return null;
@@ -93,26 +97,28 @@
     const isFirst = peer.lastHeartbeat === null;
     const restarted = !isFirst && heartbeat.incarnation !== peer.incarnation;
     const previousState = peer.state;
-    const silentUs = now - peer.lastReceivedAt;
-    if (restarted) peer.gaps.length = 0;
-    // The time for which a peer was suspected is no measure of how evenly its heartbeats arrive.
-    else if (previousState === 'alive') this.recordGap(peer, silentUs);
+    const sinceHeartbeatUs = now - peer.lastReceivedAt;
+    if (restarted) peer.arrivalIntervals.length = 0;
+    // An interval that includes a suspicion is not recorded: it does not reflect the usual variation.
+    else if (previousState === 'alive') this.recordArrivalInterval(peer, sinceHeartbeatUs);
     this.update(peer, heartbeat, now);
     const { name: member } = peer;
     if (restarted) return { kind: 'restarted', member, incarnation: heartbeat.incarnation };
-    return previousState === 'alive' ? null : { kind: 'alive', member, silentUs: isFirst ? null : silentUs };
+    return previousState === 'alive'
+      ? null
+      : { kind: 'alive', member, sinceHeartbeatUs: isFirst ? null : sinceHeartbeatUs };
   }
 
-  /** Whether a heartbeat was delayed on its way, or is of a process that another one has replaced. */
+  /** Whether a heartbeat was delayed in transit, or comes from a process that has been replaced. */
   private isOutdated(peer: Peer, { incarnation, sequence }: PeerHeartbeat, now: Micros): boolean {
     if (incarnation < peer.incarnation && !this.acceptsOlderProcess(peer, incarnation, now)) return true;
     const { lastHeartbeat } = peer;
     return incarnation === peer.incarnation && lastHeartbeat !== null && sequence <= lastHeartbeat.sequence;
   }
 
-  private recordGap(peer: Peer, gap: Micros): void {
-    peer.gaps.push(gap);
-    if (peer.gaps.length > MAX_GAPS) peer.gaps.shift();
+  private recordArrivalInterval(peer: Peer, interval: Micros): void {
+    peer.arrivalIntervals.push(interval);
+    if (peer.arrivalIntervals.length > MAX_ARRIVAL_INTERVALS) peer.arrivalIntervals.shift();
   }
 
   private update(peer: Peer, heartbeat: PeerHeartbeat, now: Micros): void {
@@ -126,9 +132,9 @@
   }
 
   /**
-   * Whether an older incarnation is the present process after all. Delayed heartbeats arrive all at once. An older
-   * incarnation whose heartbeats go on arriving one by one, while the newer one is suspected, is a process whose clock is
-   * behind that of the one before: never to accept it would be worse.
+   * Whether an older incarnation is the current process after all. Delayed heartbeats arrive in a burst. If heartbeats of
+   * an older incarnation keep arriving at intervals while the newer one is suspected, the process has restarted with a
+   * clock behind that of its predecessor. Rejecting its heartbeats forever would be worse than accepting a wrong one.
    */
   private acceptsOlderProcess(peer: Peer, incarnation: number, now: Micros): boolean {
     const stale = peer.staleHeartbeats;
@@ -144,40 +150,44 @@
   }
 
   /**
-   * Suspects the peers that have been silent for too long, given how evenly their heartbeats arrived, and returns them.
-   * `lateUs`: how late this node's own timers fire: a node that is late itself, or was frozen, suspects others later.
+   * Suspects the peers that have been silent for too long, given the variation of their intervals, and returns them.
+   * `timerDelayUs`: how late this node's own timers fire. A node that is delayed or was frozen suspects others later.
    */
-  suspectSilentPeers(lateUs: Micros): PeerChange[] {
+  suspectSilentPeers(timerDelayUs: Micros): PeerChange[] {
     const now = this.now();
     const changes: PeerChange[] = [];
     for (const peer of this.peers.values()) {
       if (peer.state !== 'alive') continue;
-      const limitUs = this.silenceLimitOf(peer, lateUs);
-      const silentUs = now - peer.lastReceivedAt;
-      if (silentUs <= limitUs) continue;
+      const timeoutUs = this.timeoutOf(peer, timerDelayUs);
+      const sinceHeartbeatUs = now - peer.lastReceivedAt;
+      if (sinceHeartbeatUs <= timeoutUs) continue;
       peer.state = 'suspected';
-      changes.push({ kind: 'suspected', member: peer.name, silentUs, limitUs });
+      changes.push({ kind: 'suspected', member: peer.name, sinceHeartbeatUs, timeoutUs });
     }
     return changes;
   }
 
-  private silenceLimitOf(peer: Peer, lateUs: Micros): Micros {
+  private timeoutOf(peer: Peer, timerDelayUs: Micros): Micros {
     const { heartbeatIntervalUs, suspectAfterMissed } = this.settings;
     const minimum = heartbeatIntervalUs * suspectAfterMissed;
-    const limit = Math.min(Math.max(minimum, this.overdueGapOf(peer)), minimum * MAX_PATIENCE);
-    const patience = Math.min(MAX_PATIENCE, 1 + lateUs / heartbeatIntervalUs);
-    return Math.round(limit * patience);
+    const limit = Math.min(Math.max(minimum, this.overdueThresholdOf(peer)), minimum * MAX_TIMEOUT_FACTOR);
+    const ownDelayFactor = Math.min(MAX_TIMEOUT_FACTOR, 1 + timerDelayUs / heartbeatIntervalUs);
+    return Math.round(limit * ownDelayFactor);
   }
 
-  /** The gap beyond which a heartbeat is overdue by the peer's own measure; 0 if too few gaps are known. */
-  private overdueGapOf({ gaps }: Peer): Micros {
-    if (gaps.length < MIN_GAPS) return 0;
-    const mean = gaps.reduce((sum, gap) => sum + gap, 0) / gaps.length;
-    const variance = gaps.reduce((sum, gap) => sum + (gap - mean) ** 2, 0) / gaps.length;
-    return Math.round(mean + SUSPICION_DEVIATIONS * Math.sqrt(variance));
+  /** The interval above which a heartbeat of this peer counts as overdue; 0 if too few intervals are known. */
+  private overdueThresholdOf({ arrivalIntervals }: Peer): Micros {
+    if (arrivalIntervals.length < MIN_ARRIVAL_INTERVALS) return 0;
+    const mean = arrivalIntervals.reduce((sum, interval) => sum + interval, 0) / arrivalIntervals.length;
+    const variance =
+      arrivalIntervals.reduce((sum, interval) => sum + (interval - mean) ** 2, 0) / arrivalIntervals.length;
+    return Math.round(mean + SUSPICION_STANDARD_DEVIATIONS * Math.sqrt(variance));
   }
 
-  /** A live peer that reports a good answer of the state service after that moment; null if none does. */
+  /**
+   * Returns a live peer to which, by its report, the state service has answered successfully after that time; null if
+   * none.
+   */
   peerWithStoreAnswerAfter(after: Micros): string | null {
     for (const peer of this.peers.values()) {
       const { storeAnsweredAt } = peer;
@@ -186,12 +196,12 @@
     return null;
   }
 
-  /** The state of a member; `unknown` also for one that is no peer. */
+  /** Returns the state of a member; `unknown` also if it is not a peer. */
   stateOf(member: string): PeerState {
     return this.peers.get(member)?.state ?? 'unknown';
   }
 
-  /** The next heartbeat of this node, with what it knows of its peers. */
+  /** Composes this node's next heartbeat from its own status and the state of its peers. */
   composeHeartbeat(own: PeerStatus): PeerHeartbeat {
     const now = this.now();
     return {
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Sends this node's heartbeats to its peers, receives theirs, and logs what changes. */
+/** Sends heartbeats to the peers, processes theirs, and logs changes of their states. */
 import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
@@ -6,40 +6,43 @@
 import type { NodeContext } from '../node/node-context.js';
 import { type PeerChange, PeerFailureDetector } from './peer-failure-detector.js';
 
-/** A peer's answer shows that the state service is up only if it came so long after this node's own link was lost. */
-const MIN_TIME_AFTER_LOSS: Micros = 500 * MILLI;
-/** A peer's good answer that is older than that shows nothing of the present. */
-const MAX_ANSWER_AGE: Micros = 5 * SECOND;
-/** A worker without a heartbeat for so many of its intervals does not reach this node any more. */
-const WORKER_EXPIRY_INTERVALS = 2.5;
+/**
+ * An answer to a peer proves that the state service is up only if it is at least this much later than the loss of this
+ * node's connection.
+ */
+const MIN_ANSWER_DELAY_AFTER_LOSS_US: Micros = 500 * MILLI;
+/** A successful answer to a peer that is older than this says nothing about the current state. */
+const MAX_ANSWER_AGE_US: Micros = 5 * SECOND;
+/** Number of heartbeat intervals without a heartbeat after which a worker counts as not reaching this node. */
+const WORKER_EXPIRY_HEARTBEAT_INTERVALS = 2.5;
 
-/** What one peer reports of another, as it is logged. */
+/** One peer's report on another, as logged. */
 interface PeerReport {
   readonly by: string;
   readonly suspected: boolean;
-  /** How long ago that peer received a heartbeat of the other. */
+  /** Time since the reporting peer received a heartbeat of the other. */
   readonly agoS: number;
 }
 
 /** Exchanges heartbeats with the other controllers. */
 export class PeerHeartbeats {
   private readonly failureDetector: PeerFailureDetector;
-  /** When each worker last sent a heartbeat to this node, by machine name. */
+  /** Time of each worker's last heartbeat to this node, by machine name. */
   private readonly workerContacts = new Map<string, Micros>();
   private incarnation = 0;
   private startedAt: Micros = 0;
-  /** When the next heartbeat is due. */
+  /** When the next own heartbeat is due. */
   private dueAt: Micros = 0;
-  /** How late this node's timers fire. */
-  private lateUs: Micros = 0;
-  /** When a peer was first found to be served during the present loss of this node's link; null: none was. */
+  /** Delay with which this node's timers fire; decays over some heartbeats. */
+  private timerDelayUs: Micros = 0;
+  /** When a peer was first known to be answered by the store during this node's current interruption; null if none was. */
   private peerServedAt: Micros | null = null;
 
   constructor(
     private readonly context: NodeContext,
     private readonly settings: MembershipSettings,
-    /** The term that this node leads at present; null: none. */
-    private readonly term: () => number | null,
+    /** Returns the term that this node leads and may act in; null if none. */
+    private readonly leadingTerm: () => number | null,
   ) {
     this.failureDetector = new PeerFailureDetector(
       settings,
@@ -48,31 +51,31 @@
     );
   }
 
-  /** Starts sending. `wallUs`: time of day; a process that starts later on the same node has a later one. */
+  /** Starts to send heartbeats. `wallUs`: wall-clock time, from which the incarnation number is derived. */
   start(wallUs: Micros): void {
     this.incarnation = Math.max(1, Math.floor(wallUs / MILLI));
     this.startedAt = this.context.now;
     this.dueAt = this.context.now;
-    this.tick();
+    this.runHeartbeatCycle();
   }
 
-  /** Takes a peer's heartbeat. */
+  /** Processes a peer's heartbeat, and updates whether the store is known to answer any peer. */
   receive(heartbeat: PeerHeartbeat): void {
     this.raiseIncarnationAbove(heartbeat);
     this.logChange(this.failureDetector.receive(heartbeat));
     const lostAt = this.context.storeConnection.downSince;
     if (
       lostAt === null ||
-      this.failureDetector.peerWithStoreAnswerAfter(lostAt + MIN_TIME_AFTER_LOSS) === null
+      this.failureDetector.peerWithStoreAnswerAfter(lostAt + MIN_ANSWER_DELAY_AFTER_LOSS_US) === null
     )
       this.peerServedAt = null;
     else this.peerServedAt ??= this.context.now;
   }
 
   /**
-   * The time of day may be behind that of the process before, which may have ended a moment ago: its incarnation is then as
-   * high as ours or higher, and peers would drop our heartbeats for seconds. What they report of this member that we can't
-   * have sent ourselves was sent by that process.
+   * The wall clock may be behind that of the previous process on this node, whose incarnation is then the same as ours or
+   * higher, so that peers would ignore our heartbeats for seconds. If a peer reports a heartbeat of this member that we
+   * can't have sent, it came from that process, and our incarnation is raised above its.
    */
   private raiseIncarnationAbove({ peers }: PeerHeartbeat): void {
     const { now, settings } = this.context;
@@ -83,43 +86,43 @@
     }
   }
 
-  /** Records a worker's heartbeat to this node, whatever the response to it. */
+  /** Records that a worker's heartbeat reached this node, whatever the response to it. */
   recordWorkerContact(machine: string): void {
     this.workerContacts.set(machine, this.context.now);
   }
 
   /**
-   * Whether the state service answers a peer while it does not answer this node: then it is no outage, and clients are
-   * better served elsewhere. At the end of an outage some node is always answered first: so it also takes a request of this
-   * node that was sent after that and failed as well.
+   * Whether the state service answers a peer but not this node, so that clients are better served by another node. At the
+   * end of an outage for all nodes, some node is always answered first; therefore a request that this node sent after
+   * that must also have failed.
    */
   isStoreServingPeers(): boolean {
     const { storeConnection, now } = this.context;
     if (storeConnection.downSince === null || this.peerServedAt === null) return false;
     return (
       storeConnection.lastFailureSentAt > this.peerServedAt &&
-      this.failureDetector.peerWithStoreAnswerAfter(now - MAX_ANSWER_AGE) !== null
+      this.failureDetector.peerWithStoreAnswerAfter(now - MAX_ANSWER_AGE_US) !== null
     );
   }
 
-  private tick(): void {
+  private runHeartbeatCycle(): void {
     const { context } = this;
     const { heartbeatIntervalUs } = this.settings;
-    // A delay counts for a while longer: the next heartbeats of the peers may still be on their way in.
-    this.lateUs = Math.max(context.now - this.dueAt, Math.floor(this.lateUs / 2));
-    for (const change of this.failureDetector.suspectSilentPeers(this.lateUs)) this.logChange(change);
+    // A delay is halved each time rather than dropped: heartbeats of peers may still be waiting to be processed.
+    this.timerDelayUs = Math.max(context.now - this.dueAt, Math.floor(this.timerDelayUs / 2));
+    for (const change of this.failureDetector.suspectSilentPeers(this.timerDelayUs)) this.logChange(change);
     this.expireWorkerContacts();
     const message = this.failureDetector.composeHeartbeat(this.ownStatus());
     for (const { member } of context.settings.peers) context.emit({ kind: 'peerMessage', member, message });
     this.dueAt = context.now + heartbeatIntervalUs;
     context.after(heartbeatIntervalUs, () => {
-      this.tick();
+      this.runHeartbeatCycle();
     });
   }
 
   private expireWorkerContacts(): void {
     const { now, settings } = this.context;
-    const oldest = now - WORKER_EXPIRY_INTERVALS * settings.heartbeatIntervalUs;
+    const oldest = now - WORKER_EXPIRY_HEARTBEAT_INTERVALS * settings.heartbeatIntervalUs;
     for (const [machine, contactAt] of this.workerContacts)
       if (contactAt < oldest) this.workerContacts.delete(machine);
   }
@@ -130,9 +133,9 @@
     return {
       member: settings.member,
       incarnation: this.incarnation,
-      term: this.term(),
+      term: this.leadingTerm(),
       storeAnswerAgeUs: lastSuccessAt === 0 ? null : now - lastSuccessAt,
-      timerDelayUs: this.lateUs,
+      timerDelayUs: this.timerDelayUs,
       workerCount: this.workerContacts.size,
     };
   }
@@ -140,30 +143,30 @@
   private logChange(change: PeerChange | null): void {
     if (change === null) return;
     const { context } = this;
-    const { member: of } = change;
+    const { member } = change;
     switch (change.kind) {
       case 'suspected':
         context.info('peer.suspected', {
-          of,
-          silentS: change.silentUs / SECOND,
-          limitS: change.limitUs / SECOND,
-          incarnation: this.failureDetector.peers.get(of)?.incarnation,
-          ownLateS: this.lateUs / SECOND,
-          others: this.reportsOf(of),
+          of: member,
+          silentS: change.sinceHeartbeatUs / SECOND,
+          limitS: change.timeoutUs / SECOND,
+          incarnation: this.failureDetector.peers.get(member)?.incarnation,
+          ownLateS: this.timerDelayUs / SECOND,
+          others: this.reportsOf(member),
         });
         return;
       case 'alive':
         context.info('peer.alive', {
-          of,
-          ...(change.silentUs === null ? {} : { afterS: change.silentUs / SECOND }),
+          of: member,
+          ...(change.sinceHeartbeatUs === null ? {} : { afterS: change.sinceHeartbeatUs / SECOND }),
         });
         return;
       case 'restarted':
-        context.info('peer.restarted', { of, incarnation: change.incarnation });
+        context.info('peer.restarted', { of: member, incarnation: change.incarnation });
     }
   }
 
-  /** What the other peers report of a member: evidence for whoever reads the log, which nothing acts on. */
+  /** Returns what the other peers report about a member. Logged for diagnosis only; no decision depends on it. */
   private reportsOf(member: string): readonly PeerReport[] {
     const { now } = this.context;
     return [...this.failureDetector.peers.values()].flatMap((peer) =>
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -1,4 +1,7 @@
-/** What every part of the core shares within one node: the present time, effects of the step, pending calls, timers, logs. */
+/**
+ * State and services shared by all components of a node: current time, effects of the step, pending calls, timers,
+ * logging.
+ */
 import { TERM_KEY } from '../codecs/keys.js';
 import type { CloudOperation, CloudReply } from '../domain/cloud.js';
 import type { CoreEffect, LogFields, RequestUrgency } from '../domain/effects.js';
@@ -12,167 +15,178 @@
 import { StoreConnection } from './store-connection.js';
 import { TimerQueue } from './timer-queue.js';
 
-/** How often the store is probed while it does not answer. */
-const PROBE_INTERVAL: Micros = 300 * MILLI;
+/** Delay between probes of the store while it does not answer. */
+const PROBE_INTERVAL_US: Micros = 300 * MILLI;
 
 interface PendingStoreCall {
   readonly sentAt: Micros;
-  readonly then: (reply: StoreReply) => void;
+  readonly onReply: (reply: StoreReply) => void;
 }
 
-/** State and services that all parts of one node share. */
+/** State and services shared by all components of one node. */
 export class NodeContext {
-  /** Steady time of the step under way, in microseconds from any origin. */
+  /** Monotonic time of the current step, in microseconds from an arbitrary origin. */
   now: Micros = 0;
-  /** Time of day minus steady time, from the newest input that carried both. */
+  /** Wall-clock time minus monotonic time, from the newest input that carried both. */
   wallOffset: Micros = 0;
-  /** Machine types by name; empty until they are known. */
+  /** Machine types by name; empty until loaded. */
   types: ReadonlyMap<string, MachineType> = new Map();
-  /** Effects of the step under way. */
-  out: CoreEffect[] = [];
-  /** Whether the store answers this node. */
+  /** Effects of the current step, in order of emission. */
+  effects: CoreEffect[] = [];
+  /** Tracks whether the store answers this node. */
   readonly storeConnection = new StoreConnection();
-  /** What is checked at run time. */
+  /** Runtime checks, whose violations are logged by this node. */
   readonly invariants = new Invariants((fields) => {
     this.error('invariant.violated', fields);
   });
   /** Called when the store stops answering this node. */
-  readonly onStoreLost: (() => void)[] = [];
+  readonly storeDownListeners: (() => void)[] = [];
 
   private readonly timers = new TimerQueue();
-  /** What is put off to the end of the step under way. */
-  private endOfStep: (() => void)[] = [];
-  private nextCall = 1;
-  private probing = false;
+  /** Callbacks deferred to the end of the current step. */
+  private endOfStepCallbacks: (() => void)[] = [];
+  private nextCallId = 1;
+  private isProbing = false;
   private readonly storeCalls = new Map<number, PendingStoreCall>();
   private readonly cloudCalls = new Map<number, (reply: CloudReply) => void>();
   private readonly commandCalls = new Map<number, (reply: CommandReply) => void>();
 
-  /** `stopwatch` only bounds the time spent on a search; decisions never read it otherwise. */
   constructor(
+    /** Settings of this controller. */
     readonly settings: Settings,
+    /** Processor time. Only used to limit the time spent on a search; no other decision depends on it. */
     readonly stopwatch: () => Micros,
-    /** Whether decisions are logged. */
+    /** Whether debug events, which record individual decisions, are logged. */
     readonly verbose = true,
   ) {}
 
-  /** Time of day. */
+  /** Current wall-clock time, as derived from the monotonic clock. */
   get wallNow(): Micros {
     return this.now + this.wallOffset;
   }
 
   // ---- effects and logs ----------------------------------------------------------------------------
 
-  /** Adds an effect to those of the step under way. */
+  /** Adds an effect to those of the current step. */
   emit(effect: CoreEffect): void {
-    this.out.push(effect);
+    this.effects.push(effect);
   }
 
-  /** Logs a change of leadership, of a job or a machine. */
+  /** Logs an event at level info, such as a change of leadership, of a job or of a machine. */
   info(event: LogEvent, fields: LogFields = {}): void {
     this.emit({ kind: 'log', level: 'info', event, fields });
   }
 
-  /** Fields that are costly to gather are given as a function. */
+  /** Logs a decision at level debug, if `verbose`. Fields that are costly to compute can be given as a function. */
   debug(event: LogEvent, given: LogFields | (() => LogFields) = {}): void {
     if (!this.verbose) return;
     const fields = typeof given === 'function' ? given() : given;
     this.emit({ kind: 'log', level: 'debug', event, fields });
   }
 
-  /** Logs what an operator has to look at. */
+  /** Logs an event at level error, which requires an operator's attention. */
   error(event: LogEvent, fields: LogFields = {}): void {
     this.emit({ kind: 'log', level: 'error', event, fields });
   }
 
-  /** Runs a part so that an exception in it is logged and stops neither the other parts nor the node. */
-  guard(what: string, run: () => void): void {
+  /** Runs a callback, and logs an exception thrown by it so that it stops neither other components nor the node. */
+  guard(operation: string, run: () => void): void {
     try {
       run();
     } catch (error) {
       const stack = error instanceof Error ? error.stack : String(error);
-      this.error('node.exception_caught', { what, stack });
+      this.error('node.exception_caught', { what: operation, stack });
     }
   }
 
   // ---- calls ---------------------------------------------------------------------------------------
 
-  /** Sends a request to the store; `then` is called with the reply, or with a failure. */
-  requestStore(op: StoreOperation, urgency: RequestUrgency, then: (reply: StoreReply) => void): void {
-    const call = this.nextCall++;
-    this.storeCalls.set(call, { sentAt: this.now, then });
-    this.emit({ kind: 'storeRequest', call, op, urgency });
+  /** Sends a request to the store; `onReply` is called with the reply, or with a failure. */
+  requestStore(
+    operation: StoreOperation,
+    urgency: RequestUrgency,
+    onReply: (reply: StoreReply) => void,
+  ): void {
+    const call = this.nextCallId++;
+    this.storeCalls.set(call, { sentAt: this.now, onReply });
+    this.emit({ kind: 'storeRequest', call, op: operation, urgency });
   }
 
-  /** Sends a request to the cloud; `then` is called with the reply, or with a failure. */
-  requestCloud(op: CloudOperation, urgency: RequestUrgency, then: (reply: CloudReply) => void): void {
-    const call = this.nextCall++;
-    this.cloudCalls.set(call, then);
-    this.emit({ kind: 'cloudRequest', call, op, urgency });
+  /** Sends a request to the cloud; `onReply` is called with the reply, or with a failure. */
+  requestCloud(
+    operation: CloudOperation,
+    urgency: RequestUrgency,
+    onReply: (reply: CloudReply) => void,
+  ): void {
+    const call = this.nextCallId++;
+    this.cloudCalls.set(call, onReply);
+    this.emit({ kind: 'cloudRequest', call, op: operation, urgency });
   }
 
-  /** Sends commands to a worker directly; it executes them only if it knows neither a higher token nor another epoch. */
+  /**
+   * Sends commands directly to a worker, which executes them unless it knows a higher fencing token or another epoch.
+   */
   sendCommands(
     address: string,
     fencingToken: number,
     agentEpoch: number,
     commands: readonly WorkerCommand[],
-    then: (reply: CommandReply) => void,
+    onReply: (reply: CommandReply) => void,
   ): void {
-    const call = this.nextCall++;
-    this.commandCalls.set(call, then);
+    const call = this.nextCallId++;
+    this.commandCalls.set(call, onReply);
     this.emit({ kind: 'workerCommands', call, address, fencingToken, agentEpoch, commands });
   }
 
-  /** Passes the reply of a call on to its caller. */
-  storeReplied(call: number, reply: StoreReply): void {
+  /** Passes the reply to a store request on to its caller, and updates the state of the connection. */
+  handleStoreReply(call: number, reply: StoreReply): void {
     const pending = this.storeCalls.get(call);
     this.storeCalls.delete(call);
     if (pending === undefined) return;
     this.recordStoreReply(reply, pending.sentAt);
-    pending.then(reply);
+    pending.onReply(reply);
   }
 
-  /** Passes the reply of a call on to its caller. */
-  cloudReplied(call: number, reply: CloudReply): void {
-    const then = this.cloudCalls.get(call);
+  /** Passes the reply to a cloud request on to its caller. */
+  handleCloudReply(call: number, reply: CloudReply): void {
+    const onReply = this.cloudCalls.get(call);
     this.cloudCalls.delete(call);
-    then?.(reply);
+    onReply?.(reply);
   }
 
-  /** Passes the reply of a call on to its caller. */
-  commandsReplied(call: number, reply: CommandReply): void {
-    const then = this.commandCalls.get(call);
+  /** Passes a worker's reply to commands on to the caller that sent them. */
+  handleCommandReply(call: number, reply: CommandReply): void {
+    const onReply = this.commandCalls.get(call);
     this.commandCalls.delete(call);
-    then?.(reply);
+    onReply?.(reply);
   }
 
   // ---- connection to the store ---------------------------------------------------------------------
 
   private recordStoreReply(reply: StoreReply, sentAt: Micros): void {
-    if (reply.kind !== 'failed') this.storeAnswered();
-    else if (this.storeConnection.recordFailure(reply.cause, sentAt)) this.storeLost(reply.cause);
+    if (reply.kind !== 'failed') this.recordStoreUp();
+    else if (this.storeConnection.recordFailure(reply.cause, sentAt)) this.recordStoreDown(reply.cause);
   }
 
-  private storeAnswered(): void {
+  private recordStoreUp(): void {
     const { downSince } = this.storeConnection;
     const isBack = this.storeConnection.recordSuccess(this.now);
     if (isBack && downSince !== null)
       this.info('store.reconnected', { afterS: (this.now - downSince) / SECOND });
   }
 
-  private storeLost(cause: StoreFailureCause): void {
+  private recordStoreDown(cause: StoreFailureCause): void {
     this.info('store.unreachable', { cause });
-    for (const listener of this.onStoreLost) listener();
-    if (!this.probing) this.probeStore();
+    for (const listener of this.storeDownListeners) listener();
+    if (!this.isProbing) this.probeStore();
   }
 
-  /** While the store does not answer, no other part need ask it: users are answered without it. */
+  /** Probes the store until it answers. Needed because requests from clients are not passed on to it while it is down. */
   private probeStore(): void {
-    this.probing = this.storeConnection.downSince !== null;
-    if (!this.probing) return;
+    this.isProbing = this.storeConnection.downSince !== null;
+    if (!this.isProbing) return;
     this.requestStore({ kind: 'get', key: TERM_KEY }, 0, () => {
-      this.after(PROBE_INTERVAL, () => {
+      this.after(PROBE_INTERVAL_US, () => {
         this.probeStore();
       });
     });
@@ -180,31 +194,33 @@
 
   // ---- timers --------------------------------------------------------------------------------------
 
-  /** Runs something once the delay has passed. */
+  /** Runs a callback once after a delay. */
   after(delay: Micros, run: () => void): void {
     this.timers.set(this.now + delay, run);
   }
 
-  /** Runs all timers that are due, in order. */
+  /** Runs all due timers, ordered by due time. */
   runDueTimers(): void {
     for (const run of this.timers.takeDue(this.now)) this.guard('timer', run);
   }
 
-  /** When the next timer is due; null: none is set. */
-  nextWake(): Micros | null {
+  /** Due time of the next timer; null if none is set. */
+  nextTimerAt(): Micros | null {
     return this.timers.nextDueAt();
   }
 
-  /** Runs once, after all else of this step: what several parts ask for in one step is then done together. */
+  /**
+   * Runs a callback at the end of the current step, so that requests of several components in a step can be batched.
+   */
   atEndOfStep(run: () => void): void {
-    this.endOfStep.push(run);
+    this.endOfStepCallbacks.push(run);
   }
 
-  /** Runs what was put off, and what that puts off in turn. */
+  /** Runs the callbacks deferred to the end of the step, including those that they defer in turn. */
   runEndOfStep(): void {
-    while (this.endOfStep.length > 0) {
-      const due = this.endOfStep;
-      this.endOfStep = [];
+    while (this.endOfStepCallbacks.length > 0) {
+      const due = this.endOfStepCallbacks;
+      this.endOfStepCallbacks = [];
       for (const run of due) this.guard('end of step', run);
     }
   }
--- a/packages/core/src/node/store-connection.ts
+++ b/packages/core/src/node/store-connection.ts
@@ -1,20 +1,20 @@
 /**
- * Whether the key-value store answers this node, as far as the node's own calls show. They can't tell an outage from a network
- * partition or a refusal that only this node meets: only peers can (membership/).
+ * Tracks whether the key-value store answers this node, from the results of the node's own calls. These can't tell an
+ * outage from a network partition or an error that affects only this node; that takes reports from peers (membership/).
  */
 import type { StoreFailureCause } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
 
-/** Whether the store answers, by the results of calls. */
+/** State of the connection to the store, derived from the results of calls. */
 export class StoreConnection {
-  /** When the last good answer came; 0: none yet. */
+  /** When the last successful answer arrived; 0 if there was none yet. */
   lastSuccessAt: Micros = 0;
-  /** Since when no good answer has come; null while the store answers. */
+  /** Send time of the call whose failure began the current interruption; null while the store answers. */
   downSince: Micros | null = null;
-  /** When the newest call was sent that failed. */
+  /** Send time of the most recently sent call that counted as failed. */
   lastFailureSentAt: Micros = 0;
 
-  /** A good answer came. Returns whether that ends an interruption. */
+  /** Records a successful answer. Returns whether it ends an interruption. */
   recordSuccess(now: Micros): boolean {
     const wasDown = this.downSince !== null;
     this.lastSuccessAt = now;
@@ -22,9 +22,9 @@
     return wasDown;
   }
 
-  /** A call that was sent at `sentAt` failed. Returns whether that begins an interruption. */
+  /** Records the failure of a call that was sent at `sentAt`. Returns whether it begins an interruption. */
   recordFailure(cause: StoreFailureCause, sentAt: Micros): boolean {
-    // Being asked to slow down is an answer; and one lost call proves nothing if others were answered meanwhile.
+    // Being throttled is an answer too, and a lost call proves nothing if another one was answered since it was sent.
     if (cause === 'busy' || this.lastSuccessAt >= sentAt) return false;
     this.lastFailureSentAt = Math.max(this.lastFailureSentAt, sentAt);
     if (this.downSince !== null) return false;
--- a/packages/core/src/node/timer-queue.ts
+++ b/packages/core/src/node/timer-queue.ts
@@ -1,4 +1,4 @@
-/** Timers of one node, by its steady clock. Those that are due at the same time fire in the order in which they were set. */
+/** Timers of one node on its monotonic clock. Timers due at the same time fire in the order in which they were set. */
 import type { Micros } from '../domain/time.js';
 
 interface Timer {
@@ -7,17 +7,17 @@
   readonly run: () => void;
 }
 
-/** Timers that have not fired. */
+/** Holds the timers that have not fired yet. */
 export class TimerQueue {
   private timers: Timer[] = [];
   private nextOrder = 0;
 
-  /** Sets a timer. */
+  /** Sets a timer that runs the callback once at `dueAt`. */
   set(dueAt: Micros, run: () => void): void {
     this.timers.push({ dueAt, order: this.nextOrder++, run });
   }
 
-  /** Removes the timers that are due, and returns what they run, in order. */
+  /** Removes the due timers, and returns their callbacks in firing order. */
   takeDue(now: Micros): (() => void)[] {
     const due = this.timers.filter((timer) => timer.dueAt <= now);
     if (due.length === 0) return [];
@@ -26,7 +26,7 @@
     return due.map((timer) => timer.run);
   }
 
-  /** When the next timer is due; null: none is set. */
+  /** Due time of the next timer; null if none is set. */
   nextDueAt(): Micros | null {
     let next: Micros | null = null;
     for (const { dueAt } of this.timers) if (next === null || dueAt < next) next = dueAt;
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -87,7 +87,7 @@
     watch.advanceTo(last + 13 * SECOND);
     const change = watch.changes.at(-1);
     assert.equal(change?.kind, 'suspected', 'but not for ever');
-    if (change?.kind === 'suspected') least = Math.min(least, change.limitUs);
+    if (change?.kind === 'suspected') least = Math.min(least, change.timeoutUs);
   }
   assert.ok(least > 3 * SECOND);
 });
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -90,13 +90,13 @@
       this.context.runDueTimers();
       for (const call of this.late.filter(({ at }) => at <= this.context.now)) call.run();
       this.late = this.late.filter(({ at }) => at > this.context.now);
-      const effects = this.context.out;
-      this.context.out = [];
+      const effects = this.context.effects;
+      this.context.effects = [];
       for (const effect of effects) {
         if (effect.kind !== 'storeRequest') continue;
         const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
         const fate = this.random.next();
-        if (fate >= this.failureRate) this.context.storeReplied(effect.call, this.apply(effect.op));
+        if (fate >= this.failureRate) this.context.handleStoreReply(effect.call, this.apply(effect.op));
         else {
           if (fate < this.failureRate / 3) this.apply(effect.op);
           else if (fate < this.failureRate / 1.5) {
@@ -104,7 +104,7 @@
             const at = this.context.now + this.random.below(20) * SECOND;
             this.late.push({ at, run: () => this.apply(op) });
           }
-          this.context.storeReplied(effect.call, failed);
+          this.context.handleStoreReply(effect.call, failed);
         }
       }
     }
@@ -469,7 +469,7 @@
   context.now += SECOND;
   context.runDueTimers();
   assert.ok(
-    context.out.some((e) => e.kind === 'storeRequest'),
+    context.effects.some((e) => e.kind === 'storeRequest'),
     'on its way',
   );
   assert.ok(!job.recordedMachines.has(machine.name));
