--- a/packages/core/src/api/job-lookup.ts
+++ b/packages/core/src/api/job-lookup.ts
@@ -31,7 +31,7 @@
     });
   }
 
-  /** Does the same for a job that has probably ended, for which one request usually suffices. */
+  /** Reads the record of a job that has probably ended: the ended record first, so that one request usually suffices. */
   lookupLikelyEnded(id: string, callback: LookupCallback): void {
     this.lookupEnded(id, (result) => {
       // Only both reads, in the order in which a job moves, prove that the job is absent.
--- a/packages/core/src/api/suspect-jobs.ts
+++ b/packages/core/src/api/suspect-jobs.ts
@@ -8,7 +8,7 @@
 const MAX_SUSPECT_JOBS = 20_000;
 
 /**
- * Tracks jobs whose last validation was not answered, and halves the size of the batch in which each is validated next.
+ * Tracks jobs whose last validation was not answered although others were, and halves the batch size for their next one.
  * Without this, one record for which the state service did not answer blocked all polls that shared its batches.
  */
 export class SuspectJobs {
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,6 +1,4 @@
-/**
- * One controller as a deterministic state machine: `step` processes one input and returns the effects to be executed.
- */
+/** One controller as a state machine: `step` processes one input and returns the effects to be executed. */
 import { JobService } from './api/job-service.js';
 import type { CoreEffect, Input } from './domain/effects.js';
 import type { Heartbeat, HeartbeatResponse } from './domain/heartbeat.js';
@@ -22,7 +20,7 @@
     case 'heartbeatResponse':
       return effect.answer.kind === 'accepted';
     case 'cloudRequest':
-      // Deletions are excluded: they follow from the machine's record being marked as retired, which is never reverted.
+      // Deletions are excluded: they follow from the machine's record being marked as retiring, which no leader reverts.
       return effect.op.kind === 'rent';
     default:
       return false;
--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -53,10 +53,7 @@
     this.maxAgeUs = Math.max(MIN_CANCELLATION_AGE_LIMIT, maxCancellationAge(settings));
   }
 
-  /**
-   * Records that all cancellations confirmed before `requestedAt` are known: the send time of a request that was
-   * answered.
-   */
+  /** Records that all cancellations confirmed before a request was sent at `requestedAt` are known from its reply. */
   confirmUpTo(requestedAt: Micros): void {
     this.confirmedUpTo = Math.max(this.confirmedUpTo ?? requestedAt, requestedAt);
   }
