--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -1,4 +1,4 @@
-/** Small clusters for tests of plans: machines, groups of waiting tasks, and predicted run times. */
+/** Fixtures for planner tests: machine slots, task groups, cluster snapshots and running attempts. */
 import type { ActiveJob, Machine, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { MachineSlot } from '@shaleyoke/core/cluster/machine-slot';
 import { attemptKey } from '@shaleyoke/core/cluster/task-attempt';
@@ -9,20 +9,20 @@
 import type { CapacityOffer, ClusterSnapshot, TaskGroup } from '@shaleyoke/core/scheduling/plan-input';
 import { TYPE } from '@shaleyoke/emulator/site';
 
-/** Limits that a search of a test never reaches. */
+/** Search limits that no test reaches. */
 export const SEARCH_LIMITS: SearchLimits = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
 
-/** A stopwatch for searches that take no time. */
+/** A clock that stands still, so that no search uses up its time budget. */
 export const stoppedClock = (): number => 0;
 
-/** A machine type like the emulator's, with differences. */
+/** The emulator's machine type under another name, with the given fields overridden. */
 export const typeOf = (name: string, overrides: Partial<MachineType> = {}): MachineType => ({
   ...TYPE,
   name,
   ...overrides,
 });
 
-/** An empty machine that is up, with differences. */
+/** The slot of an empty machine that is up, with the given fields overridden. */
 export const slotOf = (
   key: string,
   type: MachineType,
@@ -42,7 +42,7 @@
   ...overrides,
 });
 
-/** All tasks of a job as one group, with differences. */
+/** One group with all tasks of a job, with the given fields overridden. */
 export const groupOf = (spec: JobSpec, overrides: Partial<TaskGroup> = {}): TaskGroup => ({
   spec,
   count: spec.tasks,
@@ -59,7 +59,7 @@
   ...overrides,
 });
 
-/** A snapshot at time 0; `runSeconds` are run times by machine type, 10 where there is none. */
+/** A snapshot at time 0; `runSeconds` gives the predicted run time by machine type, 10 s for types not listed. */
 export const snapshotOf = (
   slots: MachineSlot[],
   runSeconds: Record<string, number>,
@@ -73,7 +73,10 @@
   predictor: { runTime: (_spec, type) => (runSeconds[type.name] ?? 10) * SECOND },
 });
 
-/** A running attempt of the job's task on the machine, with differences; neither knows of it yet. */
+/**
+ * A running attempt of the job's task on the machine, with the given fields overridden. It is not yet registered with the
+ * job or the machine.
+ */
 export const runningAttempt = (
   job: ActiveJob,
   index: number,
@@ -95,7 +98,7 @@
   ...overrides,
 });
 
-/** Puts a running attempt of the job's task on the machine. */
+/** Creates a running attempt of the job's task and registers it with the job and the machine. */
 export const runTask = (
   job: ActiveJob,
   index: number,
--- a/packages/core/test/objectives.test.ts
+++ b/packages/core/test/objectives.test.ts
@@ -1,4 +1,4 @@
-/** The order by service-level objectives, and the latest start that still meets one. */
+/** The job order by service-level objectives, and the latest start that still meets an objective. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -12,7 +12,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { specOf } from '@shaleyoke/emulator/specs';
 
-test('the rule of Moore and Hodgson keeps the number of misses small', () => {
+test('the Moore-Hodgson rule keeps the number of missed objectives low', () => {
   const job = (id: string, tasks: number): ActiveJob =>
     new ActiveJob(specOf(id, { tasks }), 1, Number(id.slice(4)), 0);
   const candidateOf = (candidate: ActiveJob, start: number | null): ObjectiveCandidate => ({
@@ -23,12 +23,12 @@
   const large = job('run-1', 8);
   const small = job('run-2', 1);
   const later = job('run-3', 1);
-  const late = job('run-4', 1);
+  const unattainable = job('run-4', 1);
   const candidates = [
     candidateOf(large, 5),
     candidateOf(small, 6),
     candidateOf(later, 7),
-    candidateOf(late, null),
+    candidateOf(unattainable, null),
   ];
   const order = mergeOrders([orderByObjectives(candidates, 2, 0.1)]);
   assert.deepEqual(
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -1,4 +1,4 @@
-/** The rollout and the placement search; some cases are from the paper (10.2, 12.1). */
+/** The rollout and the placement search; some cases come from sections 10.2 and 12.1 of the paper. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -21,7 +21,7 @@
 
 const lastFinish = (steps: readonly PlanStep[]): number => Math.max(...steps.map((step) => step.finish));
 
-test('a cold machine that finishes sooner beats the warm one', () => {
+test('a machine without the image is preferred over one with it if the task finishes sooner there', () => {
   const warm = slotOf('warm', typeOf('cpu', { cores: 1 }), { images: new Set(['img']) });
   const cold = slotOf('cold', typeOf('gpu', { cores: 1, imagePullGbPerS: 0.5 }));
   const group = groupOf(specOf('run-1', { tasks: 1, imageGb: 1 }));
@@ -35,7 +35,7 @@
   assert.equal(decision.steps[0]?.finish, 5 * SECOND);
 });
 
-test('a machine still to be provisioned is a cold candidate with its boot time', () => {
+test('a machine that could be provisioned is a candidate with its boot time and without images', () => {
   const type = typeOf('cpu', { cores: 1, bootUs: 4 * SECOND });
   const busy = slotOf('busy', type, {
     free: { cores: 0, gpus: 0, memoryGb: 8 },
@@ -49,9 +49,9 @@
     stoppedClock,
   );
   assert.equal(decision.snapshot.provisioned.get(offer), 1);
-  const soon = { ...busy, changes: [{ at: 2 * SECOND, cores: 1, gpus: 0, memoryGb: 1 }] };
+  const soonFree = { ...busy, changes: [{ at: 2 * SECOND, cores: 1, gpus: 0, memoryGb: 1 }] };
   const soonDecision = search(
-    snapshotOf([soon], { cpu: 5 }, [offer]),
+    snapshotOf([soonFree], { cpu: 5 }, [offer]),
     [groupOf(specOf('run-1', { tasks: 1 }))],
     SEARCH_LIMITS,
     stoppedClock,
@@ -59,23 +59,23 @@
   assert.equal(soonDecision.snapshot.provisioned.size, 0);
 });
 
-test('work that can be placed nowhere never improves a score', () => {
+test('a group that can be placed nowhere never improves the score', () => {
   const snapshot = (): ClusterSnapshot => snapshotOf([slotOf('m', typeOf('cpu'))], { cpu: 5 });
   const placeable = groupOf(specOf('run-1'));
-  const never = groupOf(specOf('run-2', { cores: 99 }));
-  const all = simulateCompletion(
-    new PlacementSimulation(snapshot(), [placeable, never]),
-    [placeable, never],
+  const unplaceable = groupOf(specOf('run-2', { cores: 99 }));
+  const both = simulateCompletion(
+    new PlacementSimulation(snapshot(), [placeable, unplaceable]),
+    [placeable, unplaceable],
     [],
   );
-  assert.equal(all.unplaced, never.count);
+  assert.equal(both.unplaced, unplaceable.count);
   assert.ok(
-    all.makespan >=
+    both.makespan >=
       simulateCompletion(new PlacementSimulation(snapshot(), [placeable]), [placeable], []).makespan,
   );
 });
 
-test('the same snapshot gives the same choice', () => {
+test('the same snapshot gives the same decision', () => {
   const decide = (): string => {
     const slots = [1, 2, 3].map((i) => slotOf(`m${i}`, typeOf('cpu')));
     const groups = [3, 1, 2].map((size, i) => groupOf(specOf(`run-${i}`, { tasks: size, cores: size })));
@@ -87,7 +87,7 @@
   assert.equal(decide(), decide());
 });
 
-test('past its budget the search places by earliest predicted finish and still places all', () => {
+test('once its time budget is exceeded, the search still places all groups, by earliest predicted finish', () => {
   let now = 0;
   const slots = [slotOf('m1', typeOf('cpu')), slotOf('m2', typeOf('cpu'))];
   const groups = [1, 2, 3].map((i) => groupOf(specOf(`run-${i}`, { tasks: 2 })));
@@ -104,8 +104,8 @@
   );
 });
 
-test('array tasks do not take capacity that is being freed for a protected gang', () => {
-  // Seen on a gedeeld day: a gang of four waited 488 s, since each machine freed for it went to an array.
+test('array tasks do not take capacity that is being freed for a gang with a reservation', () => {
+  // A gang of four once waited 488 s, since each machine freed for it went to an array.
   const type = typeOf('cpu', { cores: 2 });
   const slots = [
     slotOf('m1', type),
@@ -123,7 +123,7 @@
   assert.ok(decision.steps.filter((step) => step.group === array).every((step) => step.start > 0));
 });
 
-test('work of lower priority leaves machines alone that more gangs wait for than one plan places', () => {
+test('lower priorities stay off machines that gangs wait for, even if one plan cannot place all these gangs', () => {
   const type = typeOf('cpu', { cores: 2 });
   const half = { cores: 1, gpus: 0, memoryGb: 8 };
   const slots = ['m1', 'm2'].map((key) =>
@@ -147,7 +147,7 @@
   assert.equal(alone.steps.find((step) => step.group === array)?.start, 0);
 });
 
-test('a rollout is rolled back whole, and a plan at a thousand machines examines few of them', () => {
+test('a rollout is rolled back completely, and a plan for a thousand machines examines few of them', () => {
   const type = typeOf('cpu', { cores: 4 });
   const random = new Random(5);
   const slots = Array.from({ length: 1_000 }, (_, i) =>
@@ -185,7 +185,7 @@
   assert.equal(snapshot.provisioned.size, 0);
   const examined = simulation.placementsExamined;
   assert.ok(examined < 40 * 300, `${examined} placements examined`);
-  // In the order of earliest fits and with bounds it finds what examining everything finds.
+  // The ordered and bounded examination finds the same finish as examining all candidates.
   for (const group of groups.slice(0, 10)) {
     const found = placeGroup(simulation, group)!;
     const finish = lastFinish(found);
@@ -207,8 +207,8 @@
   }
 });
 
-test('small tasks use the gaps beside large ones, and leave whole machines for those to come', () => {
-  // Seen on a krakow day: stages of one core filled the machines that gangs of 30 cores waited for.
+test('small tasks use the gaps beside large ones, and leave room for recurring large tasks', () => {
+  // One-core tasks once filled the machines that gangs with 30 cores per task waited for.
   const type = typeOf('node', { cores: 32, memoryGb: 128 });
   const large = specOf('run-9', { cores: 30, memoryGb: 50, shape: 'gang' });
   const beside = slotOf('beside', type, {
@@ -229,10 +229,10 @@
     ['empty', 2],
     ['other', 2],
   ]);
-  for (const slot of [empty, other]) assert.ok(slot.free.cores >= 30, 'capacity for the large one is left');
+  for (const slot of [empty, other]) assert.ok(slot.free.cores >= 30, 'capacity for the large task is left');
 });
 
-test('an upcoming stage is placed from its predicted release on, and has a machine provisioned only if it must', () => {
+test('an upcoming group is placed from its predicted release on, and causes provisioning only if necessary', () => {
   const type = typeOf('cpu', { cores: 4, bootUs: 30 * SECOND });
   const busy = (until: number): MachineSlot =>
     slotOf('busy', type, {
@@ -240,28 +240,38 @@
       changes: [{ at: until * SECOND, cores: 4, gpus: 0, memoryGb: 8 }],
     });
   const offer: CapacityOffer = { type, zone: 'a', spot: false, limit: 5 };
-  const stage = (): TaskGroup =>
+  const upcomingGroup = (): TaskGroup =>
     groupOf(specOf('run-1', { tasks: 4 }), {
       hypothetical: true,
       notBefore: 40 * SECOND,
       scaleOutThreshold: 20 * SECOND,
     });
-  const waits = search(snapshotOf([busy(50)], { cpu: 5 }, [offer]), [stage()], SEARCH_LIMITS, stoppedClock);
-  assert.equal(waits.snapshot.provisioned.get(offer) ?? 0, 0);
-  const freeSoon = search(
+  const busyPastRelease = search(
+    snapshotOf([busy(50)], { cpu: 5 }, [offer]),
+    [upcomingGroup()],
+    SEARCH_LIMITS,
+    stoppedClock,
+  );
+  assert.equal(busyPastRelease.snapshot.provisioned.get(offer) ?? 0, 0);
+  const freeAtRelease = search(
     snapshotOf([busy(10)], { cpu: 5 }, [offer]),
-    [stage()],
+    [upcomingGroup()],
+    SEARCH_LIMITS,
+    stoppedClock,
+  );
+  assert.equal(freeAtRelease.snapshot.provisioned.get(offer) ?? 0, 0);
+  const busyForLong = search(
+    snapshotOf([busy(200)], { cpu: 5 }, [offer]),
+    [upcomingGroup()],
     SEARCH_LIMITS,
     stoppedClock,
   );
-  assert.equal(freeSoon.snapshot.provisioned.get(offer) ?? 0, 0);
-  const rents = search(snapshotOf([busy(200)], { cpu: 5 }, [offer]), [stage()], SEARCH_LIMITS, stoppedClock);
-  assert.equal(rents.snapshot.provisioned.get(offer), 1);
-  assert.deepEqual(rents.steps, [], 'nothing of it starts');
+  assert.equal(busyForLong.snapshot.provisioned.get(offer), 1);
+  assert.deepEqual(busyForLong.steps, [], 'none of its tasks starts');
 });
 
-test('a gang begins where all members fit now, if that finishes sooner than waiting for the best rank of each', () => {
-  // Seen on a krakow day: each of ten gangs held some free machines in the plan and waited for the rest.
+test('a gang starts where all members fit now, if it finishes sooner than when each waits for its best machine', () => {
+  // Ten gangs once held some free machines each in the plan, and all waited for the rest.
   const type = typeOf('node', { cores: 4, memoryGb: 16, imagePullGbPerS: 0.2 });
   const idle = ['a1', 'a2', 'a3'].map((key) => slotOf(key, type, { sunkCost: false }));
   const warm = ['w1', 'w2', 'w3'].map((key) =>
@@ -269,7 +279,7 @@
       sunkCost: false,
       images: new Set(['img']),
       free: { cores: 0, gpus: 0, memoryGb: 16 },
-      // Free soon, and busy for long: prolonging it costs nothing.
+      // Free soon, but in use for long anyway, so that using the machine longer costs nothing.
       changes: [
         { at: 8 * SECOND, cores: 4, gpus: 0, memoryGb: 0 },
         { at: 400 * SECOND, cores: 0, gpus: 0, memoryGb: 0 },
@@ -286,30 +296,30 @@
   );
 });
 
-test('capacity kept for services is not given to other work, nor kept from the services themselves', () => {
+test('capacity reserved for services is not given to other jobs, but is available to the services', () => {
   const type = typeOf('cpu', { cores: 4, memoryGb: 100 });
   const slots = (): MachineSlot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
   const service = specOf('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
-  const kept = groupOf(service, { hypothetical: true, reservedForUrgent: true });
+  const spreadReservation = groupOf(service, { hypothetical: true, reservedForUrgent: true });
   const array = groupOf(specOf('run-2', { tasks: 30 }));
   const startedNow = (groups: TaskGroup[], jobId: string): number =>
     search(snapshotOf(slots(), { cpu: 60 }), groups, SEARCH_LIMITS, stoppedClock)
       .steps.filter((step) => step.group.spec.id === jobId && step.start === 0)
       .reduce((sum, step) => sum + step.count, 0);
   assert.equal(startedNow([array], 'run-2'), 16);
-  // Half of its tasks in each zone: whichever has capacity when it arrives.
-  assert.equal(startedNow([array, kept], 'run-2'), 12);
-  const alone = groupOf(
+  // Half of the service's tasks are reserved in each zone.
+  assert.equal(startedNow([array, spreadReservation], 'run-2'), 12);
+  const sameZoneReservation = groupOf(
     { ...service, spreadAcrossZones: false, sameZone: true },
     { hypothetical: true, reservedForUrgent: true },
   );
-  assert.equal(startedNow([array, alone], 'run-2'), 8);
-  const anywhere = groupOf(
+  assert.equal(startedNow([array, sameZoneReservation], 'run-2'), 8);
+  const anyZoneReservation = groupOf(
     { ...service, spreadAcrossZones: false, tasks: 5 },
     { hypothetical: true, reservedForUrgent: true },
   );
-  assert.equal(startedNow([array, anywhere], 'run-2'), 10);
-  const real = groupOf({ ...service, id: 'run-3' }, { reserve: true });
-  assert.equal(startedNow([array, real, kept], 'run-3'), 4);
-  assert.equal(startedNow([array, real, kept], 'run-2'), 8);
+  assert.equal(startedNow([array, anyZoneReservation], 'run-2'), 10);
+  const actualService = groupOf({ ...service, id: 'run-3' }, { reserve: true });
+  assert.equal(startedNow([array, actualService, spreadReservation], 'run-3'), 4);
+  assert.equal(startedNow([array, actualService, spreadReservation], 'run-2'), 8);
 });
--- a/packages/core/test/preemption-candidates.test.ts
+++ b/packages/core/test/preemption-candidates.test.ts
@@ -1,4 +1,4 @@
-/** Which attempts are stopped for waiting jobs, and on which machines. */
+/** Which running attempts are preempted for waiting jobs, and on which machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -9,8 +9,8 @@
 
 import { runTask, typeOf } from './cluster-fixtures.js';
 
-test('capacity is freed for several gangs in one plan, each with machines of its own', () => {
-  // Seen at full size: the largest gangs, for which no capacity could be freed, used up all tries of every plan.
+test('one plan frees capacity for several gangs, each on machines of its own', () => {
+  // In a large cluster, the largest gangs, for which no capacity could be freed, used up all attempts of every plan.
   const type = typeOf('cpu', { cores: 4 });
   const types = new Map([['cpu', type]]);
   const running = new ActiveJob(
@@ -23,7 +23,7 @@
     const machine = new Machine(`m${i}`, 'a:1', 'cpu', i < 4 ? 'a' : 'b', false, 0);
     machine.up = true;
     machine.recorded = 'yes';
-    // On the last machine they began a moment ago.
+    // The tasks on the last machine have just started.
     const runningAt = i === 4 ? 99 * SECOND : 0;
     for (const task of [0, 1]) runTask(running, i * 2 + task, machine, { runningAt });
     return machine;
@@ -42,5 +42,5 @@
   const second = candidates.take(gang('run-3', 2), 2)!;
   assert.equal(first.victims.length, 4);
   assert.equal(new Set([...first.machines, ...second.machines]).size, 4);
-  assert.equal(candidates.take(gang('run-4', 1), 1), null, 'the rest has not run for long enough');
+  assert.equal(candidates.take(gang('run-4', 1), 1), null, 'the other tasks have not run for long enough');
 });
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -1,4 +1,4 @@
-/** The queue order: which jobs can still be in time, given the capacity that this work can really have. */
+/** The queue order: which jobs can still meet their objectives, given the capacity that they can really use. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -17,6 +17,7 @@
 
 const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
 
+/** A cluster of GPU machines that are up and empty. */
 const clusterOf = (machines: number): ClusterState => {
   const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
   const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, deadlineFactor: 1 }];
@@ -32,12 +33,14 @@
   return cluster;
 };
 
+/** Adds an active job for GPU machines, with the given fields overridden. */
 const addJob = (cluster: ClusterState, id: string, overrides: Partial<JobSpec>): ActiveJob => {
   const job = new ActiveJob(specOf(id, { machineTypes: ['gpu'], ...overrides }), 1, 0, 0);
   cluster.jobs.set(id, job);
   return job;
 };
 
+/** Fields of a job of one-GPU tasks, in the class with the deadline objective. */
 const SCORES: Partial<JobSpec> = {
   class: 'scores',
   priority: 0,
@@ -47,9 +50,9 @@
   estimatedRunUs: 100 * SECOND,
 };
 
-test('GPUs without cores beside them are no capacity: jobs that cannot be in time come after those that can', () => {
-  // At the size of the large deployments gangs without GPUs filled the machines with GPUs; all of their GPUs were counted as free, every array as
-  // in time, and by latest start nearly all of them came too late.
+test('GPUs without free cores are no capacity: jobs that cannot meet their deadline come after those that can', () => {
+  // In a large cluster, gangs without GPUs filled the cores of GPU machines. With all those GPUs counted as free, every
+  // array seemed able to meet its deadline, and in the order of latest start nearly all of them missed it.
   const orderWith = (gangMachines: number): string[] => {
     const cluster = clusterOf(10);
     const gang = addJob(cluster, 'gang', {
@@ -69,11 +72,19 @@
       addJob(cluster, `small-${i}`, { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
     return new QueueOrder(cluster).inOrder().map((job) => job.id);
   };
-  assert.equal(orderWith(0)[0], 'large', 'with all GPUs all fit, the most urgent first');
-  assert.equal(orderWith(8)[3], 'large', 'on two machines the large one would only make all of them late');
+  assert.equal(
+    orderWith(0)[0],
+    'large',
+    'with all GPUs usable all jobs fit, and the most urgent comes first',
+  );
+  assert.equal(
+    orderWith(8)[3],
+    'large',
+    'with two machines left, the large job would only make all jobs late',
+  );
 });
 
-test('capacity that higher priorities use does not count for lower ones', () => {
+test('capacity in use by higher priorities does not count for lower ones', () => {
   const cluster = clusterOf(10);
   const high = addJob(cluster, 'high', { ...SCORES, class: 'other', priority: 2, tasks: 32 });
   let index = 0;
@@ -90,7 +101,7 @@
 const URGENT = { kind: 'wait', class: 'urgent', withinUs: 1.6 * SECOND, share: 0.99, deadlineFactor: 1 };
 const TEAMS = Array.from({ length: 20 }, (_, i) => `team-${i}`);
 
-test('urgent work of any shape comes before the fair-share turns of many teams', () => {
+test('urgent jobs of any shape come before the fair-share turns of many teams', () => {
   const teams = TEAMS.map((name) => `[[cluster.teams]]\nname = "${name}"\n`).join('');
   const context = new NodeContext({ ...settingsFor('n0', ['n0'], teams), objectives: [URGENT] }, () => 0);
   const cluster = new ClusterState(context);
@@ -100,7 +111,7 @@
   addJob(cluster, 'urgent-gang', { ...urgent, shape: 'gang' });
   const queue = new QueueOrder(cluster);
   queue.inOrder();
-  // A turn is due for each team now.
+  // Each team is due a turn now.
   context.now += 13 * SECOND;
   const order = queue.inOrder();
   const turns = order.filter((job) => queue.hasTurn(job));
@@ -114,19 +125,23 @@
   );
 });
 
-test('capacity is kept for as much urgent work as arrives within the time that it may wait', () => {
+test('capacity is reserved for the urgent tasks that arrive within the time they may wait', () => {
   const settings = settingsFor('n0', ['n0'], '');
   const context = new NodeContext({ ...settings, objectives: [URGENT] }, () => 0);
   const autoscaler = new Autoscaler(context, { isCostSensitive: () => false } as AutoscalerHost);
   const spec = specOf('run-1', { class: 'urgent', tasks: 4 });
   autoscaler.recordArrival(spec);
-  assert.equal(autoscaler.reservedForUrgent()[0]?.count, 4, 'one job: its own tasks');
+  assert.equal(
+    autoscaler.reservedForUrgent()[0]?.count,
+    4,
+    'after one job, capacity for its tasks is reserved',
+  );
   // Twenty jobs of four tasks a second.
   for (let i = 0; i < 60; i++) {
     context.now += 50_000;
     autoscaler.recordArrival(spec);
   }
-  const kept = autoscaler.reservedForUrgent()[0]!.count;
-  assert.ok(kept >= 125 && kept <= 140, `${kept} tasks of 128`);
-  assert.equal(autoscaler.headroom().length, 0, 'none of it is counted as headroom too');
+  const reservedTasks = autoscaler.reservedForUrgent()[0]!.count;
+  assert.ok(reservedTasks >= 125 && reservedTasks <= 140, `${reservedTasks} tasks of 128`);
+  assert.equal(autoscaler.headroom().length, 0, 'reserved capacity is not counted as headroom as well');
 });
--- a/packages/core/test/runtime-estimates.test.ts
+++ b/packages/core/test/runtime-estimates.test.ts
@@ -1,23 +1,26 @@
-/** Learned run times. */
+/** Run-time estimates learned from finished and stopped runs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
 import { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
-test('stopped runs are censored, and groups with few samples borrow from broader ones', () => {
-  const learned = new RuntimeEstimates();
-  for (let i = 0; i < 20; i++) learned.recordRun('c', 'x', 10 * SECOND, 20 * SECOND, true);
-  const plain = learned.remaining('c', 'x', 10 * SECOND, 0);
-  assert.ok(Math.abs(plain - 20 * SECOND) < SECOND);
-  for (let i = 0; i < 10; i++) learned.recordRun('c', 'x', 10 * SECOND, 5 * SECOND, false);
-  assert.ok(learned.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND, 'a stopped run is not a short one');
+test('stopped runs count as censored, and groups with few samples borrow from broader groups', () => {
+  const estimates = new RuntimeEstimates();
+  for (let i = 0; i < 20; i++) estimates.recordRun('c', 'x', 10 * SECOND, 20 * SECOND, true);
+  const fromFinishedRuns = estimates.remaining('c', 'x', 10 * SECOND, 0);
+  assert.ok(Math.abs(fromFinishedRuns - 20 * SECOND) < SECOND);
+  for (let i = 0; i < 10; i++) estimates.recordRun('c', 'x', 10 * SECOND, 5 * SECOND, false);
   assert.ok(
-    learned.remaining('c', 'y', 10 * SECOND, 0) > 15 * SECOND,
-    'an unseen type borrows from its class',
+    estimates.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND,
+    'a stopped run does not count as a short one',
   );
-  assert.ok(learned.remaining('c', 'x', 10 * SECOND, 60 * SECOND) > 0);
+  assert.ok(
+    estimates.remaining('c', 'y', 10 * SECOND, 0) > 15 * SECOND,
+    'an unseen machine type borrows from the job class',
+  );
+  assert.ok(estimates.remaining('c', 'x', 10 * SECOND, 60 * SECOND) > 0);
   const restored = new RuntimeEstimates();
-  restored.load(JSON.parse(JSON.stringify(learned.summary(16_000))));
+  restored.load(JSON.parse(JSON.stringify(estimates.summary(16_000))));
   assert.ok(restored.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND);
 });
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -1,4 +1,4 @@
-/** Incrementally updated sums over machines equal a full count, in generated histories. */
+/** Incrementally updated totals over machines equal a full count, in generated histories and in the fault scenarios. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -22,8 +22,10 @@
   ['gpu', { ...TYPE, name: 'gpu', cores: 8, gpus: 4 }],
 ]);
 const TEAMS = ['a', 'b', 'c'];
+/** Small tasks, one for each team, whose allowed number shows the remaining quota. */
 const PROBES = TEAMS.map((team) => specOf(`probe-${team}`, { team, cores: 0.1, gpus: 0.5 }));
 
+/** The result of a full count over all machines. */
 interface FullCount {
   readonly usage: QuotaUsage;
   readonly coresByTeam: ReadonlyMap<string, number>;
@@ -38,7 +40,7 @@
   return cores;
 };
 
-/** Goes through all machines and attempts, one after the other. */
+/** Counts usage from scratch, over all machines and attempts. */
 const countAll = (machines: readonly Machine[]): FullCount => {
   const usage = new QuotaUsage();
   let lowestPriority = 3;
@@ -55,7 +57,10 @@
   return { usage, coresByTeam: countCores(machines), lowestPriority };
 };
 
-/** Capacity by kind of work, from each machine by itself. */
+/**
+ * Counts the total and free capacity for tasks of a priority, machine by machine: GPUs with `coresEach` cores each, or cores
+ * alone.
+ */
 const countCapacity = (
   machines: Iterable<Machine>,
   gpu: boolean,
@@ -124,7 +129,7 @@
     }
 };
 
-test('sums over machines equal a full count, whichever changes come in between', () => {
+test('totals over machines equal a full count after any sequence of changes', () => {
   for (let seed = 1; seed <= 20; seed++) {
     const random = new Random(seed);
     const machines = new MachineRegistry();
@@ -181,7 +186,7 @@
   }
 });
 
-/** Compares the sums of a simulation's leader with a full count; false while there is no leader. */
+/** Compares the totals of a simulation's leader with a full count; returns false while there is no leader. */
 const compareLeader = (simulation: ClusterSimulation): boolean => {
   const core = simulation.nodes[simulation.leader()]?.core;
   const cluster = core?.scheduler?.term.cluster;
@@ -192,7 +197,7 @@
   return true;
 };
 
-test("a leader's sums equal a full count at every second of the basic fault scenarios", () => {
+test("a leader's totals equal a full count at every second of the basic fault scenarios", () => {
   let comparisons = 0;
   for (const [i, scenario] of Object.values(BASIC_SCENARIOS).entries())
     play(
