--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -1,4 +1,4 @@
-/** Jobs with dependencies: blocked, released, cancelled, and the priorities and deadlines that others inherit from them. */
+/** Jobs with dependencies: blocking, release, cancellation, and the priorities and deadlines that dependencies inherit. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -18,7 +18,7 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
-/** A random graph: each job depends on some of those before it. */
+/** A random acyclic graph: each job depends on some of the jobs before it. */
 const randomGraph = (random: Random, count: number, id: (i: number) => string): JobSpec[] => {
   const specs: JobSpec[] = [];
   for (let i = 0; i < count; i++) {
@@ -39,24 +39,24 @@
   return specs;
 };
 
-test('no job starts too early nor is orphaned, whatever crashes, and every job ends', () => {
+test('whatever crashes, no job starts before its dependencies, none is orphaned, and every job ends', () => {
   for (let seed = 1; seed <= 10; seed++) {
     const random = new Random(seed * 104_729);
-    const nextSettings = seed % 2 === 0 ? 'value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0' : '';
+    const announcedLimits = seed % 2 === 0 ? 'value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0' : '';
     const simulation = new ClusterSimulation(
       random,
       3,
       '[[cluster.teams]]\nname = "t"\ncpus_max = 10.0\n',
       10,
       4,
-      nextSettings,
+      announcedLimits,
     );
     simulation.runFor(2 * SECOND);
     const specs = randomGraph(random, 16, (i) => `run-${seed}${String(i).padStart(3, '0')}`);
     let submitted = 0;
     for (let step = 0; step < 40; step++) {
       simulation.loss = random.chance(0.3) ? 0.25 : 0.03;
-      // A client names only jobs that were accepted.
+      // A client only names dependencies that were accepted.
       const spec = specs[submitted];
       if (
         spec?.dependsOn.every((dependency) => simulation.stageOf(dependency) !== undefined) === true &&
@@ -65,7 +65,7 @@
         simulation.submit(spec);
         submitted++;
       }
-      if (nextSettings !== '' && step === 15) simulation.limits = { valueBytes: 2_048, ops: 5 };
+      if (announcedLimits !== '' && step === 15) simulation.limits = { valueBytes: 2_048, ops: 5 };
       if (random.chance(0.15)) simulation.crash(random.below(3), (2 + random.below(6)) * SECOND);
       if (random.chance(0.06)) for (const i of [0, 1, 2]) simulation.crash(i, (2 + random.below(4)) * SECOND);
       if (random.chance(0.06)) simulation.stateOutage((2 + random.below(14)) * SECOND);
@@ -83,7 +83,7 @@
       simulation.runFor(5 * SECOND);
     }
     assert.deepEqual([...new Set(simulation.broken)].slice(0, 5), [], `seed ${seed}`);
-    assert.equal(simulation.refusals, 0, 'within the announced limits from the first write');
+    assert.equal(simulation.refusals, 0, 'writes respect the announced limits from the first one on');
     for (const jobSpec of specs.slice(0, submitted)) {
       const stage = simulation.stageOf(jobSpec.id);
       if (stage !== undefined) assert.match(stage, /done|cancelled/, `seed ${seed} ${jobSpec.id}`);
@@ -104,19 +104,19 @@
   simulation.cancel('run-0');
   simulation.runFor(60_000);
   for (const node of [0, 1, 2]) simulation.crash(node, (1 + node) * SECOND);
-  // Submitted when its dependency is cancelled already: accepted all the same.
+  // A job whose dependency is already cancelled is accepted nevertheless.
   simulation.submit(specOf('run-99', { dependsOn: ['run-0'] }));
   simulation.runFor(16 * SECOND);
   for (const id of [...ids, 'run-99']) simulation.poll(id);
   simulation.runFor(2 * SECOND);
   for (const id of [...ids, 'run-99']) assert.equal(simulation.stageOf(id), 'cancelled', id);
-  // Their own records state it as well: no blocked job is left to the leader.
+  // Their own records say so as well: the leader has no blocked job left.
   assert.deepEqual(simulation.keys('j/'), []);
   assert.deepEqual(simulation.broken, []);
 });
 
-test('a job that names one cancelled long ago is called cancelled from the first answer on', () => {
-  // Found by a generated history: `queued`, by a node that knew the named job from before its cancellation.
+test('a job that depends on one cancelled long ago is reported as cancelled from the first answer on', () => {
+  // A node whose cached state of the dependency predated its cancellation answered `queued` (found by a generated history).
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed));
     simulation.runFor(3 * SECOND);
@@ -136,7 +136,7 @@
   }
 });
 
-test('without a leader, every node still answers that a job with a cancelled dependency is cancelled', () => {
+test('without a leader, every node still reports a job with a cancelled dependency as cancelled', () => {
   const simulation = new ClusterSimulation(new Random(8));
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++) {
@@ -148,7 +148,7 @@
   const leader = simulation.nodes.findIndex((node) => node.core?.leads() === true);
   simulation.crash(leader, 30 * SECOND);
   simulation.cancel('run-0');
-  // Before the lease of the dead leader has run out.
+  // Less than the crashed leader's lease, so that no node leads yet.
   simulation.runFor(1_500_000);
   for (let attempt = 0; attempt < 6; attempt++) simulation.poll('run-4');
   simulation.runFor(1_500_000);
@@ -157,16 +157,16 @@
   assert.deepEqual(simulation.broken, []);
 });
 
-test('dependencies on jobs never accepted and on services are refused; wide fan-in is accepted and runs', () => {
+test('dependencies on services or on jobs never accepted are refused; wide fan-in is accepted and runs', () => {
   const simulation = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   simulation.runFor(3 * SECOND);
-  const wide = Array.from({ length: 70 }, (_, i) => `run-${100 + i}`);
-  for (const id of wide) simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
+  const fanInIds = Array.from({ length: 70 }, (_, i) => `run-${100 + i}`);
+  for (const id of fanInIds) simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
   simulation.submit(specOf('run-1', { shape: 'service', tasks: 1 }));
   simulation.runFor(3 * SECOND);
   simulation.submit(specOf('run-2', { dependsOn: ['run-1'] }));
   simulation.submit(specOf('run-3', { dependsOn: ['run-77'] }));
-  simulation.submit(specOf('run-4', { dependsOn: wide }));
+  simulation.submit(specOf('run-4', { dependsOn: fanInIds }));
   simulation.runFor(90 * SECOND);
   simulation.poll('run-4');
   simulation.runFor(2 * SECOND);
@@ -176,7 +176,7 @@
   assert.deepEqual(simulation.broken, []);
 });
 
-test('inherited priority and latest finish equal those of a direct computation', () => {
+test('inherited priority and latest finish equal a direct recursive computation', () => {
   for (let seed = 1; seed <= 30; seed++) {
     const random = new Random(seed);
     const specs = randomGraph(random, 25, (i) => `run-${i}`);
@@ -193,15 +193,16 @@
     });
     for (const job of jobs.values()) graph.add(job);
     graph.refreshInheritance(false);
-    const after = (id: string): ActiveJob[] =>
+    const dependentsOf = (id: string): ActiveJob[] =>
       [...jobs.values()].filter((job) => job.spec.dependsOn.includes(id));
-    const priority = (job: ActiveJob): number => Math.max(job.spec.priority, ...after(job.id).map(priority));
-    const latest = (job: ActiveJob): number =>
+    const expectedPriority = (job: ActiveJob): number =>
+      Math.max(job.spec.priority, ...dependentsOf(job.id).map(expectedPriority));
+    const expectedLatestFinish = (job: ActiveJob): number =>
       Math.min(
-        ...after(job.id).map(
+        ...dependentsOf(job.id).map(
           (dependent) =>
             Math.min(
-              latest(dependent),
+              expectedLatestFinish(dependent),
               dependent.spec.deadlineUs === null
                 ? Infinity
                 : dependent.acceptedAt + dependent.spec.deadlineUs,
@@ -209,10 +210,10 @@
         ),
       );
     for (const job of jobs.values()) {
-      assert.equal(job.priority, priority(job), `seed ${seed} ${job.id}`);
+      assert.equal(job.priority, expectedPriority(job), `seed ${seed} ${job.id}`);
       assert.equal(
         job.deadlineChain === null ? Infinity : latestFinish(job.deadlineChain),
-        latest(job),
+        expectedLatestFinish(job),
         `seed ${seed} ${job.id}`,
       );
       assert.equal(job.blockedOnDependencies, job.spec.dependsOn.length > 0);
@@ -220,14 +221,14 @@
   }
 });
 
-test('records of jobs are decoded; the version before decodes those without dependencies and no others', () => {
+test('job records are decoded; the previous version decodes only those without dependencies', () => {
   const dependencies = Array.from({ length: 150 }, (_, i) => `run-${400_000 + i * 7}`);
   const spec = specOf('run-7', { dependsOn: dependencies });
   const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
   assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, acceptedAt: 5 });
   assert.ok(bytesOf(record) < 2_048 - 128, `${bytesOf(record)} bytes`);
-  assert.equal(record['spec'], undefined, 'the version before would start it too early');
-  // As that version writes them: no field `needs`, nothing that came later.
+  assert.equal(record['spec'], undefined, 'the previous version would start it too early');
+  // As the previous version writes it: without the field `needs` and all fields added later.
   const oldSpec = {
     id: 'run-8',
     class: 'c',
@@ -258,7 +259,7 @@
     shape: 'array',
     endedAt: null,
   });
-  // However long its description: a job accepted under larger limits can be ended under smaller ones.
-  const long = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
-  assert.ok(bytesOf(encodeEndedJob(long, 'cancelled', 0, 1)) < 300);
+  // The record of an ended job is small whatever its spec: a job accepted under larger limits can end under smaller ones.
+  const largeSpec = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
+  assert.ok(bytesOf(encodeEndedJob(largeSpec, 'cancelled', 0, 1)) < 300);
 });
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -1,4 +1,4 @@
-/** A leader's knowledge of jobs, in whatever order lists and watches are answered, and how old it counts as. */
+/** A new leader's knowledge of jobs: correct in whatever order lists and watches are answered, and with the right age. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -9,27 +9,34 @@
 import { Failover, type FailoverEvents, type FailoverTerm } from '@shaleyoke/core/leadership/failover';
 import { Random } from '@shaleyoke/emulator/random';
 
+/** A store call of the failover that the test has to answer. */
 interface StoreCall {
   readonly operation: StoreOperation;
   readonly reply: (reply: StoreReply) => void;
 }
 
-/** Lists besides the one of jobs that a new leader reads. */
+/** The number of lists that a new leader reads besides the list of jobs. */
 const OTHER_LISTS = 4;
 
+/** The result of a call that was never answered. */
 const LOST_REPLY: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: '' };
 
-/** A failover with a state service that answers when and what the test gives. */
+/** A failover whose store calls the test answers, at times of its choice. */
 class FailoverFixture {
+  /** The time of the fixture's clock. */
   now = 100 * SECOND;
+  /** Calls not answered yet, the oldest first. */
   calls: StoreCall[] = [];
+  /** Names of the events logged so far. */
   readonly loggedEvents: string[] = [];
-  /** Versions of the jobs that the leader knows. */
+  /** The record versions of the jobs that the leader knows. */
   readonly jobs = new Map<string, number>();
+  /** Decides how long the knowledge of cancellations counts as fresh. */
   readonly freshness = new CancellationFreshness({
     cancellationDeadlineUs: 40 * SECOND,
     workerLeaseUs: 20 * SECOND,
   });
+  /** The failover under test. */
   readonly failover: Failover;
   private timers: { dueAt: Micros; run: () => void }[] = [];
   private isReady = false;
@@ -84,18 +91,20 @@
     };
   }
 
-  get unendedJobs(): ReadonlySet<string> | null {
+  /** The jobs that the failover found to be active; null until they are listed. */
+  get activeJobIds(): ReadonlySet<string> | null {
     return this.term.activeJobIds;
   }
 
-  /** Removes and returns the oldest open call of this kind. */
+  /** Removes and returns the oldest unanswered call of this kind. */
   takeCall(kind: StoreOperation['kind']): StoreCall {
     const index = this.calls.findIndex((call) => call.operation.kind === kind);
-    const open = this.calls.map((call) => call.operation.kind).join();
-    assert.ok(index >= 0, `no ${kind} among ${open}`);
+    const openKinds = this.calls.map((call) => call.operation.kind).join();
+    assert.ok(index >= 0, `no ${kind} among ${openKinds}`);
     return this.calls.splice(index, 1)[0]!;
   }
 
+  /** Advances the clock and runs the timers that are due by then. */
   advance(duration: Micros): void {
     this.now += duration;
     const due = this.timers.filter((timer) => timer.dueAt <= this.now);
@@ -103,19 +112,20 @@
     for (const timer of due) timer.run();
   }
 
-  /** Begins the failover and answers its list of jobs with one page of these, all else with nothing. */
+  /** Starts the failover, answers its list of jobs with one page of these ids, and all other reads with nothing. */
   start(ids: readonly string[], revision: number): void {
     this.failover.start();
     this.takeCall('list').reply(listOf(ids, revision));
     this.answerOtherReads(revision);
   }
 
+  /** Answers all reads but the list of jobs: empty lists and a missing key. */
   answerOtherReads(revision: number): void {
     for (let i = 0; i < OTHER_LISTS; i++) this.takeCall('list').reply(listOf([], revision));
     this.takeCall('get').reply({ kind: 'missing', revision });
   }
 
-  /** Knowledge that was confirmed at this time is fresh until its greatest age, and no longer. */
+  /** Asserts that the knowledge counts as confirmed at this time: it is fresh until its maximum age, and no longer. */
   assertConfirmedAt(confirmedAt: Micros): void {
     const { maxAgeUs } = this.freshness;
     assert.ok(
@@ -148,7 +158,7 @@
   revision,
 });
 
-test('knowledge is as old as the request whose reply showed it, however long that took', () => {
+test('knowledge is as old as the request that fetched it, however late the reply came', () => {
   const fixture = new FailoverFixture();
   fixture.start(['a'], 50);
   fixture.assertConfirmedAt(fixture.now);
@@ -166,35 +176,35 @@
   const firstPage = fixture.takeCall('list');
   fixture.advance(2 * SECOND);
   firstPage.reply(listOf(['a'], 50, true));
-  assert.equal(fixture.unendedJobs, null);
+  assert.equal(fixture.activeJobIds, null);
   fixture.advance(12 * SECOND);
   fixture.takeCall('list').reply(listOf(['b'], 70));
-  assert.deepEqual([...fixture.unendedJobs!], ['a', 'b']);
+  assert.deepEqual([...fixture.activeJobIds!], ['a', 'b']);
   fixture.assertConfirmedAt(requestedAt);
-  // What was created or deleted between the pages is requested from the first one on.
+  // The watch starts at the revision of the first page, to cover what was created or deleted between the pages.
   fixture.answerOtherReads(80);
   const watch = fixture.takeCall('watch').operation;
   assert.ok(watch.kind === 'watch' && watch.after === 50 && watch.waitMs === 0);
 });
 
-test('a watch that reports a creation late does not bring back a job that has ended', () => {
+test('a watch that reports a creation late does not restore a job that has ended', () => {
   const fixture = new FailoverFixture();
   fixture.start(['a'], 50);
   const hungWatch = fixture.takeCall('watch');
   fixture.advance(11 * SECOND);
   fixture.failover.probeIfStale();
   fixture.takeCall('watch').reply(LOST_REPLY);
-  // That fails too, so that the jobs are listed: b was created and ended unseen, c was created.
+  // The probe fails too, so the jobs are listed: b was created and ended unseen, c was created.
   fixture.takeCall('list').reply(listOf(['a', 'c'], 90));
   assert.deepEqual([...fixture.jobs.keys()], ['a', 'c']);
   hungWatch.reply(eventsOf([putEvent('b', 60), putEvent('c', 70)], 75));
   assert.deepEqual([...fixture.jobs.keys()], ['a', 'c']);
-  // The next watch continues from what was applied, not from the reply that came last.
+  // The next watch continues from the applied revision, not from the one of the last reply.
   const watch = fixture.takeCall('watch').operation;
   assert.ok(watch.kind === 'watch' && watch.after === 90);
 });
 
-test('a reply whose revision goes back confirms nothing', () => {
+test('a reply with a lower revision than before confirms nothing', () => {
   const fixture = new FailoverFixture();
   fixture.start(['a'], 50);
   const requestedAt = fixture.now;
@@ -206,20 +216,23 @@
 
 /** The history of job records in a store, from which any call can be answered as of any revision. */
 class JobHistory {
+  /** The latest revision. */
   revision = 50;
+  /** All creations and deletions so far, in the order of their revisions. */
   readonly events: StoreEvent[] = [];
   private nextJob = 1;
 
   constructor(private readonly random: Random) {}
 
-  /** Creates a job or ends one, if there is any. */
+  /** Creates a job, or ends one if any is active. */
   change(): void {
-    const living = this.idsAt(this.revision);
+    const activeIds = this.idsAt(this.revision);
     if (this.random.chance(0.5)) this.events.push(putEvent(`j${this.nextJob++}`, ++this.revision));
-    else if (living.length > 0)
-      this.events.push(deleteEvent(living[this.random.below(living.length)]!, ++this.revision));
+    else if (activeIds.length > 0)
+      this.events.push(deleteEvent(activeIds[this.random.below(activeIds.length)]!, ++this.revision));
   }
 
+  /** The jobs that are active as of a revision. */
   idsAt(revision: number): string[] {
     const keys = new Set<string>();
     for (const event of this.events)
@@ -230,6 +243,7 @@
     return [...keys].map(idOf);
   }
 
+  /** The reply to a list of all jobs as of a revision. */
   listAt(revision: number): StoreReply {
     return {
       kind: 'items',
@@ -244,19 +258,22 @@
     };
   }
 
+  /** The events after one revision, up to and including another. */
   eventsBetween(after: number, upTo: number): StoreEvent[] {
     return this.events.filter((event) => event.version > after && event.version <= upTo);
   }
 }
 
-/** A failover against a generated history, whose calls are answered late, out of order or not at all. */
+/** A failover on a generated history: its calls are answered late, out of order or not at all. */
 class RandomFailover {
+  /** The failover under test. */
   readonly fixture = new FailoverFixture();
+  /** The job records from which its calls are answered. */
   readonly history: JobHistory;
-  /** How often a job that the leader knew to have ended was checked to stay so. */
+  /** How often a job that the leader knew to have ended was found to be still absent. */
   endedChecks = 0;
   private readonly ended = new Set<string>();
-  /** The newest revision that a reply was of. */
+  /** The highest revision of any reply so far. */
   private shownRevision: number;
   private readonly openCalls: { call: StoreCall; receivedRevision: number }[] = [];
 
@@ -269,6 +286,7 @@
     this.fixture.start([], this.history.revision);
   }
 
+  /** Changes a job, may answer a call and check the result, and advances the clock. */
   step(): void {
     this.history.change();
     for (const call of this.fixture.calls.splice(0))
@@ -281,7 +299,7 @@
     this.fixture.failover.probeIfStale();
   }
 
-  /** Answers any open call by what was true at some moment since it was received. */
+  /** Answers a random open call with the state at some revision since the call was received. */
   private answerAnyCall(): void {
     const index = this.random.below(this.openCalls.length);
     const { call, receivedRevision } = this.openCalls.splice(index, 1)[0]!;
@@ -302,7 +320,7 @@
 
   private checkEndedJobs(): void {
     const { jobs } = this.fixture;
-    for (const id of this.ended) if (jobs.has(id)) assert.fail(`seed ${this.seed}: ${id} is back`);
+    for (const id of this.ended) if (jobs.has(id)) assert.fail(`seed ${this.seed}: ${id} was restored`);
     for (const event of this.history.events)
       if (event.kind === 'delete' && !jobs.has(idOf(event.key)) && event.version <= this.shownRevision) {
         this.ended.add(idOf(event.key));
@@ -310,7 +328,7 @@
       }
   }
 
-  /** Answers every open call by the newest revision. */
+  /** Answers every open call with the state at the latest revision. */
   answerAllCalls(): void {
     const { revision } = this.history;
     const open = [...this.openCalls.splice(0).map(({ call }) => call), ...this.fixture.calls.splice(0)];
@@ -322,12 +340,12 @@
   }
 }
 
-test('in whatever order lists and watches are answered, known jobs never fall behind what was shown', () => {
+test('in whatever order lists and watches are answered, the known jobs never fall behind earlier replies', () => {
   let endedChecks = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const run = new RandomFailover(seed, new Random(seed));
     for (let step = 0; step < 120; step++) run.step();
-    // Once all is answered nothing is missing and nothing is left over.
+    // Once all calls are answered, no job is missing and no ended job is left.
     for (let round = 0; round < 8; round++) run.answerAllCalls();
     const expected = run.history.idsAt(run.history.revision).sort();
     assert.deepEqual([...run.fixture.jobs.keys()].sort(), expected, `seed ${seed}`);
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -1,4 +1,4 @@
-/** Failure detection between controllers: suspicion, its end, and what follows from it. */
+/** Failure detection between controllers: when a peer is suspected, when it no longer is, and what depends on it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -14,151 +14,161 @@
 const ENABLED: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
 
-/** A failure detector that observes one peer, with a clock of its own. */
-class Watch {
+/** A failure detector for the single peer `p`, with a clock and heartbeats that the test controls. */
+class DetectorFixture {
+  /** The time of the fixture's clock. */
   now: Micros = 0;
-  readonly members = new PeerFailureDetector(ENABLED, ['p'], () => this.now);
+  /** The detector under test. */
+  readonly detector = new PeerFailureDetector(ENABLED, ['p'], () => this.now);
+  /** All changes that the detector returned while the clock advanced. */
   readonly changes: PeerChange[] = [];
   private readonly inbox: { at: Micros; heartbeat: PeerHeartbeat }[] = [];
-  private checked: Micros = 0;
+  private lastCheckAt: Micros = 0;
 
-  /** The heartbeat arrives after `delay`. */
+  /** Schedules a heartbeat sent at `at` to arrive after `delay`. */
   send(at: Micros, delay: Micros, heartbeat: PeerHeartbeat): void {
     this.inbox.push({ at: at + delay, heartbeat });
   }
 
-  /** Advances the clock; the detector checks for silence once a second, and its own timers are `late`. */
-  advanceTo(end: Micros, late: Micros = 0): void {
+  /** Advances the clock; the detector checks for silent peers once a second, and its own timers fire `timerDelay` late. */
+  advanceTo(end: Micros, timerDelay: Micros = 0): void {
     this.inbox.sort((a, b) => a.at - b.at);
     for (; this.now < end;) {
       const next = this.inbox[0];
-      const look = this.checked + SECOND + late;
-      if (next !== undefined && next.at <= Math.min(look, end)) {
+      const nextCheckAt = this.lastCheckAt + SECOND + timerDelay;
+      if (next !== undefined && next.at <= Math.min(nextCheckAt, end)) {
         this.now = Math.max(this.now, next.at);
         this.inbox.shift();
-        const change = this.members.receive(next.heartbeat);
+        const change = this.detector.receive(next.heartbeat);
         if (change !== null) this.changes.push(change);
-      } else if (look <= end) {
-        this.now = look;
-        this.checked = look;
-        this.changes.push(...this.members.suspectSilentPeers(late));
+      } else if (nextCheckAt <= end) {
+        this.now = nextCheckAt;
+        this.lastCheckAt = nextCheckAt;
+        this.changes.push(...this.detector.suspectSilentPeers(timerDelay));
       } else this.now = end;
     }
   }
 
+  /** How often the peer was suspected so far. */
   get suspicions(): number {
     return this.changes.filter((change) => change.kind === 'suspected').length;
   }
 }
 
-test('a peer that stops is suspected within five seconds, and one heartbeat ends the suspicion', () => {
+test('a peer that stops is suspected within five seconds, and one heartbeat clears the suspicion', () => {
   for (let seed = 1; seed <= 40; seed++) {
     const random = new Random(seed);
-    const watch = new Watch();
-    // Lost packets are sent again: that heartbeat arrives late, but it does arrive.
+    const fixture = new DetectorFixture();
+    // Lost packets are retransmitted, so that their heartbeats arrive late.
     for (let i = 1; i <= 60; i++)
-      watch.send(i * SECOND, (random.chance(0.02) ? 250 : 1 + random.below(20)) * MILLI, beatOf('p', i));
-    watch.advanceTo(60 * SECOND);
-    assert.equal(watch.suspicions, 0, `seed ${seed}`);
-    watch.advanceTo(65 * SECOND);
-    assert.equal(watch.members.stateOf('p'), 'suspected', `seed ${seed}`);
-    watch.send(70 * SECOND, 0, beatOf('p', 61));
-    watch.advanceTo(71 * SECOND);
-    assert.equal(watch.members.stateOf('p'), 'alive');
-    assert.equal(watch.changes.at(-1)?.kind, 'alive');
+      fixture.send(i * SECOND, (random.chance(0.02) ? 250 : 1 + random.below(20)) * MILLI, beatOf('p', i));
+    fixture.advanceTo(60 * SECOND);
+    assert.equal(fixture.suspicions, 0, `seed ${seed}`);
+    fixture.advanceTo(65 * SECOND);
+    assert.equal(fixture.detector.stateOf('p'), 'suspected', `seed ${seed}`);
+    fixture.send(70 * SECOND, 0, beatOf('p', 61));
+    fixture.advanceTo(71 * SECOND);
+    assert.equal(fixture.detector.stateOf('p'), 'alive');
+    assert.equal(fixture.changes.at(-1)?.kind, 'alive');
   }
 });
 
-test('a peer with uneven heartbeats is given more time', () => {
-  let least = Infinity;
+test('a peer with irregular heartbeats is suspected later', () => {
+  let shortestLimitUs = Infinity;
   for (let seed = 1; seed <= 20; seed++) {
     const random = new Random(seed);
-    const watch = new Watch();
-    // A peer that computes several times slower: a heartbeat every one to three seconds.
-    let at = 0;
-    let last = 0;
+    const fixture = new DetectorFixture();
+    // A peer on a processor several times slower sends a heartbeat every one to three seconds.
+    let sentAt = 0;
+    let lastSentAt = 0;
     for (let i = 1; i <= 40; i++) {
-      at += (1_000 + random.below(1_900)) * MILLI;
-      last = at;
-      watch.send(at, 0, beatOf('p', i, { timerDelayUs: SECOND }));
+      sentAt += (1_000 + random.below(1_900)) * MILLI;
+      lastSentAt = sentAt;
+      fixture.send(sentAt, 0, beatOf('p', i, { timerDelayUs: SECOND }));
     }
-    watch.advanceTo(last);
-    assert.equal(watch.suspicions, 0, `seed ${seed}`);
-    watch.advanceTo(last + 13 * SECOND);
-    const change = watch.changes.at(-1);
-    assert.equal(change?.kind, 'suspected', 'but not for ever');
-    if (change?.kind === 'suspected') least = Math.min(least, change.limitUs);
+    fixture.advanceTo(lastSentAt);
+    assert.equal(fixture.suspicions, 0, `seed ${seed}`);
+    fixture.advanceTo(lastSentAt + 13 * SECOND);
+    const change = fixture.changes.at(-1);
+    assert.equal(change?.kind, 'suspected', 'it is suspected eventually');
+    if (change?.kind === 'suspected') shortestLimitUs = Math.min(shortestLimitUs, change.limitUs);
   }
-  assert.ok(least > 3 * SECOND);
+  assert.ok(shortestLimitUs > 3 * SECOND);
 });
 
-test('a node that is late itself, or was frozen, suspects others later', () => {
-  const watch = new Watch();
-  for (let i = 1; i <= 20; i++) watch.send(i * SECOND, 0, beatOf('p', i));
-  watch.advanceTo(20 * SECOND);
-  // Frozen for 9 s; the peer's heartbeats wait in the socket and are read after the timers.
-  watch.now = 29 * SECOND;
-  assert.deepEqual(watch.members.suspectSilentPeers(9 * SECOND), []);
+test('a node whose own timers are late, or that was frozen, suspects peers later', () => {
+  const fixture = new DetectorFixture();
+  for (let i = 1; i <= 20; i++) fixture.send(i * SECOND, 0, beatOf('p', i));
+  fixture.advanceTo(20 * SECOND);
+  // The node was frozen for 9 s; the peer's heartbeats are in the socket and are read only after the timers.
+  fixture.now = 29 * SECOND;
+  assert.deepEqual(fixture.detector.suspectSilentPeers(9 * SECOND), []);
   assert.equal(
-    watch.members.suspectSilentPeers(0).length,
+    fixture.detector.suspectSilentPeers(0).length,
     1,
-    'a node whose timers are in time would not wait',
+    'a node whose timers are on time suspects the peer',
   );
 });
 
-test('heartbeats that were delayed, or of a process that was replaced, are ignored', () => {
-  const watch = new Watch();
-  assert.equal(watch.members.receive(beatOf('p', 5))?.kind, 'alive');
-  assert.equal(watch.members.receive(beatOf('p', 4)), null);
-  assert.equal(watch.members.receive(beatOf('p', 5)), null);
-  assert.equal(watch.members.receive(beatOf('stranger', 9)), null);
-  assert.equal(watch.members.receive(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
-  watch.now = 4 * SECOND;
-  assert.equal(watch.members.suspectSilentPeers(0).length, 1);
-  assert.equal(watch.members.receive(beatOf('p', 6)), null);
-  assert.equal(watch.members.stateOf('p'), 'suspected', 'a late heartbeat does not end the suspicion');
-  assert.equal(watch.members.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
+test('heartbeats that were delayed or came from a replaced process are ignored', () => {
+  const fixture = new DetectorFixture();
+  assert.equal(fixture.detector.receive(beatOf('p', 5))?.kind, 'alive');
+  assert.equal(fixture.detector.receive(beatOf('p', 4)), null);
+  assert.equal(fixture.detector.receive(beatOf('p', 5)), null);
+  assert.equal(fixture.detector.receive(beatOf('stranger', 9)), null);
+  assert.equal(fixture.detector.receive(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
+  fixture.now = 4 * SECOND;
+  assert.equal(fixture.detector.suspectSilentPeers(0).length, 1);
+  assert.equal(fixture.detector.receive(beatOf('p', 6)), null);
+  assert.equal(fixture.detector.stateOf('p'), 'suspected', 'a late heartbeat does not clear the suspicion');
+  assert.equal(fixture.detector.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
 });
 
-test('a process whose clock is behind that of the one before is accepted, a burst of old heartbeats is not', () => {
-  const watch = new Watch();
-  watch.members.receive(beatOf('p', 1, { incarnation: 9 }));
-  watch.now = 4 * SECOND;
-  assert.equal(watch.members.suspectSilentPeers(0).length, 1);
+test('a process with a lower incarnation than its predecessor is accepted, a burst of old heartbeats is not', () => {
+  const fixture = new DetectorFixture();
+  fixture.detector.receive(beatOf('p', 1, { incarnation: 9 }));
+  fixture.now = 4 * SECOND;
+  assert.equal(fixture.detector.suspectSilentPeers(0).length, 1);
   for (let i = 1; i < 9; i++) {
-    watch.now += 10 * MILLI;
-    assert.equal(watch.members.receive(beatOf('p', i, { incarnation: 3 })), null, 'all at once: delayed');
+    fixture.now += 10 * MILLI;
+    assert.equal(
+      fixture.detector.receive(beatOf('p', i, { incarnation: 3 })),
+      null,
+      'a burst counts as delayed heartbeats',
+    );
   }
   const changes: (PeerChange | null)[] = [];
   for (let i = 9; i < 12; i++) {
-    watch.now += SECOND;
-    changes.push(watch.members.receive(beatOf('p', i, { incarnation: 3 })));
+    fixture.now += SECOND;
+    changes.push(fixture.detector.receive(beatOf('p', i, { incarnation: 3 })));
   }
   assert.deepEqual(
     changes.map((change) => change?.kind),
     [undefined, 'restarted', undefined],
   );
-  assert.equal(watch.members.stateOf('p'), 'alive');
+  assert.equal(fixture.detector.stateOf('p'), 'alive');
 });
 
-test('whether a peer reaches the state service is known as of its own report', () => {
-  const watch = new Watch();
-  watch.now = 10 * SECOND;
-  watch.members.receive(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
-  assert.equal(watch.members.peerWithStoreAnswerAfter(7 * SECOND), 'p');
-  assert.equal(watch.members.peerWithStoreAnswerAfter(8 * SECOND), null);
-  watch.members.receive(beatOf('p', 2, { storeAnswerAgeUs: null }));
-  assert.equal(watch.members.peerWithStoreAnswerAfter(0), null);
+test('a peer counts as having reached the state service when its own heartbeat says it did', () => {
+  const fixture = new DetectorFixture();
+  fixture.now = 10 * SECOND;
+  fixture.detector.receive(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
+  assert.equal(fixture.detector.peerWithStoreAnswerAfter(7 * SECOND), 'p');
+  assert.equal(fixture.detector.peerWithStoreAnswerAfter(8 * SECOND), null);
+  fixture.detector.receive(beatOf('p', 2, { storeAnswerAgeUs: null }));
+  assert.equal(fixture.detector.peerWithStoreAnswerAfter(0), null);
 });
 
-// ---- whole clusters ------------------------------------------------------------------------------
+// ---- simulated clusters --------------------------------------------------------------------------
 
-const healthy = (simulation: ClusterSimulation, node: number): string => {
+/** The kind of a node's answer to a health request; `none` if it does not answer. */
+const healthOf = (simulation: ClusterSimulation, node: number): string => {
   let kind = 'none';
   simulation.users.host.ask(node, { kind: 'health' }, (response) => (kind = response?.kind ?? 'none'));
   return kind;
 };
 
+/** A cluster with membership enabled and running tasks, and the log of its nodes. */
 const startSimulation = (seed: number): { simulation: ClusterSimulation; log: string[] } => {
   const teams = '[[cluster.teams]]\nname = "t"\n';
   const simulation = new ClusterSimulation(new Random(seed), 3, teams, 1e9, 12, '', () => [], 0, ENABLED);
@@ -172,14 +182,14 @@
   return { simulation, log };
 };
 
-test('a node that alone lost the state service sends its clients away; in an outage all nodes stay healthy', () => {
+test('nodes that lost the state service while a peer reaches it report unavailable; in an outage all stay healthy', () => {
   for (let seed = 1; seed <= 4; seed++) {
     const { simulation } = startSimulation(seed);
     simulation.stateOutage(12 * SECOND);
     for (let i = 0; i < 16; i++) {
       simulation.runFor(SECOND);
       assert.deepEqual(
-        [0, 1, 2].map((node) => healthy(simulation, node)),
+        [0, 1, 2].map((node) => healthOf(simulation, node)),
         ['healthy', 'healthy', 'healthy'],
         `${i} s`,
       );
@@ -189,28 +199,28 @@
     for (let i = 0; i < 20; i++) {
       simulation.runFor(SECOND);
       assert.deepEqual(
-        [0, 1, 2].map((node) => healthy(simulation, node)),
+        [0, 1, 2].map((node) => healthOf(simulation, node)),
         ['unavailable', 'unavailable', 'healthy'],
         `seed ${seed}, ${i} s`,
       );
     }
     simulation.runFor(8 * SECOND);
     assert.deepEqual(
-      [0, 1, 2].map((node) => healthy(simulation, node)),
+      [0, 1, 2].map((node) => healthOf(simulation, node)),
       ['healthy', 'healthy', 'healthy'],
     );
-    // Without heartbeats of peers every node stays healthy.
+    // Without heartbeats from peers, every node reports healthy.
     for (const first of NAMES)
       for (const second of NAMES) if (first < second) simulation.network.cut(first, second, 30 * SECOND);
     simulation.network.cut('n0', 'state', 30 * SECOND);
     simulation.runFor(15 * SECOND);
-    assert.equal(healthy(simulation, 0), 'healthy');
+    assert.equal(healthOf(simulation, 0), 'healthy');
     simulation.runFor(30 * SECOND);
     assert.deepEqual([...new Set(simulation.broken)], []);
   }
 });
 
-test('crashes and partitions between peers are detected, and their ends; the leader stays', () => {
+test('crashes of peers, partitions between them and their ends are detected; the leader does not change', () => {
   const { simulation, log } = startSimulation(9);
   const leader = simulation.nodes.findIndex((node) => node.core?.leads());
   const [crashed, other] = [0, 1, 2].filter((i) => i !== leader) as [number, number];
@@ -235,14 +245,15 @@
   assert.deepEqual(
     log.filter((line) => line.includes('leader.')),
     [],
-    'suspicion changes no leader',
+    'a suspicion does not change the leader',
   );
   assert.deepEqual(simulation.broken, []);
 });
 
-test('a process that restarts at once is accepted at once, whatever the time of day did meanwhile', () => {
-  // Its number came from the time of day alone: up to 100 ms behind, it was dropped until it had been suspected.
-  for (const [seed, back] of [0, 40, 100, 3_000].entries()) {
+test('a process that restarts at once is accepted at once, even if the wall clock was set back', () => {
+  // When incarnations came from the wall clock alone, a process whose clock was up to 100 ms behind its predecessor's was
+  // ignored until the peers had suspected it.
+  for (const [seed, clockStepMs] of [0, 40, 100, 3_000].entries()) {
     const simulation = new ClusterSimulation(new Random(seed), 5, '[[cluster.teams]]\nname = "t"\n');
     simulation.wallStart = 60 * SECOND;
     simulation.membership = ENABLED;
@@ -252,12 +263,12 @@
     simulation.onLog = (node, event, fields) => {
       if (event.startsWith('peer.')) log.push(`${node} ${event} ${String(fields['of'])}`);
     };
-    // Its old number is its time of day then; the new one is `back` behind it.
-    simulation.wallStart = 60 * SECOND - simulation.now - back * MILLI;
+    // The old incarnation is the wall-clock time of its start; the new one is `clockStepMs` before that.
+    simulation.wallStart = 60 * SECOND - simulation.now - clockStepMs * MILLI;
     simulation.crash(2, 50 * MILLI);
     simulation.runFor(4 * SECOND);
     for (const other of ['n0', 'n1', 'n3', 'n4'])
-      assert.ok(log.includes(`${other} peer.restarted n2`), `${back} ms back: ${log.join('; ')}`);
+      assert.ok(log.includes(`${other} peer.restarted n2`), `${clockStepMs} ms back: ${log.join('; ')}`);
     assert.equal(log.filter((line) => line.includes('suspected')).length, 0, log.join('; '));
     assert.deepEqual(simulation.broken, []);
   }
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -1,4 +1,4 @@
-/** Packed records: lost, late and doubled transactions, size limits, and the form of the version before. */
+/** Records packed into pages: lost, late and duplicated transactions, size limits, and the previous version's format. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -26,18 +26,25 @@
 
 const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
 
-/** A store that loses requests and replies, and executes some late. */
+/** A store that loses requests and replies, and executes some requests late. */
 class UnreliableStore {
+  /** Stored items by key. */
   readonly items = new Map<string, StoredItem>();
+  /** The revision of the latest executed transaction. */
   revision = 1;
-  largest = 0;
+  /** The size in bytes of the largest value written so far. */
+  largestValueBytes = 0;
+  /** The number of executed writes, deletions included. */
   puts = 0;
+  /** The number of transactions within the limits, conflicts included. */
   transactions = 0;
+  /** The number of transactions refused because they exceed the limits. */
   refusals = 0;
+  /** The limits of a value's size and of the writes in a transaction. */
   limits = { valueBytes: 16 * 1024, ops: 16 };
-  /** Nothing is executed any more after so many transactions. */
+  /** The number of transactions after which no request is executed any more. */
   stopsAfter = Infinity;
-  private late: { at: number; run: () => void }[] = [];
+  private delayedRequests: { at: number; run: () => void }[] = [];
 
   constructor(
     readonly context: NodeContext,
@@ -79,30 +86,31 @@
       return;
     }
     const value: unknown = JSON.parse(JSON.stringify(write.value));
-    this.largest = Math.max(this.largest, JSON.stringify(value).length);
+    this.largestValueBytes = Math.max(this.largestValueBytes, JSON.stringify(value).length);
     this.items.set(write.key, { key: write.key, value, version: this.revision, lease: null });
   }
 
+  /** Advances the clock in steps of 5 ms: runs due timers and delayed requests, and answers the node's requests. */
   runFor(duration: number): void {
     const end = this.context.now + duration;
     while (this.context.now < end) {
       this.context.now += 5_000;
       this.context.runDueTimers();
-      for (const call of this.late.filter(({ at }) => at <= this.context.now)) call.run();
-      this.late = this.late.filter(({ at }) => at > this.context.now);
+      for (const call of this.delayedRequests.filter(({ at }) => at <= this.context.now)) call.run();
+      this.delayedRequests = this.delayedRequests.filter(({ at }) => at > this.context.now);
       const effects = this.context.out;
       this.context.out = [];
       for (const effect of effects) {
         if (effect.kind !== 'storeRequest') continue;
         const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
-        const fate = this.random.next();
-        if (fate >= this.failureRate) this.context.storeReplied(effect.call, this.apply(effect.op));
+        const draw = this.random.next();
+        if (draw >= this.failureRate) this.context.storeReplied(effect.call, this.apply(effect.op));
         else {
-          if (fate < this.failureRate / 3) this.apply(effect.op);
-          else if (fate < this.failureRate / 1.5) {
+          if (draw < this.failureRate / 3) this.apply(effect.op);
+          else if (draw < this.failureRate / 1.5) {
             const { op } = effect;
             const at = this.context.now + this.random.below(20) * SECOND;
-            this.late.push({ at, run: () => this.apply(op) });
+            this.delayedRequests.push({ at, run: () => this.apply(op) });
           }
           this.context.storeReplied(effect.call, failed);
         }
@@ -110,36 +118,37 @@
     }
   }
 
-  under(prefix: string): StoredItem[] {
+  /** The stored items whose keys start with a prefix. */
+  itemsUnder(prefix: string): StoredItem[] {
     return [...this.items.values()].filter((item) => item.key.startsWith(prefix));
   }
 }
 
-/** A store with a node and a writer that use it. */
-const setUp = (seed: number, trouble: number, from = settings) => {
-  const context = new NodeContext(from, () => 0);
-  const store = new UnreliableStore(context, new Random(seed), trouble);
+/** A node context and a fenced writer on an unreliable store. */
+const createFixture = (seed: number, failureRate: number, nodeSettings = settings) => {
+  const context = new NodeContext(nodeSettings, () => 0);
+  const store = new UnreliableStore(context, new Random(seed), failureRate);
   const writer = new FencedWriter(context, 1, () => assert.fail('fenced'));
   return { context, store, writer };
 };
 
-/** No record of these tests may be unreadable. */
+/** Fails the test: no record here may be unreadable. */
 const failUnreadable = (key: string): void => {
-  assert.fail(`${key} can't be read`);
+  assert.fail(`${key} cannot be read`);
 };
 
-test('no late, lost or doubled write ever takes back what was confirmed', () => {
+test('no late, lost or duplicated write ever reverts a confirmed record', () => {
   for (let seed = 1; seed <= 12; seed++) {
     const random = new Random(seed * 31);
-    const { store, writer } = setUp(seed, 0.4);
+    const { store, writer } = createFixture(seed, 0.4);
     const current = new Map<string, number>();
     const confirmed = new Map<string, number>();
     const pages = new PackedPages(writer, 'q/', 2_000, {
       describe: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
-      move: () => assert.fail('nothing to empty'),
+      move: () => assert.fail('no page has to be emptied'),
     });
     const stored = (id: string): number | undefined => {
-      for (const item of store.under('q/')) {
+      for (const item of store.itemsUnder('q/')) {
         const record = readPage(item.value)?.[id] as { n: number } | undefined;
         if (record !== undefined) return record.n;
       }
@@ -168,14 +177,15 @@
     store.failureRate = 0;
     pages.rewriteStalePages();
     store.runFor(60 * SECOND);
-    for (const [id, n] of current) assert.equal(stored(id), n);
-    for (const item of store.under('q/'))
+    for (const [id, value] of current) assert.equal(stored(id), value);
+    for (const item of store.itemsUnder('q/'))
       for (const id of Object.keys(readPage(item.value) ?? {}))
-        assert.ok(current.has(id), 'dropped, yet stored');
-    assert.ok(store.largest <= 2_000);
+        assert.ok(current.has(id), 'a dropped record is still stored');
+    assert.ok(store.largestValueBytes <= 2_000);
   }
 });
 
+/** A machine on record, whose name and address follow from an index. */
 const createMachine = (index: number): Machine => {
   const machine = new Machine(
     `m-${String(index).padStart(6, '0')}`,
@@ -189,29 +199,29 @@
   return machine;
 };
 
-test('a thousand machines and their jobs take few writes, and come back whole', () => {
-  const { context, store, writer } = setUp(1, 0);
+test('a thousand machines and their jobs take few writes and are restored completely', () => {
+  const { context, store, writer } = createFixture(1, 0);
   const machines = new Map<string, Machine>();
   const jobs = new Map<string, ActiveJob>();
   const findJob = (id: string): ActiveJob | undefined => jobs.get(id);
-  const find = (name: string): Machine | undefined => machines.get(name);
-  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+  const findMachine = (name: string): Machine | undefined => machines.get(name);
+  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), findMachine, () =>
     assert.fail('unreadable'),
   );
-  const progressStore = new ProgressStore(context, writer, findJob, find);
+  const progressStore = new ProgressStore(context, writer, findJob, findMachine);
   for (let i = 0; i < 1_000; i++) {
     const machine = createMachine(i);
     machines.set(machine.name, machine);
     machineStore.put(machine, () => undefined);
   }
   let placed = 0;
-  const all = [...machines.values()];
+  const allMachines = [...machines.values()];
   for (let i = 0; i < 200; i++) {
     const tasks = i === 0 ? 60_000 : 1 + (i % 80);
     const job = new ActiveJob(specOf(`run-${i}`, { tasks }), 1, i, 0);
     jobs.set(job.id, job);
     for (let index = 0; index < Math.min(tasks, 80); index++) {
-      const machine = all[(i * 7 + index) % all.length]!;
+      const machine = allMachines[(i * 7 + index) % allMachines.length]!;
       job.liveAttempts.set(index, runningAttempt(job, index, machine, { fencingToken: 1 }));
     }
     for (let index = 0; index < tasks; index += 3) job.done.add(index);
@@ -220,22 +230,22 @@
   store.runFor(10 * SECOND);
   assert.equal(placed, 200);
   assert.ok(store.puts <= 40, `${store.puts} puts`);
-  assert.ok(store.largest <= settings.maxValueBytes);
+  assert.ok(store.largestValueBytes <= settings.maxValueBytes);
 
-  const next = setUp(2, 0);
-  const found = new MachineStore(
+  const next = createFixture(2, 0);
+  const restoredMachines = new MachineStore(
     next.writer,
     pageRoom(settings.maxValueBytes),
     () => undefined,
     failUnreadable,
-  ).load(store.under('r/'), []);
-  assert.equal(found.size, 1_000);
+  ).load(store.itemsUnder('r/'), []);
+  assert.equal(restoredMachines.size, 1_000);
   const restoredJobs = new Map(
     [...jobs.values()].map((job) => [job.id, new ActiveJob(job.spec, 1, job.acceptedAt, 0)]),
   );
-  new ProgressStore(next.context, next.writer, (id) => restoredJobs.get(id), find).load(
-    store.under('q/'),
-    store.under('p/'),
+  new ProgressStore(next.context, next.writer, (id) => restoredJobs.get(id), findMachine).load(
+    store.itemsUnder('q/'),
+    store.itemsUnder('p/'),
     restoredJobs.values(),
     true,
   );
@@ -247,8 +257,8 @@
   }
 });
 
-test('records of the version before are read and moved; what can not be read is never taken for absence', () => {
-  const { context, store, writer } = setUp(1, 0);
+test('records of the previous version are read and moved; an unreadable page never counts as an absent record', () => {
+  const { context, store, writer } = createFixture(1, 0);
   const bits = new TaskBitset(4);
   bits.add(2);
   const put = (key: string, value: unknown): void => {
@@ -263,26 +273,27 @@
   const jobs = new Map(
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
-  const find = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
-  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), find, () =>
+  const findMachine = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
+  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), findMachine, () =>
     assert.fail('unreadable'),
   );
-  assert.equal(machineStore.load([], store.under('h/')).get(machine.name)?.retiring, true);
-  machineStore.adopt(store.under('h/'), find);
-  const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
-  progressStore.load(store.under('q/'), store.under('p/'), jobs.values(), true);
+  assert.equal(machineStore.load([], store.itemsUnder('h/')).get(machine.name)?.retiring, true);
+  machineStore.adopt(store.itemsUnder('h/'), findMachine);
+  const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), findMachine);
+  progressStore.load(store.itemsUnder('q/'), store.itemsUnder('p/'), jobs.values(), true);
   store.runFor(5 * SECOND);
-  assert.deepEqual([...store.under('h/'), ...store.under('p/')], []);
+  assert.deepEqual([...store.itemsUnder('h/'), ...store.itemsUnder('p/')], []);
   assert.equal(store.items.get('q/3')!.value, 'torn');
   const job = jobs.get('run-1')!;
   assert.ok(job.done.has(2) && job.unreconciledMachines.has(machine.name) && !job.progressUnreadable);
-  assert.ok(jobs.get('run-2')!.progressUnreadable, 'its place may have been on the page that is torn');
+  assert.ok(jobs.get('run-2')!.progressUnreadable, 'its progress may have been on the unreadable page');
   assert.deepEqual(
     (readPage(store.items.get('q/s0')!.value) as Record<string, { machines: string[] }>)['run-1']!.machines,
     [machine.name],
   );
 });
 
+/** Settings with lower store limits: values of 2 KiB and five writes in a transaction. */
 const lowerLimits = settingsFor(
   'n0',
   ['n0'],
@@ -290,23 +301,27 @@
   'value_kb = 2.0\ntxn_ops = 5',
 );
 
-/** What the version before leaves: pages of up to 16 KiB, `p/` for a job of very many tasks, all fields. */
+/** Writes what the previous version leaves: pages of up to 16 KiB, `p/` keys for a job of very many tasks, all fields. */
 const writeFormerRecords = (store: UnreliableStore) => {
   const machines = Array.from({ length: 240 }, (_, i) => createMachine(i));
   const put = (key: string, value: unknown): void => {
     assert.ok(bytesOf(value) <= 16 * 1024, key);
     store.items.set(key, { key, value, version: 2, lease: null });
   };
-  const page = <T>(
+  const putPages = <T>(
     prefix: string,
-    all: readonly T[],
-    a: number,
-    entry: (x: T) => [string, unknown],
+    items: readonly T[],
+    itemsPerPage: number,
+    toEntry: (item: T) => [string, unknown],
   ): void => {
-    for (let n = 0; n * a < all.length; n++)
-      put(`${prefix}${n}`, { entries: Object.fromEntries(all.slice(n * a, (n + 1) * a).map(entry)) });
+    for (let pageNumber = 0; pageNumber * itemsPerPage < items.length; pageNumber++)
+      put(`${prefix}${pageNumber}`, {
+        entries: Object.fromEntries(
+          items.slice(pageNumber * itemsPerPage, (pageNumber + 1) * itemsPerPage).map(toEntry),
+        ),
+      });
   };
-  page('r/', machines, 110, (machine) => {
+  putPages('r/', machines, 110, (machine) => {
     const retiring = Number(machine.name.slice(2)) % 17 === 0;
     return [
       machine.name,
@@ -322,35 +337,35 @@
     );
     expected.set(`run-${i}`, { names, done: [...Array(tasks).keys()].filter((k) => k % 4 === 1), tasks });
   }
-  const entry = ([id, w]: [string, { names: string[]; done: number[]; tasks: number }]): [
+  const progressEntry = ([id, progress]: [string, { names: string[]; done: number[]; tasks: number }]): [
     string,
     unknown,
   ] => {
-    const bits = new TaskBitset(w.tasks);
-    for (const d of w.done) bits.add(d);
-    return [id, { machines: w.names, bits: bits.encode(0, bits.bytes.length) }];
+    const bits = new TaskBitset(progress.tasks);
+    for (const index of progress.done) bits.add(index);
+    return [id, { machines: progress.names, bits: bits.encode(0, bits.bytes.length) }];
   };
-  page('q/', [...expected], 14, entry);
-  // 16 KiB: a segment of that version held 9,216 bytes, and its place followed from its number alone.
-  const big = new TaskBitset(100_000);
+  putPages('q/', [...expected], 14, progressEntry);
+  // A segment of that version held 9,216 bytes under its limit of 16 KiB, and its offset followed from its number alone.
+  const largeBits = new TaskBitset(100_000);
   const done = [5, 70_000, 73_727, 73_728, 73_735, 99_999];
-  for (const d of done) big.add(d);
+  for (const index of done) largeBits.add(index);
   const names = machines.slice(0, 200).map((machine) => machine.name);
-  put('p/run-900', { machines: names, bits: big.encode(0, 9_216) });
-  put('p/run-900/1', { machines: [], bits: big.encode(9_216, 18_432) });
+  put('p/run-900', { machines: names, bits: largeBits.encode(0, 9_216) });
+  put('p/run-900/1', { machines: [], bits: largeBits.encode(9_216, 18_432) });
   expected.set('run-900', { names, done, tasks: 100_000 });
   return { machines, expected };
 };
 
-test('under lower limits all pages that the version before left are emptied, and no crash on the way loses a record', () => {
+test('under lower limits all pages of the previous version are emptied, and no crash meanwhile loses a record', () => {
   let steps = 1;
   for (let stopsAfter = 0; stopsAfter <= steps; stopsAfter += 1 + Math.floor(stopsAfter / 12)) {
-    const first = setUp(1, 0, lowerLimits);
+    const first = createFixture(1, 0, lowerLimits);
     const { store } = first;
     store.limits = { valueBytes: 2_048, ops: 5 };
     const { machines, expected } = writeFormerRecords(store);
     for (const leader of [0, 1]) {
-      const { context, writer } = leader === 0 ? first : setUp(2, 0, lowerLimits);
+      const { context, writer } = leader === 0 ? first : createFixture(2, 0, lowerLimits);
       const current = leader === 0 ? store : new UnreliableStore(context, new Random(1), 0);
       if (current !== store) {
         for (const [key, item] of store.items) current.items.set(key, item);
@@ -358,41 +373,48 @@
         current.limits = store.limits;
       }
       current.stopsAfter = leader === 0 ? stopsAfter : Infinity;
-      const own = new Map(
+      const machinesByName = new Map(
         machines.map((machine) => [
           machine.name,
           new Machine(machine.name, machine.address, 'box', 'a', false, 0),
         ]),
       );
-      for (const machine of own.values()) machine.awaitingReconciliation = true;
-      const find = (name: string): Machine | undefined => own.get(name);
+      for (const machine of machinesByName.values()) machine.awaitingReconciliation = true;
+      const findMachine = (name: string): Machine | undefined => machinesByName.get(name);
       const jobs = new Map(
-        [...expected].map(([id, w]) => [id, new ActiveJob(specOf(id, { tasks: w.tasks }), 1, 0, 0)]),
+        [...expected].map(([id, progress]) => [
+          id,
+          new ActiveJob(specOf(id, { tasks: progress.tasks }), 1, 0, 0),
+        ]),
       );
       const machineStore = new MachineStore(
         writer,
         pageRoom(lowerLimits.maxValueBytes),
-        find,
+        findMachine,
         failUnreadable,
       );
-      const found = machineStore.load(current.under('r/'), current.under('h/'));
-      assert.equal(found.size, 240);
-      for (const [name, rec] of found) {
-        const machine = own.get(name)!;
-        machine.preprovisioned = rec.preprovisioned;
-        machine.retirementReason = rec.retiring ? 'was retiring' : null;
-        assert.equal(rec.retiring, Number(name.slice(2)) % 17 === 0, `stops after ${stopsAfter}: ${name}`);
+      const restoredMachines = machineStore.load(current.itemsUnder('r/'), current.itemsUnder('h/'));
+      assert.equal(restoredMachines.size, 240);
+      for (const [name, record] of restoredMachines) {
+        const machine = machinesByName.get(name)!;
+        machine.preprovisioned = record.preprovisioned;
+        machine.retirementReason = record.retiring ? 'was retiring' : null;
+        assert.equal(record.retiring, Number(name.slice(2)) % 17 === 0, `stops after ${stopsAfter}: ${name}`);
       }
-      const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), find);
-      progressStore.load(current.under('q/'), current.under('p/'), jobs.values(), true);
-      for (const [id, w] of expected) {
+      const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), findMachine);
+      progressStore.load(current.itemsUnder('q/'), current.itemsUnder('p/'), jobs.values(), true);
+      for (const [id, progress] of expected) {
         const job = jobs.get(id)!;
-        assert.equal(job.done.count, w.done.length, `stops after ${stopsAfter} leader ${leader}: ${id}`);
-        for (const d of w.done) assert.ok(job.done.has(d), `${id}/${d}`);
-        for (const n of w.names)
+        assert.equal(
+          job.done.count,
+          progress.done.length,
+          `stops after ${stopsAfter} leader ${leader}: ${id}`,
+        );
+        for (const index of progress.done) assert.ok(job.done.has(index), `${id}/${index}`);
+        for (const machineName of progress.names)
           assert.ok(
-            job.unreconciledMachines.has(n),
-            `stops after ${stopsAfter} leader ${leader}: ${id} ${n}`,
+            job.unreconciledMachines.has(machineName),
+            `stops after ${stopsAfter} leader ${leader}: ${id} ${machineName}`,
           );
       }
       for (let i = 0; i < 250; i++) {
@@ -403,17 +425,21 @@
       if (leader === 0) continue;
       steps = Math.max(steps, store.transactions + current.transactions);
       assert.equal(current.refusals, 0);
-      for (const item of [...current.under('q/'), ...current.under('r/'), ...current.under('p/')])
+      for (const item of [
+        ...current.itemsUnder('q/'),
+        ...current.itemsUnder('r/'),
+        ...current.itemsUnder('p/'),
+      ])
         assert.ok(bytesOf(item.value) <= 2_048, `${item.key}: ${bytesOf(item.value)} bytes`);
-      for (const item of [...current.under('q/'), ...current.under('r/')])
+      for (const item of [...current.itemsUnder('q/'), ...current.itemsUnder('r/')])
         if (!item.key.includes('/s')) assert.deepEqual(item.value, { entries: {} }, item.key);
     }
   }
   assert.ok(steps > 20, `${steps} steps`);
 });
 
-test('a write that the service refuses is found, reported and kept from blocking the others', () => {
-  const { context, store, writer } = setUp(1, 0);
+test('a write that the store refuses is identified and reported, and does not block the others', () => {
+  const { context, store, writer } = createFixture(1, 0);
   store.limits = { valueBytes: 700, ops: 3 };
   let refused = 0;
   const done: number[] = [];
@@ -429,7 +455,7 @@
   store.runFor(20 * SECOND);
   assert.equal(refused, 1);
   assert.deepEqual(done.length, 11);
-  // Smaller limits than announced: pages are made smaller, and every record gets its place.
+  // The limits are lower than announced: pages are made smaller until every record is stored.
   const pages: PackedPages = new PackedPages(writer, 'q/', pageRoom(settings.maxValueBytes), {
     describe: (id) => ({ id, pad: 'z'.repeat(60) }),
     move: (id, then) => {
@@ -451,26 +477,31 @@
     pages.compact();
     store.runFor(SECOND / 2);
   }
-  const stored = new Set(store.under('q/').flatMap((item) => Object.keys(readPage(item.value) ?? {})));
+  const stored = new Set(store.itemsUnder('q/').flatMap((item) => Object.keys(readPage(item.value) ?? {})));
   assert.equal(stored.size, 40);
-  assert.ok(context.now > 0 && store.under('q/').every((item) => bytesOf(item.value) <= 700));
+  assert.ok(context.now > 0 && store.itemsUnder('q/').every((item) => bytesOf(item.value) <= 700));
 });
 
-test('a machine left out of a record on its way counts as not on record until it is written again', () => {
-  // Else a start there between the making of a record and its confirmation would be on no record, and the
-  // next leader could start the task again elsewhere.
-  const { context, store, writer } = setUp(1, 0);
+test('a machine omitted from a record in flight counts as unrecorded until it is written again', () => {
+  // Otherwise a task started there between the encoding of a record and its confirmation would be on no record, and the
+  // next leader could start it again elsewhere.
+  const { context, store, writer } = createFixture(1, 0);
   const machine = createMachine(1);
   const job = new ActiveJob(specOf('run-1'), 1, 0, 0);
-  const find = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
-  const progressStore = new ProgressStore(context, writer, (id) => (id === job.id ? job : undefined), find);
+  const findMachine = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
+  const progressStore = new ProgressStore(
+    context,
+    writer,
+    (id) => (id === job.id ? job : undefined),
+    findMachine,
+  );
   job.recordedMachines.add(machine.name);
   progressStore.recordPlacement(job, () => undefined);
   context.now += SECOND;
   context.runDueTimers();
   assert.ok(
     context.out.some((e) => e.kind === 'storeRequest'),
-    'on its way',
+    'the write is in flight',
   );
   assert.ok(!job.recordedMachines.has(machine.name));
   store.runFor(SECOND);
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -1,4 +1,4 @@
-/** Generated histories of cuts that leave some links up, with crashes and outages in them: the rules hold, and all work ends. */
+/** Generated histories of partial network partitions, crashes and outages: no rule is violated, and all jobs end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -24,16 +24,16 @@
   return specOf(id, { tasks: 1 + random.below(6), estimatedRunUs: (5 + random.below(40)) * SECOND });
 };
 
-/** One cut: of what from what, for how long, in one direction or both. */
+/** Cuts random links of one node, or the store links of all nodes but one, in one direction or both. */
 const cutAnyLink = (simulation: ClusterSimulation, random: Random): void => {
   const names = simulation.nodes.map((each) => each.name);
   const node = names[random.below(names.length)]!;
-  const length = [2, 9, 20, 45][random.below(4)]! * SECOND;
+  const duration = [2, 9, 20, 45][random.below(4)]! * SECOND;
   const cutBetween = (one: string, other: string): void => {
     const direction = random.below(4);
-    if (direction === 0) simulation.network.cutOneWay(one, other, length);
-    else if (direction === 1) simulation.network.cutOneWay(other, one, length);
-    else simulation.network.cut(one, other, length);
+    if (direction === 0) simulation.network.cutOneWay(one, other, duration);
+    else if (direction === 1) simulation.network.cutOneWay(other, one, duration);
+    else simulation.network.cut(one, other, duration);
   };
   const choice = random.below(7);
   if (choice <= 1) cutBetween(node, 'state');
@@ -43,21 +43,22 @@
   else if (choice === 5) {
     for (const worker of simulation.workers.values()) if (random.chance(0.5)) cutBetween(node, worker.name);
   } else {
-    // All but one node lose the state service.
-    for (const other of names.filter((name) => name !== node)) simulation.network.cut(other, 'state', length);
+    // All nodes but one lose the state service.
+    for (const other of names.filter((name) => name !== node))
+      simulation.network.cut(other, 'state', duration);
   }
 };
 
-/** What one generated history showed. */
+/** The outcome of one generated history. */
 interface HistoryResult {
-  /** Rules that were broken. */
-  readonly broken: readonly string[];
+  /** Violations of the protocol's rules. */
+  readonly violations: readonly string[];
   /** Jobs that did not end. */
   readonly openJobs: readonly string[];
   readonly elections: number;
 }
 
-/** Runs one generated history. */
+/** Runs the generated history of a seed on a cluster of so many nodes. */
 const runHistory = (seed: number, nodes: number): HistoryResult => {
   const random = new Random(seed * 104_729);
   const simulation = new ClusterSimulation(
@@ -96,22 +97,22 @@
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
   return {
-    broken: violationsOf(simulation),
+    violations: violationsOf(simulation),
     openJobs: unfinishedJobs(simulation, ids),
     elections,
   };
 };
 
-/** More seeds by hand: `CUT_SEEDS=1-400 node --import tsx --test packages/core/test/partition-histories.test.ts`. */
-const [from, to] = seedRange('CUT_SEEDS', '1-12');
+/** More seeds: `CUT_SEEDS=1-400 node --import tsx --test packages/core/test/partition-histories.test.ts`. */
+const [firstSeed, lastSeed] = seedRange('CUT_SEEDS', '1-12');
 
-test('no rule breaks under cuts of any link, in one direction or both, and all work ends', () => {
+test('no rule is violated under cuts of any link, in one direction or both, and all jobs end', () => {
   let elections = 0;
-  for (let seed = from; seed <= to; seed++) {
+  for (let seed = firstSeed; seed <= lastSeed; seed++) {
     const result = runHistory(seed, seed % 4 === 0 ? 5 : 3);
-    assert.deepEqual(result.broken.slice(0, 5), [], `seed ${seed}`);
-    assert.deepEqual(result.openJobs, [], `seed ${seed}: work that did not end`);
+    assert.deepEqual(result.violations.slice(0, 5), [], `seed ${seed}`);
+    assert.deepEqual(result.openJobs, [], `seed ${seed}: jobs that did not end`);
     elections += result.elections;
   }
-  assert.ok(elections > 2 * (to - from + 1), 'the leader lease changed hands');
+  assert.ok(elections > 2 * (lastSeed - firstSeed + 1), 'the leader lease changed hands');
 });
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -1,4 +1,4 @@
-/** Cuts that leave some links up: who leads, whom workers are sent to, and what a deposed leader does. */
+/** Partial network partitions: who leads, where workers are redirected, and what a deposed leader does. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -14,7 +14,7 @@
 
 const NAMES = ['n0', 'n1', 'n2'];
 
-/** A cluster whose machines run tasks. */
+/** A cluster whose machines run tasks, with its leader at the start and the log since then. */
 interface LoadedCluster {
   readonly simulation: ClusterSimulation;
   readonly leader: string;
@@ -22,7 +22,7 @@
   readonly log: string[];
 }
 
-/** A loaded cluster, who leads it, and what is logged from now on. */
+/** Creates a cluster and runs it until its machines are busy. */
 const loadedCluster = (seed: number): LoadedCluster => {
   const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
   simulation.runFor(3 * SECOND);
@@ -35,20 +35,20 @@
   return { simulation, leader, others: NAMES.filter((name) => name !== leader), log };
 };
 
-/** How often a worker's lease expired, so that it began another agent epoch. */
+/** How often a worker's lease expired, which starts a new agent epoch of the worker. */
 const countExpiredLeases = (simulation: ClusterSimulation): number =>
   [...simulation.workers.values()].reduce((count, worker) => count + worker.session - 1, 0);
 
-test('two nodes lose the state service: workers come to the third, and no lease expires', () => {
-  // Seen in a large cluster: a node that could not read who leads sent workers back to the leader that had been
-  // deposed; the new leader received no heartbeats, resigned, and all leases expired.
+test('when two nodes lose the state service, workers move to the third and no lease expires', () => {
+  // A node that could not read the leader's key once redirected workers to the deposed leader. The new leader received no
+  // heartbeats and resigned, and all worker leases expired.
   for (const peersAreCut of [false, true])
     for (let seed = 1; seed <= 4; seed++) {
       const { simulation, leader, others, log } = loadedCluster(seed);
       const busy = [...simulation.workers.values()].filter((worker) => worker.tasks.length > 0).length;
       assert.ok(busy >= 20, `${busy} busy workers`);
       for (const name of [leader, others[0]!]) simulation.network.cut(name, 'state', 60 * SECOND);
-      // Where peers don't reach each other either, the name of the old leader expires by itself.
+      // Where peers don't reach each other either, the knowledge of the old leader expires by itself.
       if (peersAreCut)
         for (const one of NAMES)
           for (const other of NAMES) if (one < other) simulation.network.cut(one, other, 60 * SECOND);
@@ -59,7 +59,7 @@
       assert.equal(
         countExpiredLeases(simulation),
         0,
-        `seed ${seed}, peers cut ${peersAreCut}: leases that expired`,
+        `seed ${seed}, peers cut ${peersAreCut}: expired leases`,
       );
       assert.equal(
         log.filter((line) => line.endsWith('leader.elected')).length,
@@ -70,7 +70,7 @@
 });
 
 test('a leader that lost the state service alone decides nothing once its lease has expired', () => {
-  // Seen in a large cluster: 33 s after another was elected, the deposed one rented 56 machines for what it took as lost.
+  // A deposed leader once provisioned 56 machines for tasks that it considered lost, 33 s after another was elected.
   for (const peersAreCut of [false, true]) {
     const { simulation, leader, others, log } = loadedCluster(7);
     simulation.network.cut(leader, 'state', 60 * SECOND);
@@ -78,7 +78,7 @@
     simulation.runFor(7 * SECOND);
     assert.ok(others.some((name) => simulation.nodes.find((node) => node.name === name)!.core!.leads()));
     log.length = 0;
-    // More than can run: there is a reason to scale out.
+    // More tasks than can run, so that there is a reason to scale out.
     for (let i = 20; i < 24; i++) simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
     simulation.runFor(50 * SECOND);
     const decisions = [
@@ -96,7 +96,7 @@
       log.some((line) => line.endsWith('autoscaler.scale_out_requested')),
       'the new leader scales out',
     );
-    // A peer's message ends the term at once; else it lasts until the state service answers again.
+    // A message from a peer ends the term at once; without one, the term lasts until the state service answers again.
     assert.equal(log.filter((line) => line === `${leader} leader.suspended`).length > 0, peersAreCut);
     simulation.runFor(30 * SECOND);
     assert.deepEqual([...new Set(simulation.broken)], []);
@@ -104,12 +104,13 @@
   }
 });
 
-/** One node without peers or a state service, fed by the test. */
+/** A single node whose peer messages and store replies come from the test. */
 interface IsolatedNode {
+  /** Passes an input to the node at a time in seconds. */
   feed(atS: number, input: Input): CoreEffect[];
-  /** The leader to which a worker is redirected that sends a heartbeat now. */
+  /** The leader to which the node redirects a worker's heartbeat; null if it names none. */
   redirectTarget(atS: number): string | null;
-  /** A peer's message that it leads in this term. */
+  /** Passes a peer's message that it leads in this term. */
   claimFrom(atS: number, member: string, term: number): void;
 }
 
@@ -126,7 +127,7 @@
   tasks: [],
 };
 
-/** A node whose state service answers nothing but what the test feeds. */
+/** Starts a node whose state service answers nothing but what the test feeds. */
 const isolatedNode = (): IsolatedNode => {
   const core = new Core(settingsFor('n0', NAMES, '[[cluster.teams]]\nname = "t"\n'), () => 0);
   const feed = (atS: number, input: Input): CoreEffect[] => core.step(atS * SECOND, input);
@@ -145,19 +146,19 @@
   };
 };
 
-test('a node names the leader that was confirmed within a lease, and no other', () => {
+test('a node redirects only to a leader that was confirmed within the lease duration', () => {
   const node = isolatedNode();
   assert.equal(node.redirectTarget(1), null);
   node.claimFrom(2, 'n1', 5);
   assert.equal(node.redirectTarget(3), 'n1');
   node.claimFrom(4, 'n2', 6);
   assert.equal(node.redirectTarget(4), 'n2');
-  // Held back on its way: of a term that is over.
+  // A delayed message of a term that is over.
   node.claimFrom(5, 'n1', 5);
   assert.equal(node.redirectTarget(5), 'n2');
   node.claimFrom(8, 'n2', 6);
   assert.equal(node.redirectTarget(13), 'n2');
-  // No message for a whole lease.
+  // No message for a whole lease duration.
   assert.equal(node.redirectTarget(15), null);
   node.claimFrom(16, 'n2', 6);
   assert.equal(node.redirectTarget(16), 'n2');
@@ -165,7 +166,7 @@
   assert.equal(node.redirectTarget(17), 'n2', 'only claims of peers count');
 });
 
-test('the end of a term that the state service shows is not undone by a late message of its leader', () => {
+test('once the state service has shown the end of a term, a late message of its leader has no effect', () => {
   const node = isolatedNode();
   const firstEffects = node.feed(1, { kind: 'timer' });
   assert.ok(firstEffects.every((effect) => effect.kind !== 'heartbeatResponse'));
@@ -179,8 +180,8 @@
   assert.equal(node.redirectTarget(3), 'n2');
 });
 
-test('users of a node that lost the state service are answered at once, and again once it is back', () => {
-  // Seen in a large cluster: polls waited for one call after the other to a silent service, until their users gave up.
+test('polls at a node without the state service are refused at once, and answered again once it is back', () => {
+  // Polls once waited for one call after the other to a silent store, until their users gave up.
   const simulation = new ClusterSimulation(new Random(5), 1);
   simulation.runFor(3 * SECOND);
   simulation.submit(specOf('run-1', { tasks: 2 }));
@@ -203,11 +204,11 @@
   }
   assert.equal(answers.length, 18);
   assert.ok(answers.every((answer) => answer.kind === 'unavailable'));
-  // Only those who came before the loss was known waited, and never as long as a user does.
+  // Only polls from before the loss was noticed had to wait, and less than a user's timeout.
   assert.ok(answers.every((answer) => answer.after < 1.6 * SECOND));
   assert.ok(answers.slice(3).every((answer) => answer.after < 0.01 * SECOND));
   answers.length = 0;
-  // What is known to have ended is answered all the same.
+  // A job known to have ended is answered nevertheless.
   poll('run-1');
   assert.deepEqual(
     answers.map((answer) => answer.kind),
@@ -224,22 +225,22 @@
   assert.deepEqual(simulation.broken, []);
 });
 
-test('one lost call among answered ones is no lost link', () => {
-  const link = new StoreConnection();
-  link.recordSuccess(5);
-  assert.equal(link.recordFailure('silent', 4), false);
-  assert.equal(link.recordFailure('busy', 6), false);
-  assert.equal(link.recordFailure('silent', 6), true);
-  assert.equal(link.downSince, 6);
-  assert.equal(link.recordFailure('refused', 7), false, 'it is known already');
-  assert.equal(link.recordSuccess(9), true);
-  assert.equal(link.recordSuccess(10), false);
-  assert.equal(link.downSince, null);
+test('one lost call among answered ones does not count as a lost connection', () => {
+  const connection = new StoreConnection();
+  connection.recordSuccess(5);
+  assert.equal(connection.recordFailure('silent', 4), false);
+  assert.equal(connection.recordFailure('busy', 6), false);
+  assert.equal(connection.recordFailure('silent', 6), true);
+  assert.equal(connection.downSince, 6);
+  assert.equal(connection.recordFailure('refused', 7), false, 'the connection is already known to be down');
+  assert.equal(connection.recordSuccess(9), true);
+  assert.equal(connection.recordSuccess(10), false);
+  assert.equal(connection.downSince, null);
 });
 
-test('a leader that got no answers for long reads what was cancelled meanwhile before it acts again', () => {
-  // Found by a generated history (ran_cancelled): only the answers of the state service were lost, so that the leader's
-  // renewals went on being executed and its lease never expired; able to act again it started a job cancelled 46 s before.
+test('a leader whose store answers were lost for long reads missed cancellations before it acts again', () => {
+  // Found by a generated history (ran_cancelled): only the answers of the state service were lost, so the leader's renewals
+  // were still executed and its lease never expired. Once it could act again, it started a job cancelled 46 s before.
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 8);
     simulation.runFor(3 * SECOND);
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -1,6 +1,6 @@
 /**
- * Literal values as they stand in the key-value store. Other versions of the program read and write the same records, so that
- * no name in these examples may ever change.
+ * Literal records as stored in the key-value store. Other versions of the program read and write the same records, so no
+ * name in these examples may change.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -37,7 +37,7 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
-/** As it would be read back: the store keeps what JSON can say. */
+/** The value as it would be read back: the store keeps only what JSON can represent. */
 const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 const STORED_SPEC = {
@@ -88,7 +88,7 @@
   assert.deepEqual(decodeActiveJob(record), { spec: SPEC, acceptedAt: 1_796_126_400_000_000 });
 });
 
-test('a job that waits for others', () => {
+test('a job that waits for its dependencies', () => {
   const record = {
     awaiting: { spec: STORED_SPEC, at: 5, needs: { start: 'run-4', rests: '0,11' } },
   };
@@ -102,12 +102,12 @@
   const record = { stage: 'done', done: 16, spec, at: 7 };
   assert.deepEqual(stored(encodeEndedJob(SPEC, 'done', 16, 7)), record);
   assert.deepEqual(decodeEndedJob(record), { stage: 'done', done: 16, shape: 'gang', endedAt: 7 });
-  // The version before leaves the time of the end out.
+  // The previous version omits the end time.
   const former = { stage: 'cancelled', done: 0, spec };
   assert.deepEqual(decodeEndedJob(former), { stage: 'cancelled', done: 0, shape: 'gang', endedAt: null });
 });
 
-test('records of jobs that can not be read are null', () => {
+test('unreadable job records are decoded as null', () => {
   for (const value of [
     null,
     7,
@@ -122,15 +122,15 @@
     assert.equal(decodeEndedJob(value), null, JSON.stringify(value));
 });
 
-test('a machine, with and without marks', () => {
+test('a machine, with and without flags', () => {
   const plain = { address: '10.1.0.7:90', type: 'g8', zone: 'a' };
-  const marked = { ...plain, spot: true, retiring: true, standing: true };
-  const set = { ...plain, spot: true, retiring: true, preprovisioned: true };
-  const unset = { spot: false, retiring: false, preprovisioned: false };
-  assert.deepEqual(stored(encodeMachine({ ...plain, ...unset })), plain);
-  assert.deepEqual(stored(encodeMachine(set)), marked);
-  assert.deepEqual(decodeMachine(plain), { ...plain, ...unset });
-  assert.deepEqual(decodeMachine(marked), set);
+  const flagged = { ...plain, spot: true, retiring: true, standing: true };
+  const decodedFlagged = { ...plain, spot: true, retiring: true, preprovisioned: true };
+  const unsetFlags = { spot: false, retiring: false, preprovisioned: false };
+  assert.deepEqual(stored(encodeMachine({ ...plain, ...unsetFlags })), plain);
+  assert.deepEqual(stored(encodeMachine(decodedFlagged)), flagged);
+  assert.deepEqual(decodeMachine(plain), { ...plain, ...unsetFlags });
+  assert.deepEqual(decodeMachine(flagged), decodedFlagged);
   assert.equal(decodeMachine({ address: '10.1.0.7:90', type: 'g8' }), null);
 });
 
@@ -183,7 +183,7 @@
   assert.equal(decodeTerm({}), null);
 });
 
-test('run times that were learned: ratio to the estimate, and 1 for a run that was cut short', () => {
+test('learned run times: the ratio to the estimate, with 1 marking a run that was stopped early', () => {
   const record = {
     'train|g8': [
       [1.1, 0],
@@ -198,13 +198,13 @@
       [0.5, 1],
     ],
   };
-  const learned = new RuntimeEstimates();
-  learned.recordRun('train', 'g8', 100 * SECOND, 110 * SECOND, true);
-  learned.recordRun('train', 'g8', 100 * SECOND, 50 * SECOND, false);
-  assert.deepEqual(stored(learned.summary(16_000)), record);
-  const read = new RuntimeEstimates();
-  read.load(record);
-  assert.deepEqual(stored(read.summary(16_000)), record);
+  const estimates = new RuntimeEstimates();
+  estimates.recordRun('train', 'g8', 100 * SECOND, 110 * SECOND, true);
+  estimates.recordRun('train', 'g8', 100 * SECOND, 50 * SECOND, false);
+  assert.deepEqual(stored(estimates.summary(16_000)), record);
+  const restored = new RuntimeEstimates();
+  restored.load(record);
+  assert.deepEqual(stored(restored.summary(16_000)), record);
 });
 
 test('keys', () => {
@@ -229,32 +229,32 @@
   assert.deepEqual([progressKey('run-1', 0), progressKey('run-1', 3)], ['p/run-1', 'p/run-1/1000003']);
 });
 
-test('what a leader writes has these fields and no others', () => {
-  const world = new ClusterSimulation(new Random(5), 3);
-  world.stand(2);
-  world.runFor(3 * SECOND);
-  world.submit(specOf('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
-  world.submit(specOf('run-2', { dependsOn: ['run-1'] }));
-  world.submit(specOf('run-3', { tasks: 1, estimatedRunUs: SECOND }));
-  world.runFor(60 * SECOND);
+test('records written by a leader have exactly these fields', () => {
+  const simulation = new ClusterSimulation(new Random(5), 3);
+  simulation.stand(2);
+  simulation.runFor(3 * SECOND);
+  simulation.submit(specOf('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
+  simulation.submit(specOf('run-2', { dependsOn: ['run-1'] }));
+  simulation.submit(specOf('run-3', { tasks: 1, estimatedRunUs: SECOND }));
+  simulation.runFor(60 * SECOND);
   const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
   const entriesOf = (prefix: string): unknown[] =>
-    world.keys(prefix).flatMap((key) => {
+    simulation.keys(prefix).flatMap((key) => {
       assert.match(key, new RegExp(`^${prefix}s\\d+$`));
-      assert.deepEqual(fieldsOf(world.value(key)), ['entries']);
-      return Object.values(readPage(world.value(key)) ?? {});
+      assert.deepEqual(fieldsOf(simulation.value(key)), ['entries']);
+      return Object.values(readPage(simulation.value(key)) ?? {});
     });
-  assert.deepEqual(fieldsOf(world.value('lead')), ['member', 'term']);
-  assert.deepEqual(fieldsOf(world.value('term')), ['n']);
-  assert.deepEqual(fieldsOf(world.value('j/run-1')), ['at', 'spec']);
-  assert.deepEqual(fieldsOf((world.value('j/run-1') as { spec: unknown }).spec), fieldsOf(STORED_SPEC));
-  assert.deepEqual(fieldsOf(world.value('j/run-2')), ['awaiting']);
-  assert.deepEqual(fieldsOf((world.value('j/run-2') as { awaiting: unknown }).awaiting), [
+  assert.deepEqual(fieldsOf(simulation.value('lead')), ['member', 'term']);
+  assert.deepEqual(fieldsOf(simulation.value('term')), ['n']);
+  assert.deepEqual(fieldsOf(simulation.value('j/run-1')), ['at', 'spec']);
+  assert.deepEqual(fieldsOf((simulation.value('j/run-1') as { spec: unknown }).spec), fieldsOf(STORED_SPEC));
+  assert.deepEqual(fieldsOf(simulation.value('j/run-2')), ['awaiting']);
+  assert.deepEqual(fieldsOf((simulation.value('j/run-2') as { awaiting: unknown }).awaiting), [
     'at',
     'needs',
     'spec',
   ]);
-  assert.deepEqual(fieldsOf(world.value('t/run-3')), ['at', 'done', 'spec', 'stage']);
+  assert.deepEqual(fieldsOf(simulation.value('t/run-3')), ['at', 'done', 'spec', 'stage']);
   const progress = entriesOf('q/');
   assert.ok(progress.length > 0);
   for (const entry of progress) assert.deepEqual(fieldsOf(entry), ['bits', 'machines']);
@@ -263,7 +263,7 @@
   for (const entry of machines)
     for (const field of fieldsOf(entry))
       assert.ok(['address', 'type', 'zone', 'spot', 'retiring', 'standing'].includes(field), field);
-  assert.deepEqual(fieldsOf((world.value('types') as unknown[])[0]), [
+  assert.deepEqual(fieldsOf((simulation.value('types') as unknown[])[0]), [
     'bootUs',
     'cacheGb',
     'cores',
