--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -1,6 +1,6 @@
 /**
- * Many starts at once: plans in which every decision is a slice of its own, with nearly all work beyond the groups that are
- * compared. Faults come in the middle: no rule breaks, and all work that is not cancelled ends.
+ * Many task starts at once, under plans that are computed in slices of one decision each and that place nearly all tasks by
+ * backfill. Faults are injected in the middle: no rule may be violated, and every job that is not cancelled has to end.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -21,7 +21,7 @@
 import { checkOutcome } from './scenario-assertions.js';
 import { teamQuota, violationsOf } from './scenario-fixtures.js';
 
-/** Longer than a slice, so that each decision ends one; the whole plan still has time for some. */
+/** Options whose clock advances by more than a slice per reading, so that each decision ends a slice of the plan. */
 const slicedPlans = (): CoreOptions => {
   let time = 0;
   return {
@@ -31,9 +31,9 @@
 };
 
 const MACHINES = 40;
-/** Below what the machines have, so that the quota is reached in the middle of a plan. */
+/** Team quota in cores: less than the machines have, so that it is reached in the middle of a plan. */
 const QUOTA = 140;
-/** Steps of the leader after which it is crashed, spread over the whole bulk start. */
+/** Number of steps at which the leader is crashed in turn, spread over the whole bulk start. */
 const CRASH_POINTS = 24;
 
 const createSimulation = (seed: number, coreOptions: CoreOptions = slicedPlans()): ClusterSimulation => {
@@ -68,7 +68,7 @@
   for (const job of JOBS) simulation.submit(job);
 };
 
-/** Runs until everything has ended, or for five minutes. */
+/** Runs until all jobs have ended, or for five minutes; asserts that they ended as expected and no rule was violated. */
 const runToEnd = (
   simulation: ClusterSimulation,
   description: string,
@@ -87,7 +87,7 @@
   }
 };
 
-/** Calls `onStep` after each step of the node that leads, with the number of its steps so far. */
+/** Calls `onStep` after each step of the leader, with the number of its steps so far. */
 const countSteps = (simulation: ClusterSimulation, leader: string, onStep: (count: number) => void): void => {
   let count = 0;
   simulation.meter = {
@@ -98,7 +98,7 @@
   };
 };
 
-/** Steps that the leader takes for the bulk start if nothing disturbs it, and the most slices that a plan had. */
+/** Measures a bulk start without faults: the leader's steps until `QUOTA` tasks started, and the most slices of a plan. */
 const measureUndisturbed = (): { steps: number; slices: number } => {
   const simulation = createSimulation(1);
   let steps = 0;
@@ -114,7 +114,7 @@
   return { steps, slices };
 };
 
-test('a leader that crashes between any two steps of a bulk start', () => {
+test('a bulk start completes when the leader crashes between any two of its steps', () => {
   const { steps, slices } = measureUndisturbed();
   assert.ok(slices > 3, `a plan had ${slices} slices`);
   assert.ok(steps > 60, `${steps} steps`);
@@ -123,7 +123,7 @@
     const simulation = createSimulation(1);
     const leader = simulation.leader();
     countSteps(simulation, simulation.nodes[leader]!.name, (count) => {
-      // Before the effects of this step leave.
+      // Crashes before the effects of this step are carried out.
       if (count === lastStep)
         simulation.later(0, () => {
           simulation.crash(leader, [50 * MILLI, 5 * SECOND][point % 2]!);
@@ -134,7 +134,7 @@
   }
 });
 
-/** Injects a fault; returns the jobs that are cancelled by it. */
+/** Injects a fault; returns the ids of the jobs that it cancels. */
 type Fault = (simulation: ClusterSimulation, random: Random) => readonly string[];
 
 const FAULTS: Readonly<Record<string, Fault>> = {
@@ -142,7 +142,7 @@
     simulation.refuse(simulation.nodes[simulation.leader()]!.name, 8 * SECOND);
     return [];
   },
-  'writes come late': (simulation) => {
+  'writes are delayed': (simulation) => {
     simulation.lateWrites = 0.6;
     simulation.later(10 * SECOND, () => {
       simulation.lateWrites = 0;
@@ -184,7 +184,7 @@
 };
 
 for (const [name, injectFault] of Object.entries(FAULTS))
-  test(`a bulk start in which ${name}`, () => {
+  test(`a bulk start completes while ${name}`, () => {
     for (let seed = 1; seed <= 6; seed++) {
       const simulation = createSimulation(seed * 31);
       const cancelled = injectFault(simulation, new Random(seed));
@@ -193,7 +193,7 @@
     }
   });
 
-test('a plan that fails in its middle does not keep later ones from being made', () => {
+test('a plan that fails with an exception does not prevent later plans', () => {
   const { operators, stopwatch } = slicedPlans();
   let calls = 0;
   let failures = 0;
@@ -209,7 +209,7 @@
   submitAll(simulation);
   simulation.runFor(8 * SECOND);
   assert.equal(failures, 3);
-  // What was made to fail is logged as an error, and nothing else is wrong.
+  // The injected failures are logged as errors; nothing else may be recorded.
   const otherViolations = simulation.broken.filter((violation) => !violation.includes('made to fail'));
   simulation.broken.length = 0;
   assert.deepEqual(otherViolations, []);
@@ -225,7 +225,7 @@
   })),
 ];
 
-test('the fault scenarios hold with plans in slices', () => {
+test('the fault scenarios pass with plans computed in slices', () => {
   SCENARIOS.forEach(({ name, scenario, bounds }, index) => {
     const seed = 200 + index;
     checkOutcome(play(seed, [scenario], 2, bounds, slicedPlans()), `${name}, seed ${seed}`);
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -1,7 +1,7 @@
 /**
- * A cancellation takes effect, whichever node leads and whatever is down: each task of a cancelled job has stopped within
- * `cancel_s` of the confirmation. Tasks run longer than any test, so none ends by itself; the workers' clocks are as slow
- * and the leaders' as far apart as is allowed.
+ * A confirmed cancellation takes effect whichever node leads and whatever is down: each task of the job has stopped within
+ * `cancel_s`. Tasks run longer than any test, so none ends by itself. Worker clocks are as slow, and controller clocks
+ * drift as far apart, as the protocol allows.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -15,11 +15,12 @@
 
 import { seedRange } from './scenario-fixtures.js';
 
-/** `cancel_s`: how long tasks may run after the confirmed cancellation of their job. */
+/** The setting `cancel_s`: how long tasks may run on after the cancellation of their job was confirmed. */
 const MAX_TIME_TO_STOP = 40 * SECOND;
 /** Longer than any test takes. */
 const LONG_RUN = 3_600 * SECOND;
 
+/** A long job whose shape follows from its number: a gang, a service or an array. */
 const jobOf = (id: string, number: number): JobSpec => {
   if (number % 3 === 0)
     return specOf(id, { shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: LONG_RUN });
@@ -27,14 +28,14 @@
   return specOf(id, { tasks: 4, estimatedRunUs: LONG_RUN });
 };
 
-/** A cluster whose jobs all run. */
+/** A cluster in which all submitted jobs are running. */
 interface RunningCluster {
   readonly simulation: ClusterSimulation;
   readonly ids: string[];
   readonly leader: () => string | null;
 }
 
-/** Starts controllers and jobs, and waits until all jobs run. */
+/** Starts controllers with clocks that drift, submits jobs and waits until all of them run. */
 const startCluster = (seed: number, jobs: number, nodes = 3): RunningCluster => {
   const simulation = new ClusterSimulation(
     new Random(seed * 7_919 + 3),
@@ -59,16 +60,16 @@
   };
 };
 
-/** How many jobs still had tasks after their confirmed cancellation, and the longest time for which any had. */
+/** How many jobs still had tasks after their cancellation was confirmed, and the longest time until they stopped. */
 const tasksAfterCancellation = (simulation: ClusterSimulation): { jobs: number; longest: number } => {
-  const late = [...simulation.machines.lastSeen].map(
+  const stopTimes = [...simulation.machines.lastSeen].map(
     ([id, at]) => at - simulation.users.cancelledAt.get(id)!,
   );
-  return { jobs: late.length, longest: Math.max(0, ...late) };
+  return { jobs: stopTimes.length, longest: Math.max(0, ...stopTimes) };
 };
 
-/** Additional faults; `offset`: seconds until the outage begins. */
-const VARIANTS: Readonly<Record<string, (cluster: RunningCluster, offset: number) => void>> = {
+/** Additional faults by name; `offset` is the number of seconds until the outage of the state service begins. */
+const ADDITIONAL_FAULTS: Readonly<Record<string, (cluster: RunningCluster, offset: number) => void>> = {
   plain: () => undefined,
   'half of the workers receive nothing': ({ simulation }) => {
     [...simulation.workers.values()].forEach((worker, i) => {
@@ -98,9 +99,9 @@
   },
 };
 
-test('the leader alone is refused, others confirm cancellations, then the state service is down for all', () => {
+test('cancellations take effect when the store refuses the leader alone and then is down for all nodes', () => {
   let jobs = 0;
-  for (const [name, disturb] of Object.entries(VARIANTS))
+  for (const [name, injectFault] of Object.entries(ADDITIONAL_FAULTS))
     for (const offset of [1, 4, 8, 16, 30])
       for (const seed of [1, 2, 3]) {
         const cluster = startCluster(seed, 9);
@@ -108,8 +109,8 @@
         const previousLeader = leader();
         assert.ok(previousLeader !== null);
         simulation.refuse(previousLeader, 200 * SECOND);
-        disturb(cluster, offset);
-        // Some at once, some under the next leader, some as the outage begins.
+        injectFault(cluster, offset);
+        // Some jobs are cancelled at once, some under the next leader and some just before the outage.
         ids.slice(0, 3).forEach((id) => {
           simulation.cancel(id);
         });
@@ -124,15 +125,15 @@
         simulation.runFor(100 * MILLI);
         simulation.stateOutage(MAX_TIME_TO_STOP + 15 * SECOND);
         simulation.runFor(MAX_TIME_TO_STOP + 40 * SECOND);
-        const broken = simulation.broken.filter((violation) => !violation.startsWith('error logged'));
-        assert.deepEqual([...new Set(broken)], [], `${name}, outage after ${offset} s, seed ${seed}`);
+        const violations = simulation.broken.filter((violation) => !violation.startsWith('error logged'));
+        assert.deepEqual([...new Set(violations)], [], `${name}, outage after ${offset} s, seed ${seed}`);
         jobs += tasksAfterCancellation(simulation).jobs;
       }
   assert.ok(jobs > 150, `jobs that had tasks when their cancellation was confirmed: ${jobs}`);
 });
 
-test('a leader whose watch hangs while its lease is renewed does not keep cancelled jobs alive', () => {
-  // A single node has no other node to resign to.
+test('a leader whose watch hangs while its lease is renewed does not keep cancelled jobs running', () => {
+  // With a single node, there is no other node to take over.
   for (const [seed, nodes] of [
     [1, 3],
     [2, 3],
@@ -141,12 +142,12 @@
   ] as const) {
     const { simulation, ids, leader } = startCluster(seed, 6, nodes);
     const previousLeader = leader();
-    // Lists are delayed as well as the watch: the leader receives no cancellation, and keeps its lease.
+    // Lists are delayed as well as the watch: the leader learns of no cancellation, yet keeps its lease.
     simulation.watchesHangUntil = simulation.now + 70 * SECOND;
     simulation.listDelay = 70 * SECOND;
     simulation.runFor(3 * SECOND);
     for (const id of ids.slice(0, 4)) simulation.cancel(id);
-    // Workers that were answered until now and receive nothing from now on keep their tasks for a whole lease.
+    // Workers that were answered until now and receive nothing from here on keep their tasks for a whole lease.
     simulation.runFor(24 * SECOND);
     for (const worker of simulation.workers.values()) worker.deafUntil = simulation.now + 60 * SECOND;
     simulation.runFor(41 * SECOND);
@@ -172,19 +173,19 @@
     for (const id of ids.slice(0, 3)) simulation.cancel(id);
     simulation.runFor(60 * SECOND);
     assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
-    assert.ok(leader() !== null && leader() !== previousLeader, `seed ${seed}: another leads`);
+    assert.ok(leader() !== null && leader() !== previousLeader, `seed ${seed}: another node leads`);
     assert.ok(
       tasksAfterCancellation(simulation).jobs === 3 &&
         tasksAfterCancellation(simulation).longest < MAX_TIME_TO_STOP,
     );
     assert.ok(
       [...simulation.workers.values()].every((worker) => !worker.alive || worker.session === 1),
-      `seed ${seed}: no lease ran out`,
+      `seed ${seed}: no worker lease expired`,
     );
   }
 });
 
-test('a watch that hangs alone has no effect: cancellations are also found by lists', () => {
+test('a hanging watch alone has no effect: cancellations are found by lists as well', () => {
   const { simulation, ids, leader } = startCluster(4, 6);
   const previousLeader = leader();
   simulation.watchesHangUntil = simulation.now + 100 * SECOND;
@@ -195,11 +196,11 @@
   assert.deepEqual([...new Set(simulation.broken)], []);
   assert.ok(
     [...simulation.workers.values()].every((worker) => !worker.alive || worker.session === 1),
-    'no lease ran out',
+    'no worker lease expired',
   );
   assert.ok(
     tasksAfterCancellation(simulation).longest < 25 * SECOND,
-    `gone after ${tasksAfterCancellation(simulation).longest / SECOND} s`,
+    `stopped after ${tasksAfterCancellation(simulation).longest / SECOND} s`,
   );
 });
 
@@ -209,13 +210,13 @@
   return core.scheduler!.respondToHeartbeat(heartbeat);
 };
 
-test('a heartbeat that was overtaken is answered with stops for the tasks of ended jobs, or not with 200', () => {
+test('an overtaken heartbeat is answered with stop commands for the tasks of ended jobs, or not with 200', () => {
   const { simulation, ids } = startCluster(5, 3);
   const id = ids[2]!;
   const worker = [...simulation.workers.values()].find((worker) =>
     worker.tasks.some((task) => task.job === id),
   )!;
-  // The worker receives nothing any more, so that its tasks stay while their job ends.
+  // The worker receives nothing, so that its tasks keep running while their job ends.
   worker.deafUntil = simulation.now + 15 * SECOND;
   const overtaken = simulation.machines.reportOf(worker);
   const tasks = overtaken.tasks.filter((task) => task.job === id);
@@ -233,16 +234,16 @@
       tasks.length,
     );
   }
-  // One that lists none of them, sent before they started, is answered with the stops all the same.
+  // A heartbeat sent before the tasks started, which lists none of them, is answered with the stop commands too.
   const empty = responseOf(simulation, { ...overtaken, tasks: [] });
   assert.ok(
     empty.kind === 'accepted' &&
       empty.commands.some((command) => command.op === 'stop' && command.job === id),
   );
-  // The worker has seen a fencing token of another term: it would drop a 200, and its heartbeat is not applied.
+  // The worker has seen a fencing token of another term: it would ignore a 200, so its heartbeat is not applied.
   const ahead = { ...newer, sequence: newer.sequence + 1, fencingToken: 2 ** 50 };
   assert.equal(responseOf(simulation, ahead).kind, 'unavailable');
-  // More unknown tasks than a response can hold.
+  // More unknown tasks than a response can hold commands for.
   const unknownTasks = Array.from({ length: 401 }, (_, i) => ({ ...tasks[0]!, job: `run-9${i}` }));
   assert.equal(
     responseOf(simulation, { ...newer, sequence: newer.sequence + 1, tasks: unknownTasks }).kind,
@@ -265,7 +266,7 @@
     const cancelledAt = simulation.users.cancelledAt.get(id);
     assert.ok(cancelledAt !== undefined);
     const confirmedAt = simulation.now;
-    // Answered once before the leader gives up its command, and receives nothing from then on.
+    // Each worker is answered once before the leader gives up on its command, and receives nothing from then on.
     const deafWorkers = new Set<string>();
     for (let i = 0; i < 60; i++) {
       simulation.runFor(25 * MILLI);
@@ -281,54 +282,59 @@
     for (const name of deafWorkers)
       assert.ok(
         simulation.workers.get(name)!.tasks.every((task) => task.job !== id),
-        `phase ${phase}: begun on ${name}`,
+        `phase ${phase}: started on ${name}`,
       );
     assert.deepEqual([...new Set(simulation.broken)], []);
   }
-  assert.ok(answered > 20, `workers answered while a start was on its way: ${answered}`);
+  assert.ok(answered > 20, `workers answered while a start command was in flight: ${answered}`);
 });
 
-/** Faults that may keep cancellations from the leader for long, while it goes on leading. */
-const DISTURBANCES: readonly ((cluster: RunningCluster, random: Random, chooseNode: () => number) => void)[] =
-  [
-    ({ simulation }, random) => {
-      simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
-    },
-    ({ simulation }, random) => {
-      simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
-      simulation.listDelay = (2 + random.below(40)) * SECOND;
-    },
-    // Refused again and again, with renewals in between: its lease never ends.
-    ({ simulation }, random, chooseNode) => {
-      const name = simulation.nodes[chooseNode()]!.name;
-      simulation.watchesHangUntil = simulation.now + 40 * SECOND;
-      for (let at = 0; at < 40; at += 4 + random.below(3))
-        simulation.later(at * SECOND, () => {
-          simulation.refuse(name, (1 + random.below(4)) * SECOND);
-        });
-    },
-    // A failover whose reads take long, while lease renewals are answered.
-    ({ simulation }, random, chooseNode) => {
-      simulation.crash(chooseNode(), (1 + random.below(8)) * SECOND);
-      simulation.listDelay = (1 + random.below(25)) * SECOND;
-    },
-    ({ simulation }, random, chooseNode) => {
-      simulation.network.cutOneWay(
-        'state',
-        simulation.nodes[chooseNode()]!.name,
-        (10 + random.below(35)) * SECOND,
-      );
-    },
-    ({ simulation }, random, chooseNode) => {
-      simulation.refuse(simulation.nodes[chooseNode()]!.name, 60 * SECOND);
-      simulation.later((1 + random.below(20)) * SECOND, () => {
-        simulation.stateOutage((5 + random.below(50)) * SECOND);
+/** Faults that may hide cancellations from the leader for a long time while it keeps its lease. */
+const CANCELLATION_DELAYING_FAULTS: readonly ((
+  cluster: RunningCluster,
+  random: Random,
+  chooseNode: () => number,
+) => void)[] = [
+  ({ simulation }, random) => {
+    simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
+  },
+  ({ simulation }, random) => {
+    simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
+    simulation.listDelay = (2 + random.below(40)) * SECOND;
+  },
+  // The store refuses the node again and again, with lease renewals in between, so its lease never expires.
+  ({ simulation }, random, chooseNode) => {
+    const name = simulation.nodes[chooseNode()]!.name;
+    simulation.watchesHangUntil = simulation.now + 40 * SECOND;
+    for (let offsetS = 0; offsetS < 40; offsetS += 4 + random.below(3))
+      simulation.later(offsetS * SECOND, () => {
+        simulation.refuse(name, (1 + random.below(4)) * SECOND);
       });
-    },
-  ];
+  },
+  // A failover whose reads are slow, while lease renewals are answered.
+  ({ simulation }, random, chooseNode) => {
+    simulation.crash(chooseNode(), (1 + random.below(8)) * SECOND);
+    simulation.listDelay = (1 + random.below(25)) * SECOND;
+  },
+  ({ simulation }, random, chooseNode) => {
+    simulation.network.cutOneWay(
+      'state',
+      simulation.nodes[chooseNode()]!.name,
+      (10 + random.below(35)) * SECOND,
+    );
+  },
+  ({ simulation }, random, chooseNode) => {
+    simulation.refuse(simulation.nodes[chooseNode()]!.name, 60 * SECOND);
+    simulation.later((1 + random.below(20)) * SECOND, () => {
+      simulation.stateOutage((5 + random.below(50)) * SECOND);
+    });
+  },
+];
 
-/** One history of cancellations at random moments around all faults that may delay them. */
-const history = (seed: number): { broken: string[]; jobs: number; longest: number; elections: number } => {
+/** Runs one generated history: cancellations at random moments among all faults that may delay them. */
+const runHistory = (
+  seed: number,
+): { violations: string[]; jobs: number; longest: number; elections: number } => {
   const cluster = startCluster(seed, 8);
   const { simulation, ids, leader } = cluster;
   const random = new Random(seed * 31_337);
@@ -344,12 +350,16 @@
     simulation.loss = random.chance(0.3) ? 0.15 : 0.02;
     simulation.repeats = random.chance(0.3) ? 0.2 : 0;
     simulation.stateSlow = random.chance(0.3) ? { share: 0.4, most: 4 * SECOND } : null;
-    DISTURBANCES[random.below(DISTURBANCES.length)]!(cluster, random, chooseNode);
+    CANCELLATION_DELAYING_FAULTS[random.below(CANCELLATION_DELAYING_FAULTS.length)]!(
+      cluster,
+      random,
+      chooseNode,
+    );
     for (let i = 0; i < 3; i++)
       simulation.later(random.below(15_000) * MILLI, () => {
         simulation.cancel(ids[random.below(ids.length)]!);
       });
-    // Workers that are answered until then keep their tasks for a whole lease.
+    // Workers that are answered until then keep their tasks for a whole lease afterwards.
     simulation.later((5 + random.below(30)) * SECOND, () => {
       for (const worker of simulation.workers.values())
         if (random.chance(0.8)) worker.deafUntil = simulation.now + (5 + random.below(50)) * SECOND;
@@ -380,22 +390,25 @@
   simulation.loss = 0;
   simulation.runFor(60 * SECOND);
   const { jobs, longest } = tasksAfterCancellation(simulation);
-  return { broken: [...new Set(simulation.broken)], jobs, longest, elections };
+  return { violations: [...new Set(simulation.broken)], jobs, longest, elections };
 };
 
-/** More by hand: `CANCEL_SEEDS=1-400 node --import tsx --test packages/core/test/cancellations.test.ts`. */
-const [from, to] = seedRange('CANCEL_SEEDS', '1-16');
+/** More seeds: `CANCEL_SEEDS=1-400 node --import tsx --test packages/core/test/cancellations.test.ts`. */
+const [firstSeed, lastSeed] = seedRange('CANCEL_SEEDS', '1-16');
 
-test('no task of a cancelled job outlives cancel_s, in generated histories', () => {
+test('in generated histories, no task of a cancelled job runs longer than cancel_s', () => {
   let jobs = 0;
   let elections = 0;
-  for (let seed = from; seed <= to; seed++) {
-    const result = history(seed);
-    assert.deepEqual(result.broken.slice(0, 5), [], `seed ${seed}`);
+  for (let seed = firstSeed; seed <= lastSeed; seed++) {
+    const result = runHistory(seed);
+    assert.deepEqual(result.violations.slice(0, 5), [], `seed ${seed}`);
     assert.ok(result.longest <= MAX_TIME_TO_STOP);
     jobs += result.jobs;
     elections += result.elections;
   }
-  assert.ok(jobs > 3 * (to - from + 1), `jobs that had tasks when their cancellation was confirmed: ${jobs}`);
-  assert.ok(elections > to - from, `elections: ${elections}`);
+  assert.ok(
+    jobs > 3 * (lastSeed - firstSeed + 1),
+    `jobs that had tasks when their cancellation was confirmed: ${jobs}`,
+  );
+  assert.ok(elections > lastSeed - firstSeed, `elections: ${elections}`);
 });
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -1,6 +1,7 @@
 /**
- * Old heartbeats that reach a new leader before newer ones. A heartbeat with an older leader's token may be a late copy: it can
- * add places to wait for, but does not decide which of two attempts is the true one, nor what a machine holds now.
+ * Old heartbeats that reach a new leader before newer ones. A heartbeat with the fencing token of an earlier leader may be a
+ * late copy. It may add machines that the leader has to wait for, but must not decide which of two attempts of a task is the
+ * valid one, nor which tasks a machine runs now.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -23,10 +24,10 @@
   [...simulation.workers.values()].filter((worker) => worker.alive && runningTasks(worker).includes(task));
 
 /**
- * A leader ends; the next one has just read the records, and has received no heartbeats but the `old` copies. The workers' own
- * heartbeats are held back meanwhile.
+ * Crashes the leader and runs until the next one has read the records, having received no heartbeats but these old copies.
+ * The workers' own heartbeats are held back, and stay so until the test lets a worker report.
  */
-const failOver = (simulation: ClusterSimulation, old: readonly Heartbeat[]): void => {
+const failOver = (simulation: ClusterSimulation, oldHeartbeats: readonly Heartbeat[]): void => {
   const isReady = simulation.nodes.map(() => false);
   simulation.onLog = (nodeName, event) => {
     if (event === 'leader.state_restored')
@@ -37,24 +38,25 @@
   for (let i = 0; i < 1_000 && !isReady.includes(true); i++) simulation.runFor(25 * MILLI);
   assert.ok(isReady.includes(true), 'a new leader is ready');
   const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
-  for (const heartbeat of old) assert.equal(scheduler!.respondToHeartbeat(heartbeat).kind, 'accepted');
+  for (const heartbeat of oldHeartbeats)
+    assert.equal(scheduler!.respondToHeartbeat(heartbeat).kind, 'accepted');
   for (const worker of simulation.workers.values()) {
     worker.muteUntil = 0;
     worker.node = simulation.leader();
-    // From here on in an order that the test chooses.
+    // The test chooses when each worker reports from here on.
     worker.nextReport = simulation.now + 3600 * SECOND;
   }
 };
 
-/** A task that failed on the machine `origin` and runs elsewhere now; `old` is a heartbeat of `origin` that lists it. */
+/** A task that failed on `origin` and now runs elsewhere; `oldHeartbeat` is a heartbeat of `origin` that lists it. */
 interface MovedTask {
   readonly simulation: ClusterSimulation;
-  readonly old: Heartbeat;
+  readonly oldHeartbeat: Heartbeat;
   readonly origin: Worker;
   readonly task: string;
 }
 
-/** Long tasks on several machines. One of them fails on its machine, and begins anew elsewhere. */
+/** Starts long tasks on several machines, and fails one of them so that it is started again elsewhere. */
 const moveTask = (seed: number, shape: 'array' | 'gang'): MovedTask => {
   const simulation = new ClusterSimulation(new Random(seed * 37 + 5), 3, teamQuota(40), 40, 5);
   simulation.stand(8);
@@ -65,7 +67,7 @@
   const origin = [...simulation.workers.values()].find(
     (worker) => worker.alive && runningTasks(worker).length > 0,
   )!;
-  const old = simulation.machines.reportOf(origin);
+  const oldHeartbeat = simulation.machines.reportOf(origin);
   const failing = origin.tasks.find((task) => task.state === 'running')!;
   const task = `${failing.job}/${failing.index}`;
   failing.state = 'exited';
@@ -74,16 +76,16 @@
   simulation.runFor(25 * SECOND);
   const holders = holdersOf(simulation, task);
   assert.ok(holders.length === 1 && holders[0] !== origin, `seed ${seed}: ${task} has moved`);
-  return { simulation, old, origin, task };
+  return { simulation, oldHeartbeat, origin, task };
 };
 
-test('healthy work is not stopped because a late copy of a heartbeat lists it elsewhere', () => {
+test('a running task is not stopped because a late copy of a heartbeat lists it on another machine', () => {
   for (const shape of ['array', 'gang'] as const)
     for (let seed = 1; seed <= 5; seed++) {
-      const { simulation, old, origin, task } = moveTask(seed, shape);
+      const { simulation, oldHeartbeat, origin, task } = moveTask(seed, shape);
       const stoppedBefore = simulation.machines.stoppedRunning.length;
       const holdersBefore = holdersOf(simulation, task).map((worker) => worker.name);
-      failOver(simulation, [old]);
+      failOver(simulation, [oldHeartbeat]);
       for (const worker of simulation.workers.values())
         worker.nextReport = simulation.now + (worker === origin ? 2 * SECOND : 0);
       simulation.runFor(40 * SECOND);
@@ -91,7 +93,7 @@
       assert.deepEqual(
         simulation.machines.stoppedRunning.slice(stoppedBefore),
         [],
-        `${description}: stopped without need`,
+        `${description}: stopped needlessly`,
       );
       const holdersAfter = holdersOf(simulation, task).map((worker) => worker.name);
       assert.deepEqual(holdersAfter, holdersBefore, `${description}: ${task}`);
@@ -99,15 +101,16 @@
     }
 });
 
-test('a task does not begin a third time while the stop command has not reached its true place', () => {
-  // The true place sends the new token, and the answers to it are lost from then on; then the place that the copy had named
-  // reports that it has no such task. A leader that took the copy for the truth began the task anew (ran_twice).
+test('a task is not started a third time while the machine that runs it receives no stop command', () => {
+  // The machine that runs the task reports with the new token, and from then on the answers to it are lost. Then the machine
+  // named by the late copy reports that it has no such task. A leader that trusted the copy started the task again
+  // (ran_twice).
   for (let seed = 1; seed <= 5; seed++) {
-    const { simulation, old, origin, task } = moveTask(seed, 'array');
+    const { simulation, oldHeartbeat, origin, task } = moveTask(seed, 'array');
     const [holder] = holdersOf(simulation, task) as [Worker];
-    failOver(simulation, [old]);
+    failOver(simulation, [oldHeartbeat]);
     const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
-    // It has the new leader's token: by a command, or an answer before the records were read.
+    // The machine has the new leader's token, as from a command or from an answer sent before the records were read.
     simulation.machines.orders(holder.name, scheduler!.term.firstFencingToken, holder.session, []);
     assert.equal(scheduler!.respondToHeartbeat(simulation.machines.reportOf(holder)).kind, 'accepted');
     holder.deafUntil = simulation.now + 12 * SECOND;
@@ -119,7 +122,7 @@
   }
 });
 
-test("a late copy that lists one team's tasks does not hide another team's from its quota", () => {
+test("a late copy that lists one team's tasks does not keep another team's from counting towards its quota", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
     simulation.stand(2);
@@ -131,15 +134,15 @@
     const oldRounds = Array.from({ length: 8 }, () =>
       [...simulation.workers.values()].map((worker) => simulation.machines.reportOf(worker)),
     );
-    // Team u takes the place of team t, and has more waiting than its quota allows.
+    // Team u preempts team t, and has more tasks waiting than its quota allows.
     simulation.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
     simulation.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
     simulation.runFor(30 * SECOND);
     const runningOf = (job: string): number =>
       [...simulation.workers.values()].flatMap(runningTasks).filter((task) => task.startsWith(`${job}/`))
         .length;
-    assert.equal(runningOf('run-2') + runningOf('run-3'), 8, `seed ${seed}: team u is at its quota`);
-    // From here on there are more machines, and they are up within a second.
+    assert.equal(runningOf('run-2') + runningOf('run-3'), 8, `seed ${seed}: team u has reached its quota`);
+    // From here on the cloud has more machines, which boot within a second.
     simulation.cloud.perZone = 4;
     simulation.cloud.bootUs = () => 800 * MILLI;
     failOver(simulation, []);
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -1,6 +1,7 @@
 /**
- * The fault scenarios of the operators' second list, each by itself, then pairs and triples of both lists, on the simulated
- * cluster. Each rule is judged from the simulation's own truth; that a scenario took place is counted, not assumed.
+ * The extended fault scenarios on the simulated cluster, each on its own, then pairs and triples of basic and extended
+ * scenarios. Rules are checked against the simulation's actual state. Counters prove that the faults of a scenario really
+ * occurred.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -24,11 +25,11 @@
 const ALL_SCENARIOS = { ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS };
 const ALL_NAMES = Object.keys(ALL_SCENARIOS);
 
-/** More by hand: `COMBINATION_SEEDS=1-100 node --import tsx --test packages/core/test/fault-scenario-combinations.test.ts`. */
+/** More seeds: `COMBINATION_SEEDS=1-100 node --import tsx --test packages/core/test/fault-scenario-combinations.test.ts`. */
 const [firstSeed, lastSeed] = seedRange('COMBINATION_SEEDS');
 
-/** What must have taken place in three seeds, at least, by scenario. */
-const LEAST_COUNTS: Readonly<Record<string, readonly [string, number][]>> = {
+/** By scenario: events with the least number of times that they must occur within three seeds. */
+const MINIMUM_COUNTS: Readonly<Record<string, readonly [string, number][]>> = {
   'a question, a repetition or a cancellation meets the end of the last task': [['met the end', 15]],
   'old reports kept for the next leader': [
     ['moved', 3],
@@ -73,38 +74,38 @@
 };
 
 const addCounts = (totals: Map<string, number>, { w: simulation, counts }: Outcome): void => {
-  const add = (what: string, count: number): void => {
-    totals.set(what, (totals.get(what) ?? 0) + count);
+  const add = (label: string, count: number): void => {
+    totals.set(label, (totals.get(label) ?? 0) + count);
   };
-  for (const [what, count] of counts) add(what, count);
+  for (const [label, count] of counts) add(label, count);
   for (const [stage, count] of simulation.users.looks) add(`looks: ${stage}`, count);
   for (const [key, count] of simulation.unanswered) add(`unanswered: ${key}`, count);
   add('kept', simulation.keptArrived);
-  for (const [what, count] of Object.entries(simulation.machines.saves)) add(`saves: ${what}`, count);
+  for (const [label, count] of Object.entries(simulation.machines.saves)) add(`saves: ${label}`, count);
 };
 
 for (const name of EXTENDED_NAMES)
-  test(`${name}: no rule breaks, all work ends, nothing is forgotten`, () => {
+  test(`${name}: no rule is violated, all jobs end, all polls are answered`, () => {
     const totals = new Map<string, number>();
     for (let seed = firstSeed; seed <= lastSeed; seed++) {
       const outcome = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
       checkOutcome(outcome, `seed ${seed}`);
       addCounts(totals, outcome);
     }
-    for (const [what, least] of LEAST_COUNTS[name] ?? []) {
-      const count = totals.get(what) ?? 0;
-      assert.ok(count >= least, `${what}: ${count} of ${least}`);
+    for (const [label, minimum] of MINIMUM_COUNTS[name] ?? []) {
+      const count = totals.get(label) ?? 0;
+      assert.ok(count >= minimum, `${label}: ${count} of ${minimum}`);
     }
   });
 
-test('a leader that the state service does not answer starts nothing: others may have reported a cancellation', () => {
+test('a leader without answers from the store starts no tasks, since another node may have confirmed a cancellation', () => {
   let cancelled = 0;
   let startedBefore = 0;
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 113), 3, teamQuota(16), 16, 4);
     simulation.stand(4);
     simulation.runFor(3 * SECOND);
-    // Short tasks: something is started all the time, on machines that are on record for the job.
+    // Short tasks: starts happen all the time, on machines that are already recorded for the job.
     for (let i = 0; i < 4; i++)
       simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
     simulation.runFor(20 * SECOND);
@@ -112,7 +113,7 @@
     simulation.runFor(5 * SECOND);
     startedBefore += simulation.starts - starts;
     simulation.refuse(simulation.nodes[simulation.leader()]!.name, 20 * SECOND);
-    // The leader learns that with its next renewal.
+    // The leader learns of the refusal with its next lease renewal.
     simulation.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++) {
       simulation.cancel(`run-${seed}${i}`);
@@ -129,7 +130,7 @@
   );
 });
 
-test('the leader lease counts from the sending of its renewal, however late that is answered', () => {
+test('the leader lease counts from when its renewal was sent, however late that is answered', () => {
   let elections = 0;
   for (let seed = 1; seed <= 12; seed++) {
     const random = new Random(seed * 2_027);
@@ -143,7 +144,7 @@
       simulation.runFor((4_000 + random.below(3_000)) * MILLI);
       const leader = simulation.leader();
       if (leader < 0) continue;
-      // Its last renewal was carried out, and answered late; nothing reaches it from now on.
+      // Its last renewal was executed and answered late; from now on it receives no answers.
       simulation.network.cut(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
       simulation.answersSlow = 0;
       simulation.runFor(20 * SECOND);
@@ -153,50 +154,50 @@
   assert.ok(elections > 40, `elections: ${elections}`);
 });
 
-/** Jobs that ended or were cancelled, and how many of them were reported so too late. */
-interface Promptness {
+/** Numbers of jobs that ended or were cancelled, and how many of them were reported so too late. */
+interface ReportCounts {
   done: number;
   doneReportedLate: number;
   cancelled: number;
   cancelledReportedLate: number;
 }
 
-/** Each job that is done, and was not cancelled, is asked for 3 s later, and must be reported within another second. */
-const watchEnds = (simulation: ClusterSimulation, promptness: Promptness): void => {
+/** Polls each job 3 s after its end, unless it was cancelled; it must be reported as done within another second. */
+const checkCompletionReports = (simulation: ClusterSimulation, reports: ReportCounts): void => {
   simulation.work.onDone = (id) => {
     simulation.later(3 * SECOND, () => {
       if (simulation.users.asked.has(id)) return;
-      promptness.done++;
+      reports.done++;
       simulation.poll(id);
       simulation.later(SECOND, () => {
-        if (simulation.stageOf(id) !== 'done') promptness.doneReportedLate++;
+        if (simulation.stageOf(id) !== 'done') reports.doneReportedLate++;
       });
     });
   };
 };
 
-/** Cancels the job after some seconds; 3 s later it must be reported as cancelled or done. */
-const cancelLater = (
+/** Cancels the job after 1 to 5 s; 3 s later it must be reported as cancelled or done. */
+const cancelAndCheckReport = (
   simulation: ClusterSimulation,
   random: Random,
   id: string,
-  promptness: Promptness,
+  reports: ReportCounts,
 ): void => {
   simulation.later(SECOND + random.below(4_000) * MILLI, () => {
     simulation.cancel(id);
-    promptness.cancelled++;
+    reports.cancelled++;
     simulation.later(3 * SECOND, () => {
-      if (!['cancelled', 'done'].includes(simulation.stageOf(id) ?? '')) promptness.cancelledReportedLate++;
+      if (!['cancelled', 'done'].includes(simulation.stageOf(id) ?? '')) reports.cancelledReportedLate++;
     });
   });
 };
 
-/** Submits four small jobs a second for two minutes, beside repeated and odd requests; returns their ids. */
+/** Submits four small jobs a second for two minutes, along with repeated and invalid requests; returns their ids. */
 const submitFlood = (
   simulation: ClusterSimulation,
   random: Random,
   seed: number,
-  promptness: Promptness,
+  reports: ReportCounts,
 ): readonly string[] => {
   const ids: string[] = [];
   for (let round = 0; round < 480; round++) {
@@ -206,12 +207,12 @@
     });
     ids.push(spec.id);
     simulation.submit(spec);
-    if (random.chance(0.25)) cancelLater(simulation, random, spec.id, promptness);
-    // What is repeated, and what is odd: jobs that are done are cancelled, and some name no team that there is.
-    const other = ids[random.below(ids.length)]!;
-    const otherSpec = simulation.work.specs.get(other)!;
-    if (random.chance(0.5)) simulation.submit(otherSpec);
-    if (simulation.stageOf(other) === 'done') simulation.cancel(other);
+    if (random.chance(0.25)) cancelAndCheckReport(simulation, random, spec.id, reports);
+    // Repeated submissions, cancellations of jobs that are done, and submissions that name an unknown team.
+    const earlierId = ids[random.below(ids.length)]!;
+    const earlierSpec = simulation.work.specs.get(earlierId)!;
+    if (random.chance(0.5)) simulation.submit(earlierSpec);
+    if (simulation.stageOf(earlierId) === 'done') simulation.cancel(earlierId);
     if (random.chance(0.3))
       simulation.users.submit({ ...spec, id: `run-9${seed}${round}`, team: 'nobody' }, 1_000);
     simulation.runFor(250 * MILLI);
@@ -219,34 +220,34 @@
   return ids;
 };
 
-test('a flood of small jobs beside repeats and odd requests: ends and cancellations are reported in time', () => {
-  const promptness: Promptness = { done: 0, doneReportedLate: 0, cancelled: 0, cancelledReportedLate: 0 };
+test('during a flood of small jobs and repeated or invalid requests, ends and cancellations are reported in time', () => {
+  const reports: ReportCounts = { done: 0, doneReportedLate: 0, cancelled: 0, cancelledReportedLate: 0 };
   for (let seed = 1; seed <= 2; seed++) {
     const random = new Random(seed * 521);
     const simulation = new ClusterSimulation(random, 3, teamQuota(40), 40, 6);
     simulation.stand(10);
     simulation.runFor(3 * SECOND);
-    // Of the smallest site: 25 writes a second for all nodes. A job takes three of them, besides the leader's pages.
+    // The limit of the smallest site: 25 writes a second for all nodes. A job takes three, besides the leader's pages.
     simulation.state.writesPerSecond = 25;
-    watchEnds(simulation, promptness);
-    const ids = submitFlood(simulation, random, seed, promptness);
+    checkCompletionReports(simulation, reports);
+    const ids = submitFlood(simulation, random, seed, reports);
     simulation.state.writesPerSecond = Infinity;
     simulation.runFor(60 * SECOND);
     for (const id of ids) simulation.poll(id);
     simulation.runFor(3 * SECOND);
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
-    assert.deepEqual(unfinishedJobs(simulation, ids), [], `seed ${seed}: work that did not end`);
+    assert.deepEqual(unfinishedJobs(simulation, ids), [], `seed ${seed}: jobs that did not end`);
   }
-  const { done, doneReportedLate, cancelled, cancelledReportedLate } = promptness;
+  const { done, doneReportedLate, cancelled, cancelledReportedLate } = reports;
   assert.ok(done > 500 && cancelled > 150);
   assert.ok(doneReportedLate <= done * 0.02, `reported late: ${doneReportedLate} of ${done}`);
   assert.ok(
     cancelledReportedLate <= cancelled * 0.02,
-    `cancelled late: ${cancelledReportedLate} of ${cancelled}`,
+    `cancellations reported late: ${cancelledReportedLate} of ${cancelled}`,
   );
 });
 
-test('pairs and triples of both lists: no rule breaks, all work ends, nothing is forgotten', () => {
+test('pairs and triples of all scenarios: no rule is violated, all jobs end, all polls are answered', () => {
   const lastCombinationSeed = lastSeed * 3;
   let elections = 0;
   for (let seed = firstSeed; seed <= lastCombinationSeed; seed++) {
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -1,6 +1,6 @@
 /**
- * Fault scenarios: most rules that were ever broken broke where two faults met. Each scenario by itself, and then pairs of
- * them, on the simulated cluster; that it took place is counted, not assumed.
+ * The basic fault scenarios on the simulated cluster, each on its own and then in pairs, since most rule violations so far
+ * occurred where two faults coincided. Counters prove that the faults of a scenario really occurred.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,14 +17,14 @@
 
 const NAMES = Object.keys(BASIC_SCENARIOS);
 
-/** More by hand: `SCENARIO_SEEDS=1-100 node --import tsx --test packages/core/test/fault-scenarios.test.ts`. */
+/** More seeds: `SCENARIO_SEEDS=1-100 node --import tsx --test packages/core/test/fault-scenarios.test.ts`. */
 const [firstSeed, lastSeed] = seedRange('SCENARIO_SEEDS');
 
-/** What took place in all runs of a scenario. */
+/** Events counted over all runs of a scenario. */
 interface Totals {
   lateCommands: number;
   lateWrites: number;
-  /** Late writes that came too late to be applied. */
+  /** Late writes that were rejected since their conditions no longer held. */
   staleWrites: number;
   elections: number;
   cuts: number;
@@ -42,20 +42,24 @@
   totals.unreachedWithTasks += counts.get('unreached with tasks') ?? 0;
 };
 
+/** Asserts that the faults of a scenario occurred often enough, for scenarios with counters. */
 const assertTookPlace = (name: string, totals: Totals): void => {
   const { lateCommands, lateWrites, staleWrites, elections, cuts, leaderEnds, unreachedWithTasks } = totals;
-  if (name === 'commands held up') assert.ok(lateCommands > 10, `held up: ${lateCommands}`);
+  if (name === 'commands held up') assert.ok(lateCommands > 10, `delayed commands: ${lateCommands}`);
   if (name === 'late transactions')
-    assert.ok(lateWrites > 20 && staleWrites > 5, `late: ${lateWrites}, of which too late: ${staleWrites}`);
+    assert.ok(
+      lateWrites > 20 && staleWrites > 5,
+      `late writes: ${lateWrites}, of which rejected: ${staleWrites}`,
+    );
   if (name === 'a leader cut from state and peers') assert.ok(cuts > 6 && elections > 6);
   if (name === 'the leader ends') assert.ok(leaderEnds > 6 && elections > 6);
   if (name === 'the leader ends while machines can not be reached')
-    assert.ok(unreachedWithTasks > 6, `unreached with tasks: ${unreachedWithTasks}`);
+    assert.ok(unreachedWithTasks > 6, `unreachable machines with tasks: ${unreachedWithTasks}`);
   if (name === 'handed back and forth') assert.ok(elections > 6, `elections: ${elections}`);
 };
 
 for (const name of NAMES)
-  test(`${name}: no rule breaks, all work ends, nothing is forgotten`, () => {
+  test(`${name}: no rule is violated, all jobs end, all polls are answered`, () => {
     const totals: Totals = {
       lateCommands: 0,
       lateWrites: 0,
@@ -73,17 +77,17 @@
     assertTookPlace(name, totals);
   });
 
-/** The node that holds the leader lease; -1 while none does. */
+/** The index of the node that holds the leader lease; -1 while none does. */
 const leaderIndex = (simulation: ClusterSimulation): number =>
   simulation.nodes.findIndex((node) => node.core?.leads() === true);
 
 const leaderCore = (simulation: ClusterSimulation): Core => simulation.nodes[leaderIndex(simulation)]!.core!;
 
-test('tasks that end far apart across changes of leader: done when all are, and none runs anew', () => {
+test('a job whose tasks end under different leaders is done only when all are, and no task runs again', () => {
   for (const changes of [1, 2, 3])
     for (let seed = 1; seed <= 6; seed++) {
       const random = new Random(seed * 131 + changes);
-      // One core at a time: each task begins when the one before has ended.
+      // A quota of one core: each task starts when the one before has ended.
       const simulation = new ClusterSimulation(random, 3, teamQuota(1), 1, 4);
       simulation.stand(2);
       simulation.repeats = seed % 2 === 0 ? 0.3 : 0;
@@ -100,7 +104,7 @@
         if (leader >= 0) simulation.crash(leader, [60 * MILLI, 800 * MILLI, 20 * SECOND][random.below(3)]!);
       }
       const description = `${changes} changes, seed ${seed}`;
-      // Whatever is answered meanwhile: the simulation checks each answer for `not_done`.
+      // The simulation checks each answer and records `not_done` for a job that is reported as done too early.
       for (let elapsedS = 0; elapsedS < 220; elapsedS += 2) {
         for (const spec of specs) simulation.poll(spec.id);
         simulation.runFor(2 * SECOND);
@@ -108,11 +112,11 @@
       assert.deepEqual(violationsOf(simulation), [], description);
       for (const spec of specs)
         assert.equal(simulation.stageOf(spec.id), 'done', `${description}: ${spec.id}`);
-      assert.equal(simulation.starts, 5, `${description}: tasks that were begun`);
+      assert.equal(simulation.starts, 5, `${description}: started tasks`);
     }
 });
 
-/** Sixteen long tasks run on machines that were provisioned for them. */
+/** Submits sixteen long tasks and waits until they run on machines provisioned for them. */
 const submitLongTasks = (simulation: ClusterSimulation, seed: number): void => {
   simulation.runFor(2 * SECOND);
   for (let i = 0; i < 4; i++)
@@ -120,7 +124,7 @@
   simulation.runFor(30 * SECOND);
 };
 
-test('late copies of heartbeats do not make a machine that hangs seem healthy', () => {
+test('late copies of heartbeats do not make a hanging machine seem healthy', () => {
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 77), 3, teamQuota(16), 16, 4);
     const detectedAt = new Map<string, Micros>();
@@ -132,35 +136,38 @@
     const hanging = [...simulation.workers.values()].find(
       (worker) => worker.alive && worker.tasks.length > 0,
     )!;
-    // What it has sent so far comes again, one after the other, for longer than its lease.
-    const sent = Array.from({ length: 12 }, () => simulation.machines.reportOf(hanging));
-    for (const heartbeat of sent) leaderCore(simulation).scheduler!.respondToHeartbeat(heartbeat);
+    // Copies of its earlier heartbeats arrive one after the other, for longer than its lease.
+    const sentHeartbeats = Array.from({ length: 12 }, () => simulation.machines.reportOf(hanging));
+    for (const heartbeat of sentHeartbeats) leaderCore(simulation).scheduler!.respondToHeartbeat(heartbeat);
     hanging.cutUntil = simulation.now + 1_000 * SECOND;
     const cutAt = simulation.now;
-    for (const heartbeat of sent) {
+    for (const heartbeat of sentHeartbeats) {
       simulation.runFor(4 * SECOND);
       leaderCore(simulation).scheduler!.respondToHeartbeat(heartbeat);
     }
     const detected = detectedAt.get(hanging.name);
-    assert.ok(detected !== undefined, `seed ${seed}: ${hanging.name} is never missed`);
-    assert.ok(detected - cutAt < 14 * SECOND, `seed ${seed}: missed after ${(detected - cutAt) / SECOND} s`);
+    assert.ok(detected !== undefined, `seed ${seed}: ${hanging.name} was never detected`);
+    assert.ok(
+      detected - cutAt < 14 * SECOND,
+      `seed ${seed}: detected after ${(detected - cutAt) / SECOND} s`,
+    );
     assert.deepEqual(violationsOf(simulation), []);
   }
 });
 
-test('a late heartbeat of a machine that an earlier leader saw end brings nothing back', () => {
+test('a late heartbeat of a machine whose loss an earlier leader saw restores nothing', () => {
   let staleTasks = 0;
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 91), 3, teamQuota(16), 16, 4);
     submitLongTasks(simulation, seed);
-    const lost = [...simulation.workers.values()].find(
+    const lostWorker = [...simulation.workers.values()].find(
       (worker) => worker.alive && worker.tasks.some((task) => task.state === 'running'),
     )!;
-    const old = simulation.machines.reportOf(lost);
-    const taskCount = lost.tasks.length;
-    simulation.killWorker(lost);
+    const oldHeartbeat = simulation.machines.reportOf(lostWorker);
+    const taskCount = lostWorker.tasks.length;
+    simulation.killWorker(lostWorker);
     simulation.runFor(40 * SECOND);
-    // Its tasks run elsewhere by now. The next leader has no heartbeat of it, and reads its records for a while.
+    // Its tasks run elsewhere by now. The next leader has no heartbeat from it and takes a while to read the records.
     simulation.listDelay = 800 * MILLI;
     simulation.crash(leaderIndex(simulation), SECOND);
     const newScheduler = (): Core['scheduler'] =>
@@ -169,25 +176,25 @@
     const scheduler = newScheduler()!;
     const { machines } = scheduler.term.cluster;
     assert.equal(scheduler.term.isRestored, false);
-    scheduler.respondToHeartbeat(old);
-    assert.ok(machines.has(lost.name), 'taken for one that may be there');
+    scheduler.respondToHeartbeat(oldHeartbeat);
+    assert.ok(machines.has(lostWorker.name), 'treated as a machine that may still exist');
     simulation.runFor(6 * SECOND);
     assert.equal(scheduler.term.isRestored, true);
-    assert.ok(!machines.has(lost.name), 'removed once the records were read');
-    assert.equal(scheduler.respondToHeartbeat(old).kind, 'unavailable', `seed ${seed}`);
+    assert.ok(!machines.has(lostWorker.name), 'removed once the records are read');
+    assert.equal(scheduler.respondToHeartbeat(oldHeartbeat).kind, 'unavailable', `seed ${seed}`);
     staleTasks += taskCount;
     simulation.runFor(30 * SECOND);
     assert.deepEqual(violationsOf(simulation), []);
-    // Nothing waits for it.
+    // No machine of this name is alive.
     const revived = [...simulation.workers.values()].filter(
-      (worker) => worker.alive && worker.name === lost.name,
+      (worker) => worker.alive && worker.name === lostWorker.name,
     );
     assert.equal(revived.length, 0);
   }
   assert.ok(staleTasks > 4);
 });
 
-test('pairs of fault scenarios: no rule breaks, all work ends, nothing is forgotten', () => {
+test('pairs of fault scenarios: no rule is violated, all jobs end, all polls are answered', () => {
   const lastPairSeed = lastSeed * 4;
   let elections = 0;
   for (let seed = firstSeed; seed <= lastPairSeed; seed++) {
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -1,7 +1,6 @@
 /**
- * Clients that poll at once: all nodes are polled within milliseconds after a job was accepted, done or cancelled, the
- * submission is repeated, some cancel at once. The simulated clients remember the newest state that any node has answered,
- * and check each answer against the moment of their request.
+ * Polls and repeated submissions that follow each other closely, also after an outage or a change of settings. The simulated
+ * clients remember the newest job state that any node has answered, and check that no request sent later gets an older one.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,26 +10,29 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
-test('a repeated submission of a job that the node knows costs no writes', () => {
+test('a repeated submission of a job that the node knows takes no store write', () => {
   const simulation = new ClusterSimulation(new Random(5), 3, undefined, undefined, 4);
   simulation.runFor(3 * SECOND);
   const spec = specOf('run-1', { estimatedRunUs: 300 * SECOND });
   simulation.submit(spec);
   simulation.runFor(2 * SECOND);
-  const before = simulation.state.wasted;
+  const failedBefore = simulation.state.wasted;
   const answered = (): number | undefined => simulation.users.answeredAt.get('run-1');
-  // Each node may learn of the job by one transaction that fails.
+  // Each node may learn of the job by one failed transaction.
   for (let i = 0; i < 200; i++) {
     simulation.submit(spec);
     simulation.runFor(20 * MILLI);
   }
   simulation.runFor(SECOND);
   assert.ok(answered()! > simulation.now - 1_500 * MILLI);
-  assert.ok(simulation.state.wasted - before <= 3, `writes that failed: ${simulation.state.wasted - before}`);
+  assert.ok(
+    simulation.state.wasted - failedBefore <= 3,
+    `failed writes: ${simulation.state.wasted - failedBefore}`,
+  );
   assert.deepEqual([...new Set(simulation.broken)], []);
 });
 
-test('a record that can not be read delays no other poll', () => {
+test('a record that cannot be read does not delay other polls', () => {
   const simulation = new ClusterSimulation(
     new Random(11),
     1,
@@ -44,18 +46,19 @@
   simulation.runFor(10 * SECOND);
   const unreadable = ids[17]!;
   simulation.state.mute.add(`j/${unreadable}`);
-  // All clients poll the same node at the same moments, so that the same polls are batched again and again.
-  const from = simulation.now;
+  // All clients poll the same node at the same moments, so that the same polls form a batch each time.
+  const pollingSince = simulation.now;
   const answered = new Map<string, number>();
   for (let elapsedS = 0; elapsedS < 60; elapsedS += 5) {
     for (const id of ids) simulation.poll(id);
     simulation.runFor(5 * SECOND);
     for (const id of ids)
-      if (!answered.has(id) && simulation.users.answeredAt.get(id)! >= from) answered.set(id, elapsedS);
+      if (!answered.has(id) && simulation.users.answeredAt.get(id)! >= pollingSince)
+        answered.set(id, elapsedS);
   }
   const late = ids.filter((id) => id !== unreadable && (answered.get(id) ?? Infinity) > 30);
   assert.deepEqual(late, []);
-  // Polls in the last rounds are answered each time.
+  // Polls of the last rounds are all answered.
   for (const id of ids)
     if (id !== unreadable) assert.ok(simulation.users.answeredAt.get(id)! > simulation.now - 11 * SECOND, id);
   simulation.state.mute.clear();
@@ -64,7 +67,7 @@
   assert.ok(simulation.users.answeredAt.get(unreadable)! > simulation.now - 3 * SECOND);
 });
 
-test('polls by thousands after an outage are all answered within seconds', () => {
+test('thousands of polls after an outage are all answered within seconds', () => {
   const simulation = new ClusterSimulation(
     new Random(13),
     3,
@@ -92,7 +95,7 @@
   assert.deepEqual([...new Set(simulation.broken)], []);
 });
 
-test('a known job is never refused, whatever limits and machine types have become, or the body says', () => {
+test('a known job is never refused, whatever the current limits, the machine types or the request body', () => {
   let refused = 0;
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(
@@ -111,13 +114,13 @@
     simulation.runFor(25 * SECOND);
     simulation.cancel(ids[3]!);
     simulation.runFor(2 * SECOND);
-    // All processes come back with a limit under which none of these jobs could be accepted.
+    // All processes restart with a quota under which none of these jobs could be accepted.
     simulation.teams = '[[cluster.teams]]\nname = "t"\ncpus_max = 2.0\n';
     simulation.nodes.forEach((_, i) => {
       simulation.crash(i, 300 * MILLI);
     });
     simulation.runFor(12 * SECOND);
-    const asked = simulation.now;
+    const resubmittedAt = simulation.now;
     for (const spec of specs)
       for (const body of [
         spec,
@@ -127,8 +130,8 @@
       ])
         for (let node = 0; node < 3; node++) simulation.users.submit(body);
     simulation.runFor(4 * SECOND);
-    for (const id of ids) assert.ok(simulation.users.answeredAt.get(id)! > asked, id);
-    // The same submission of a job that is not known is refused.
+    for (const id of ids) assert.ok(simulation.users.answeredAt.get(id)! > resubmittedAt, id);
+    // The same submission of an unknown job is refused.
     simulation.users.submit(specOf(`run-${seed}9`, { shape: 'gang', tasks: 2, cores: 3 }), 1_000);
     simulation.runFor(2 * SECOND);
     if (!simulation.users.told.has(`run-${seed}9`)) refused++;
--- a/packages/core/test/polls-at-size.test.ts
+++ b/packages/core/test/polls-at-size.test.ts
@@ -1,6 +1,6 @@
 /**
- * Thousands of unfinished jobs, polled every five seconds at all nodes, while the store keeps to its announced limits and
- * each controller to its share of them: once the troubles are over, no accepted job may stay without an answer.
+ * Thousands of unfinished jobs, polled every five seconds at all nodes, while the store enforces its announced limits and
+ * each controller keeps to its share of them. Once the faults are over, polls of every accepted job must be answered.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,20 +12,21 @@
 import { specOf } from '@shaleyoke/emulator/specs';
 
 const JOBS = 3_000;
-/** Polls of so many jobs come close to what one controller validates in a second. */
-const JOBS_OF_ONE_CONTROLLER = 1_600;
-/** A job about which no question is answered for so long counts as forgotten. */
-const FORGOTTEN_AFTER = 75 * SECOND;
-/** Acceptances keep below the store's limit of writes. */
+/** With this number of jobs, polls come close to what one controller can validate in a second. */
+const JOBS_FOR_ONE_CONTROLLER = 1_600;
+/** The longest time for which polls of a job may stay unanswered. */
+const MAX_TIME_WITHOUT_ANSWER = 75 * SECOND;
+/** Keeps the rate of accepted jobs below the store's write limit. */
 const SUBMISSION_INTERVAL = 40 * MILLI;
 
-interface Polled {
+/** A simulated cluster and the users who poll its jobs. */
+interface PolledCluster {
   readonly simulation: ClusterSimulation;
   readonly users: PollingUsers;
 }
 
-/** Controllers that have accepted `jobs` long jobs, and users who begin to poll them. */
-const acceptedAndPolled = (seed: number, jobs = JOBS, controllers = 3): Polled => {
+/** Starts controllers, submits `jobs` long jobs, asserts that all were accepted, and starts polling them. */
+const startPolledCluster = (seed: number, jobs = JOBS, controllers = 3): PolledCluster => {
   const simulation = new ClusterSimulation(
     new Random(seed),
     controllers,
@@ -53,16 +54,16 @@
   return { simulation, users };
 };
 
-/** Fails with the jobs that were unanswered for too long, the controllers that were polled for them, and for how long. */
-const assertNoneForgotten = ({ simulation, users }: Polled): void => {
-  const forgotten = users.unansweredFor(FORGOTTEN_AFTER);
-  assert.deepEqual(forgotten.slice(0, 3), [], `${forgotten.length} jobs forgotten; the longest are shown`);
+/** Asserts that no job was unanswered for too long; the message shows such jobs, the times and the controllers polled. */
+const assertAllAnswered = ({ simulation, users }: PolledCluster): void => {
+  const unanswered = users.unansweredFor(MAX_TIME_WITHOUT_ANSWER);
+  assert.deepEqual(unanswered.slice(0, 3), [], `${unanswered.length} jobs unanswered; the longest are shown`);
   assert.deepEqual([...new Set(simulation.broken)], []);
 };
 
-test('after a restart of all controllers no job of thousands stays without an answer', () => {
-  const polled = acceptedAndPolled(21);
-  const { simulation, users } = polled;
+test('after a restart of all controllers, polls of thousands of jobs are all answered', () => {
+  const cluster = startPolledCluster(21);
+  const { simulation, users } = cluster;
   simulation.nodes.forEach((_, i) => {
     simulation.crash(i, 300 * MILLI);
   });
@@ -70,24 +71,24 @@
   users.resetMeasurements();
   simulation.runFor(100 * SECOND);
   users.stop();
-  assertNoneForgotten(polled);
+  assertAllAnswered(cluster);
 });
 
-/** Troubles after which some validations were not answered, though the store answers others. */
+/** Faults after which some validations once stayed unanswered although the store answered others. */
 const INTERRUPTIONS: readonly {
   readonly name: string;
-  readonly play: (simulation: ClusterSimulation) => void;
+  readonly interrupt: (simulation: ClusterSimulation) => void;
 }[] = [
   {
     name: 'an outage',
-    play: (simulation) => {
+    interrupt: (simulation) => {
       simulation.stateOutage(5 * SECOND);
       simulation.runFor(5 * SECOND);
     },
   },
   {
-    name: 'a burst of lookups that takes all requests',
-    play: (simulation) => {
+    name: 'a burst of lookups that uses up all store requests',
+    interrupt: (simulation) => {
       for (let i = 0; i < 4_000; i++)
         simulation.later(i * 2 * MILLI, () => {
           simulation.users.host.ask(0, { kind: 'cancel', id: `run-${900_000 + i}` }, () => undefined);
@@ -97,16 +98,16 @@
   },
 ];
 
-for (const { name, play } of INTERRUPTIONS)
-  test(`after ${name} no job stays without an answer while others are answered`, () => {
-    const polled = acceptedAndPolled(22, JOBS_OF_ONE_CONTROLLER, 1);
-    const { simulation, users } = polled;
+for (const { name, interrupt } of INTERRUPTIONS)
+  test(`after ${name}, no job stays unanswered while others are answered`, () => {
+    const cluster = startPolledCluster(22, JOBS_FOR_ONE_CONTROLLER, 1);
+    const { simulation, users } = cluster;
     simulation.runFor(60 * SECOND);
-    play(simulation);
+    interrupt(simulation);
     users.resetMeasurements();
     simulation.runFor(100 * SECOND);
     users.stop();
-    // Most polls are answered, so that a job without an answer is an exception and no general overload.
+    // Most polls are answered, so an unanswered job would not be due to a general overload.
     assert.ok(users.answered > 0.5 * users.polls, `${users.answered} of ${users.polls} polls answered`);
-    assertNoneForgotten(polled);
+    assertAllAnswered(cluster);
   });
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -1,4 +1,4 @@
-/** Whole services in simulated time: seeded faults, with the protocol's rules as invariants. */
+/** Complete clusters in simulated time under seeded faults, with the protocol's rules as invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -24,7 +24,7 @@
   return specOf(id, { tasks: 1 + random.below(6), estimatedRunUs: (4 + random.below(20)) * SECOND });
 };
 
-test('without faults all work ends as requested', () => {
+test('without faults all jobs end as requested', () => {
   const simulation = new ClusterSimulation(new Random(1));
   simulation.runFor(3 * SECOND);
   simulation.submit(specOf('run-1', { tasks: 5 }));
@@ -41,7 +41,7 @@
   assert.equal(simulation.stageOf('run-3'), 'cancelled');
 });
 
-test('no rule breaks under crashes, outages, cuts and lost or late messages, and all work ends', () => {
+test('no rule is violated under crashes, outages, partitions and lost or late messages, and all jobs end', () => {
   for (let seed = 1; seed <= 14; seed++) {
     const random = new Random(seed * 7919);
     const simulation = new ClusterSimulation(random);
@@ -81,7 +81,7 @@
   }
 });
 
-test('at hundreds of machines all controllers may crash, and a zone become unreachable, without a broken rule', () => {
+test('with hundreds of machines, crashes of all controllers and an unreachable zone violate no rule', () => {
   const simulation = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 300);
   simulation.runFor(3 * SECOND);
   const ids: string[] = [];
@@ -96,7 +96,7 @@
   }
   for (let round = 0; round < 4; round++) {
     simulation.runFor(11 * SECOND);
-    // Slow reads after the crash: workers send several heartbeats before the records are there.
+    // Reads are slow after the crash, so that workers send several heartbeats before the records are read.
     simulation.loss = 0.3;
     for (const node of [0, 1, 2]) simulation.crash(node, (1 + node) * SECOND);
     if (round === 2)
@@ -113,8 +113,8 @@
   for (const id of ids) assert.equal(simulation.stageOf(id), 'done', id);
 });
 
-test('a machine that sent two heartbeats while a new leader was reading is not taken for empty', () => {
-  // Seen with an enlarged workload of krakow: six tasks were started again elsewhere (ran_twice).
+test('a machine that sent two heartbeats while a new leader read the records does not count as empty', () => {
+  // Six tasks of such machines were once started again elsewhere (ran_twice).
   for (let seed = 1; seed <= 3; seed++) {
     const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 12);
     simulation.runFor(3 * SECOND);
@@ -132,8 +132,8 @@
   }
 });
 
-test('when all machines die at once, some leader stays until that is confirmed, and work goes on', () => {
-  // Found by a generated scenario: each leader resigned after ten seconds without heartbeats, before the leases ran out.
+test('when all machines die at once, one leader stays until their loss is confirmed, and the jobs go on', () => {
+  // Found by a generated scenario: each leader resigned after ten seconds without heartbeats, before the leases expired.
   const simulation = new ClusterSimulation(new Random(2));
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 4; i++)
@@ -142,12 +142,12 @@
   const machines = [...simulation.workers.values()].filter((machine) => machine.alive);
   assert.ok(machines.length >= 3);
   for (const machine of machines) simulation.killWorker(machine);
-  // The cloud does not answer either.
+  // The cloud is unavailable as well.
   simulation.cloud.downUntil = simulation.now + 100 * SECOND;
   simulation.runFor(90 * SECOND);
   const leader = simulation.nodes.find((node) => node.core?.leads() === true);
   simulation.runFor(8 * SECOND);
-  assert.ok(leader?.core?.leads(), 'one leader stays');
+  assert.ok(leader?.core?.leads(), 'the same node still leads');
   simulation.runFor(150 * SECOND);
   for (let i = 0; i < 4; i++) simulation.poll(`run-${i}`);
   simulation.runFor(2 * SECOND);
@@ -155,9 +155,9 @@
   for (let i = 0; i < 4; i++) assert.equal(simulation.stageOf(`run-${i}`), 'done');
 });
 
-test('an agent epoch learned from a refused command is not ended by the heartbeats counted in the one before', () => {
-  // Found by a generated history (ran_twice): the leader may act again after the workers' leases expired, a command
-  // that waited is refused by a worker in its next agent epoch, work is started there, and the old count then ends it.
+test('heartbeats counted in one agent epoch do not end the next epoch, learned from a refused command', () => {
+  // Found by a generated history (ran_twice): the leader may act again after the worker leases expired, and a worker in its
+  // next agent epoch refuses a command that had waited. Tasks were started there, and the old heartbeat count ended them.
   for (let offset = 0; offset < 24; offset++) {
     const simulation = new ClusterSimulation(
       new Random(offset + 1),
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -1,6 +1,6 @@
 /**
- * Processes that are back within a fraction of a second, also several times within a lease, in an election and all at once,
- * with late copies of what was sent before and of what was carried out.
+ * Processes that restart within a fraction of a second, also several times within a lease, during an election or all at
+ * once, with late copies of earlier messages and of requests that were already executed.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,8 +13,8 @@
 
 import { seedRange, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
 
-/** After the last end somebody leads within a leader's lease and so much more, whoever was back how soon. */
-const ELECTION_TIME = 2 * SECOND;
+/** After the last crash, some node must lead within a leader lease plus this time, however soon which process is back. */
+const MAX_ELECTION_TIME = 2 * SECOND;
 const LEADER_LEASE = 6 * SECOND;
 
 /** A job of a random shape. */
@@ -31,7 +31,7 @@
   return specOf(id, { tasks: 1 + random.below(8), estimatedRunUs: (3 + random.below(30)) * SECOND });
 };
 
-/** Crashes processes that are back at once: one of them, the leader, or all; once, or again and again. */
+/** Crashes processes that restart at once: a random one, the leader, or all of them; once or repeatedly. */
 const crashAndRestart = (simulation: ClusterSimulation, random: Random): void => {
   const downtime = (): number => random.below(500) * MILLI;
   const leader = simulation.nodes.findIndex((node) => node.core?.leads());
@@ -40,38 +40,40 @@
   else if (choice === 1 && leader >= 0) simulation.crash(leader, downtime());
   else if (choice === 2) for (let i = 0; i < simulation.nodes.length; i++) simulation.crash(i, downtime());
   else {
-    // The same one again and again, while its old lease lasts or others try to acquire it.
+    // The same process repeatedly, while its old lease lasts or others try to acquire the lease.
     const node = leader >= 0 && random.chance(0.6) ? leader : random.below(simulation.nodes.length);
-    for (let k = 0; k < 2 + random.below(4); k++) {
+    for (let restart = 0; restart < 2 + random.below(4); restart++) {
       simulation.crash(node, downtime());
       simulation.runFor(random.below(1_500) * MILLI);
     }
   }
 };
 
-/** How large a generated history is. */
+/** The size of a generated history. */
 interface HistorySize {
   readonly nodes: number;
+  /** Machines that the cloud has in each zone. */
   readonly perZone: number;
-  /** Machines that are pre-provisioned. */
+  /** The number of pre-provisioned machines. */
   readonly preprovisioned: number;
   readonly steps: number;
   readonly jobs: number;
+  /** The team's quota in cores. */
   readonly limitCores: number;
 }
 
-/** What one generated history showed. */
+/** The outcome of one generated history. */
 interface HistoryResult {
-  /** Rules that were broken. */
-  readonly broken: readonly string[];
+  /** Violations of the protocol's rules. */
+  readonly violations: readonly string[];
   /** Jobs that did not end. */
   readonly openJobs: readonly string[];
-  /** Nobody led in time after the last crash. */
+  /** Whether no node led in time after the last crash. */
   readonly isElectionLate: boolean;
   readonly elections: number;
 }
 
-/** Runs one generated history. */
+/** Runs the generated history of a seed. */
 const runHistory = (seed: number, size: HistorySize): HistoryResult => {
   const random = new Random(seed * 15_485_863);
   const teams = `[[cluster.teams]]\nname = "t"\ncpus_max = ${size.limitCores}.0\n`;
@@ -83,14 +85,14 @@
     if (event === 'leader.elected') elections++;
   };
   simulation.repeats = 0.1;
-  // From the first moment on: nothing in the start may hang on a process that lives through it.
+  // Half of the histories have faults from the start: starting up must not depend on a process that survives it.
   if (seed % 2 === 0) simulation.runFor(random.below(1_200) * MILLI);
   const ids: string[] = [];
   for (let step = 0; step < size.steps; step++) {
     simulation.loss = random.chance(0.3) ? 0.15 : 0.01;
-    for (let k = 0; k < 1 + size.jobs / size.steps; k++)
+    for (let submission = 0; submission < 1 + size.jobs / size.steps; submission++)
       if (random.chance(0.6) && ids.length < size.jobs) {
-        const id = `run-${seed}${String(step).padStart(3, '0')}${k}`;
+        const id = `run-${seed}${String(step).padStart(3, '0')}${submission}`;
         ids.push(id);
         simulation.submit(randomJob(random, id));
       }
@@ -107,13 +109,13 @@
   simulation.loss = 0;
   while (simulation.state.down) simulation.runFor(SECOND);
   for (let i = 0; i < simulation.nodes.length; i++) simulation.crash(i, random.below(500) * MILLI);
-  simulation.runFor(500 * MILLI + LEADER_LEASE + ELECTION_TIME);
+  simulation.runFor(500 * MILLI + LEADER_LEASE + MAX_ELECTION_TIME);
   const isElectionLate = !simulation.nodes.some((node) => node.core?.leads());
   simulation.runFor(200 * SECOND);
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
   return {
-    broken: violationsOf(simulation),
+    violations: violationsOf(simulation),
     openJobs: unfinishedJobs(simulation, ids),
     isElectionLate,
     elections,
@@ -123,22 +125,22 @@
 /** Runs one history, checks it and returns how many elections it had. */
 const checkHistory = (seed: number, size: HistorySize): number => {
   const result = runHistory(seed, size);
-  assert.deepEqual(result.broken.slice(0, 5), [], `seed ${seed}`);
+  assert.deepEqual(result.violations.slice(0, 5), [], `seed ${seed}`);
   assert.equal(
     result.isElectionLate,
     false,
-    `seed ${seed}: nobody leads ${LEADER_LEASE + ELECTION_TIME} us after the last crash`,
+    `seed ${seed}: no node leads ${LEADER_LEASE + MAX_ELECTION_TIME} us after the last crash`,
   );
-  assert.deepEqual(result.openJobs, [], `seed ${seed}: work that did not end`);
+  assert.deepEqual(result.openJobs, [], `seed ${seed}: jobs that did not end`);
   return result.elections;
 };
 
-/** More seeds by hand: `RETURN_SEEDS=1-400 node --import tsx --test packages/core/test/rapid-restarts.test.ts`. */
-const [from, to] = seedRange('RETURN_SEEDS', '1-12');
+/** More seeds: `RETURN_SEEDS=1-400 node --import tsx --test packages/core/test/rapid-restarts.test.ts`. */
+const [firstSeed, lastSeed] = seedRange('RETURN_SEEDS', '1-12');
 
-test('no rule breaks where processes are back at once, with late copies of everything', () => {
+test('no rule is violated when processes restart at once and late copies of all messages arrive', () => {
   let elections = 0;
-  for (let seed = from; seed <= to; seed++)
+  for (let seed = firstSeed; seed <= lastSeed; seed++)
     elections += checkHistory(seed, {
       nodes: [3, 5, 9][seed % 3]!,
       perZone: 6,
@@ -147,11 +149,12 @@
       jobs: 14,
       limitCores: 20,
     });
-  assert.ok(elections > 3 * (to - from + 1), 'the leader lease changed hands');
+  assert.ok(elections > 3 * (lastSeed - firstSeed + 1), 'the leader lease changed hands');
 });
 
-test('a late copy of a start is refused once its worker has forgotten how it ended', () => {
-  // Seen in a generated history: the copy of an answered call ran a task again that was elsewhere by then (quota, no room).
+test('a late copy of a start command is refused once the worker no longer keeps the outcome of the task', () => {
+  // Found by a generated history: the copy of an answered call started a task again that ran elsewhere by then (quota, no
+  // room).
   const simulation = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
   simulation.stand(2);
   simulation.runFor(3 * SECOND);
@@ -175,25 +178,26 @@
   assert.deepEqual(simulation.broken, []);
 });
 
-test('pre-provisioned machines are kept, whichever leaders crash before these are on record', () => {
-  // Only the leader of the first term knew them: one that ended before they were on record left them to be returned as idle.
+test('pre-provisioned machines are kept, whichever leaders crash before these machines are recorded', () => {
+  // Only the leader of the first term knew these machines: when it crashed before they were recorded, later leaders returned
+  // them as idle.
   for (let seed = 1; seed <= 10; seed++) {
     const random = new Random(seed * 7_368_787);
     const simulation = new ClusterSimulation(random, 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
     simulation.stand(12);
     const preprovisioned = new Set(simulation.workers.keys());
-    for (let k = 0; k < 4; k++) {
+    for (let crashNumber = 0; crashNumber < 4; crashNumber++) {
       simulation.runFor(random.below(700) * MILLI);
       const leader = simulation.nodes.findIndex((node) => node.core?.leads());
       if (leader >= 0) simulation.crash(leader, random.below(500) * MILLI);
     }
     simulation.runFor(30 * SECOND);
-    // More than stands there: machines are rented beside them, and only these are returned.
+    // More tasks than these machines can run: others are provisioned, and only those may be returned.
     for (let i = 0; i < 16; i++)
       simulation.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 20 * SECOND }));
     simulation.runFor(300 * SECOND);
     assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
-    assert.ok(simulation.workers.size > preprovisioned.size, 'machines were rented');
+    assert.ok(simulation.workers.size > preprovisioned.size, 'machines were provisioned');
     const alive = [...simulation.workers.values()]
       .filter((worker) => worker.alive)
       .map((worker) => worker.name);
@@ -201,8 +205,8 @@
   }
 });
 
-test('teams with limits start work after a failover although some machines have not sent a heartbeat yet', () => {
-  // One machine without heartbeats once held up all starts of such teams until its lease had run out.
+test('teams with quotas start tasks after a failover although some machines have not sent a heartbeat yet', () => {
+  // One machine without heartbeats once delayed all starts of such teams until its lease had expired.
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(
       new Random(seed),
@@ -217,7 +221,7 @@
       simulation.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
     simulation.runFor(20 * SECOND);
     const leader = simulation.nodes.findIndex((node) => node.core?.leads());
-    // With the leader, few enough machines die for the next one to plan before it knows of that.
+    // Few enough machines die with the leader for the next one to plan before it knows that they are lost.
     const deadMachines = [...simulation.workers.values()].slice(0, 2);
     for (const worker of deadMachines) simulation.killWorker(worker);
     let restoredAt = 0;
@@ -242,7 +246,7 @@
   }
 });
 
-test('a service that must start at once does so while a new leader is still in its failover grace period', () => {
+test('a service that must start at once does so during the failover grace period of a new leader', () => {
   const objective = '[[cluster.objectives]]\nkind = "wait"\nclass = "c"\nwithin_s = 1.0\n';
   for (const [seed, spread] of [true, false].entries()) {
     const simulation = new ClusterSimulation(
@@ -257,7 +261,7 @@
     for (let i = 0; i < 4; i++)
       simulation.submit(specOf(`run-${i}`, { class: 'd', tasks: 6, estimatedRunUs: 300 * SECOND }));
     simulation.runFor(20 * SECOND);
-    // So many that nothing else is planned until they are known to be gone.
+    // So many machines die that nothing else is planned until they are known to be lost.
     for (const worker of [...simulation.workers.values()].slice(0, 8)) simulation.killWorker(worker);
     let restoredAt = 0;
     simulation.onLog = (_node, event) => {
@@ -271,22 +275,25 @@
     simulation.submit(
       specOf('run-9', { shape: 'service', priority: 3, tasks: 4, spreadAcrossZones: spread }),
     );
-    const startedAt = (id: string): Micros | null => {
+    const startTimeOf = (id: string): Micros | null => {
       const running = [...simulation.workers.values()].flatMap((worker) =>
         worker.tasks.filter((t) => t.job === id),
       ).length;
       return running === 4 ? simulation.now : null;
     };
-    let service: Micros | null = null;
-    let array: Micros | null = null;
-    while (simulation.now < 60 * SECOND && array === null) {
+    let serviceStartedAt: Micros | null = null;
+    let arrayStartedAt: Micros | null = null;
+    while (simulation.now < 60 * SECOND && arrayStartedAt === null) {
       simulation.runFor(100 * MILLI);
-      service ??= startedAt('run-9');
-      array ??= startedAt('run-8');
+      serviceStartedAt ??= startTimeOf('run-9');
+      arrayStartedAt ??= startTimeOf('run-8');
     }
-    assert.ok(restoredAt > 0 && service !== null && array !== null);
-    assert.ok(service - restoredAt < 6 * SECOND, `${(service - restoredAt) / SECOND} s`);
-    assert.ok(array - service > 2 * SECOND, `the array waits until most is known: ${array - service} us`);
+    assert.ok(restoredAt > 0 && serviceStartedAt !== null && arrayStartedAt !== null);
+    assert.ok(serviceStartedAt - restoredAt < 6 * SECOND, `${(serviceStartedAt - restoredAt) / SECOND} s`);
+    assert.ok(
+      arrayStartedAt - serviceStartedAt > 2 * SECOND,
+      `the array waits until most machines are known: ${arrayStartedAt - serviceStartedAt} us`,
+    );
     assert.deepEqual([...new Set(simulation.broken)], []);
   }
 });
