--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -91,7 +91,7 @@
     fixture.advanceTo(lastSentAt + 13 * SECOND);
     const change = fixture.changes.at(-1);
     assert.equal(change?.kind, 'suspected', 'it is suspected eventually');
-    if (change?.kind === 'suspected') shortestLimitUs = Math.min(shortestLimitUs, change.limitUs);
+    if (change?.kind === 'suspected') shortestLimitUs = Math.min(shortestLimitUs, change.timeoutUs);
   }
   assert.ok(shortestLimitUs > 3 * SECOND);
 });
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -98,13 +98,13 @@
       this.context.runDueTimers();
       for (const call of this.delayedRequests.filter(({ at }) => at <= this.context.now)) call.run();
       this.delayedRequests = this.delayedRequests.filter(({ at }) => at > this.context.now);
-      const effects = this.context.out;
-      this.context.out = [];
+      const effects = this.context.effects;
+      this.context.effects = [];
       for (const effect of effects) {
         if (effect.kind !== 'storeRequest') continue;
         const failed: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
         const draw = this.random.next();
-        if (draw >= this.failureRate) this.context.storeReplied(effect.call, this.apply(effect.op));
+        if (draw >= this.failureRate) this.context.handleStoreReply(effect.call, this.apply(effect.op));
         else {
           if (draw < this.failureRate / 3) this.apply(effect.op);
           else if (draw < this.failureRate / 1.5) {
@@ -144,7 +144,7 @@
     const current = new Map<string, number>();
     const confirmed = new Map<string, number>();
     const pages = new PackedPages(writer, 'q/', 2_000, {
-      describe: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
+      encode: (id) => ({ n: current.get(id) ?? -1, pad: 'x'.repeat(random.below(60)) }),
       move: () => assert.fail('no page has to be emptied'),
     });
     const stored = (id: string): number | undefined => {
@@ -500,7 +500,7 @@
   context.now += SECOND;
   context.runDueTimers();
   assert.ok(
-    context.out.some((e) => e.kind === 'storeRequest'),
+    context.effects.some((e) => e.kind === 'storeRequest'),
     'the write is in flight',
   );
   assert.ok(!job.recordedMachines.has(machine.name));
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -68,7 +68,7 @@
     [placeable, unplaceable],
     [],
   );
-  assert.equal(both.unplaced, unplaceable.count);
+  assert.equal(both.unplacedTasks, unplaceable.count);
   assert.ok(
     both.makespan >=
       simulateCompletion(new PlacementSimulation(snapshot(), [placeable]), [placeable], []).makespan,
