--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -22,7 +22,7 @@
   {
     name: 'a leader writes without its office',
     file: 'storage/fenced-writer.ts',
-    from: 'const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leadVersion }];',
+    from: 'const conditions: VersionCondition[] = [{ key: LEADER_KEY, version: this.leaderKeyVersion }];',
     to: 'const conditions: VersionCondition[] = [];',
   },
   {
@@ -34,7 +34,7 @@
   {
     name: 'an older report stops what it tells of',
     file: 'tasks/heartbeat-commands.ts',
-    from: `if (isFromThisTerm(this.term, heartbeat) || !isWanted(this.term, task))
+    from: `if (isFromThisTerm(this.term, heartbeat) || !isStillNeeded(this.term, task))
           commands.push`,
     to: 'commands.push',
   },
@@ -42,9 +42,9 @@
     name: 'unproven attempts are not let go',
     file: 'tasks/reconciliation.ts',
     from: `if (confirmed)
-      for (const rival`,
+      for (const conflicting`,
     to: `if (false as boolean)
-      for (const rival`,
+      for (const conflicting`,
   },
   {
     name: 'what an older report tells of counts as known for limits',
@@ -169,8 +169,8 @@
   {
     name: 'a job that is over is waited for while it saves',
     file: 'tasks/attempt-lifecycle.ts',
-    from: "const sooner = job.phase !== 'active' && graceUs === 0",
-    to: "const sooner = job.phase !== 'active' && graceUs < 0",
+    from: "const endsGrace = job.phase !== 'active' && graceUs === 0",
+    to: "const endsGrace = job.phase !== 'active' && graceUs < 0",
   },
   {
     name: 'a slice of a plan starts what may not start any more',
