--- a/packages/budgets/src/accounts.ts
+++ b/packages/budgets/src/accounts.ts
@@ -1,162 +1,181 @@
 /**
- * Owners' accounts as the records hold them: sums by month of what is in the journal, closed months, overruns, and
- * what was told. The first owners stand in the head, which is written anyway; those that have no room there on
- * pages of their own, written in the same transaction as what changes them. Decides only; does no I/O.
+ * Owners' accounts in the form of the records: monthly sums of the journal, closed months, overruns and reported soft
+ * limits. The first owners are stored in the head, which every flush writes anyway. Owners for whom it has no room are
+ * stored on pages of their own, which are written in the same transaction as the journal rows that change them. Does no
+ * I/O.
  */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 
-import { addCharge, type Books } from './books.js';
+import { addCharge, type Ledger } from './books.js';
 import { chargeOf, type MonthRow, monthRow, type OwnersPart } from './records.js';
 
-/** Months that are named one by one; older ones are summed up. */
-const MONTHS_KEPT = 3;
-/** What of a value the form of a page takes, and some reserve. */
-const FRAME = 256;
-/** No amount, in millionths, and no time, in microseconds, has more digits. */
-const MOST = 9_999_999_999_999;
-
-/** What stands beside the sums. */
-export interface Marks {
-  /** By owner: the month in which the soft limit was told. */
-  readonly told: Map<string, string>;
-  /** By owner: a closed month's successor, and the overrun that comes off it. */
+/** Months with sums of their own; older closed ones are added into a single row. */
+const MAX_SEPARATE_MONTHS = 3;
+/** Bytes of a page without owners, with some reserve. */
+const PAGE_OVERHEAD_BYTES = 256;
+/** Upper limit of amounts in millionths of the currency, and of run times in hundreds of microseconds. */
+const MAX_AMOUNT = 9_999_999_999_999;
+
+/** What is stored of owners besides their sums. */
+export interface OwnerMarks {
+  /** By owner: the month in which reaching the soft limit was logged. */
+  readonly softLimitReported: Map<string, string>;
+  /** By owner: a month, and the overrun of the previous month that counts against its limit. */
   readonly carried: Map<string, readonly [string, number]>;
 }
 
 const emptyRow = (month: string): MonthRow => [month, 0, 0, 0, 0, 0];
 
-const sumOf = (month: string, a: MonthRow | undefined, b: MonthRow): MonthRow => {
-  const sum = chargeOf(b);
-  if (a !== undefined) addCharge(sum, chargeOf(a));
+const sumOf = (month: string, earlier: MonthRow | undefined, added: MonthRow): MonthRow => {
+  const sum = chargeOf(added);
+  if (earlier !== undefined) addCharge(sum, chargeOf(earlier));
   return monthRow(month, sum);
 };
 
-/** Bytes that an owner may come to need: its place never has to change as its amounts grow. */
-export const mostBytes = (owner: string): number => {
-  const row: MonthRow = ['2026-12', MOST, MOST * 100, MOST, 999_999_999, MOST];
+/** The most bytes an owner can need; reserving them keeps each owner on one page as its amounts grow. */
+export const maxOwnerBytes = (owner: string): number => {
+  const row: MonthRow = ['2026-12', MAX_AMOUNT, MAX_AMOUNT * 100, MAX_AMOUNT, 999_999_999, MAX_AMOUNT];
   return bytesOf({
-    m: { [owner]: Array.from({ length: MONTHS_KEPT + 1 }, () => row) },
+    m: { [owner]: Array.from({ length: MAX_SEPARATE_MONTHS + 1 }, () => row) },
     z: { [owner]: '2026-12' },
-    c: { [owner]: ['2026-12', MOST] },
+    c: { [owner]: ['2026-12', MAX_AMOUNT] },
     t: { [owner]: '2026-12' },
   });
 };
 
-export class Accounts {
+/** Assigns owners to pages, sums up their journal rows and finds the pages that have changed. */
+export class OwnerAccounts {
+  /** By owner and month: the sum of the journal; under the empty name that of older months. */
   private readonly months = new Map<string, Map<string, MonthRow>>();
-  /** By owner: 0 for the head, else the number of its page. */
-  private readonly homes = new Map<string, number>();
-  /** By page: bytes that its owners may need. */
-  private readonly taken = new Map<number, number>();
-  /** By page: what is on record, but for its flush number. */
-  private readonly written = new Map<number, string>();
-  /** By owner: number of the flush that wrote it, where it was read. */
-  private readonly readAt = new Map<string, number>();
-
-  /** `headRest`: bytes of a head without owners, at most. */
+  /** By owner: the number of its page; 0 is the head. */
+  private readonly pageNumbers = new Map<string, number>();
+  /** By page: the bytes reserved for its owners. */
+  private readonly reservedBytes = new Map<number, number>();
+  /** By page: the JSON of its recorded content without the flush number. */
+  private readonly recorded = new Map<number, string>();
+  /** By owner that was read: the number of the flush that wrote it. */
+  private readonly flushNumbers = new Map<string, number>();
+
+  /** `headOverheadBytes`: size limit of a head without owners. */
   constructor(
-    private readonly books: Books,
-    private readonly marks: Marks,
-    private readonly valueBytes: number,
-    private readonly headRest: number,
+    private readonly ledger: Ledger,
+    private readonly marks: OwnerMarks,
+    private readonly maxValueBytes: number,
+    private readonly headOverheadBytes: number,
   ) {}
 
   // ---- reading -----------------------------------------------------------------------------------
 
-  /** A page as it was read, the head being page 0; `flush`: the number of the flush that wrote it. */
-  adopt(n: number, flush: number, part: OwnersPart): void {
-    this.written.set(n, JSON.stringify(part));
+  /** Restores a page that was read, or the head as page 0; `flush`: number of the flush that wrote it. */
+  restorePage(pageNumber: number, flush: number, part: OwnersPart): void {
+    this.recorded.set(pageNumber, JSON.stringify(part));
     const owners = new Set([part.m, part.z, part.c, part.t].flatMap((x) => Object.keys(x)));
     for (const owner of owners) {
-      // An owner stands twice only where its place was changed by hand: the later one counts.
-      if ((this.readAt.get(owner) ?? -1) >= flush) continue;
-      this.readAt.set(owner, flush);
-      this.settle(owner, n);
+      // An owner is on two pages only after records were edited by hand: the later flush takes precedence.
+      if ((this.flushNumbers.get(owner) ?? -1) >= flush) continue;
+      this.flushNumbers.set(owner, flush);
+      this.assignPage(owner, pageNumber);
       const rows = part.m[owner] ?? [];
       this.months.set(owner, new Map(rows.map((r) => [r[0], r])));
-      const [closed, told, carried] = [part.z[owner], part.t[owner], part.c[owner]];
-      if (closed !== undefined) this.books.closed.set(owner, closed);
-      if (told !== undefined) this.marks.told.set(owner, told);
+      const [closed, reportedMonth, carried] = [part.z[owner], part.t[owner], part.c[owner]];
+      if (closed !== undefined) this.ledger.closedMonths.set(owner, closed);
+      if (reportedMonth !== undefined) this.marks.softLimitReported.set(owner, reportedMonth);
       if (carried !== undefined) this.marks.carried.set(owner, carried);
     }
   }
 
-  /** All sums, for books that are taken over. */
-  *sums(): Iterable<readonly [owner: string, row: MonthRow]> {
+  /** All sums of the journal, for restoring the ledger. */
+  *monthRows(): Iterable<readonly [owner: string, row: MonthRow]> {
     for (const [owner, months] of this.months) for (const row of months.values()) yield [owner, row];
   }
 
-  /** What the journal holds for an owner's month. */
-  inJournal(owner: string, month: string): MonthRow {
+  /** The sum of an owner's month in the journal. */
+  journaledRow(owner: string, month: string): MonthRow {
     return this.months.get(owner)?.get(month) ?? emptyRow(month);
   }
 
   // ---- writing -----------------------------------------------------------------------------------
 
-  /** Amounts that go into the journal. */
-  post(owner: string, rows: readonly MonthRow[]): void {
+  /** Adds rows that are being appended to the journal. */
+  addJournaled(owner: string, rows: readonly MonthRow[]): void {
     const months = this.months.get(owner) ?? new Map<string, MonthRow>();
     this.months.set(owner, months);
-    for (const m of rows) months.set(m[0], sumOf(m[0], months.get(m[0]), m));
+    for (const row of rows) months.set(row[0], sumOf(row[0], months.get(row[0]), row));
   }
 
-  private settle(owner: string, n: number): void {
-    const before = this.homes.get(owner);
-    if (before !== undefined) this.taken.set(before, (this.taken.get(before) ?? 0) - mostBytes(owner));
-    this.homes.set(owner, n);
-    this.taken.set(n, (this.taken.get(n) ?? 0) + mostBytes(owner));
+  private assignPage(owner: string, pageNumber: number): void {
+    const previousPage = this.pageNumbers.get(owner);
+    if (previousPage !== undefined)
+      this.reservedBytes.set(
+        previousPage,
+        (this.reservedBytes.get(previousPage) ?? 0) - maxOwnerBytes(owner),
+      );
+    this.pageNumbers.set(owner, pageNumber);
+    this.reservedBytes.set(pageNumber, (this.reservedBytes.get(pageNumber) ?? 0) + maxOwnerBytes(owner));
   }
 
-  /** The page where an owner stands; 0 is the head. */
-  homeOf(owner: string): number {
-    const known = this.homes.get(owner);
-    if (known !== undefined) return known;
-    const need = mostBytes(owner);
-    let n = 0;
-    const room = (k: number): number =>
-      this.valueBytes - FRAME - (k === 0 ? this.headRest : 0) - (this.taken.get(k) ?? 0);
-    while (room(n) < need && (n === 0 || (this.taken.get(n) ?? 0) > 0)) n++;
-    this.settle(owner, n);
-    return n;
+  /** The owner's page, assigned on first use; 0 is the head. */
+  pageOf(owner: string): number {
+    const assignedPage = this.pageNumbers.get(owner);
+    if (assignedPage !== undefined) return assignedPage;
+    const neededBytes = maxOwnerBytes(owner);
+    let pageNumber = 0;
+    const freeBytes = (candidate: number): number =>
+      this.maxValueBytes -
+      PAGE_OVERHEAD_BYTES -
+      (candidate === 0 ? this.headOverheadBytes : 0) -
+      (this.reservedBytes.get(candidate) ?? 0);
+    while (
+      freeBytes(pageNumber) < neededBytes &&
+      (pageNumber === 0 || (this.reservedBytes.get(pageNumber) ?? 0) > 0)
+    )
+      pageNumber++;
+    this.assignPage(owner, pageNumber);
+    return pageNumber;
   }
 
-  /** An owner's months, the older closed ones as one. */
-  private summed(owner: string): MonthRow[] {
+  /** An owner's rows; closed months beyond `MAX_SEPARATE_MONTHS` are added into one. */
+  private rowsOf(owner: string): MonthRow[] {
     const months = this.months.get(owner) ?? new Map<string, MonthRow>();
-    const last = this.books.closed.get(owner) ?? '';
+    const last = this.ledger.closedMonths.get(owner) ?? '';
     const named = [...months.keys()].filter((m) => m !== '').sort();
-    for (const m of named.slice(0, Math.max(0, named.length - MONTHS_KEPT))) {
-      if (m > last) break;
-      months.set('', sumOf('', months.get(''), months.get(m)!));
-      months.delete(m);
+    for (const month of named.slice(0, Math.max(0, named.length - MAX_SEPARATE_MONTHS))) {
+      if (month > last) break;
+      months.set('', sumOf('', months.get(''), months.get(month)!));
+      months.delete(month);
     }
     return [...months.values()];
   }
 
-  /** What stands on each page now, the head's share being page 0. */
-  parts(): Map<number, OwnersPart> {
+  /** The current content of all pages, with the owners of the head as page 0. */
+  partsByPage(): Map<number, OwnersPart> {
     const out = new Map<number, OwnersPart>([[0, { m: {}, z: {}, c: {}, t: {} }]]);
-    const { told, carried } = this.marks;
-    const owners = [this.months, this.books.closed, carried, told].flatMap((x) => [...x.keys()]);
+    const { softLimitReported: told, carried } = this.marks;
+    const owners = [this.months, this.ledger.closedMonths, carried, told].flatMap((x) => [...x.keys()]);
     for (const owner of new Set(owners)) {
-      const n = this.homeOf(owner);
-      const part = out.get(n) ?? { m: {}, z: {}, c: {}, t: {} };
-      out.set(n, part);
-      if (this.months.has(owner)) part.m[owner] = this.summed(owner);
-      const [z, c, t] = [this.books.closed.get(owner), carried.get(owner), told.get(owner)];
-      if (z !== undefined) part.z[owner] = z;
-      if (c !== undefined) part.c[owner] = c;
-      if (t !== undefined) part.t[owner] = t;
+      const pageNumber = this.pageOf(owner);
+      const part = out.get(pageNumber) ?? { m: {}, z: {}, c: {}, t: {} };
+      out.set(pageNumber, part);
+      if (this.months.has(owner)) part.m[owner] = this.rowsOf(owner);
+      const [closed, carriedOverrun, reportedMonth] = [
+        this.ledger.closedMonths.get(owner),
+        carried.get(owner),
+        told.get(owner),
+      ];
+      if (closed !== undefined) part.z[owner] = closed;
+      if (carriedOverrun !== undefined) part.c[owner] = carriedOverrun;
+      if (reportedMonth !== undefined) part.t[owner] = reportedMonth;
     }
     return out;
   }
 
-  /** Pages but the head that differ from what is on record. */
-  changed(parts: ReadonlyMap<number, OwnersPart>): number[] {
-    return [...parts].filter(([n, p]) => n > 0 && JSON.stringify(p) !== this.written.get(n)).map(([n]) => n);
+  /** Pages other than the head that differ from their recorded content. */
+  changedPages(parts: ReadonlyMap<number, OwnersPart>): number[] {
+    return [...parts].filter(([n, p]) => n > 0 && JSON.stringify(p) !== this.recorded.get(n)).map(([n]) => n);
   }
 
-  confirm(n: number, part: OwnersPart): void {
-    this.written.set(n, JSON.stringify(part));
+  /** Notes that a page's content has been written. */
+  confirmWritten(pageNumber: number, part: OwnersPart): void {
+    this.recorded.set(pageNumber, JSON.stringify(part));
   }
 }
--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -1,20 +1,22 @@
 /**
- * The books: what machines cost, whose running tasks hold which share of that, and what of it is proven useful
- * and hence the owner's. A state machine: told of events with their times (microseconds of time of day), it does
- * no I/O and reads no clock. At every moment, to the last unit:
+ * The ledger: accrues what machines cost, divides it among the tasks that run on them, and charges an owner once an
+ * attempt's result is kept. A state machine without I/O that reads no clock: callers report events and set the time
+ * (microseconds since the epoch). At every moment, exactly:
  *
- *   cost = charged to owners + pending + the platform's account
+ *   cost = charged to owners + pending + paid by the platform
  */
 import type { Micros } from '@shaleyoke/core/domain/time';
 
 import type { Calendar } from './calendar.js';
 import { Meter, type Money, portion, split } from './money.js';
 
-/** Why the platform pays. */
-export const REASONS = ['boot', 'unused', 'lost', 'stopped', 'unseen', 'takeover'] as const;
-export type Reason = (typeof REASONS)[number];
+/** Why a cost is paid by the platform rather than by an owner. The names are stored in the head record. */
+export const PLATFORM_REASONS = ['boot', 'unused', 'lost', 'stopped', 'unseen', 'takeover'] as const;
+/** One of `PLATFORM_REASONS`. */
+export type PlatformReason = (typeof PLATFORM_REASONS)[number];
 
-export const noReasons = (): Record<Reason, Money> => ({
+/** Platform costs of zero for every reason, to be added to. */
+export const zeroPlatformCosts = (): Record<PlatformReason, Money> => ({
   boot: 0,
   unused: 0,
   lost: 0,
@@ -23,119 +25,138 @@
   takeover: 0,
 });
 
-/** A machine's whole, in the unit of weights. */
-export const WHOLE = 1_000_000_000;
+/** The weight of an attempt that occupies a whole machine; weights are fractions of it. */
+export const FULL_WEIGHT = 1_000_000_000;
 
 /** What was charged for a job, or for all jobs of an owner, in one month. */
 export interface Charge {
+  /** Charged to the owner. */
   money: Money;
-  /** Time that tasks ran for it. */
+  /** Task run time that was charged, in microseconds. */
   us: Micros;
-  /** Ran for it too, but the platform pays. */
-  free: Money;
-  /** Stops for higher priority that lost work. */
+  /** Cost of the job's run time that the platform pays, because the work was lost. */
+  uncharged: Money;
+  /** Preemptions that lost work. */
   stops: number;
-  /** Of `money`: for an earlier month that was closed already. */
+  /** The part of `money` that belongs to an earlier month which was already closed. */
   late: Money;
 }
-export const noCharge = (): Charge => ({ money: 0, us: 0, free: 0, stops: 0, late: 0 });
-export const addCharge = (a: Charge, b: Readonly<Charge>): void => {
-  a.money += b.money;
-  a.us += b.us;
-  a.free += b.free;
-  a.stops += b.stops;
-  a.late += b.late;
+/** A charge of zero, to be added to. */
+export const zeroCharge = (): Charge => ({ money: 0, us: 0, uncharged: 0, stops: 0, late: 0 });
+/** Adds each field of `added` to `sum`. */
+export const addCharge = (sum: Charge, added: Readonly<Charge>): void => {
+  sum.money += added.money;
+  sum.us += added.us;
+  sum.uncharged += added.uncharged;
+  sum.stops += added.stops;
+  sum.late += added.late;
 };
 
-interface Pending {
+/** Cost of a running attempt within one month that is not yet charged to anyone. */
+interface PendingCharge {
   readonly month: string;
   money: Money;
-  us: Micros;
+  runUs: Micros;
 }
 
+/** An attempt at a task that runs, or that was recorded as running by an earlier leader. */
 export interface RunningAttempt {
   readonly job: OpenJob;
   readonly index: number;
-  readonly no: number;
-  /** Share of the machine's price, of `WHOLE`. */
+  readonly number: number;
+  /** Share of the machine's price, as a fraction of `FULL_WEIGHT`. */
   weight: number;
-  readonly pending: Pending[];
-  /** Null: on record as running, and not seen by this leader yet. */
+  readonly pending: PendingCharge[];
+  /** Null: recorded as running, but not yet reported to this leader by any machine. */
   machine: MachineAccount | null;
 }
 
+/** A job whose amounts may still change. */
 export class OpenJob {
+  /** Charges by month, without those of months that are closed. */
   readonly months = new Map<string, Charge>();
+  /** Running attempts by task index. */
   readonly attempts = new Map<number, RunningAttempt>();
-  /** What it will probably cost in all, once it may begin. */
-  commit: Money | null = null;
+  /** The estimated total cost, set when the job is admitted; null before. */
+  commitment: Money | null = null;
 
   constructor(
     readonly id: string,
     readonly owner: string,
-    readonly cls: string,
+    readonly jobClass: string,
     readonly service: boolean,
   ) {}
 
+  /** Charged to the owner in all months that are not closed. */
   charged(): Money {
     let sum = 0;
-    for (const c of this.months.values()) sum += c.money;
+    for (const charge of this.months.values()) sum += charge.money;
     return sum;
   }
 
+  /** Accrued by running attempts and not yet charged. */
   pending(): Money {
     let sum = 0;
-    for (const r of this.attempts.values()) for (const p of r.pending) sum += p.money;
+    for (const attempt of this.attempts.values()) for (const part of attempt.pending) sum += part.money;
     return sum;
   }
 }
 
 interface MachineAccount {
   readonly name: string;
+  /** Price per hour. */
   rate: Money;
   up: boolean;
-  /** All is accounted up to here. */
-  through: Micros;
+  /** The machine's cost is accrued up to this moment. */
+  accountedUntil: Micros;
   readonly meter: Meter;
   readonly running: Set<RunningAttempt>;
-  /** From before this term: nothing is accounted until it has told what runs there. */
-  holding: boolean;
-  joining: { readonly run: RunningAttempt; readonly recorded: boolean; readonly at: Micros }[];
+  /** Recorded before this term: nothing accrues until the machine has reported what runs there. */
+  awaitingReport: boolean;
+  /** Attempts reported so far while `awaitingReport`. */
+  reportedAttempts: { readonly attempt: RunningAttempt; readonly onRecord: boolean; readonly at: Micros }[];
 }
 
-/** Amounts of a job that will not change any more, to be put into the journal. */
-export interface Final {
+/** Amounts of a job that can no longer change and are to be appended to the journal. */
+export interface FinalAmounts {
   readonly id: string;
   readonly owner: string;
-  readonly cls: string;
+  readonly jobClass: string;
   readonly months: ReadonlyMap<string, Readonly<Charge>>;
-  /** Nothing more of the job will come; false where only a month of it was closed. */
-  readonly over: boolean;
+  /** Whether the job can no longer be charged; false where only some of its months were closed. */
+  readonly jobComplete: boolean;
 }
 
-/** How an attempt ended, for money. */
+/** How much of an attempt's run time is charged to its owner once it has ended. */
 export interface Outcome {
-  /** How much of what it ran is not lost: all, or the first so many microseconds. */
+  /** Run time whose work was kept, counted from the beginning of the attempt; infinite if all of it was. */
   readonly keptUs: Micros;
-  /** Who or what the rest was lost to. */
-  readonly rest: 'lost' | 'stopped' | 'unseen' | 'takeover';
+  /** Why the platform pays for the remaining run time. */
+  readonly lossReason: 'lost' | 'stopped' | 'unseen' | 'takeover';
 }
-export const ALL: Outcome = { keptUs: Infinity, rest: 'lost' };
+/** All work of the attempt was kept, so the owner pays for all of it. */
+export const FULLY_KEPT: Outcome = { keptUs: Infinity, lossReason: 'lost' };
 
-export interface BooksState {
+/** The totals of the head record that a new leader continues from. */
+export interface LedgerTotals {
   readonly cost: Money;
-  readonly platform: Readonly<Record<Reason, Money>>;
+  readonly platform: Readonly<Record<PlatformReason, Money>>;
 }
 
-export class Books {
+/** The accounts of machines, jobs and owners in memory; see the head of this file. */
+export class Ledger {
+  /** The total cost of all machines. */
   cost: Money = 0;
-  readonly platform = noReasons();
+  /** Paid by the platform, by reason. */
+  readonly platform = zeroPlatformCosts();
+  /** Jobs whose amounts may still change, by id. */
   readonly jobs = new Map<string, OpenJob>();
-  /** Charged in all, by owner and month: jobs that ended and jobs that have not. */
+  /** Total charges by owner and month, of open and of ended jobs. */
   readonly accounts = new Map<string, Map<string, Charge>>();
-  finals: Final[] = [];
-  /** The last month of each owner whose statement is closed. */
-  readonly closed = new Map<string, string>();
+  /** Amounts that are not yet in the journal, the oldest first. */
+  finalAmounts: FinalAmounts[] = [];
+  /** By owner: the last month whose statement is closed. */
+  readonly closedMonths = new Map<string, string>();
   private readonly machines = new Map<string, MachineAccount>();
   private now: Micros = 0;
 
@@ -143,316 +164,352 @@
 
   // ---- jobs and accounts -------------------------------------------------------------------------
 
-  job(id: string, owner: string, cls: string, service: boolean): OpenJob {
-    let j = this.jobs.get(id);
-    if (j === undefined) this.jobs.set(id, (j = new OpenJob(id, owner, cls, service)));
-    return j;
+  /** The open job of this id, which is created if there is none. */
+  openJob(id: string, owner: string, jobClass: string, service: boolean): OpenJob {
+    let job = this.jobs.get(id);
+    if (job === undefined) this.jobs.set(id, (job = new OpenJob(id, owner, jobClass, service)));
+    return job;
   }
 
+  /** The total of an owner's month, which is created at zero if there is none. */
   account(owner: string, month: string): Charge {
     let months = this.accounts.get(owner);
     if (months === undefined) this.accounts.set(owner, (months = new Map<string, Charge>()));
-    let c = months.get(month);
-    if (c === undefined) months.set(month, (c = noCharge()));
-    return c;
+    let charge = months.get(month);
+    if (charge === undefined) months.set(month, (charge = zeroCharge()));
+    return charge;
   }
 
-  /** The month that the owner's time is in now. */
+  /** The current month in the owner's time zone. */
   monthOf(owner: string): string {
-    return this.calendars.get(owner)?.at(this.now).id ?? '';
+    return this.calendars.get(owner)?.monthAt(this.now).id ?? '';
   }
 
-  private post(job: OpenJob, month: string, c: Charge): void {
-    const isClosed = month <= (this.closed.get(job.owner) ?? '');
-    const posted = isClosed ? this.monthOf(job.owner) : month;
-    if (isClosed) c.late = c.money;
-    const own = job.months.get(posted) ?? noCharge();
-    job.months.set(posted, own);
-    addCharge(own, c);
-    addCharge(this.account(job.owner, posted), c);
+  /** Charges a job; an amount for a closed month goes to the current month and is marked late. */
+  private charge(job: OpenJob, month: string, charge: Charge): void {
+    const isClosed = month <= (this.closedMonths.get(job.owner) ?? '');
+    const postedMonth = isClosed ? this.monthOf(job.owner) : month;
+    if (isClosed) charge.late = charge.money;
+    const own = job.months.get(postedMonth) ?? zeroCharge();
+    job.months.set(postedMonth, own);
+    addCharge(own, charge);
+    addCharge(this.account(job.owner, postedMonth), charge);
   }
 
-  /** What was on record of a job that ended or has not. */
-  restore(owner: string, month: string, c: Readonly<Charge>, job: OpenJob | null): void {
-    addCharge(this.account(owner, month), c);
-    if (job !== null) job.months.set(month, { ...c });
+  /** Restores a recorded charge; `job`: the open job it belongs to, or null for sums of ended jobs. */
+  restoreCharge(owner: string, month: string, charge: Readonly<Charge>, job: OpenJob | null): void {
+    addCharge(this.account(owner, month), charge);
+    if (job !== null) job.months.set(month, { ...charge });
   }
 
-  /** No task of it is anywhere any more: its amounts are final. */
-  close(id: string): void {
+  /** Makes a job's amounts final, once none of its tasks runs anywhere. */
+  closeJob(id: string): void {
     const job = this.jobs.get(id);
     if (job === undefined) return;
-    for (const r of [...job.attempts.values()]) this.forsake(r);
+    for (const attempt of [...job.attempts.values()]) this.writeOff(attempt);
     this.jobs.delete(id);
     if (job.months.size > 0)
-      this.finals.push({ id, owner: job.owner, cls: job.cls, months: job.months, over: true });
+      this.finalAmounts.push({
+        id,
+        owner: job.owner,
+        jobClass: job.jobClass,
+        months: job.months,
+        jobComplete: true,
+      });
   }
 
   /**
-   * The owner's statement of a month is closed: nothing is charged to it, or to one before, from now on. What
-   * jobs that go on were charged in it is final.
+   * Closes an owner's month: from now on nothing is charged to it or to an earlier one. What open jobs were charged
+   * in those months becomes final.
    */
   closeMonth(owner: string, month: string): void {
-    this.closed.set(owner, month);
+    this.closedMonths.set(owner, month);
     for (const job of this.jobs.values()) {
       if (job.owner !== owner) continue;
-      const over = [...job.months].filter(([m]) => m <= month);
-      if (over.length === 0) continue;
-      for (const [m, c] of over) {
-        job.months.delete(m);
-        if (job.commit !== null) job.commit = Math.max(0, job.commit - c.money);
+      const finalMonths = [...job.months].filter(([m]) => m <= month);
+      if (finalMonths.length === 0) continue;
+      for (const [closedMonth, charge] of finalMonths) {
+        job.months.delete(closedMonth);
+        if (job.commitment !== null) job.commitment = Math.max(0, job.commitment - charge.money);
       }
-      this.finals.push({ id: job.id, owner, cls: job.cls, months: new Map(over), over: false });
+      this.finalAmounts.push({
+        id: job.id,
+        owner,
+        jobClass: job.jobClass,
+        months: new Map(finalMonths),
+        jobComplete: false,
+      });
     }
   }
 
-  /** Whether anything that ran in a month, or before, is still pending for the owner. */
-  pendingIn(owner: string, month: string): boolean {
-    for (const j of this.jobs.values())
-      if (j.owner === owner)
-        for (const r of j.attempts.values()) if (r.pending.some((p) => p.month <= month)) return true;
+  /** Whether the owner has pending costs of this month or of an earlier one. */
+  hasPendingIn(owner: string, month: string): boolean {
+    for (const job of this.jobs.values())
+      if (job.owner === owner)
+        for (const attempt of job.attempts.values())
+          if (attempt.pending.some((p) => p.month <= month)) return true;
     return false;
   }
 
   // ---- machines ----------------------------------------------------------------------------------
 
-  has(name: string): boolean {
+  /** Whether the machine's cost is being accounted. */
+  hasMachine(name: string): boolean {
     return this.machines.has(name);
   }
 
-  names(): Iterable<string> {
+  /** The names of all machines that are being accounted. */
+  machineNames(): Iterable<string> {
     return this.machines.keys();
   }
 
-  /** A machine that costs `rate` an hour from `from` on; `holding`: see `MachineAccount`. */
-  machine(name: string, rate: Money, from: Micros, holding: boolean): void {
+  /** Adds a machine that costs `rate` an hour since `from`; `awaitingReport`: see `MachineAccount`. */
+  addMachine(name: string, rate: Money, from: Micros, awaitingReport: boolean): void {
     if (this.machines.has(name)) return;
-    const m: MachineAccount = {
+    const account: MachineAccount = {
       name,
       rate,
-      up: holding,
-      through: Math.min(from, this.now),
+      up: awaitingReport,
+      accountedUntil: Math.min(from, this.now),
       meter: new Meter(),
       running: new Set(),
-      holding,
-      joining: [],
+      awaitingReport,
+      reportedAttempts: [],
     };
-    this.machines.set(name, m);
+    this.machines.set(name, account);
   }
 
-  /** What is known of a machine now. All up to now counts as it was known before. */
-  update(name: string, rate: Money, up: boolean): void {
-    const m = this.machines.get(name);
-    if (m === undefined || (m.rate === rate && m.up === up)) return;
-    if (!m.holding) this.accrue(m, this.now);
-    m.rate = rate;
-    m.up = up || m.holding;
+  /** Sets a machine's price and state from now on; the time until now is accrued with the former values. */
+  updateMachine(name: string, rate: Money, up: boolean): void {
+    const machine = this.machines.get(name);
+    if (machine === undefined || (machine.rate === rate && machine.up === up)) return;
+    if (!machine.awaitingReport) this.accrue(machine, this.now);
+    machine.rate = rate;
+    machine.up = up || machine.awaitingReport;
   }
 
-  /** It has told what runs there, or has been given up: from here on it is accounted. */
-  resolve(name: string): void {
-    const m = this.machines.get(name);
-    if (m?.holding === true && (m.joining[0]?.at ?? -1) < this.now) this.release(m);
+  /** Begins to accrue a machine that has reported what runs there. */
+  resumeMachine(name: string): void {
+    const machine = this.machines.get(name);
+    if (machine?.awaitingReport === true && (machine.reportedAttempts[0]?.at ?? -1) < this.now)
+      this.resume(machine);
   }
 
-  get holding(): boolean {
-    for (const m of this.machines.values()) if (m.holding) return true;
+  /** Whether any machine has yet to report what runs there. */
+  get awaitingReports(): boolean {
+    for (const machine of this.machines.values()) if (machine.awaitingReport) return true;
     return false;
   }
 
-  /** It costs nothing from now on. */
-  gone(name: string): void {
-    const m = this.machines.get(name);
-    if (m === undefined) return;
-    if (m.holding) this.release(m);
-    this.accrue(m, this.now);
-    for (const r of [...m.running]) this.forsake(r);
+  /** Accrues a machine up to now, writes off what runs there, and stops accounting for it. */
+  removeMachine(name: string): void {
+    const machine = this.machines.get(name);
+    if (machine === undefined) return;
+    if (machine.awaitingReport) this.resume(machine);
+    this.accrue(machine, this.now);
+    for (const attempt of [...machine.running]) this.writeOff(attempt);
     this.machines.delete(name);
   }
 
-  /** On record, and never heard of by this leader: nobody can tell that it was there at all since the record. */
-  vanish(name: string): void {
-    const m = this.machines.get(name);
-    if (m?.holding !== true || m.joining.length > 0) return;
+  /**
+   * Drops a recorded machine that never reported to this leader, without accruing it: nothing shows that it still
+   * existed after the record was written.
+   */
+  discardUnreported(name: string): void {
+    const machine = this.machines.get(name);
+    if (machine?.awaitingReport !== true || machine.reportedAttempts.length > 0) return;
     this.machines.delete(name);
   }
 
-  private release(m: MachineAccount): void {
-    const { joining } = m;
-    m.joining = [];
-    // What ran all the time since the record was written, by its attempt number, has its share of that time.
-    for (const j of joining) if (j.recorded) m.running.add(j.run);
-    this.accrue(m, joining[0]?.at ?? this.now);
-    m.holding = false;
-    for (const j of joining) m.running.add(j.run);
-    this.accrue(m, this.now);
+  /** Accrues a machine since the record and ends its wait for a report. */
+  private resume(machine: MachineAccount): void {
+    const { reportedAttempts: reports } = machine;
+    machine.reportedAttempts = [];
+    // An attempt that is on record with the same number has run ever since, so it shares the cost of that time.
+    for (const joined of reports) if (joined.onRecord) machine.running.add(joined.attempt);
+    this.accrue(machine, reports[0]?.at ?? this.now);
+    machine.awaitingReport = false;
+    for (const joined of reports) machine.running.add(joined.attempt);
+    this.accrue(machine, this.now);
   }
 
   // ---- time --------------------------------------------------------------------------------------
 
-  /** Time never runs backwards in the books, whatever the clocks do. */
-  at(now: Micros): void {
+  /** Advances the current time; an earlier time is ignored, so that accounts never go back with a clock. */
+  setTime(now: Micros): void {
     this.now = Math.max(this.now, now);
   }
 
-  /** Accounts for all up to now. */
-  advance(): void {
-    for (const m of this.machines.values()) if (!m.holding) this.accrue(m, this.now);
+  /** Accrues all machines that have reported up to now. */
+  accrueAll(): void {
+    for (const machine of this.machines.values()) if (!machine.awaitingReport) this.accrue(machine, this.now);
   }
 
-  private accrue(m: MachineAccount, now: Micros): void {
-    while (m.through < now) {
+  private accrue(machine: MachineAccount, now: Micros): void {
+    while (machine.accountedUntil < now) {
       let to = now;
-      // Time that crosses the end of an owner's month is split there.
-      for (const r of m.running) {
-        const end = this.calendars.get(r.job.owner)?.at(m.through).to ?? Infinity;
+      // Split at the end of each owner's month.
+      for (const attempt of machine.running) {
+        const end = this.calendars.get(attempt.job.owner)?.monthAt(machine.accountedUntil).to ?? Infinity;
         to = Math.min(to, end);
       }
-      this.interval(m, to);
+      this.accrueInterval(machine, to);
     }
   }
 
-  private interval(m: MachineAccount, to: Micros): void {
-    const us = to - m.through;
-    const cost = m.meter.run(m.rate, us);
+  /** Divides the cost of an interval that lies within one month of every owner concerned. */
+  private accrueInterval(machine: MachineAccount, to: Micros): void {
+    const elapsedUs = to - machine.accountedUntil;
+    const cost = machine.meter.accrue(machine.rate, elapsedUs);
     this.cost += cost;
-    const running = [...m.running];
+    const running = [...machine.running];
     const weights = running.map((r) => r.weight);
-    const rest = Math.max(0, WHOLE - weights.reduce((sum, w) => sum + w, 0));
-    const parts = split(cost, [...weights, rest]);
-    running.forEach((r, i) => {
-      const month = this.calendars.get(r.job.owner)?.at(m.through).id ?? '';
-      this.add(r, month, parts[i]!, us);
+    const unusedWeight = Math.max(0, FULL_WEIGHT - weights.reduce((sum, w) => sum + w, 0));
+    const parts = split(cost, [...weights, unusedWeight]);
+    running.forEach((attempt, i) => {
+      const month = this.calendars.get(attempt.job.owner)?.monthAt(machine.accountedUntil).id ?? '';
+      this.addToAttempt(attempt, month, parts[i]!, elapsedUs);
     });
-    this.platform[m.holding ? 'takeover' : m.up ? 'unused' : 'boot'] += parts[running.length]!;
-    m.through = to;
+    this.platform[machine.awaitingReport ? 'takeover' : machine.up ? 'unused' : 'boot'] +=
+      parts[running.length]!;
+    machine.accountedUntil = to;
   }
 
-  private add(r: RunningAttempt, month: string, money: Money, us: Micros): void {
-    if (r.job.service) {
-      this.post(r.job, month, { ...noCharge(), money, us });
+  /** Services are charged as they run; other jobs once the attempt has ended. */
+  private addToAttempt(attempt: RunningAttempt, month: string, money: Money, runUs: Micros): void {
+    if (attempt.job.service) {
+      this.charge(attempt.job, month, { ...zeroCharge(), money, us: runUs });
       return;
     }
-    const last = r.pending.at(-1);
+    const last = attempt.pending.at(-1);
     if (last?.month === month) {
       last.money += money;
-      last.us += us;
-    } else r.pending.push({ month, money, us });
+      last.runUs += runUs;
+    } else attempt.pending.push({ month, money, runUs });
   }
 
   // ---- attempts ----------------------------------------------------------------------------------
 
-  /** On record as running when the last leader wrote. */
-  recorded(job: OpenJob, index: number, no: number, pending: Pending): void {
-    const r = job.attempts.get(index);
-    if (r?.no === no) r.pending.push(pending);
-    else if (r === undefined)
-      job.attempts.set(index, { job, index, no, weight: 0, pending: [pending], machine: null });
-  }
-
-  /** A task runs on a machine from now on; or, where it is on record, has run all the time. */
-  run(name: string, job: OpenJob, index: number, no: number, weight: number): void {
-    const m = this.machines.get(name);
-    if (m === undefined) return;
-    const before = job.attempts.get(index);
-    if (before?.no === no && before.machine !== null) return;
-    if (before !== undefined && before.no !== no) this.forsake(before);
-    const recorded = before?.no === no;
-    const r: RunningAttempt = recorded ? before : { job, index, no, weight, pending: [], machine: m };
-    r.weight = weight;
-    r.machine = m;
-    job.attempts.set(index, r);
-    if (m.holding && (m.joining[0]?.at ?? this.now) < this.now) this.release(m);
-    if (m.holding) m.joining.push({ run: r, recorded, at: this.now });
+  /** Restores an attempt that the last leader recorded as running; called once for each month it has costs in. */
+  restoreAttempt(job: OpenJob, index: number, number: number, pending: PendingCharge): void {
+    const attempt = job.attempts.get(index);
+    if (attempt?.number === number) attempt.pending.push(pending);
+    else if (attempt === undefined)
+      job.attempts.set(index, { job, index, number, weight: 0, pending: [pending], machine: null });
+  }
+
+  /** An attempt runs on a machine from now on, or since the record was written if it is on record. */
+  startAttempt(name: string, job: OpenJob, index: number, number: number, weight: number): void {
+    const machine = this.machines.get(name);
+    if (machine === undefined) return;
+    const previous = job.attempts.get(index);
+    if (previous?.number === number && previous.machine !== null) return;
+    if (previous !== undefined && previous.number !== number) this.writeOff(previous);
+    const onRecord = previous?.number === number;
+    const attempt: RunningAttempt = onRecord
+      ? previous
+      : { job, index, number, weight, pending: [], machine };
+    attempt.weight = weight;
+    attempt.machine = machine;
+    job.attempts.set(index, attempt);
+    if (machine.awaitingReport && (machine.reportedAttempts[0]?.at ?? this.now) < this.now)
+      this.resume(machine);
+    if (machine.awaitingReport) machine.reportedAttempts.push({ attempt, onRecord, at: this.now });
     else {
-      this.accrue(m, this.now);
-      m.running.add(r);
+      this.accrue(machine, this.now);
+      machine.running.add(attempt);
     }
   }
 
-  /** The attempt is not there any more. Nothing happens for one that is not known, or not that one. */
-  end(id: string, index: number, no: number, outcome: Outcome): void {
-    const r = this.jobs.get(id)?.attempts.get(index);
-    if (r?.no !== no) return;
-    const m = r.machine;
-    if (m !== null) {
-      if (m.holding && (m.joining[0]?.at ?? this.now) < this.now) this.release(m);
-      if (!m.holding) this.accrue(m, this.now);
+  /** Settles an attempt that has ended. Unknown attempts and other attempts at the same task are ignored. */
+  endAttempt(id: string, index: number, number: number, outcome: Outcome): void {
+    const attempt = this.jobs.get(id)?.attempts.get(index);
+    if (attempt?.number !== number) return;
+    const machine = attempt.machine;
+    if (machine !== null) {
+      if (machine.awaitingReport && (machine.reportedAttempts[0]?.at ?? this.now) < this.now)
+        this.resume(machine);
+      if (!machine.awaitingReport) this.accrue(machine, this.now);
     }
-    this.settle(r, outcome);
-  }
-
-  /** Microseconds that an attempt ran, as far as the books know. */
-  ranFor(id: string, index: number, no: number): Micros {
-    const r = this.jobs.get(id)?.attempts.get(index);
-    if (r?.no !== no) return 0;
-    const m = r.machine;
-    const since = m !== null && !m.holding ? this.now - m.through : 0;
-    return r.pending.reduce((sum, p) => sum + p.us, 0) + since;
-  }
-
-  private settle(r: RunningAttempt, outcome: Outcome): void {
-    const { job } = r;
-    job.attempts.delete(r.index);
-    if (r.machine !== null) {
-      r.machine.running.delete(r);
-      r.machine.joining = r.machine.joining.filter((j) => j.run !== r);
+    this.settle(attempt, outcome);
+  }
+
+  /** Accounted run time of an attempt up to now, in microseconds; 0 for an unknown attempt. */
+  runTimeOf(id: string, index: number, number: number): Micros {
+    const attempt = this.jobs.get(id)?.attempts.get(index);
+    if (attempt?.number !== number) return 0;
+    const machine = attempt.machine;
+    const unaccountedUs = machine !== null && !machine.awaitingReport ? this.now - machine.accountedUntil : 0;
+    return attempt.pending.reduce((sum, p) => sum + p.runUs, 0) + unaccountedUs;
+  }
+
+  /** Charges the kept part of an attempt to its owner and the remaining part to the platform. */
+  private settle(attempt: RunningAttempt, outcome: Outcome): void {
+    const { job } = attempt;
+    job.attempts.delete(attempt.index);
+    if (attempt.machine !== null) {
+      attempt.machine.running.delete(attempt);
+      attempt.machine.reportedAttempts = attempt.machine.reportedAttempts.filter(
+        (j) => j.attempt !== attempt,
+      );
     }
     let kept = outcome.keptUs;
-    let free = 0;
-    for (const p of r.pending) {
-      const money = portion(p.money, Math.min(kept, p.us), p.us);
-      const us = Math.min(kept, p.us);
-      kept -= us;
-      const rest = p.money - money;
-      this.platform[outcome.rest] += rest;
-      free += rest;
-      this.post(job, p.month, { ...noCharge(), money, us, free: rest });
+    let uncharged = 0;
+    for (const part of attempt.pending) {
+      const money = portion(part.money, Math.min(kept, part.runUs), part.runUs);
+      const keptUs = Math.min(kept, part.runUs);
+      kept -= keptUs;
+      const lost = part.money - money;
+      this.platform[outcome.lossReason] += lost;
+      uncharged += lost;
+      this.charge(job, part.month, { ...zeroCharge(), money, us: keptUs, uncharged: lost });
     }
-    if (outcome.rest === 'stopped' && free > 0)
-      this.post(job, this.monthOf(job.owner), { ...noCharge(), stops: 1 });
-    r.pending.length = 0;
+    if (outcome.lossReason === 'stopped' && uncharged > 0)
+      this.charge(job, this.monthOf(job.owner), { ...zeroCharge(), stops: 1 });
+    attempt.pending.length = 0;
   }
 
-  /** Nobody can tell what became of it: the platform's. */
-  private forsake(r: RunningAttempt): void {
-    this.settle(r, { keptUs: 0, rest: 'takeover' });
+  /** Settles an attempt whose end is unknown; the platform pays for all of it. */
+  private writeOff(attempt: RunningAttempt): void {
+    this.settle(attempt, { keptUs: 0, lossReason: 'takeover' });
   }
 
-  /** Attempts on record that no machine of this leader reports. */
-  forsakeUnseen(): void {
-    for (const j of this.jobs.values())
-      for (const r of [...j.attempts.values()]) if (r.machine === null) this.forsake(r);
+  /** Writes off the recorded attempts that no machine has reported to this leader. */
+  writeOffUnreported(): void {
+    for (const job of this.jobs.values())
+      for (const attempt of [...job.attempts.values()]) if (attempt.machine === null) this.writeOff(attempt);
   }
 
   // ---- balance -----------------------------------------------------------------------------------
 
-  chargedInAll(): Money {
+  /** Charged to all owners in all months. */
+  totalCharged(): Money {
     let sum = 0;
-    for (const months of this.accounts.values()) for (const c of months.values()) sum += c.money;
+    for (const months of this.accounts.values()) for (const charge of months.values()) sum += charge.money;
     return sum;
   }
 
-  pendingInAll(): Money {
+  /** Accrued by all running attempts and not yet charged. */
+  totalPending(): Money {
     let sum = 0;
-    for (const j of this.jobs.values()) sum += j.pending();
+    for (const job of this.jobs.values()) sum += job.pending();
     return sum;
   }
 
-  /** Cost less all accounts: 0, always. */
-  difference(): Money {
+  /** The total cost less all charges, pending costs and platform costs; 0 unless there is a fault. */
+  imbalance(): Money {
     let platform = 0;
-    for (const r of REASONS) platform += this.platform[r];
-    return this.cost - this.chargedInAll() - this.pendingInAll() - platform;
+    for (const reason of PLATFORM_REASONS) platform += this.platform[reason];
+    return this.cost - this.totalCharged() - this.totalPending() - platform;
   }
 
   /**
-   * Takes over a state on record, after all that was charged and is pending has been restored: what the record
-   * can't explain, because a crash came between two writes, is the platform's.
+   * Restores the recorded totals, after all charges and attempts. The platform pays the difference that a crash
+   * between two writes leaves.
    */
-  takeOver(state: BooksState): void {
+  restoreTotals(state: LedgerTotals): void {
     this.cost = state.cost;
-    for (const r of REASONS) this.platform[r] = state.platform[r];
-    this.platform.takeover += this.difference();
+    for (const reason of PLATFORM_REASONS) this.platform[reason] = state.platform[reason];
+    this.platform.takeover += this.imbalance();
   }
 }
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -1,4 +1,4 @@
-/** Budgets within a leader's term: joins the core's ports with books, limits and records. */
+/** Budgets within a leader's term: connects the core's feature interface with the ledger, limits and records. */
 import type { AdmissionHold } from '@shaleyoke/core/cluster/admission-hold';
 import type { ActiveJob, Machine, TaskAttempt } from '@shaleyoke/core/cluster/cluster-model';
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
@@ -8,66 +8,75 @@
 import type { DependencyLinks, Feature, FeatureTerm } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { ALL, Books, type OpenJob } from './books.js';
+import { FULLY_KEPT, Ledger, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
-import { probableCost, weightOf } from './estimate.js';
-import { Limits, spentOf } from './limits.js';
+import { estimatedCost, machineWeight } from './estimate.js';
+import { Limits, totalSpent } from './limits.js';
 import { formatMoney, type Money, rateOf } from './money.js';
 import { outcomeOf } from './outcome.js';
-import { closedKey, type ClosedRecord, LIMITS, readLimit } from './records.js';
+import { closedKey, type ClosedRecord, LIMITS_PREFIX, readLimit } from './records.js';
 import type { BudgetSettings } from './settings.js';
-import { Store } from './store.js';
-
-/** A month is closed a day after its end at the latest, whatever is still pending. */
-const GRACE: Micros = 24 * 3600 * SECOND;
-/** Jobs wait so long for the books to be read; then they go on without. */
-const READING: Micros = 30 * SECOND;
-const LIMITS_EVERY: Micros = 20 * SECOND;
-const MONTHS_EVERY: Micros = 10 * SECOND;
-/** Report intervals between two reports that are usual. */
-const LATE = 1.3;
-const COMPLAIN_EVERY: Micros = 60 * SECOND;
-/** A longer time without books is not accounted afterwards. */
-const LONGEST_GAP: Micros = 600 * SECOND;
-/** Ends that are told before the books are read. */
-const MAX_EARLY = 50_000;
-/** A worker keeps a result no longer than that for the books' sake. */
-const LONGEST_KEPT: Micros = 120 * SECOND;
-
+import { LedgerStore } from './store.js';
+
+/** A month is closed this long after its end at the latest, even if costs are still pending. */
+const MONTH_CLOSE_GRACE: Micros = 24 * 3600 * SECOND;
+/** How long jobs and results wait for the ledger to be read; after that, jobs are admitted without it. */
+const MAX_READING_TIME: Micros = 30 * SECOND;
+const LIMITS_READ_INTERVAL: Micros = 20 * SECOND;
+const MONTH_CHECK_INTERVAL: Micros = 10 * SECOND;
+/** A machine is unseen after this many report intervals without a report. */
+const LATE_REPORT_INTERVALS = 1.3;
+const STOPPED_LOG_INTERVAL: Micros = 60 * SECOND;
+/** A longer time without accounting, because budgets were switched off, is not accounted afterwards. */
+const MAX_ACCOUNTING_GAP: Micros = 600 * SECOND;
+/** Ends of attempts that are kept until the ledger has been read; further ones are ignored. */
+const MAX_EARLY_ENDS = 50_000;
+/** A worker keeps a result for the ledger no longer than this. */
+const MAX_RESULT_RETENTION: Micros = 120 * SECOND;
+
+/** The end of an attempt that was reported before the ledger was read. */
 interface EarlyEnd {
   readonly job: string;
   readonly index: number;
-  readonly no: number;
+  readonly number: number;
   readonly done: boolean;
+  /** Whether the attempt was done or had saved a checkpoint. */
   readonly kept: boolean;
 }
 
-const keptKey = (job: string, index: number, no: number): string => `${job}/${index}/${no}`;
+const attemptKey = (job: string, index: number, number: number): string => `${job}/${index}/${number}`;
 
+/** Accounts for the cluster's costs and enforces budgets during one leader term. */
 export class BudgetTerm implements FeatureTerm {
-  readonly books: Books;
+  /** The accounts in memory. */
+  readonly ledger: Ledger;
+  /** Decides which jobs may begin. */
   readonly limits: Limits;
-  readonly store: Store;
-  /** The books are read and the term has begun: what happens is accounted. */
-  private entered = false;
-  private coreReady = false;
-  private found: { w: Micros | null; limits: readonly StoredItem[] } | null = null;
-  private since: Micros = 0;
-  private early: EarlyEnd[] = [];
-  /** Attempts that were done and are on no record of the books yet, and since when. */
-  private readonly unwritten = new Map<string, Micros>();
-  private readonly told = new Map<string, string>();
-  /** Jobs on record that ended under an earlier leader: closed once all machines have told. */
-  private endedBefore: string[] = [];
-  /** Machines that an earlier leader had on record: only they may run what it started. */
-  private roster: ReadonlySet<string> = new Set();
-  private unseen = true;
-  private closing: { owner: string; month: string; asked: boolean }[] = [];
-  /** When a report of each machine was last taken before now, by the last sweep. */
-  private readonly heard = new Map<string, Micros>();
-  private limitsAt: Micros = 0;
-  private monthsAt: Micros = 0;
-  private complainedAt = -Infinity;
+  /** Reads and writes the ledger's records. */
+  readonly store: LedgerStore;
+  /** The ledger has been read and the core's state restored: events are accounted. */
+  private accounting = false;
+  private coreRestored = false;
+  private loaded: { accountedUntil: Micros | null; limits: readonly StoredItem[] } | null = null;
+  private accountedSince: Micros = 0;
+  private earlyEnds: EarlyEnd[] = [];
+  /** Attempts that were done but are not in the ledger's records yet, with the time of their end. */
+  private readonly unrecordedResults = new Map<string, Micros>();
+  /** By owner: the month in which reaching the soft limit was logged. */
+  private readonly softLimitReported = new Map<string, string>();
+  /** Recorded jobs that ended under an earlier leader; closed once all machines have reported. */
+  private endedBeforeTerm: string[] = [];
+  /** Machines that an earlier leader recorded; only they may run attempts that it started. */
+  private recordedMachines: ReadonlySet<string> = new Set();
+  /** Some recorded attempts may still be reported by machines for the first time. */
+  private awaitingFirstReports = true;
+  /** Closed months whose statement may have to be recorded yet, the oldest first. */
+  private closingMonths: { owner: string; month: string; requested: boolean }[] = [];
+  /** When each machine last renewed its lease, as of the last maintenance run. */
+  private readonly lastReportAt = new Map<string, Micros>();
+  private nextLimitsReadAt: Micros = 0;
+  private nextMonthCheckAt: Micros = 0;
+  private stoppedLoggedAt = -Infinity;
 
   constructor(
     private readonly term: LeaderTerm,
@@ -75,30 +84,30 @@
     private readonly settings: BudgetSettings,
   ) {
     const calendars = new Map([...settings.owners].map(([name, o]) => [name, o.calendar]));
-    this.books = new Books(calendars);
-    const { cluster: estate } = term;
-    this.limits = new Limits(settings, this.books, {
-      job: (id) => estate.jobs.get(id),
-      jobs: () => estate.jobs.values(),
+    this.ledger = new Ledger(calendars);
+    const { cluster } = term;
+    this.limits = new Limits(settings, this.ledger, {
+      findJob: (id) => cluster.jobs.get(id),
+      jobs: () => cluster.jobs.values(),
       links,
       estimate: (job) =>
-        probableCost(job.spec, term.context.types, estate.runtimeEstimates, settings.quantile),
-      monthBefore: (owner, month) => this.calendar(owner).before(month),
+        estimatedCost(job.spec, term.context.types, cluster.runtimeEstimates, settings.quantile),
+      monthBefore: (owner, month) => this.calendar(owner).previousMonth(month),
     });
-    this.store = new Store(
+    this.store = new LedgerStore(
       term,
-      this.books,
-      { told: this.told, carried: this.limits.carried },
+      this.ledger,
+      { softLimitReported: this.softLimitReported, carried: this.limits.carriedOverruns },
       settings.changesPerS,
     );
-    this.store.load((found) => {
-      this.found = found;
-      this.enter();
+    this.store.load((loaded) => {
+      this.loaded = loaded;
+      this.startAccounting();
     });
   }
 
-  /** The leader's term, by its number. */
-  get termNo(): number {
+  /** Number of the leader's term, for finding the newest one. */
+  get termNumber(): number {
     return this.term.number;
   }
 
@@ -106,309 +115,374 @@
     return this.settings.owners.get(owner)!.calendar;
   }
 
-  private get wall(): Micros {
+  private get wallNow(): Micros {
     return this.term.context.wallNow;
   }
 
-  // ---- beginning ---------------------------------------------------------------------------------
+  // ---- start -------------------------------------------------------------------------------------
 
+  /** The core has restored the cluster's state; accounting starts once the ledger has been read too. */
   stateRestored(): void {
-    this.coreReady = true;
-    this.roster = new Set(
+    this.coreRestored = true;
+    this.recordedMachines = new Set(
       [...this.term.cluster.machines.values()].filter((m) => m.recorded === 'yes').map((m) => m.name),
     );
-    this.enter();
+    this.startAccounting();
   }
 
-  private enter(): void {
-    const { found, books } = this;
-    if (!this.coreReady || found === null || this.entered || this.store.blind !== null) return;
-    this.entered = true;
-    const { cluster: estate, context: ctx } = this.term;
-    books.at(this.wall);
-    // Long without books, because nobody had them switched on: that time is on no record.
-    const gap = this.wall - (found.w ?? -Infinity) > LONGEST_GAP;
-    this.since = gap ? this.wall : (found.w ?? this.wall);
-    if (found.w === null)
+  /** Starts accounting as soon as both the core's state and the ledger are there. */
+  private startAccounting(): void {
+    const { loaded, ledger } = this;
+    if (!this.coreRestored || loaded === null || this.accounting || this.store.stoppedBy !== null) return;
+    this.accounting = true;
+    const { cluster, context } = this.term;
+    ledger.setTime(this.wallNow);
+    // After a long time with budgets switched off, accounting starts now: nothing recorded what ran meanwhile.
+    const gap = this.wallNow - (loaded.accountedUntil ?? -Infinity) > MAX_ACCOUNTING_GAP;
+    this.accountedSince = gap ? this.wallNow : (loaded.accountedUntil ?? this.wallNow);
+    if (loaded.accountedUntil === null)
       for (const [owner, { calendar }] of this.settings.owners)
-        books.closed.set(owner, calendar.before(books.monthOf(owner)));
-    else for (const [owner, month] of books.closed) this.closing.push({ owner, month, asked: false });
-    this.takeLimits(found.limits);
-    // What earlier leaders had running is matched by attempt numbers, machine by machine, as they report.
-    for (const m of estate.machines.values()) this.see(m, !gap && this.roster.has(m.name));
-    for (const e of this.early) {
-      if (e.done) this.keep(e.job, e.index, e.no);
-      books.end(e.job, e.index, e.no, e.kept ? ALL : { keptUs: 0, rest: 'lost' });
+        ledger.closedMonths.set(owner, calendar.previousMonth(ledger.monthOf(owner)));
+    else
+      for (const [owner, month] of ledger.closedMonths)
+        this.closingMonths.push({ owner, month, requested: false });
+    this.applyLimits(loaded.limits);
+    // Attempts of earlier leaders are matched by their numbers as each machine reports.
+    for (const machine of cluster.machines.values())
+      this.addMachine(machine, !gap && this.recordedMachines.has(machine.name));
+    for (const end of this.earlyEnds) {
+      if (end.done) this.retainResult(end.job, end.index, end.number);
+      ledger.endAttempt(
+        end.job,
+        end.index,
+        end.number,
+        end.kept ? FULLY_KEPT : { keptUs: 0, lossReason: 'lost' },
+      );
     }
-    this.early = [];
-    for (const job of estate.jobs.values())
-      for (const a of job.liveAttempts.values()) if (a.confirmed && a.runningAt !== null) this.taskRunning(a);
-    for (const id of books.jobs.keys()) if (!estate.jobs.has(id)) this.endedBefore.push(id);
-    // A month may have been closed while some of its rows were not in the journal yet.
-    for (const [owner, month] of books.closed) books.closeMonth(owner, month);
-    this.limits.commitBegun();
-    ctx.info('budgets.restored', {
-      jobs: books.jobs.size,
+    this.earlyEnds = [];
+    for (const job of cluster.jobs.values())
+      for (const attempt of job.liveAttempts.values())
+        if (attempt.confirmed && attempt.runningAt !== null) this.taskRunning(attempt);
+    for (const id of ledger.jobs.keys()) if (!cluster.jobs.has(id)) this.endedBeforeTerm.push(id);
+    // An earlier leader may have closed a month before all its rows were in the journal.
+    for (const [owner, month] of ledger.closedMonths) ledger.closeMonth(owner, month);
+    this.limits.commitStartedJobs();
+    context.info('budgets.restored', {
+      jobs: ledger.jobs.size,
       openPages: this.store.lastJournalPage,
-      firstTime: found.w === null,
+      firstTime: loaded.accountedUntil === null,
     });
     this.term.schedulePass();
   }
 
-  private takeLimits(items: readonly StoredItem[]): void {
-    for (const it of items) {
-      const owner = it.key.slice(LIMITS.length);
-      const record = readLimit(it.value);
-      if (record === null) this.term.context.error('budgets.limit_unreadable', { key: it.key });
-      else if (this.settings.owners.has(owner)) this.limits.note(owner, record);
+  private applyLimits(items: readonly StoredItem[]): void {
+    for (const item of items) {
+      const owner = item.key.slice(LIMITS_PREFIX.length);
+      const record = readLimit(item.value);
+      if (record === null) this.term.context.error('budgets.limit_unreadable', { key: item.key });
+      else if (this.settings.owners.has(owner)) this.limits.setOverride(owner, record);
     }
   }
 
+  /** Stops accounting with the term; the next leader continues from the records. */
   termEnded(): void {
-    this.entered = false;
+    this.accounting = false;
   }
 
-  // ---- what happens ------------------------------------------------------------------------------
+  // ---- events ------------------------------------------------------------------------------------
 
-  private jobOf(job: ActiveJob): OpenJob {
+  private openJobOf(job: ActiveJob): OpenJob {
     const { spec } = job;
-    return this.books.job(spec.id, spec.team, spec.class, spec.shape === 'service');
+    return this.ledger.openJob(spec.id, spec.team, spec.class, spec.shape === 'service');
   }
 
-  private rate(m: Machine): Money | null {
-    const type = this.term.context.types.get(m.type);
-    return type === undefined ? null : rateOf(m.spot ? type.spotPrice : type.price);
+  private hourlyRateOf(machine: Machine): Money | null {
+    const type = this.term.context.types.get(machine.type);
+    return type === undefined ? null : rateOf(machine.spot ? type.spotPrice : type.price);
   }
 
   /**
-   * On record by an earlier leader, silent for a whole lease: dead, mostly, since before this term. Each new leader
-   * counted such machines from the last record until it gave them up, and after many changes of leader the
-   * books' cost was twice the cloud's bill (found on loopback). One that reports after all counts from then.
+   * Whether a machine was recorded by an earlier leader and has not reported for a whole lease: most such machines
+   * died before this term. When each new leader accounted for them from the last record until it gave them up, many
+   * changes of leader made the ledger's cost twice the cloud's bill. A machine that reports later is accounted from
+   * then on.
    */
-  private ghost(m: Machine): boolean {
-    return this.roster.has(m.name) && m.agentEpoch === 0 && !m.awaitingReconciliation;
+  private isPresumedDead(machine: Machine): boolean {
+    return (
+      this.recordedMachines.has(machine.name) && machine.agentEpoch === 0 && !machine.awaitingReconciliation
+    );
   }
 
-  /** Accounts for a machine from when it was rented, but never for time before the books went on. */
-  private see(m: Machine, holding: boolean): void {
-    const rate = this.rate(m);
-    if (rate === null || this.books.has(m.name) || this.ghost(m)) return;
-    const from = holding ? this.since : Math.max(this.since, m.provisionedAt + this.term.context.wallOffset);
-    this.books.machine(m.name, rate, from, holding);
-    if (!holding && m.up) this.books.update(m.name, rate, true);
+  /** Accounts for a machine since it was provisioned, but never for time before accounting started. */
+  private addMachine(machine: Machine, awaitingReport: boolean): void {
+    const rate = this.hourlyRateOf(machine);
+    if (rate === null || this.ledger.hasMachine(machine.name) || this.isPresumedDead(machine)) return;
+    const from = awaitingReport
+      ? this.accountedSince
+      : Math.max(this.accountedSince, machine.provisionedAt + this.term.context.wallOffset);
+    this.ledger.addMachine(machine.name, rate, from, awaitingReport);
+    if (!awaitingReport && machine.up) this.ledger.updateMachine(machine.name, rate, true);
   }
 
-  taskRunning(a: TaskAttempt): void {
-    if (!this.entered) return;
-    this.books.at(this.wall);
-    this.see(a.machine, false);
-    const type = this.term.context.types.get(a.machine.type);
+  /** An attempt runs: its machine's cost is shared with it from now on. */
+  taskRunning(attempt: TaskAttempt): void {
+    if (!this.accounting) return;
+    this.ledger.setTime(this.wallNow);
+    this.addMachine(attempt.machine, false);
+    const type = this.term.context.types.get(attempt.machine.type);
     if (type === undefined) return;
-    this.books.update(a.machine.name, this.rate(a.machine)!, true);
-    this.books.run(a.machine.name, this.jobOf(a.job), a.index, a.number, weightOf(a.job.spec, type));
+    this.ledger.updateMachine(attempt.machine.name, this.hourlyRateOf(attempt.machine)!, true);
+    this.ledger.startAttempt(
+      attempt.machine.name,
+      this.openJobOf(attempt.job),
+      attempt.index,
+      attempt.number,
+      machineWeight(attempt.job.spec, type),
+    );
   }
 
-  attemptEnded(a: TaskAttempt, exit: ReportedTask | null): void {
-    if (!this.entered) {
-      this.noteEarly(a.job.id, a.index, a.number, exit);
+  /** An attempt has ended: charges its owner for what was kept. `exit`: null where no report tells how it ended. */
+  attemptEnded(attempt: TaskAttempt, exit: ReportedTask | null): void {
+    if (!this.accounting) {
+      this.noteEarlyEnd(attempt.job.id, attempt.index, attempt.number, exit);
       return;
     }
-    this.books.at(this.wall);
-    const ran = this.books.ranFor(a.job.id, a.index, a.number);
-    if (exit?.cause === 'done') this.keep(a.job.id, a.index, a.number);
-    this.books.end(a.job.id, a.index, a.number, outcomeOf(a, exit, ran, this.unseenUs(a)));
+    this.ledger.setTime(this.wallNow);
+    const runUs = this.ledger.runTimeOf(attempt.job.id, attempt.index, attempt.number);
+    if (exit?.cause === 'done') this.retainResult(attempt.job.id, attempt.index, attempt.number);
+    this.ledger.endAttempt(
+      attempt.job.id,
+      attempt.index,
+      attempt.number,
+      outcomeOf(attempt, exit, runUs, this.unseenUs(attempt)),
+    );
   }
 
   /**
-   * An end that is told late came nobody knows when: while no leader could listen, a task that was done went on
-   * costing its owner (found by generated histories). What lies beyond the usual time between two reports is not
-   * the owner's.
+   * The last part of an attempt's run time in which its machine was not heard of for longer than usual. An attempt
+   * whose end is reported late may have ended at any time in it, so its owner doesn't pay for it: otherwise a task
+   * that was done kept costing its owner while no leader received reports.
    */
-  private unseenUs(a: TaskAttempt): Micros {
+  private unseenUs(attempt: TaskAttempt): Micros {
     const { now, settings } = this.term.context;
-    const last = Math.max(this.heard.get(a.machine.name) ?? 0, a.runningAt ?? 0);
-    return Math.max(0, Math.round(now - last - LATE * settings.heartbeatIntervalUs));
+    const last = Math.max(this.lastReportAt.get(attempt.machine.name) ?? 0, attempt.runningAt ?? 0);
+    return Math.max(0, Math.round(now - last - LATE_REPORT_INTERVALS * settings.heartbeatIntervalUs));
   }
 
+  /** A worker reported the exit of an attempt that the core doesn't know any more, but the ledger may. */
   unknownAttemptExited(job: string, exit: ReportedTask): void {
-    if (!this.entered) {
-      this.noteEarly(job, exit.index, exit.attempt, exit);
+    if (!this.accounting) {
+      this.noteEarlyEnd(job, exit.index, exit.attempt, exit);
       return;
     }
-    this.books.at(this.wall);
+    this.ledger.setTime(this.wallNow);
     const kept = exit.cause === 'done' || exit.checkpointed;
-    if (exit.cause === 'done') this.keep(job, exit.index, exit.attempt);
-    this.books.end(job, exit.index, exit.attempt, kept ? ALL : { keptUs: 0, rest: 'lost' });
+    if (exit.cause === 'done') this.retainResult(job, exit.index, exit.attempt);
+    this.ledger.endAttempt(
+      job,
+      exit.index,
+      exit.attempt,
+      kept ? FULLY_KEPT : { keptUs: 0, lossReason: 'lost' },
+    );
   }
 
   /**
-   * The core lets a worker forget a result once the job's record has it. The books are written later: when the
-   * leader died in between, nobody knew any more how the attempt had ended, and all that it had ever run became
-   * the platform's. So its worker keeps the word until the books have it too.
+   * Makes the worker keep a result until the ledger's records have it too. The core lets a worker drop a result once
+   * the job's record has it, and the ledger is written later: when the leader died in between, nothing showed how the
+   * attempt had ended, and the platform paid for its whole run time.
    */
-  private keep(job: string, index: number, no: number): void {
-    if (this.books.ranFor(job, index, no) > 0)
-      this.unwritten.set(keptKey(job, index, no), this.term.context.now);
+  private retainResult(job: string, index: number, number: number): void {
+    if (this.ledger.runTimeOf(job, index, number) > 0)
+      this.unrecordedResults.set(attemptKey(job, index, number), this.term.context.now);
   }
 
+  /** Whether a worker must keep a result, because the ledger's records don't have it yet. */
   retainsResult(exit: ReportedTask): boolean {
-    const { context: ctx, lease: office } = this.term;
-    if (this.store.blind !== null) return false;
-    if (!this.entered) return ctx.now - office.heldSince < READING;
-    const since = this.unwritten.get(keptKey(exit.job, exit.index, exit.attempt));
-    return since !== undefined && ctx.now - since < LONGEST_KEPT;
+    const { context, lease } = this.term;
+    if (this.store.stoppedBy !== null) return false;
+    if (!this.accounting) return context.now - lease.heldSince < MAX_READING_TIME;
+    const since = this.unrecordedResults.get(attemptKey(exit.job, exit.index, exit.attempt));
+    return since !== undefined && context.now - since < MAX_RESULT_RETENTION;
   }
 
-  private noteEarly(job: string, index: number, no: number, exit: ReportedTask | null): void {
-    if (this.early.length >= MAX_EARLY) return;
+  /** Keeps the end of an attempt until the ledger has been read. */
+  private noteEarlyEnd(job: string, index: number, number: number, exit: ReportedTask | null): void {
+    if (this.earlyEnds.length >= MAX_EARLY_ENDS) return;
     const done = exit?.cause === 'done';
-    this.early.push({ job, index, no, done, kept: done || exit?.checkpointed === true });
+    this.earlyEnds.push({ job, index, number, done, kept: done || exit?.checkpointed === true });
   }
 
-  machineRemoved(m: Machine): void {
-    if (!this.entered) return;
-    this.books.at(this.wall);
-    if (m.agentEpoch === 0 && this.roster.has(m.name)) this.books.vanish(m.name);
-    this.books.gone(m.name);
-    this.heard.delete(m.name);
+  /** Stops accounting for a machine that the core has given up. */
+  machineRemoved(machine: Machine): void {
+    if (!this.accounting) return;
+    this.ledger.setTime(this.wallNow);
+    if (machine.agentEpoch === 0 && this.recordedMachines.has(machine.name))
+      this.ledger.discardUnreported(machine.name);
+    this.ledger.removeMachine(machine.name);
+    this.lastReportAt.delete(machine.name);
   }
 
+  /** Makes the amounts of a job final that has ended, with no task left on any machine. */
   jobClosed(job: ActiveJob): void {
-    if (!this.entered) return;
-    this.books.at(this.wall);
-    this.books.close(job.id);
+    if (!this.accounting) return;
+    this.ledger.setTime(this.wallNow);
+    this.ledger.closeJob(job.id);
   }
 
-  /** Money holds back only what has not begun; while the books can't be read, nothing for long. */
+  /**
+   * Why a job that has not begun may not begin now. While the ledger is being read, jobs are held back for
+   * `MAX_READING_TIME` at most; if it can't be read, not at all.
+   */
   admissionHold(job: ActiveJob): AdmissionHold | null {
-    if (this.store.blind !== null) return null;
-    if (!this.entered)
-      return this.term.context.now - this.term.lease.heldSince < READING
+    if (this.store.stoppedBy !== null) return null;
+    if (!this.accounting)
+      return this.term.context.now - this.term.lease.heldSince < MAX_READING_TIME
         ? { reason: 'budgets are being read', transient: true }
         : null;
-    // Without prices nothing can be said about what it costs; nothing can be placed then either.
+    // Without prices the cost can't be estimated; without machine types nothing can be placed anyway.
     if (this.term.context.types.size === 0) return { reason: 'prices are not known yet', transient: true };
-    const reason = this.limits.holds(job);
+    const reason = this.limits.admit(job);
     return reason === null ? null : { reason, transient: false };
   }
 
-  // ---- the sweep ---------------------------------------------------------------------------------
+  // ---- maintenance -------------------------------------------------------------------------------
 
+  /**
+   * Brings the ledger up to date with the cluster and flushes it when due. `entitled`: whether this leader may write
+   * now.
+   */
   maintain(entitled: boolean): void {
-    const { context: ctx, cluster: estate, lease: office } = this.term;
-    if (this.store.blind !== null) {
-      this.complain();
-      this.giveUp();
+    const { context, cluster, lease } = this.term;
+    if (this.store.stoppedBy !== null) {
+      this.logStopped();
+      this.stopAccounting();
     }
-    if (!this.entered) return;
-    const { books } = this;
-    books.at(this.wall);
-    for (const m of estate.machines.values()) {
-      this.see(m, false);
-      const rate = this.rate(m);
-      if (rate !== null) books.update(m.name, rate, m.up);
-      if (this.ghost(m)) books.vanish(m.name);
-      else if (!m.awaitingReconciliation) books.resolve(m.name);
-      this.heard.set(m.name, m.leaseRenewedAt);
+    if (!this.accounting) return;
+    const { ledger } = this;
+    ledger.setTime(this.wallNow);
+    for (const machine of cluster.machines.values()) {
+      this.addMachine(machine, false);
+      const rate = this.hourlyRateOf(machine);
+      if (rate !== null) ledger.updateMachine(machine.name, rate, machine.up);
+      if (this.isPresumedDead(machine)) ledger.discardUnreported(machine.name);
+      else if (!machine.awaitingReconciliation) ledger.resumeMachine(machine.name);
+      this.lastReportAt.set(machine.name, machine.leaseRenewedAt);
     }
-    for (const name of [...books.names()]) if (!estate.machines.has(name)) books.gone(name);
-    if (this.unseen && !books.holding && ctx.now > office.heldSince + 2 * ctx.settings.heartbeatIntervalUs) {
-      // All machines have told what runs there: what nobody reports is nowhere.
-      this.unseen = false;
-      books.forsakeUnseen();
-      for (const id of this.endedBefore) if (!estate.jobs.has(id)) books.close(id);
-      this.endedBefore = [];
+    for (const name of [...ledger.machineNames()])
+      if (!cluster.machines.has(name)) ledger.removeMachine(name);
+    if (
+      this.awaitingFirstReports &&
+      !ledger.awaitingReports &&
+      context.now > lease.heldSince + 2 * context.settings.heartbeatIntervalUs
+    ) {
+      // All machines have reported what runs there, so a recorded attempt that none reported doesn't run.
+      this.awaitingFirstReports = false;
+      ledger.writeOffUnreported();
+      for (const id of this.endedBeforeTerm) if (!cluster.jobs.has(id)) ledger.closeJob(id);
+      this.endedBeforeTerm = [];
     }
-    this.limits.refresh();
-    this.limits.commitBegun();
-    this.warn();
-    if (ctx.now >= this.limitsAt) this.rereadLimits();
-    if (ctx.now >= this.monthsAt) this.closeMonths();
-    if (entitled && this.store.ready && !books.holding) {
-      this.writeClosed();
-      books.advance();
-      const settled = [...this.unwritten.keys()];
-      this.store.flush(this.wall, () => {
-        for (const key of settled) this.unwritten.delete(key);
+    this.limits.clearStandings();
+    this.limits.commitStartedJobs();
+    this.reportSoftLimits();
+    if (context.now >= this.nextLimitsReadAt) this.rereadLimits();
+    if (context.now >= this.nextMonthCheckAt) this.closeMonths();
+    if (entitled && this.store.ready && !ledger.awaitingReports) {
+      this.recordClosedMonth();
+      ledger.accrueAll();
+      const recordedResults = [...this.unrecordedResults.keys()];
+      this.store.flush(this.wallNow, () => {
+        for (const key of recordedResults) this.unrecordedResults.delete(key);
       });
     }
   }
 
-  /** Nothing can be put on record any more: nothing is kept in memory for it either. */
-  private giveUp(): void {
-    if (!this.entered) return;
-    this.entered = false;
-    this.early = [];
-    this.books.jobs.clear();
-    this.books.finals.length = 0;
+  /** Drops what is in memory for records that can no longer be written. */
+  private stopAccounting(): void {
+    if (!this.accounting) return;
+    this.accounting = false;
+    this.earlyEnds = [];
+    this.ledger.jobs.clear();
+    this.ledger.finalAmounts.length = 0;
   }
 
-  private complain(): void {
-    const { context: ctx } = this.term;
-    if (ctx.now - this.complainedAt < COMPLAIN_EVERY) return;
-    this.complainedAt = ctx.now;
-    ctx.error('budgets.stopped', { key: this.store.blind, effect: 'nothing is accounted or held back' });
+  /** Repeats the error while accounting is stopped, at most once per `STOPPED_LOG_INTERVAL`. */
+  private logStopped(): void {
+    const { context } = this.term;
+    if (context.now - this.stoppedLoggedAt < STOPPED_LOG_INTERVAL) return;
+    this.stoppedLoggedAt = context.now;
+    context.error('budgets.stopped', {
+      key: this.store.stoppedBy,
+      effect: 'nothing is accounted or held back',
+    });
   }
 
-  private warn(): void {
+  /** Logs each soft limit once in the month in which it is reached. */
+  private reportSoftLimits(): void {
     for (const owner of this.settings.owners.keys()) {
       if (this.limits.limitOf(owner).soft === null) continue;
-      const s = this.limits.standing(owner);
-      if (s.limit.soft === null || spentOf(s) < s.limit.soft || this.told.get(owner) === s.month) continue;
-      this.told.set(owner, s.month);
+      const standing = this.limits.standing(owner);
+      if (
+        standing.limit.soft === null ||
+        totalSpent(standing) < standing.limit.soft ||
+        this.softLimitReported.get(owner) === standing.month
+      )
+        continue;
+      this.softLimitReported.set(owner, standing.month);
       this.term.context.info('budgets.soft_limit_reached', {
         owner,
-        month: s.month,
-        spent: formatMoney(spentOf(s)),
-        soft: formatMoney(s.limit.soft),
+        month: standing.month,
+        spent: formatMoney(totalSpent(standing)),
+        soft: formatMoney(standing.limit.soft),
         currency: this.settings.currency,
       });
     }
   }
 
   private rereadLimits(): void {
-    this.limitsAt = this.term.context.now + LIMITS_EVERY;
-    this.store.list(LIMITS, '', (items) => {
-      this.takeLimits(items);
+    this.nextLimitsReadAt = this.term.context.now + LIMITS_READ_INTERVAL;
+    this.store.list(LIMITS_PREFIX, '', (items) => {
+      this.applyLimits(items);
     });
   }
 
   // ---- months ------------------------------------------------------------------------------------
 
+  /** Closes each owner's month once it is over and nothing of it is pending, or after `MONTH_CLOSE_GRACE`. */
   private closeMonths(): void {
-    const { books } = this;
-    this.monthsAt = this.term.context.now + MONTHS_EVERY;
-    if (books.holding) return;
-    books.advance();
+    const { ledger } = this;
+    this.nextMonthCheckAt = this.term.context.now + MONTH_CHECK_INTERVAL;
+    if (ledger.awaitingReports) return;
+    ledger.accrueAll();
     for (const owner of this.settings.owners.keys()) {
       const calendar = this.calendar(owner);
-      const last = books.closed.get(owner) ?? calendar.before(books.monthOf(owner));
-      books.closed.set(owner, last);
-      const month = calendar.after(last);
+      const last = ledger.closedMonths.get(owner) ?? calendar.previousMonth(ledger.monthOf(owner));
+      ledger.closedMonths.set(owner, last);
+      const month = calendar.nextMonth(last);
       const { to } = calendar.month(month);
-      if (this.wall < to || (books.pendingIn(owner, month) && this.wall < to + GRACE)) continue;
-      this.limits.carried.set(owner, [calendar.after(month), this.limits.overrun(owner, month)]);
-      books.closeMonth(owner, month);
-      this.closing.push({ owner, month, asked: false });
+      if (this.wallNow < to || (ledger.hasPendingIn(owner, month) && this.wallNow < to + MONTH_CLOSE_GRACE))
+        continue;
+      this.limits.carriedOverruns.set(owner, [calendar.nextMonth(month), this.limits.overrun(owner, month)]);
+      ledger.closeMonth(owner, month);
+      this.closingMonths.push({ owner, month, requested: false });
     }
   }
 
-  /** A statement is put on record once all that it rests on is in the journal. */
-  private writeClosed(): void {
-    const next = this.closing[0];
-    if (next === undefined || next.asked || this.books.finals.length > 0) return;
-    next.asked = true;
+  /** Records a closed month for its statement once all its amounts are in the journal. */
+  private recordClosedMonth(): void {
+    const next = this.closingMonths[0];
+    if (next === undefined || next.requested || this.ledger.finalAmounts.length > 0) return;
+    next.requested = true;
     const { owner, month } = next;
     const key = closedKey(owner, month);
     this.store.get(key, (item) => {
-      if (item !== null || !this.entered || this.store.inJournal(owner, month)[1] === 0) {
-        // Closed by an earlier leader, or nothing ran: statements never change, and empty ones need no record.
-        this.closing.shift();
+      if (item !== null || !this.accounting || this.store.journaledRow(owner, month)[1] === 0) {
+        // Recorded by an earlier leader, and such records never change; or nothing was charged, which needs none.
+        this.closingMonths.shift();
         return;
       }
       const calendar = this.calendar(owner);
       const { from, to } = calendar.month(month);
-      const [, carried] = this.limits.carried.get(owner) ?? ['', 0];
+      const [, carried] = this.limits.carriedOverruns.get(owner) ?? ['', 0];
       const record: ClosedRecord = {
         v: 1,
         owner,
@@ -417,26 +491,28 @@
         currency: this.settings.currency,
         from,
         to,
-        at: this.wall,
-        row: this.store.inJournal(owner, month),
+        at: this.wallNow,
+        row: this.store.journaledRow(owner, month),
         limit: this.limits.limitOf(owner),
         carried,
         last: this.store.lastJournalPage,
       };
-      this.store.with(owner, { kind: 'put', key, value: record }, () => {
-        this.closing.shift();
+      this.store.writeWithHead(owner, { kind: 'put', key, value: record }, () => {
+        this.closingMonths.shift();
       });
     });
   }
 }
 
-/** `settings`: the checked file. The newest term is for tests and tools. */
+/** The budgets feature of a controller, made from the checked settings. */
 export class Budgets implements Feature {
   readonly name = 'budgets';
+  /** The newest term, for tests and tools; null before this controller first leads. */
   current: BudgetTerm | null = null;
 
   constructor(private readonly settings: BudgetSettings) {}
 
+  /** Begins to read the ledger for a term of this leader. */
   begin(term: LeaderTerm, links: DependencyLinks): FeatureTerm {
     this.current = new BudgetTerm(term, links, this.settings);
     return this.current;
--- a/packages/budgets/src/fetch.ts
+++ b/packages/budgets/src/fetch.ts
@@ -1,66 +1,76 @@
-/** Reads the books for tools: as much as is asked for, in an order in which nothing that moves is missed. */
+/** Reads the ledger's records for tools, in an order in which no charge that moves between records is missed. */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
 import { type BooksView, viewBooks } from './reader.js';
-import { CLOSED, HEAD, JOURNAL, journalKey, LIMITS, OPEN, OWNERS, readClosed } from './records.js';
+import {
+  CLOSED_PREFIX,
+  HEAD_KEY,
+  JOURNAL_PREFIX,
+  journalKey,
+  LIMITS_PREFIX,
+  OPEN_PREFIX,
+  OWNERS_PREFIX,
+  readClosed,
+} from './records.js';
 
-/** The state service, as tools need it. Each throws if it does not answer. */
+/** What tools need of the state service. Each method throws if the service doesn't answer. */
 export interface Service {
-  /** All items under a prefix, of keys after `after` and not after `until`, in the order of their keys. */
+  /** All items under a prefix with keys after `after` and up to `until`, ordered by key. */
   list(prefix: string, after?: string, until?: string): Promise<readonly StoredItem[]>;
+  /** The item of a key, or null if there is none. */
   get(key: string): Promise<StoredItem | null>;
-  /** By compare-and-set; 0: the key must not exist. False: somebody else was faster. */
+  /** Writes by compare-and-set; version 0: the key must not exist. False: the version has changed meanwhile. */
   put(key: string, value: unknown, version: number): Promise<boolean>;
 }
 
 /**
- * The head comes first: all that it names is there from then on. A job goes from its open page to the journal while the leader serves: who read the journal first, and then the
- * open pages, could find it on neither.
+ * Reads the head first: the pages that it names exist from then on. Reads open pages before the journal: jobs move from
+ * the former to the latter while the leader serves, and in the other order a job could be found on neither.
  */
-const read = async (
+const readItems = async (
   service: Service,
   closed: readonly StoredItem[],
   after?: string,
   until?: string,
 ): Promise<StoredItem[]> => {
-  const head = await service.get(HEAD);
-  const owners = await service.list(OWNERS);
-  const open = await service.list(OPEN);
-  const journal = await service.list(JOURNAL, after, until);
-  const limits = await service.list(LIMITS);
+  const head = await service.get(HEAD_KEY);
+  const owners = await service.list(OWNERS_PREFIX);
+  const open = await service.list(OPEN_PREFIX);
+  const journal = await service.list(JOURNAL_PREFIX, after, until);
+  const limits = await service.list(LIMITS_PREFIX);
   return [...owners, ...open, ...journal, ...limits, ...closed, ...(head === null ? [] : [head])];
 };
 
-/** All books on record. */
-export const allBooks = async (service: Service): Promise<BooksView> =>
-  viewBooks(await read(service, await service.list(CLOSED)));
+/** Reads all records. */
+export const readLedger = async (service: Service): Promise<BooksView> =>
+  viewBooks(await readItems(service, await service.list(CLOSED_PREFIX)));
 
 /**
- * What a statement of one month rests on. `from`: the month's first moment. A page that was on record when an
- * earlier month was closed, before this one began, holds nothing of it; nor does one after its own closing. Years
- * of journal are not read for one month.
+ * Reads what a statement of one month needs. `from`: the month's first moment. The journal is read from the
+ * page that was its last one when a month was closed before this one began, up to the page that was its last one when
+ * this month was closed, so that years of journal aren't read for one month.
  */
-export const booksOfMonth = async (
+export const readLedgerOfMonth = async (
   service: Service,
   owner: string,
   month: string,
   from: number,
 ): Promise<BooksView> => {
-  const closed = await service.list(CLOSED);
+  const closed = await service.list(CLOSED_PREFIX);
   let first = 0;
   let last: number | null = null;
-  for (const it of closed) {
-    const c = readClosed(it.value);
-    if (c === null) continue;
-    if (c.at < from) first = Math.max(first, c.last);
-    if (c.owner === owner && c.month === month) last = c.last;
+  for (const item of closed) {
+    const record = readClosed(item.value);
+    if (record === null) continue;
+    if (record.at < from) first = Math.max(first, record.last);
+    if (record.owner === owner && record.month === month) last = record.last;
   }
   const after = first === 0 ? undefined : journalKey(first - 1);
   const until = last === null ? undefined : journalKey(last);
-  const items = await read(service, closed, after, until);
+  const items = await readItems(service, closed, after, until);
   const view = viewBooks(items, first);
   if (last === null) return view;
-  // Closed: what its lines add up to must be what was closed.
+  // The lines of a closed month must add up to the recorded sum.
   const record = view.closed.find((c) => c.owner === owner && c.month === month)!;
   const sum = view.lines
     .filter((l) => l.owner === owner && l.month === month)
--- a/packages/budgets/src/money.ts
+++ b/packages/budgets/src/money.ts
@@ -1,63 +1,66 @@
-/** Amounts of money, exactly: whole millionths of the currency, products in `bigint`, no fraction anywhere. */
+/** Exact amounts of money: whole millionths of the currency, with products computed in `bigint`. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-/** Whole millionths of the currency. Sums stay below 2^53: nine thousand million units. */
+/** Whole millionths of the currency. Sums stay exact below 2^53, which is nine thousand million units. */
 export type Money = number;
 
-const UNIT = 1_000_000;
+const MILLIONTHS_PER_UNIT = 1_000_000;
 const HOUR_US = 3_600_000_000n;
 
-/** The cloud's price per hour, a decimal number, in millionths: the only place where one is rounded. */
-export const rateOf = (perHour: number): Money => Math.round(perHour * UNIT);
+/** Converts the cloud's decimal price per hour to millionths. No other amount is rounded to the nearest unit. */
+export const rateOf = (perHour: number): Money => Math.round(perHour * MILLIONTHS_PER_UNIT);
 
 /**
- * What a machine costs, interval by interval: the floor of the exact sum so far, less what was told before. What
- * an interval leaves over is carried on to the next one, so that short intervals lose nothing.
+ * Accrues a machine's cost interval by interval in whole units. The remainder of each interval is carried into the
+ * next one, so the sum is the floor of the exact cost however many intervals there are.
  */
 export class Meter {
-  private rest = 0n;
+  private remainder = 0n;
 
-  /** `rate`: millionths per hour. `us`: whole microseconds, not negative. */
-  run(rate: Money, us: Micros): Money {
-    const sum = this.rest + BigInt(rate) * BigInt(us);
-    this.rest = sum % HOUR_US;
+  /** Cost of an interval. `rate`: millionths per hour; `runUs`: whole microseconds, not negative. */
+  accrue(rate: Money, runUs: Micros): Money {
+    const sum = this.remainder + BigInt(rate) * BigInt(runUs);
+    this.remainder = sum % HOUR_US;
     return Number(sum / HOUR_US);
   }
 }
 
-/** The floor of `amount * part / whole`; all of it where `part` is not less than `whole`. */
+/** The floor of `amount * part / whole`; all of `amount` if `part` is at least `whole`. */
 export const portion = (amount: Money, part: number, whole: number): Money =>
   part >= whole ? amount : Number((BigInt(amount) * BigInt(part)) / BigInt(whole));
 
 /**
- * Splits an amount by weights (whole numbers, not negative, not all zero) so that the parts add up to it:
- * everyone the floor, then one more to those with the largest remainders, the first of equals first.
+ * Splits an amount in proportion to weights (whole numbers, not negative, not all zero) by the largest remainder
+ * method, so that the parts add up to it: each part is rounded down, then the largest remainders get one unit more;
+ * among equals, the first.
  */
 export const split = (amount: Money, weights: readonly number[]): Money[] => {
   const whole = weights.reduce((sum, w) => sum + BigInt(w), 0n);
   const parts: Money[] = [];
-  const rests: { i: number; rest: bigint }[] = [];
+  const remainders: { i: number; rest: bigint }[] = [];
   let left = amount;
-  weights.forEach((w, i) => {
-    const product = BigInt(amount) * BigInt(w);
+  weights.forEach((weight, i) => {
+    const product = BigInt(amount) * BigInt(weight);
     const part = Number(product / whole);
     parts.push(part);
-    rests.push({ i, rest: product % whole });
+    remainders.push({ i, rest: product % whole });
     left -= part;
   });
-  if (left > 0) rests.sort((a, b) => (a.rest === b.rest ? a.i - b.i : a.rest > b.rest ? -1 : 1));
-  for (let k = 0; k < left; k++) parts[rests[k]!.i]!++;
+  if (left > 0) remainders.sort((a, b) => (a.rest === b.rest ? a.i - b.i : a.rest > b.rest ? -1 : 1));
+  for (let position = 0; position < left; position++) parts[remainders[position]!.i]!++;
   return parts;
 };
 
-/** Six places, always: `12.340000`. */
-export const formatMoney = (m: Money): string => {
-  const abs = Math.abs(m);
-  return `${m < 0 ? '-' : ''}${Math.floor(abs / UNIT)}.${String(abs % UNIT).padStart(6, '0')}`;
+/** Formats an amount with six decimal places: `12.340000`. */
+export const formatMoney = (amount: Money): string => {
+  const abs = Math.abs(amount);
+  return `${amount < 0 ? '-' : ''}${Math.floor(abs / MILLIONTHS_PER_UNIT)}.${String(abs % MILLIONTHS_PER_UNIT).padStart(6, '0')}`;
 };
 
-/** An amount as people write it, `1200` or `1200.5`, at most six places; null for anything else. */
+/** Parses an amount such as `1200` or `1200.5` with at most six decimal places; null for anything else. */
 export const parseMoney = (text: string): Money | null => {
-  const m = /^(\d{1,9})(?:\.(\d{1,6}))?$/.exec(text.trim());
-  return m === null ? null : Number(m[1]) * UNIT + Number((m[2] ?? '').padEnd(6, '0'));
+  const match = /^(\d{1,9})(?:\.(\d{1,6}))?$/.exec(text.trim());
+  return match === null
+    ? null
+    : Number(match[1]) * MILLIONTHS_PER_UNIT + Number((match[2] ?? '').padEnd(6, '0'));
 };
--- a/packages/budgets/src/packing.ts
+++ b/packages/budgets/src/packing.ts
@@ -1,45 +1,53 @@
-/** Open jobs on pages: each stays on its page while that has room, so that few pages change. */
+/** Packs open jobs into pages. A job stays on its page as long as it fits, so that few pages change. */
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 
 import type { OpenJob, RunningAttempt } from './books.js';
 import { monthRow, type OpenPage, type OpenRow } from './records.js';
 
-type Run = OpenRow[5][number];
+type AttemptRun = OpenRow[5][number];
 
-/** `{"v":1,"jobs":{}}` and some reserve. */
-const FRAME = 48;
+/** Bytes of `{"v":1,"jobs":{}}` with some reserve. */
+const PAGE_FRAME_BYTES = 48;
 
-/** Running attempts in runs: those that were decided together have numbers and tasks one after the other. */
-const runsOf = (attempts: Iterable<RunningAttempt>): Run[] => {
-  const byMonth = new Map<string, { r: RunningAttempt; money: number; us: number }[]>();
-  for (const r of attempts)
-    for (const p of r.pending) {
-      const list = byMonth.get(p.month) ?? [];
-      byMonth.set(p.month, list);
-      list.push({ r, money: p.money, us: p.us });
+/** Run-length encodes attempts: those that started together have consecutive numbers and task indexes. */
+const runsOf = (attempts: Iterable<RunningAttempt>): AttemptRun[] => {
+  const byMonth = new Map<string, { attempt: RunningAttempt; money: number; runUs: number }[]>();
+  for (const attempt of attempts)
+    for (const part of attempt.pending) {
+      const list = byMonth.get(part.month) ?? [];
+      byMonth.set(part.month, list);
+      list.push({ attempt, money: part.money, runUs: part.runUs });
     }
-  const runs: Run[] = [];
+  const runs: AttemptRun[] = [];
   for (const [month, list] of byMonth) {
-    list.sort((a, b) => a.r.index - b.r.index);
+    list.sort((a, b) => a.attempt.index - b.attempt.index);
     let run: {
       month: string;
-      no: number;
+      number: number;
       step: 0 | 1;
       index: number;
       values: number[];
       count: number;
     } | null = null;
     const finish = (): void => {
-      if (run !== null) runs.push([run.month, run.no, run.step, run.index, ...run.values]);
+      if (run !== null) runs.push([run.month, run.number, run.step, run.index, ...run.values]);
     };
-    for (const { r, money, us } of list) {
-      if (run?.count === 1 && r.index === run.index + 1 && (r.no === run.no || r.no === run.no + 1))
-        run.step = r.no === run.no ? 0 : 1;
-      else if (run === null || r.index !== run.index + run.count || r.no !== run.no + run.step * run.count) {
+    for (const { attempt, money, runUs } of list) {
+      if (
+        run?.count === 1 &&
+        attempt.index === run.index + 1 &&
+        (attempt.number === run.number || attempt.number === run.number + 1)
+      )
+        run.step = attempt.number === run.number ? 0 : 1;
+      else if (
+        run === null ||
+        attempt.index !== run.index + run.count ||
+        attempt.number !== run.number + run.step * run.count
+      ) {
         finish();
-        run = { month, no: r.no, step: 1, index: r.index, values: [], count: 0 };
+        run = { month, number: attempt.number, step: 1, index: attempt.index, values: [], count: 0 };
       }
-      run.values.push(money, us);
+      run.values.push(money, runUs);
       run.count++;
     }
     finish();
@@ -47,107 +55,116 @@
   return runs;
 };
 
-/** Each attempt of the runs: month, number, task, pending money and time. */
+/** Decodes the attempts of a row, one entry for each month with pending costs. */
 export const attemptsOf = (
   row: OpenRow,
-): { month: string; no: number; index: number; money: number; us: number }[] => {
+): { month: string; number: number; index: number; money: number; runUs: number }[] => {
   const out = [];
-  for (const [month, no, step, index, ...values] of row[5])
-    for (let k = 0; 2 * k + 1 < values.length; k++)
+  for (const [month, firstNumber, step, index, ...values] of row[5])
+    for (let offset = 0; 2 * offset + 1 < values.length; offset++)
       out.push({
         month,
-        no: no + step * k,
-        index: index + k,
-        money: values[2 * k]!,
-        us: values[2 * k + 1]!,
+        number: firstNumber + step * offset,
+        index: index + offset,
+        money: values[2 * offset]!,
+        runUs: values[2 * offset + 1]!,
       });
   return out;
 };
 
-export interface Row {
+/** A job's row and its size. */
+export interface SizedRow {
   readonly row: OpenRow;
-  /** With its key, as a member of the page's JSON. */
+  /** Size with its key, as a member of the page's JSON. */
   readonly bytes: number;
 }
 
-/** A job's row of at most `room` bytes: what of its attempts has no room is the platform's after a crash. */
-export const rowOf = (job: OpenJob, room: number): Row => {
-  const row = (runs: Run[]): OpenRow => [
+/**
+ * A job's row of at most `room` bytes. Attempts that don't fit are left out; after a crash the platform pays for what
+ * they had pending.
+ */
+export const rowOf = (job: OpenJob, room: number): SizedRow => {
+  const row = (runs: AttemptRun[]): OpenRow => [
     job.owner,
-    job.cls,
+    job.jobClass,
     job.service ? 1 : 0,
-    job.commit,
+    job.commitment,
     [...job.months].map(([month, c]) => monthRow(month, c)),
     runs,
   ];
   const runs = runsOf(job.attempts.values());
   for (;;) {
-    const r = row(runs);
-    const bytes = bytesOf({ [job.id]: r });
+    const candidate = row(runs);
+    const bytes = bytesOf({ [job.id]: candidate });
     const last = runs.at(-1);
-    if (bytes <= room || last === undefined) return { row: r, bytes };
-    // Half of the last run's attempts at a time.
+    if (bytes <= room || last === undefined) return { row: candidate, bytes };
+    // Drop half of the attempts of the last run.
     if (last.length > 8)
-      runs[runs.length - 1] = [...last.slice(0, 4 + 2 * Math.floor((last.length - 4) / 4))] as unknown as Run;
+      runs[runs.length - 1] = [
+        ...last.slice(0, 4 + 2 * Math.floor((last.length - 4) / 4)),
+      ] as unknown as AttemptRun;
     else runs.pop();
   }
 };
 
-/** A page that changed. */
-export interface Packed {
-  readonly n: number;
+/** A page to be written, since it differs from its recorded content. */
+export interface ChangedPage {
+  readonly pageNumber: number;
   readonly page: OpenPage;
-  /** Its JSON: made once, since at fleet size that is most of a flush's work. */
+  /** The page's JSON, made once since serializing is most of the work of a flush in a large cluster. */
   readonly text: string;
 }
 
-export class Packing {
-  /** Jobs by page, with their bytes when they were last packed. */
+/** Assigns open jobs to pages and finds the pages that have changed. */
+export class OpenJobPacking {
+  /** By page: its jobs with their sizes when last packed. */
   private readonly pages: Map<string, number>[] = [];
   private readonly pageOf = new Map<string, number>();
-  /** Pages on record that hold something, or may. */
-  private readonly written: (string | null)[] = [];
+  /** By page: its recorded JSON; empty if unknown, null if the page was never written. */
+  private readonly recordedTexts: (string | null)[] = [];
 
-  /** A page as it was read: what it holds, so that it is overwritten where it differs. */
-  adopt(n: number, ids: Iterable<string>): void {
-    this.grow(n);
-    this.written[n] = '';
+  /** Restores a page that was read: its jobs keep their page, and the page is written again. */
+  restorePage(pageNumber: number, ids: Iterable<string>): void {
+    this.ensurePage(pageNumber);
+    this.recordedTexts[pageNumber] = '';
     for (const id of ids) {
-      this.pages[n]!.set(id, 0);
-      this.pageOf.set(id, n);
+      this.pages[pageNumber]!.set(id, 0);
+      this.pageOf.set(id, pageNumber);
     }
   }
 
-  private grow(n: number): void {
-    while (this.pages.length <= n) {
+  private ensurePage(pageNumber: number): void {
+    while (this.pages.length <= pageNumber) {
       this.pages.push(new Map());
-      this.written.push(null);
+      this.recordedTexts.push(null);
     }
   }
 
-  /** Forgets what was written: all pages are written again. */
-  forget(): void {
-    for (let n = 0; n < this.written.length; n++) this.written[n] = '';
+  /** Makes all pages be written again. */
+  markAllChanged(): void {
+    for (let pageNumber = 0; pageNumber < this.recordedTexts.length; pageNumber++)
+      this.recordedTexts[pageNumber] = '';
   }
 
-  confirm({ n, text }: Packed): void {
-    this.written[n] = text;
+  /** Notes that a page has been written. */
+  confirmWritten({ pageNumber, text }: ChangedPage): void {
+    this.recordedTexts[pageNumber] = text;
   }
 
   /**
-   * The pages that changed. Those that a job moves to come before those that it leaves: a crash between leaves it
-   * on both, never on none.
+   * Packs the jobs and returns the pages that have changed. Pages that jobs move to come before the pages that they
+   * leave, so that a crash between the two writes leaves a job on both, never on neither.
    */
-  pack(jobs: ReadonlyMap<string, OpenJob>, room: number): Packed[] {
-    const rows = new Map<string, Row>();
+  pack(jobs: ReadonlyMap<string, OpenJob>, room: number): ChangedPage[] {
+    const rows = new Map<string, SizedRow>();
     for (const [id, job] of jobs) {
-      if (job.commit === null && job.months.size === 0 && job.attempts.size === 0) continue;
-      rows.set(id, rowOf(job, room - FRAME));
+      if (job.commitment === null && job.months.size === 0 && job.attempts.size === 0) continue;
+      rows.set(id, rowOf(job, room - PAGE_FRAME_BYTES));
     }
-    const losers = new Set<number>();
-    const homeless: string[] = [];
-    this.pages.forEach((page, n) => {
-      let sum = FRAME;
+    const shrunkPages = new Set<number>();
+    const unplaced: string[] = [];
+    this.pages.forEach((page, pageNumber) => {
+      let sum = PAGE_FRAME_BYTES;
       for (const id of [...page.keys()]) {
         const size = rows.get(id)?.bytes;
         if (size !== undefined && sum + size <= room) {
@@ -158,38 +175,39 @@
         page.delete(id);
         this.pageOf.delete(id);
         if (size === undefined) continue;
-        losers.add(n);
-        homeless.push(id);
+        shrunkPages.add(pageNumber);
+        unplaced.push(id);
       }
     });
-    for (const id of rows.keys()) if (!this.pageOf.has(id)) homeless.push(id);
-    const seen = new Set<string>();
-    for (const id of homeless) {
-      if (seen.has(id)) continue;
-      seen.add(id);
+    for (const id of rows.keys()) if (!this.pageOf.has(id)) unplaced.push(id);
+    const placed = new Set<string>();
+    for (const id of unplaced) {
+      if (placed.has(id)) continue;
+      placed.add(id);
       const size = rows.get(id)!.bytes;
-      let n = this.pages.findIndex((p, k) => {
-        if (losers.has(k)) return false;
-        let sum = FRAME;
-        for (const s of p.values()) sum += s;
+      let pageNumber = this.pages.findIndex((candidate, candidateNumber) => {
+        if (shrunkPages.has(candidateNumber)) return false;
+        let sum = PAGE_FRAME_BYTES;
+        for (const bytes of candidate.values()) sum += bytes;
         return sum + size <= room;
       });
-      if (n < 0) {
-        n = this.pages.length;
-        this.grow(n);
+      if (pageNumber < 0) {
+        pageNumber = this.pages.length;
+        this.ensurePage(pageNumber);
       }
-      this.pages[n]!.set(id, size);
-      this.pageOf.set(id, n);
+      this.pages[pageNumber]!.set(id, size);
+      this.pageOf.set(id, pageNumber);
     }
-    const out: (Packed & { last: boolean })[] = [];
-    this.pages.forEach((ids, n) => {
-      if (ids.size === 0 && this.written[n] === null) return;
+    const out: (ChangedPage & { last: boolean })[] = [];
+    this.pages.forEach((ids, pageNumber) => {
+      if (ids.size === 0 && this.recordedTexts[pageNumber] === null) return;
       const page: OpenPage = {
         v: 1,
         jobs: Object.fromEntries([...ids.keys()].map((id) => [id, rows.get(id)!.row])),
       };
       const text = JSON.stringify(page);
-      if (text !== this.written[n]) out.push({ n, page, text, last: losers.has(n) });
+      if (text !== this.recordedTexts[pageNumber])
+        out.push({ pageNumber, page, text, last: shrunkPages.has(pageNumber) });
     });
     return out.sort((a, b) => Number(a.last) - Number(b.last));
   }
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -1,22 +1,29 @@
-/** The books as the records tell them: for tools, which read and change nothing. */
+/** Rebuilds the ledger from its records for tools, which only read. */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
-import { addCharge, type Charge, noCharge, noReasons, type Reason, REASONS } from './books.js';
+import {
+  addCharge,
+  type Charge,
+  PLATFORM_REASONS,
+  type PlatformReason,
+  zeroCharge,
+  zeroPlatformCosts,
+} from './books.js';
 import type { Money } from './money.js';
 import { attemptsOf } from './packing.js';
 import {
   chargeOf,
-  CLOSED,
+  CLOSED_PREFIX,
   type ClosedRecord,
   digestOf,
-  HEAD,
   type Head,
-  JOURNAL,
+  HEAD_KEY,
+  JOURNAL_PREFIX,
   journalKey,
   type LimitRecord,
-  LIMITS,
-  OPEN,
-  OWNERS,
+  LIMITS_PREFIX,
+  OPEN_PREFIX,
+  OWNERS_PREFIX,
   readClosed,
   readHead,
   readJournal,
@@ -25,42 +32,47 @@
   readOwners,
 } from './records.js';
 
-/** What a job was charged in a month. `over`: nothing more will come. */
-export interface Line {
+/** What a job was charged in a month, from the journal or from an open page. */
+export interface ChargeLine {
   readonly job: string;
-  readonly cls: string;
+  readonly jobClass: string;
   readonly owner: string;
   readonly month: string;
   readonly charge: Readonly<Charge>;
-  readonly over: boolean;
+  /** Whether the journal says that the job can no longer be charged. */
+  readonly jobComplete: boolean;
 }
 
-export interface OpenView {
+/** A job whose amounts may still change. */
+export interface OpenJobView {
   readonly job: string;
   readonly owner: string;
-  readonly cls: string;
+  readonly jobClass: string;
   readonly service: boolean;
-  readonly commit: Money | null;
+  readonly commitment: Money | null;
   readonly pending: Money;
+  /** Number of running tasks. */
   readonly running: number;
 }
 
+/** The content of all records that were read. */
 export interface BooksView {
+  /** With the owners of all pages; null if it is missing or can't be read. */
   readonly head: Head | null;
-  readonly lines: readonly Line[];
-  readonly open: readonly OpenView[];
+  readonly lines: readonly ChargeLine[];
+  readonly open: readonly OpenJobView[];
   readonly limits: ReadonlyMap<string, LimitRecord>;
   readonly closed: readonly ClosedRecord[];
-  /** What is wrong with the records themselves; empty if nothing is. */
+  /** Faults of the records themselves; empty if there are none. */
   readonly problems: readonly string[];
 }
 
-/** The head with the owners that stand on pages of their own. */
+/** Adds the owners of separate pages to the head. */
 const withOwners = (head: Head, items: readonly StoredItem[], problems: string[]): Head => {
   let all = head;
-  for (const it of items.filter((x) => x.key.startsWith(OWNERS))) {
-    const page = readOwners(it.value);
-    if (page === null) problems.push(`${it.key}: can't be read`);
+  for (const item of items.filter((x) => x.key.startsWith(OWNERS_PREFIX))) {
+    const page = readOwners(item.value);
+    if (page === null) problems.push(`${item.key}: can't be read`);
     else
       all = {
         ...all,
@@ -74,157 +86,171 @@
 };
 
 /**
- * `items`: what stands under `b/`, in any order; `first`: the page at which what was read of the journal begins.
+ * Decodes the records and checks the chain of the journal. `items`: the records under `b/`, in any order; `first`:
+ * number of the first journal page among them.
  */
 export const viewBooks = (items: readonly StoredItem[], first = 0): BooksView => {
   const problems: string[] = [];
-  const lines: Line[] = [];
-  const open: OpenView[] = [];
+  const lines: ChargeLine[] = [];
+  const open: OpenJobView[] = [];
   const limits = new Map<string, LimitRecord>();
   const closed: ClosedRecord[] = [];
-  const headItem = items.find((it) => it.key === HEAD);
-  const main = headItem === undefined ? null : readHead(headItem.value);
-  if (headItem !== undefined && main === null) problems.push(`${HEAD}: can't be read`);
-  const head = main === null ? null : withOwners(main, items, problems);
+  const headItem = items.find((it) => it.key === HEAD_KEY);
+  const storedHead = headItem === undefined ? null : readHead(headItem.value);
+  if (headItem !== undefined && storedHead === null) problems.push(`${HEAD_KEY}: can't be read`);
+  const head = storedHead === null ? null : withOwners(storedHead, items, problems);
   const inJournal = new Map<string, Set<string>>();
-  const over = new Set<string>();
-  let before: string | null = null;
+  const completeJobs = new Set<string>();
+  let previousDigest: string | null = null;
   let expected = first;
-  for (const it of items.filter((x) => x.key.startsWith(JOURNAL)).sort((a, b) => (a.key < b.key ? -1 : 1))) {
-    const page = readJournal(it.value);
+  for (const item of items
+    .filter((x) => x.key.startsWith(JOURNAL_PREFIX))
+    .sort((a, b) => (a.key < b.key ? -1 : 1))) {
+    const page = readJournal(item.value);
     if (page === null) {
-      problems.push(`${it.key}: can't be read`);
-      before = null;
+      problems.push(`${item.key}: can't be read`);
+      previousDigest = null;
       expected++;
       continue;
     }
-    if (it.key !== journalKey(expected) || page.n !== expected)
-      problems.push(`${it.key}: expected page ${expected} of the journal`);
-    if (before !== null && page.prev !== before)
-      problems.push(`${it.key}: does not follow the page before; one of them was changed`);
-    before = digestOf(page);
+    if (item.key !== journalKey(expected) || page.n !== expected)
+      problems.push(`${item.key}: expected page ${expected} of the journal`);
+    if (previousDigest !== null && page.prev !== previousDigest)
+      problems.push(`${item.key}: does not follow the page before; one of them was changed`);
+    previousDigest = digestOf(page);
     expected = page.n + 1;
-    for (const [job, owner, cls, months, final] of page.rows) {
-      const known = inJournal.get(job) ?? new Set<string>();
-      inJournal.set(job, known);
-      if (final === 1) over.add(job);
-      for (const m of months) {
-        if (known.has(m[0])) problems.push(`${it.key}: ${job} stands in the journal twice for ${m[0]}`);
-        known.add(m[0]);
-        lines.push({ job, cls, owner, month: m[0], charge: chargeOf(m), over: final === 1 });
+    for (const [job, owner, jobClass, months, final] of page.rows) {
+      const journaledMonths = inJournal.get(job) ?? new Set<string>();
+      inJournal.set(job, journaledMonths);
+      if (final === 1) completeJobs.add(job);
+      for (const row of months) {
+        if (journaledMonths.has(row[0]))
+          problems.push(`${item.key}: ${job} stands in the journal twice for ${row[0]}`);
+        journaledMonths.add(row[0]);
+        lines.push({ job, jobClass, owner, month: row[0], charge: chargeOf(row), jobComplete: final === 1 });
       }
     }
   }
-  // Pages may be added while they are read; one that is missing at the end is known from the head.
+  // The journal may have grown since the head was read, but it must reach the page that the head names.
   if (head !== null && first === 0 && head.j.last > Math.max(0, expected - 1))
-    problems.push(`${HEAD}: names page ${head.j.last} as the last of the journal; there are ${expected}`);
+    problems.push(`${HEAD_KEY}: names page ${head.j.last} as the last of the journal; there are ${expected}`);
   const seen = new Set<string>();
-  for (const it of items) {
-    if (it.key.startsWith(OPEN)) {
-      const page = readOpen(it.value);
-      if (page === null) problems.push(`${it.key}: can't be read`);
+  for (const item of items) {
+    if (item.key.startsWith(OPEN_PREFIX)) {
+      const page = readOpen(item.value);
+      if (page === null) problems.push(`${item.key}: can't be read`);
       for (const [job, row] of Object.entries(page?.jobs ?? {})) {
-        // A flush that is under way, or was cut short, leaves a job here that stands elsewhere already.
-        if (over.has(job) || seen.has(job)) continue;
+        // During a flush, or after a crash in one, a job may be here and also in the journal or on another page.
+        if (completeJobs.has(job) || seen.has(job)) continue;
         seen.add(job);
-        const [owner, cls, service, commit, months] = row;
-        for (const m of months)
-          if (inJournal.get(job)?.has(m[0]) !== true)
-            lines.push({ job, cls, owner, month: m[0], charge: chargeOf(m), over: false });
+        const [owner, jobClass, service, commit, months] = row;
+        for (const monthlyRow of months)
+          if (inJournal.get(job)?.has(monthlyRow[0]) !== true)
+            lines.push({
+              job,
+              jobClass,
+              owner,
+              month: monthlyRow[0],
+              charge: chargeOf(monthlyRow),
+              jobComplete: false,
+            });
         const attempts = attemptsOf(row);
         open.push({
           job,
           owner,
-          cls,
+          jobClass,
           service: service === 1,
-          commit,
+          commitment: commit,
           pending: attempts.reduce((sum, a) => sum + a.money, 0),
           running: new Set(attempts.map((a) => a.index)).size,
         });
       }
-    } else if (it.key.startsWith(LIMITS)) {
-      const record = readLimit(it.value);
-      if (record === null) problems.push(`${it.key}: can't be read`);
-      else limits.set(it.key.slice(LIMITS.length), record);
-    } else if (it.key.startsWith(CLOSED)) {
-      const record = readClosed(it.value);
-      if (record === null) problems.push(`${it.key}: can't be read`);
+    } else if (item.key.startsWith(LIMITS_PREFIX)) {
+      const record = readLimit(item.value);
+      if (record === null) problems.push(`${item.key}: can't be read`);
+      else limits.set(item.key.slice(LIMITS_PREFIX.length), record);
+    } else if (item.key.startsWith(CLOSED_PREFIX)) {
+      const record = readClosed(item.value);
+      if (record === null) problems.push(`${item.key}: can't be read`);
       else closed.push(record);
     }
   }
   return { head, lines, open, limits, closed, problems };
 };
 
-/** Charged in all, by owner and month. */
-export const totalsOf = (lines: readonly Line[]): Map<string, Map<string, Charge>> => {
+/** Total charges by owner and month. */
+export const totalsOf = (lines: readonly ChargeLine[]): Map<string, Map<string, Charge>> => {
   const totals = new Map<string, Map<string, Charge>>();
-  for (const l of lines) {
-    const months = totals.get(l.owner) ?? new Map<string, Charge>();
-    totals.set(l.owner, months);
-    const c = months.get(l.month) ?? noCharge();
-    months.set(l.month, c);
-    addCharge(c, l.charge);
+  for (const line of lines) {
+    const months = totals.get(line.owner) ?? new Map<string, Charge>();
+    totals.set(line.owner, months);
+    const sum = months.get(line.month) ?? zeroCharge();
+    months.set(line.month, sum);
+    addCharge(sum, line.charge);
   }
   return totals;
 };
 
+/** Where the cost of all machines has gone. */
 export interface Balance {
   readonly cost: Money;
   readonly charged: Money;
-  readonly platform: Readonly<Record<Reason, Money>>;
-  /** Cost less the two: pending, and what a flush under way has not put on record. */
+  readonly platform: Readonly<Record<PlatformReason, Money>>;
+  /** Cost less charges and platform costs: pending, or not yet recorded by a flush in progress. */
   readonly pending: Money;
 }
 
+/** Compares the recorded total cost with charges and platform costs. */
 export const balanceOf = (view: BooksView): Balance => {
-  const platform = noReasons();
+  const platform = zeroPlatformCosts();
   let rest = view.head?.cost ?? 0;
   let charged = 0;
-  for (const l of view.lines) charged += l.charge.money;
-  for (const r of REASONS) {
-    platform[r] = view.head?.p[r] ?? 0;
-    rest -= platform[r];
+  for (const line of view.lines) charged += line.charge.money;
+  for (const reason of PLATFORM_REASONS) {
+    platform[reason] = view.head?.p[reason] ?? 0;
+    rest -= platform[reason];
   }
   return { cost: view.head?.cost ?? 0, charged, platform, pending: rest - charged };
 };
 
-/**
- * Rebuilds what the head says from the facts, and names each difference. Empty: the books agree.
- */
+/** Recomputes the sums of the head and of closed months from the charges; returns each difference, or none. */
 export const verifyBooks = (view: BooksView): string[] => {
-  const out = [...view.problems];
+  const differences = [...view.problems];
   const { head } = view;
-  if (head === null) return out;
-  // The head sums up the journal alone: jobs that have not ended stand on pages of their own.
+  if (head === null) return differences;
+  // The head's sums cover the journal alone, not the open pages.
   const journaled = new Map<string, Charge>();
-  const journal = view.lines.filter((l) => l.over || l.month <= (head.z[l.owner] ?? ''));
+  const journal = view.lines.filter((l) => l.jobComplete || l.month <= (head.z[l.owner] ?? ''));
   for (const [owner, months] of totalsOf(journal))
-    for (const [month, c] of months) journaled.set(`${owner} ${month}`, c);
+    for (const [month, charge] of months) journaled.set(`${owner} ${month}`, charge);
   for (const [owner, rows] of Object.entries(head.m))
     for (const row of rows) {
-      const want = chargeOf(row);
-      let have = journaled.get(`${owner} ${row[0]}`) ?? noCharge();
+      const expected = chargeOf(row);
+      let actual = journaled.get(`${owner} ${row[0]}`) ?? zeroCharge();
       if (row[0] === '') {
-        // All months that the head does not name one by one.
+        // The sum of all months that have no row of their own in the head.
         const named = new Set(rows.map((r) => r[0]));
-        have = noCharge();
-        for (const [key, c] of journaled) {
-          const [o, month] = key.split(' ');
-          if (o === owner && !named.has(month!)) have.money += c.money;
+        actual = zeroCharge();
+        for (const [key, charge] of journaled) {
+          const [jobOwner, month] = key.split(' ');
+          if (jobOwner === owner && !named.has(month!)) actual.money += charge.money;
         }
       }
-      if (have.money !== want.money)
-        out.push(`${owner} ${row[0] || 'older months'}: the head says ${want.money}, its jobs ${have.money}`);
+      if (actual.money !== expected.money)
+        differences.push(
+          `${owner} ${row[0] || 'older months'}: the head says ${expected.money}, its jobs ${actual.money}`,
+        );
     }
-  for (const s of view.closed) {
-    const sum = journaled.get(`${s.owner} ${s.month}`)?.money ?? 0;
-    if (sum !== s.row[1]) out.push(`${s.owner} ${s.month}: closed at ${s.row[1]}, its jobs say ${sum}`);
+  for (const record of view.closed) {
+    const sum = journaled.get(`${record.owner} ${record.month}`)?.money ?? 0;
+    if (sum !== record.row[1])
+      differences.push(`${record.owner} ${record.month}: closed at ${record.row[1]}, its jobs say ${sum}`);
   }
   const pending = view.open.reduce((sum, o) => sum + o.pending, 0);
-  const b = balanceOf(view);
-  if (b.pending !== pending)
-    out.push(
-      `pending: cost less charges less the platform's account is ${b.pending}, attempts say ${pending}`,
+  const balance = balanceOf(view);
+  if (balance.pending !== pending)
+    differences.push(
+      `pending: cost less charges less the platform's account is ${balance.pending}, attempts say ${pending}`,
     );
-  return out;
+  return differences;
 };
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -1,30 +1,37 @@
-/** The file that switches budgets on (`deploy/budgets.yaml`), checked against the platform's teams. */
+/** Reads the file that switches budgets on (`deploy/budgets.yaml`) and checks it against the platform's teams. */
 import { check, read } from '@shaleyoke/config/checked';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
 
-import { Calendar, knownZone } from './calendar.js';
+import { Calendar, isKnownZone } from './calendar.js';
 import { type Money, parseMoney } from './money.js';
 
+/** An owner's monthly limits. */
 export interface Limit {
-  /** Told once a month when it is reached; null: none. */
+  /** Logged once a month when it is reached; null: none. */
   readonly soft: Money | null;
-  /** New jobs are held back beyond it; null: none. */
+  /** Jobs that would exceed it are held back; null: none. */
   readonly hard: Money | null;
 }
+/** The limits of an owner that has none configured. */
 export const NO_LIMIT: Limit = { soft: null, hard: null };
 
+/** The checked content of the file. */
 export interface BudgetSettings {
+  /** Three-letter code, such as `EUR`. */
   readonly currency: string;
+  /** Time zone of owners that have none of their own. */
   readonly zone: string;
-  /** The share of runs that a commitment is to be enough for. */
+  /** The share of runs whose cost a commitment is to cover. */
   readonly quantile: number;
-  /** Changes of the state service a second, on average. */
+  /** Records written to the state service per second, on average. */
   readonly changesPerS: number;
+  /** By name: every team of the platform. */
   readonly owners: ReadonlyMap<string, { readonly calendar: Calendar; readonly limit: Limit }>;
 }
 
+/** Wrong settings or arguments; the message names each field and what to do. */
 export class BudgetSettingsError extends Error {}
 
 const Amount = Schema.Union(Schema.Number, Schema.String).pipe(
@@ -33,10 +40,10 @@
   }),
 );
 const Zone = Schema.String.pipe(
-  Schema.filter(knownZone, { message: () => 'expected a time zone such as Europe/Warsaw' }),
+  Schema.filter(isKnownZone, { message: () => 'expected a time zone such as Europe/Warsaw' }),
 );
 
-const File = Schema.Struct({
+const BudgetsFile = Schema.Struct({
   version: Schema.Literal(1),
   currency: Schema.String.pipe(
     Schema.pattern(/^[A-Z]{3}$/, { message: () => 'expected three capitals such as EUR' }),
@@ -57,34 +64,34 @@
   ),
 });
 
-const money = (v: string | number | undefined): Money | null =>
-  v === undefined ? null : parseMoney(String(v));
+const parseAmount = (value: string | number | undefined): Money | null =>
+  value === undefined ? null : parseMoney(String(value));
 
-/** `what`: the file's name, for messages. Throws `BudgetSettingsError` naming each wrong field. */
+/** Parses the file's text. `what`: its name, for messages. Throws `BudgetSettingsError` naming each wrong field. */
 export const parseBudgets = (yaml: string, teams: readonly Team[], what: string): BudgetSettings => {
   const fail = (message: string): BudgetSettingsError => new BudgetSettingsError(message);
-  const f = check(File, read(parseYaml, yaml, what, fail), what, fail, true);
+  const file = check(BudgetsFile, read(parseYaml, yaml, what, fail), what, fail, true);
   const problems: string[] = [];
   const names = teams.map((t) => t.name);
-  for (const [name, o] of Object.entries(f.owners)) {
+  for (const [name, entry] of Object.entries(file.owners)) {
     if (!names.includes(name))
       problems.push(`${what}: owners.${name}: no team of the platform's file; those are ${names.join(', ')}`);
-    const soft = money(o.soft);
-    const hard = money(o.hard);
+    const soft = parseAmount(entry.soft);
+    const hard = parseAmount(entry.hard);
     if (soft !== null && hard !== null && soft > hard)
       problems.push(`${what}: owners.${name}.soft: is above hard; lower it, or raise hard`);
   }
   if (problems.length > 0) throw new BudgetSettingsError(problems.join('\n'));
   return {
-    currency: f.currency,
-    zone: f.zone,
-    quantile: f.quantile,
-    changesPerS: f.changes_per_s,
+    currency: file.currency,
+    zone: file.zone,
+    quantile: file.quantile,
+    changesPerS: file.changes_per_s,
     owners: new Map(
       names.map((name) => {
-        const o = f.owners[name];
-        const limit = { soft: money(o?.soft), hard: money(o?.hard) };
-        return [name, { calendar: new Calendar(o?.zone ?? f.zone), limit }];
+        const entry = file.owners[name];
+        const limit = { soft: parseAmount(entry?.soft), hard: parseAmount(entry?.hard) };
+        return [name, { calendar: new Calendar(entry?.zone ?? file.zone), limit }];
       }),
     ),
   };
--- a/packages/budgets/src/statement.ts
+++ b/packages/budgets/src/statement.ts
@@ -1,30 +1,31 @@
-/** An owner's monthly statement: made from the records, in a published form that anyone can check offline. */
+/** An owner's monthly statement: made from the records, in a published format that can be verified offline. */
 import { stringify } from 'csv-stringify/sync';
 
-import { addCharge, type Charge, noCharge } from './books.js';
+import { addCharge, type Charge, zeroCharge } from './books.js';
 import { Calendar } from './calendar.js';
 import { formatMoney, parseMoney } from './money.js';
 import type { BooksView } from './reader.js';
 import { digestOf } from './records.js';
 
+/** What a job was charged in the statement's month. */
 export interface StatementLine {
   readonly job: string;
   readonly class: string;
-  /** Charged to the owner, six places. */
+  /** Charged to the owner, with six decimal places. */
   readonly charged: string;
-  /** Task time that was charged, whole microseconds. */
+  /** Task run time that was charged, in whole microseconds. */
   readonly charged_us: number;
-  /** Ran as well, but lost, repeated or unclear: the platform's. */
+  /** Cost of run time that was lost, repeated or unseen, paid by the platform. */
   readonly not_charged: string;
-  /** Stops for higher priority that lost work. */
+  /** Preemptions that lost work. */
   readonly stops: number;
-  /** Of `charged`: for an earlier month that was closed already. */
+  /** The part of `charged` that belongs to an earlier month which was already closed. */
   readonly late: string;
   /** Whether the job may still be charged for more. */
   readonly open: boolean;
 }
 
-/** Version 1; its schema is `schema/statement-1.json`. Amounts are decimal texts of six places. */
+/** Version 1, with the schema `schema/statement-1.json`. Amounts are decimal strings with six places. */
 export interface Statement {
   readonly format: 'shaleyoke.statement';
   readonly version: 1;
@@ -37,31 +38,35 @@
   /** A closed statement never changes. */
   readonly closed: boolean;
   readonly limit: { readonly soft: string | null; readonly hard: string | null };
-  /** Overrun of the month before, which came off this one. */
+  /** Overrun of the previous month, which counts against this month's limit. */
   readonly carried: string;
   readonly lines: readonly StatementLine[];
   readonly totals: Omit<StatementLine, 'job' | 'class' | 'open'>;
-  /** SHA-256 of the canonical JSON (RFC 8785) of all the rest. */
+  /** SHA-256 of the canonical JSON (RFC 8785) of all other fields. */
   readonly digest: string;
 }
 
+/** What the operators' file says of an owner; used for months that are not closed. */
 export interface StatementTerms {
   readonly zone: string;
   readonly currency: string;
   readonly limit: { readonly soft: number | null; readonly hard: number | null };
 }
 
-const amounts = (c: Readonly<Charge>): Statement['totals'] => ({
-  charged: formatMoney(c.money),
-  charged_us: c.us,
-  not_charged: formatMoney(c.free),
-  stops: c.stops,
-  late: formatMoney(c.late),
+const amounts = (charge: Readonly<Charge>): Statement['totals'] => ({
+  charged: formatMoney(charge.money),
+  charged_us: charge.us,
+  not_charged: formatMoney(charge.uncharged),
+  stops: charge.stops,
+  late: formatMoney(charge.late),
 });
 
-const money = (m: number | null): string | null => (m === null ? null : formatMoney(m));
+const formatOptional = (m: number | null): string | null => (m === null ? null : formatMoney(m));
 
-/** Nothing in it comes from another owner's records. `terms`: as the operators' file says; a closed record counts. */
+/**
+ * The statement of a month, without anything of other owners. `terms`: from the operators' file; the record of a closed
+ * month takes precedence.
+ */
 export const statementOf = (
   view: BooksView,
   owner: string,
@@ -73,15 +78,15 @@
   const calendar = new Calendar(zone);
   const { from, to } = calendar.month(month);
   const lines = new Map<string, { cls: string; charge: Charge; open: boolean }>();
-  const total = noCharge();
+  const total = zeroCharge();
   const open = new Set(view.open.map((o) => o.job));
-  for (const l of view.lines) {
-    if (l.owner !== owner || l.month !== month) continue;
-    const line = lines.get(l.job) ?? { cls: l.cls, charge: noCharge(), open: false };
-    lines.set(l.job, line);
-    line.open ||= record === undefined && open.has(l.job);
-    addCharge(line.charge, l.charge);
-    addCharge(total, l.charge);
+  for (const charged of view.lines) {
+    if (charged.owner !== owner || charged.month !== month) continue;
+    const line = lines.get(charged.job) ?? { cls: charged.jobClass, charge: zeroCharge(), open: false };
+    lines.set(charged.job, line);
+    line.open ||= record === undefined && open.has(charged.job);
+    addCharge(line.charge, charged.charge);
+    addCharge(total, charged.charge);
   }
   const [carriedMonth, carried] = view.head?.c[owner] ?? ['', 0];
   const body: Omit<Statement, 'digest'> = {
@@ -95,8 +100,8 @@
     currency: record?.currency ?? terms.currency,
     closed: record !== undefined,
     limit: {
-      soft: money(record === undefined ? terms.limit.soft : record.limit.soft),
-      hard: money(record === undefined ? terms.limit.hard : record.limit.hard),
+      soft: formatOptional(record === undefined ? terms.limit.soft : record.limit.soft),
+      hard: formatOptional(record === undefined ? terms.limit.hard : record.limit.hard),
     },
     carried: formatMoney(record?.carried ?? (carriedMonth === month ? carried : 0)),
     lines: [...lines]
@@ -107,42 +112,44 @@
   return { ...body, digest: digestOf(body) };
 };
 
-/** What is wrong with a statement that somebody was given; empty if its sums and its digest hold. */
-export const checkStatement = (s: Statement): string[] => {
-  const out: string[] = [];
-  const { digest, ...body } = s;
-  if (digestOf(body) !== digest) out.push('digest: does not belong to this content; it was changed');
-  const ids = new Set(s.lines.map((l) => l.job));
-  if (ids.size !== s.lines.length) out.push('lines: a job stands there twice');
+/** Checks the sums and the digest of a statement; returns each problem, or none. */
+export const checkStatement = (statement: Statement): string[] => {
+  const problems: string[] = [];
+  const { digest, ...body } = statement;
+  if (digestOf(body) !== digest) problems.push('digest: does not belong to this content; it was changed');
+  const ids = new Set(statement.lines.map((l) => l.job));
+  if (ids.size !== statement.lines.length) problems.push('lines: a job stands there twice');
   for (const field of ['charged', 'not_charged', 'late'] as const) {
     let sum = 0;
-    for (const l of s.lines) {
-      const m = parseMoney(l[field]);
-      if (m === null) out.push(`lines.${l.job}.${field}: not an amount`);
-      else sum += m;
+    for (const line of statement.lines) {
+      const amount = parseMoney(line[field]);
+      if (amount === null) problems.push(`lines.${line.job}.${field}: not an amount`);
+      else sum += amount;
     }
-    if (formatMoney(sum) !== s.totals[field])
-      out.push(`totals.${field}: ${s.totals[field]}, the lines add up to ${formatMoney(sum)}`);
+    if (formatMoney(sum) !== statement.totals[field])
+      problems.push(`totals.${field}: ${statement.totals[field]}, the lines add up to ${formatMoney(sum)}`);
   }
   for (const field of ['charged_us', 'stops'] as const) {
-    const sum = s.lines.reduce((n, l) => n + l[field], 0);
-    if (sum !== s.totals[field]) out.push(`totals.${field}: ${s.totals[field]}, the lines add up to ${sum}`);
+    const sum = statement.lines.reduce((n, l) => n + l[field], 0);
+    if (sum !== statement.totals[field])
+      problems.push(`totals.${field}: ${statement.totals[field]}, the lines add up to ${sum}`);
   }
-  return out;
+  return problems;
 };
 
-export const csvOf = (s: Statement): string =>
+/** The lines of a statement as CSV with a header. */
+export const statementCsv = (statement: Statement): string =>
   stringify(
-    s.lines.map((l) => [
-      s.owner,
-      s.month,
-      l.job,
-      l.class,
-      l.charged,
-      l.charged_us,
-      l.not_charged,
-      l.stops,
-      l.late,
+    statement.lines.map((line) => [
+      statement.owner,
+      statement.month,
+      line.job,
+      line.class,
+      line.charged,
+      line.charged_us,
+      line.not_charged,
+      line.stops,
+      line.late,
     ]),
     {
       header: true,
@@ -152,28 +159,33 @@
 
 const hours = (us: number): string => (us / 3.6e9).toFixed(3);
 
-export const textOf = (s: Statement): string => {
-  const out = [
-    `Statement of ${s.owner} for ${s.month} (${s.zone})`,
-    `${s.from} to ${s.to}, amounts in ${s.currency}`,
-    s.closed ? 'Closed: it will not change.' : 'So far: the month is not closed, and jobs marked * go on.',
+/** A statement as text for people. */
+export const textOf = (statement: Statement): string => {
+  const lines = [
+    `Statement of ${statement.owner} for ${statement.month} (${statement.zone})`,
+    `${statement.from} to ${statement.to}, amounts in ${statement.currency}`,
+    statement.closed
+      ? 'Closed: it will not change.'
+      : 'So far: the month is not closed, and jobs marked * go on.',
     '',
   ];
-  const width = Math.max(12, ...s.lines.map((l) => l.job.length));
-  const row = (job: string, a: Statement['totals'], mark: string): string =>
-    `${job.padEnd(width)}${mark.padEnd(2)}${a.charged.padStart(16)}${hours(a.charged_us).padStart(12)}` +
-    `${a.not_charged.padStart(16)}${String(a.stops).padStart(7)}`;
-  out.push(
+  const width = Math.max(12, ...statement.lines.map((l) => l.job.length));
+  const row = (job: string, totals: Statement['totals'], mark: string): string =>
+    `${job.padEnd(width)}${mark.padEnd(2)}${totals.charged.padStart(16)}${hours(totals.charged_us).padStart(12)}` +
+    `${totals.not_charged.padStart(16)}${String(totals.stops).padStart(7)}`;
+  lines.push(
     `${'job'.padEnd(width + 2)}${'charged'.padStart(16)}${'task hours'.padStart(12)}${'not charged'.padStart(16)}${'stops'.padStart(7)}`,
   );
-  for (const l of s.lines) out.push(row(l.job, l, l.open ? '*' : ''));
-  out.push(row('total', s.totals, ''), '');
-  if (s.totals.late !== '0.000000') out.push(`Of this, ${s.totals.late} is for earlier months.`);
-  if (s.carried !== '0.000000') out.push(`Overrun of the month before, off this one's limit: ${s.carried}`);
-  if (s.limit.hard !== null) out.push(`Limit: ${s.limit.hard}`);
-  out.push(
+  for (const line of statement.lines) lines.push(row(line.job, line, line.open ? '*' : ''));
+  lines.push(row('total', statement.totals, ''), '');
+  if (statement.totals.late !== '0.000000')
+    lines.push(`Of this, ${statement.totals.late} is for earlier months.`);
+  if (statement.carried !== '0.000000')
+    lines.push(`Overrun of the month before, off this one's limit: ${statement.carried}`);
+  if (statement.limit.hard !== null) lines.push(`Limit: ${statement.limit.hard}`);
+  lines.push(
     'Not charged: what was lost with machines or stopped for higher priority, and what nobody could see.',
-    `Digest: ${s.digest}`,
+    `Digest: ${statement.digest}`,
   );
-  return out.join('\n');
+  return lines.join('\n');
 };
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -1,7 +1,7 @@
 /**
- * The books on record: read at the beginning of a term, then written flush by flush (docs/budgets.md). One
- * transaction is in flight at a time; each is fenced by the leader's key and puts its values on condition of the
- * versions that they replace.
+ * The ledger's records: read at the beginning of a term, then written in flushes (docs/budgets.md). One transaction is
+ * in flight at a time. Each is fenced by the version of the leader's key and conditional on the versions of the records
+ * that it replaces.
  */
 import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
@@ -11,24 +11,24 @@
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
 
-import { Accounts, type Marks } from './accounts.js';
-import { addCharge, type Books, noCharge, OpenJob } from './books.js';
-import { attemptsOf, type Packed, Packing } from './packing.js';
+import { OwnerAccounts, type OwnerMarks } from './accounts.js';
+import { addCharge, type Ledger, OpenJob, zeroCharge } from './books.js';
+import { attemptsOf, type ChangedPage, OpenJobPacking } from './packing.js';
 import {
   chargeOf,
   digestOf,
-  HEAD,
   type Head,
-  JOURNAL,
+  HEAD_KEY,
+  JOURNAL_PREFIX,
   journalKey,
   type JournalPage,
   type JournalRow,
-  LIMITS,
+  LIMITS_PREFIX,
   type MonthRow,
   monthRow,
-  OPEN,
+  OPEN_PREFIX,
   openKey,
-  OWNERS,
+  OWNERS_PREFIX,
   ownersKey,
   type OwnersPart,
   readHead,
@@ -37,74 +37,81 @@
   readOwners,
 } from './records.js';
 
-const PAGE = 500;
-const RETRY: Micros = 500 * MILLI;
-const LEAST_PAUSE: Micros = 2 * SECOND;
-const MAX_BYTES = 40 * 1024;
-/** Head, owners' page, journal page and a closed statement go in one transaction. */
-const LEAST_OPS = 4;
+/** Items of one request to list. */
+const LIST_LIMIT = 500;
+const RETRY_DELAY: Micros = 500 * MILLI;
+const MIN_FLUSH_INTERVAL: Micros = 2 * SECOND;
+const MAX_TRANSACTION_BYTES = 40 * 1024;
+/** A head, a page of owners, a journal page and a closed month must fit into one transaction. */
+const MIN_TRANSACTION_OPERATIONS = 4;
 
-/** Bytes of a head without owners, at most. */
-const HEAD_REST = 512;
+/** Size limit of a head without owners. */
+const HEAD_OVERHEAD_BYTES = 512;
 
-export interface Found {
-  /** Everything up to this moment is accounted; null where no books were ever kept. */
-  readonly w: Micros | null;
+/** What reading the records found; the accounts themselves are restored into the ledger. */
+export interface LoadedState {
+  /** Everything up to this moment is accounted; null if there are no readable records. */
+  readonly accountedUntil: Micros | null;
   readonly limits: readonly StoredItem[];
 }
 
-export class Store {
+/** Restores a ledger from its records and writes it to them. */
+export class LedgerStore {
+  /** By key: the version that the next write replaces. */
   private readonly versions = new Map<string, number>();
-  private readonly packing = new Packing();
-  private readonly accounts: Accounts;
-  private tail: JournalPage = { v: 1, n: 0, prev: '', rows: [] };
-  private flushNo = 0;
-  /** The journal page at which the first flush began that is not known to be complete. */
-  private from = 0;
-  private busy = false;
-  private due: Micros = 0;
-  private room: number;
-  /** Records that can't be read: nothing is written over them. */
-  blind: string | null = null;
-  /** Further puts that are to go with the next head: closed statements. */
-  private readonly extra: { owner: string; write: StoreWrite; done: () => void }[] = [];
+  private readonly packing = new OpenJobPacking();
+  private readonly accounts: OwnerAccounts;
+  /** The last page of the journal; rows are added to it until it is full. */
+  private lastPage: JournalPage = { v: 1, n: 0, prev: '', rows: [] };
+  private flushNumber = 0;
+  /** The last journal page at the start of the first flush that is not known to be complete. */
+  private incompleteFrom = 0;
+  private flushing = false;
+  private nextFlushAt: Micros = 0;
+  /** Size limit of a page. */
+  private pageBytes: number;
+  /** The record or setting that stopped accounting, such as an unreadable record; nothing is written from then on. */
+  stoppedBy: string | null = null;
+  /** Records of closed months, each to be written in one transaction with a head. */
+  private readonly extraWrites: { owner: string; write: StoreWrite; done: () => void }[] = [];
 
   constructor(
     private readonly term: LeaderTerm,
-    private readonly books: Books,
-    marks: Marks,
+    private readonly ledger: Ledger,
+    marks: OwnerMarks,
     private readonly changesPerS: number,
   ) {
     const { maxValueBytes: valueBytes } = term.context.settings;
-    this.room = pageRoom(valueBytes);
-    this.accounts = new Accounts(books, marks, valueBytes, HEAD_REST);
+    this.pageBytes = pageRoom(valueBytes);
+    this.accounts = new OwnerAccounts(ledger, marks, valueBytes, HEAD_OVERHEAD_BYTES);
   }
 
   // ---- reading -----------------------------------------------------------------------------------
 
-  load(then: (found: Found) => void): void {
-    if (this.term.context.settings.maxTransactionOperations < LEAST_OPS) {
+  /** Reads all records and restores the ledger; retries until the state service answers. */
+  load(then: (loaded: LoadedState) => void): void {
+    if (this.term.context.settings.maxTransactionOperations < MIN_TRANSACTION_OPERATIONS) {
       this.term.context.error('budgets.transaction_too_small', {
         txnOps: this.term.context.settings.maxTransactionOperations,
-        least: LEAST_OPS,
+        least: MIN_TRANSACTION_OPERATIONS,
       });
-      this.blind = 'cluster.state.txn_ops';
-      then({ w: null, limits: [] });
+      this.stoppedBy = 'cluster.state.txn_ops';
+      then({ accountedUntil: null, limits: [] });
       return;
     }
-    this.get(HEAD, (item) => {
+    this.get(HEAD_KEY, (item) => {
       const head = item === null ? null : readHead(item.value);
       if (item !== null && head === null) {
-        this.goBlind(HEAD, then);
+        this.stop(HEAD_KEY, then);
         return;
       }
-      if (item !== null) this.versions.set(HEAD, item.version);
-      this.list(OPEN, '', (open) => {
+      if (item !== null) this.versions.set(HEAD_KEY, item.version);
+      this.list(OPEN_PREFIX, '', (open) => {
         const after = head === null || head.j.from === 0 ? '' : journalKey(head.j.from - 1);
-        this.list(JOURNAL, after, (journal) => {
-          this.list(LIMITS, '', (limits) => {
-            this.list(OWNERS, '', (owners) => {
-              if (head === null) then({ w: null, limits });
+        this.list(JOURNAL_PREFIX, after, (journal) => {
+          this.list(LIMITS_PREFIX, '', (limits) => {
+            this.list(OWNERS_PREFIX, '', (owners) => {
+              if (head === null) then({ accountedUntil: null, limits });
               else if (this.restoreOwners(head, owners, then))
                 this.restore(head, open, journal, limits, then);
             });
@@ -114,296 +121,322 @@
     });
   }
 
-  private goBlind(key: string, then: (found: Found) => void): void {
-    this.blind = key;
+  /** Stops reading and writing because of a record, so that it isn't overwritten. */
+  private stop(key: string, then: (found: LoadedState) => void): void {
+    this.stoppedBy = key;
     this.term.context.error('budgets.unreadable', { key });
-    then({ w: null, limits: [] });
+    then({ accountedUntil: null, limits: [] });
   }
 
-  private restoreOwners(head: Head, owners: readonly StoredItem[], then: (found: Found) => void): boolean {
-    this.accounts.adopt(0, head.f, { m: head.m, z: head.z, c: head.c, t: head.t });
-    for (const it of owners) {
-      const page = readOwners(it.value);
+  /** Restores the accounts of the head and of owners' pages; false if a page can't be read. */
+  private restoreOwners(
+    head: Head,
+    owners: readonly StoredItem[],
+    then: (found: LoadedState) => void,
+  ): boolean {
+    this.accounts.restorePage(0, head.f, { m: head.m, z: head.z, c: head.c, t: head.t });
+    for (const item of owners) {
+      const page = readOwners(item.value);
       if (page === null) {
-        this.goBlind(it.key, then);
+        this.stop(item.key, then);
         return false;
       }
-      this.versions.set(it.key, it.version);
+      this.versions.set(item.key, item.version);
       const { m, z, c, t } = page;
-      this.accounts.adopt(Number(it.key.slice(OWNERS.length)), page.f, { m, z, c, t });
+      this.accounts.restorePage(Number(item.key.slice(OWNERS_PREFIX.length)), page.f, { m, z, c, t });
     }
     return true;
   }
 
+  /** Restores journal, open jobs and totals. */
   private restore(
     head: Head,
     open: readonly StoredItem[],
     journal: readonly StoredItem[],
     limits: readonly StoredItem[],
-    then: (found: Found) => void,
+    then: (found: LoadedState) => void,
   ): void {
-    const { books } = this;
+    const { ledger } = this;
     const inJournal = new Map<string, { over: boolean; months: Set<string> }>();
-    for (const it of journal) {
-      const page = readJournal(it.value);
+    for (const item of journal) {
+      const page = readJournal(item.value);
       if (page === null) {
-        this.goBlind(it.key, then);
+        this.stop(item.key, then);
         return;
       }
-      this.versions.set(it.key, it.version);
+      this.versions.set(item.key, item.version);
       for (const [id, , , months, over] of page.rows) {
-        const j = inJournal.get(id) ?? { over: false, months: new Set<string>() };
-        inJournal.set(id, j);
-        j.over ||= over === 1;
-        for (const m of months) j.months.add(m[0]);
+        const journaled = inJournal.get(id) ?? { over: false, months: new Set<string>() };
+        inJournal.set(id, journaled);
+        journaled.over ||= over === 1;
+        for (const monthlyRow of months) journaled.months.add(monthlyRow[0]);
       }
-      if (page.n === head.j.last) this.tail = page;
+      if (page.n === head.j.last) this.lastPage = page;
     }
-    if (this.tail.n !== head.j.last) {
-      this.goBlind(journalKey(head.j.last), then);
+    if (this.lastPage.n !== head.j.last) {
+      this.stop(journalKey(head.j.last), then);
       return;
     }
     const pages = open.map((it) => ({ it, page: readOpen(it.value) }));
     const unreadable = pages.find((p) => p.page === null);
     if (unreadable !== undefined) {
-      this.goBlind(unreadable.it.key, then);
+      this.stop(unreadable.it.key, then);
       return;
     }
-    for (const [owner, row] of this.accounts.sums()) books.restore(owner, row[0], chargeOf(row), null);
-    for (const { it, page } of pages) {
-      const n = Number(it.key.slice(OPEN.length));
-      this.versions.set(it.key, it.version);
+    for (const [owner, row] of this.accounts.monthRows())
+      ledger.restoreCharge(owner, row[0], chargeOf(row), null);
+    for (const { it: item, page } of pages) {
+      const pageNumber = Number(item.key.slice(OPEN_PREFIX.length));
+      this.versions.set(item.key, item.version);
       const rows = Object.entries(page?.jobs ?? {});
-      // A job stands on two pages, or on a page and in the journal, where a crash cut a flush short. What it was
-      // charged is the same on both pages: it moves with the flush that changes it.
-      const mine = rows.filter(([id]) => inJournal.get(id)?.over !== true && !books.jobs.has(id));
-      this.packing.adopt(
-        n,
-        mine.map(([id]) => id),
+      // After a crash during a flush a job may be on two pages, or on a page and in the journal. Both pages have the
+      // same charges, since a job moves to another page in the flush that changes it.
+      const restored = rows.filter(([id]) => inJournal.get(id)?.over !== true && !ledger.jobs.has(id));
+      this.packing.restorePage(
+        pageNumber,
+        restored.map(([id]) => id),
       );
-      for (const [id, row] of mine) {
-        const job = books.job(id, row[0], row[1], row[2] === 1);
-        job.commit = row[3];
-        for (const m of row[4])
-          if (inJournal.get(id)?.months.has(m[0]) !== true) books.restore(job.owner, m[0], chargeOf(m), job);
-        for (const a of attemptsOf(row))
-          books.recorded(job, a.index, a.no, { month: a.month, money: a.money, us: a.us });
+      for (const [id, row] of restored) {
+        const job = ledger.openJob(id, row[0], row[1], row[2] === 1);
+        job.commitment = row[3];
+        for (const monthlyRow of row[4])
+          if (inJournal.get(id)?.months.has(monthlyRow[0]) !== true)
+            ledger.restoreCharge(job.owner, monthlyRow[0], chargeOf(monthlyRow), job);
+        for (const attempt of attemptsOf(row))
+          ledger.restoreAttempt(job, attempt.index, attempt.number, {
+            month: attempt.month,
+            money: attempt.money,
+            runUs: attempt.runUs,
+          });
       }
     }
-    this.flushNo = head.f;
-    this.from = head.j.from;
-    books.takeOver({ cost: head.cost, platform: head.p });
-    then({ w: head.w, limits });
+    this.flushNumber = head.f;
+    this.incompleteFrom = head.j.from;
+    ledger.restoreTotals({ cost: head.cost, platform: head.p });
+    then({ accountedUntil: head.w, limits });
   }
 
-  /** A record as it is now; tried until the state service answers. */
+  /** Reads a record; retries until the state service answers. */
   get(key: string, then: (item: StoredItem | null) => void): void {
-    this.term.context.requestStore({ kind: 'get', key }, 1, (r) => {
+    this.term.context.requestStore({ kind: 'get', key }, 1, (reply) => {
       if (this.term.hasEnded) return;
-      if (r.kind === 'item') then(r.item);
-      else if (r.kind === 'missing') then(null);
+      if (reply.kind === 'item') then(reply.item);
+      else if (reply.kind === 'missing') then(null);
       else
-        this.term.after(RETRY, () => {
+        this.term.after(RETRY_DELAY, () => {
           this.get(key, then);
         });
     });
   }
 
-  /** All items under a prefix, after a key. */
+  /** Lists all items under a prefix, after a key; retries until the state service answers. */
   list(
     prefix: string,
     after: string,
     then: (items: readonly StoredItem[]) => void,
     found: StoredItem[] = [],
   ): void {
-    const op = { kind: 'list', prefix, limit: PAGE, ...(after === '' ? {} : { after }) } as const;
-    this.term.context.requestStore(op, 1, (r) => {
+    const op = { kind: 'list', prefix, limit: LIST_LIMIT, ...(after === '' ? {} : { after }) } as const;
+    this.term.context.requestStore(op, 1, (reply) => {
       if (this.term.hasEnded) return;
-      if (r.kind !== 'items') {
-        this.term.after(RETRY, () => {
+      if (reply.kind !== 'items') {
+        this.term.after(RETRY_DELAY, () => {
           this.list(prefix, after, then, found);
         });
         return;
       }
-      found.push(...r.items);
-      const last = r.items.at(-1);
-      if (r.more && last !== undefined) this.list(prefix, last.key, then, found);
+      found.push(...reply.items);
+      const last = reply.items.at(-1);
+      if (reply.more && last !== undefined) this.list(prefix, last.key, then, found);
       else then(found);
     });
   }
 
   // ---- writing -----------------------------------------------------------------------------------
 
-  /** What the journal holds for an owner's month. */
-  inJournal(owner: string, month: string): MonthRow {
-    return this.accounts.inJournal(owner, month);
+  /** The sum of an owner's month in the journal. */
+  journaledRow(owner: string, month: string): MonthRow {
+    return this.accounts.journaledRow(owner, month);
   }
 
+  /** Number of the last page of the journal. */
   get lastJournalPage(): number {
-    return this.tail.n;
+    return this.lastPage.n;
   }
 
-  /** Whether a flush may begin: none is under way, and the rate of changes allows it. */
+  /** Whether a flush may begin: none is in progress, and the permitted rate of changes allows it. */
   get ready(): boolean {
-    return this.blind === null && !this.busy && this.term.context.now >= this.due;
+    return this.stoppedBy === null && !this.flushing && this.term.context.now >= this.nextFlushAt;
   }
 
-  /** Puts a record of an owner with the next head, in the same transaction; `done` once that is surely written. */
-  with(owner: string, write: StoreWrite, done: () => void): void {
-    this.extra.push({ owner, write, done });
+  /** Writes a record of an owner in one transaction with a coming head; `done`: called once it is written. */
+  writeWithHead(owner: string, write: StoreWrite, done: () => void): void {
+    this.extraWrites.push({ owner, write, done });
   }
 
-  /** Writes the books as they are now. All must be accounted up to `w`; `written` once all of it is on record. */
-  flush(w: Micros, written: () => void): void {
-    this.busy = true;
+  /**
+   * Writes the ledger as it is now. Everything must be accounted up to `accountedUntil`; `written`: called once all
+   * records are written.
+   */
+  flush(accountedUntil: Micros, written: () => void): void {
+    this.flushing = true;
     const began = this.term.context.now;
-    this.flushNo++;
-    const extra = this.extra.shift();
-    // Pages of owners that this transaction has to hold: a closed statement never stands without its mark.
-    const touched = new Set<number>();
-    if (extra !== undefined) this.touch(touched, extra.owner);
-    const ops = this.term.context.settings.maxTransactionOperations - 1 - (extra === undefined ? 0 : 1);
-    const journal = this.append(ops, touched);
-    const open = this.packing.pack(this.stillOpen(), this.room);
-    const parts = this.accounts.parts();
-    const owners = this.ownersToWrite(parts, touched, ops - journal.length);
-    const head = this.head(w, parts.get(0)!);
+    this.flushNumber++;
+    const extra = this.extraWrites.shift();
+    // Pages of owners that must be in this transaction: a closed month is recorded together with its owner's mark.
+    const requiredPages = new Set<number>();
+    if (extra !== undefined) this.requirePage(requiredPages, extra.owner);
+    const remainingOperations =
+      this.term.context.settings.maxTransactionOperations - 1 - (extra === undefined ? 0 : 1);
+    const journal = this.appendToJournal(remainingOperations, requiredPages);
+    const open = this.packing.pack(this.openJobs(), this.pageBytes);
+    const parts = this.accounts.partsByPage();
+    const owners = this.ownersToWrite(parts, requiredPages, remainingOperations - journal.length);
+    const head = this.headRecord(accountedUntil, parts.get(0)!);
     if (bytesOf(head) > this.term.context.settings.maxValueBytes - 128) {
-      this.goBlind(HEAD, () => undefined);
+      this.stop(HEAD_KEY, () => undefined);
       this.term.context.error('budgets.too_many_owners', { bytes: bytesOf(head) });
       return;
     }
     const first: StoreWrite[] = [
-      { kind: 'put', key: HEAD, value: head },
+      { kind: 'put', key: HEAD_KEY, value: head },
       ...journal.map((p): StoreWrite => ({ kind: 'put', key: journalKey(p.n), value: p })),
-      ...owners.map(([n, part]): StoreWrite => {
-        return { kind: 'put', key: ownersKey(n), value: { v: 1, f: this.flushNo, ...part } };
+      ...owners.map(([pageNumber, part]): StoreWrite => {
+        return { kind: 'put', key: ownersKey(pageNumber), value: { v: 1, f: this.flushNumber, ...part } };
       }),
       ...(extra === undefined ? [] : [extra.write]),
     ];
     const changes = first.length + open.length;
-    this.send(first, 'head', () => {
-      for (const [n, part] of owners) this.accounts.confirm(n, part);
+    this.writeUntilConfirmed(first, 'head', () => {
+      for (const [pageNumber, part] of owners) this.accounts.confirmWritten(pageNumber, part);
       extra?.done();
-      this.sendOpen(open, () => {
-        // Complete: whatever the journal holds stands on no open page any more.
-        this.from = this.tail.n;
-        this.busy = false;
-        const pause = Math.max(LEAST_PAUSE, Math.round((changes / this.changesPerS) * SECOND));
-        this.due = began + pause;
+      this.writeOpenPages(open, () => {
+        // The flush is complete: no row of the journal is also on an open page.
+        this.incompleteFrom = this.lastPage.n;
+        this.flushing = false;
+        const pause = Math.max(MIN_FLUSH_INTERVAL, Math.round((changes / this.changesPerS) * SECOND));
+        this.nextFlushAt = began + pause;
         written();
       });
     });
   }
 
   /**
-   * What stands on open pages after this flush: jobs that have not ended, and final amounts for which its journal
-   * pages had no room. Those once stood nowhere until the next flush, and a crash took them off their owners.
+   * What this flush writes to open pages: jobs that have not ended, and final amounts for which its journal pages
+   * had no room. When the latter were written nowhere until the next flush, a crash lost these charges.
    */
-  private stillOpen(): ReadonlyMap<string, OpenJob> {
-    const { books } = this;
-    if (books.finals.length === 0) return books.jobs;
-    const all = new Map(books.jobs);
-    for (const f of books.finals) {
-      const live = all.get(f.id);
-      const job = new OpenJob(f.id, f.owner, f.cls, live?.service ?? false);
-      for (const [month, c] of [...f.months, ...(live?.months ?? [])]) {
-        const sum = job.months.get(month) ?? noCharge();
-        addCharge(sum, c);
+  private openJobs(): ReadonlyMap<string, OpenJob> {
+    const { ledger } = this;
+    if (ledger.finalAmounts.length === 0) return ledger.jobs;
+    const all = new Map(ledger.jobs);
+    for (const final of ledger.finalAmounts) {
+      const openJob = all.get(final.id);
+      const job = new OpenJob(final.id, final.owner, final.jobClass, openJob?.service ?? false);
+      for (const [month, charge] of [...final.months, ...(openJob?.months ?? [])]) {
+        const sum = job.months.get(month) ?? zeroCharge();
+        addCharge(sum, charge);
         job.months.set(month, sum);
       }
-      for (const [index, a] of live?.attempts ?? []) job.attempts.set(index, a);
-      job.commit = live?.commit ?? null;
-      all.set(f.id, job);
+      for (const [index, attempt] of openJob?.attempts ?? []) job.attempts.set(index, attempt);
+      job.commitment = openJob?.commitment ?? null;
+      all.set(final.id, job);
     }
     return all;
   }
 
-  private touch(touched: Set<number>, owner: string): void {
-    const n = this.accounts.homeOf(owner);
-    if (n > 0) touched.add(n);
+  /** Adds the owner's page to the required ones, unless the owner is in the head. */
+  private requirePage(requiredPages: Set<number>, owner: string): void {
+    const pageNumber = this.accounts.pageOf(owner);
+    if (pageNumber > 0) requiredPages.add(pageNumber);
   }
 
-  /** Pages of owners that go with this head: those that must, and others as far as there is room. */
+  /** Changed pages of owners to write with this head: the required ones, then others up to `room` pages in all. */
   private ownersToWrite(
     parts: ReadonlyMap<number, OwnersPart>,
-    touched: ReadonlySet<number>,
+    requiredPages: ReadonlySet<number>,
     room: number,
   ): [number, OwnersPart][] {
-    const changed = this.accounts.changed(parts);
-    const must = changed.filter((n) => touched.has(n));
-    const may = changed.filter((n) => !touched.has(n)).slice(0, Math.max(0, room - must.length));
-    return [...must, ...may].map((n) => [n, parts.get(n)!]);
+    const changed = this.accounts.changedPages(parts);
+    const required = changed.filter((n) => requiredPages.has(n));
+    const optional = changed
+      .filter((n) => !requiredPages.has(n))
+      .slice(0, Math.max(0, room - required.length));
+    return [...required, ...optional].map((n) => [n, parts.get(n)!]);
   }
 
   /**
-   * Moves final amounts into the journal, as far as `ops` pages take them: the journal's, and those of the owners
-   * whose sums they change, which are `touched` then.
+   * Moves final amounts into the journal as long as `maxPages` suffice for both the journal's pages and the pages of
+   * the owners whose sums change, which are added to `requiredPages`.
    */
-  private append(ops: number, touched: Set<number>): JournalPage[] {
-    const { finals } = this.books;
+  private appendToJournal(maxPages: number, requiredPages: Set<number>): JournalPage[] {
+    const { finalAmounts } = this.ledger;
     const pages: JournalPage[] = [];
-    let rows: JournalRow[] = [...this.tail.rows];
-    let size = bytesOf({ ...this.tail, rows });
+    let rows: JournalRow[] = [...this.lastPage.rows];
+    let size = bytesOf({ ...this.lastPage, rows });
     let changed = false;
     let bytes = 0;
     const seal = (): void => {
-      this.tail = { ...this.tail, rows };
-      pages.push(this.tail);
+      this.lastPage = { ...this.lastPage, rows };
+      pages.push(this.lastPage);
       bytes += size;
       changed = false;
     };
-    while (finals.length > 0) {
-      const job = finals[0]!;
+    while (finalAmounts.length > 0) {
+      const job = finalAmounts[0]!;
       const row: JournalRow = [
         job.id,
         job.owner,
-        job.cls,
+        job.jobClass,
         [...job.months].map(([m, c]) => monthRow(m, c)),
-        job.over ? 1 : 0,
+        job.jobComplete ? 1 : 0,
       ];
-      const more = bytesOf(row) + 1;
-      const home = this.accounts.homeOf(job.owner);
-      // One page of the journal at least is under way once there is a row.
-      const news = home > 0 && !touched.has(home) ? 1 : 0;
-      if (pages.length + 1 + touched.size + news > ops) break;
-      if (size + more > this.room && rows.length > 0) {
+      const rowBytes = bytesOf(row) + 1;
+      const ownerPage = this.accounts.pageOf(job.owner);
+      // The row needs a journal page that isn't in `pages` yet, and possibly the page of its owner.
+      const addedPages = ownerPage > 0 && !requiredPages.has(ownerPage) ? 1 : 0;
+      if (pages.length + 1 + requiredPages.size + addedPages > maxPages) break;
+      if (size + rowBytes > this.pageBytes && rows.length > 0) {
         if (changed) seal();
-        if (pages.length + 1 + touched.size + news > ops || bytes + this.room > MAX_BYTES) break;
-        this.tail = { v: 1, n: this.tail.n + 1, prev: digestOf(this.tail), rows: [] };
+        if (
+          pages.length + 1 + requiredPages.size + addedPages > maxPages ||
+          bytes + this.pageBytes > MAX_TRANSACTION_BYTES
+        )
+          break;
+        this.lastPage = { v: 1, n: this.lastPage.n + 1, prev: digestOf(this.lastPage), rows: [] };
         rows = [];
-        size = bytesOf(this.tail);
+        size = bytesOf(this.lastPage);
       }
-      finals.shift();
+      finalAmounts.shift();
       rows.push(row);
-      size += more;
+      size += rowBytes;
       changed = true;
-      this.touch(touched, job.owner);
-      this.accounts.post(job.owner, row[3]);
+      this.requirePage(requiredPages, job.owner);
+      this.accounts.addJournaled(job.owner, row[3]);
     }
     if (changed) seal();
     return pages;
   }
 
-  private head(w: Micros, owners: OwnersPart): Head {
-    const { books } = this;
+  private headRecord(accountedUntil: Micros, owners: OwnersPart): Head {
+    const { ledger } = this;
     return {
       v: 1,
-      f: this.flushNo,
-      w,
-      cost: books.cost,
-      p: { ...books.platform },
+      f: this.flushNumber,
+      w: accountedUntil,
+      cost: ledger.cost,
+      p: { ...ledger.platform },
       ...owners,
-      j: { from: this.from, last: this.tail.n, prev: this.tail.prev },
+      j: { from: this.incompleteFrom, last: this.lastPage.n, prev: this.lastPage.prev },
     };
   }
 
-  private sendOpen(pages: Packed[], then: () => void): void {
-    const batch: Packed[] = [];
+  /** Writes open pages in transactions of limited size, one after another. */
+  private writeOpenPages(pages: ChangedPage[], then: () => void): void {
+    const batch: ChangedPage[] = [];
     let bytes = 0;
     while (pages.length > 0 && batch.length < this.term.context.settings.maxTransactionOperations) {
       const size = Buffer.byteLength(pages[0]!.text) + 256;
-      if (batch.length > 0 && bytes + size > MAX_BYTES) break;
+      if (batch.length > 0 && bytes + size > MAX_TRANSACTION_BYTES) break;
       bytes += size;
       batch.push(pages.shift()!);
     }
@@ -411,53 +444,61 @@
       then();
       return;
     }
-    this.send(
-      batch.map(({ n, page }) => ({ kind: 'put', key: openKey(n), value: page })),
+    this.writeUntilConfirmed(
+      batch.map(({ pageNumber, page }) => ({ kind: 'put', key: openKey(pageNumber), value: page })),
       'open',
       () => {
-        for (const p of batch) this.packing.confirm(p);
-        this.sendOpen(pages, then);
+        for (const changed of batch) this.packing.confirmWritten(changed);
+        this.writeOpenPages(pages, then);
       },
     );
   }
 
-  /** Tried with the same values until it is surely written: what comes after it rests on that. */
-  private send(writes: readonly StoreWrite[], what: 'head' | 'open', then: () => void): void {
-    const { context: ctx, lease: office, election: leadership } = this.term;
+  /**
+   * Repeats a transaction with the same values until it is known to be written, since later writes depend on it.
+   * Refused writes are not repeated.
+   */
+  private writeUntilConfirmed(
+    writes: readonly StoreWrite[],
+    target: 'head' | 'open',
+    then: () => void,
+  ): void {
+    const { context, lease, election } = this.term;
     const conditions: VersionCondition[] = [
-      { key: LEADER_KEY, version: office.keyVersion },
+      { key: LEADER_KEY, version: lease.keyVersion },
       ...writes.map((x) => ({ key: x.key, version: this.versions.get(x.key) ?? 0 })),
     ];
-    ctx.requestStore({ kind: 'txn', conditions, writes }, 2, (r) => {
+    context.requestStore({ kind: 'txn', conditions, writes }, 2, (reply) => {
       if (this.term.hasEnded) return;
-      if (r.kind === 'ok') {
-        for (const x of writes) this.versions.set(x.key, r.revision);
+      if (reply.kind === 'ok') {
+        for (const write of writes) this.versions.set(write.key, reply.revision);
         then();
-      } else if (r.kind === 'conflict' && r.failed.includes(LEADER_KEY)) leadership.stepDown('fenced');
-      else if (r.kind === 'conflict') {
-        // An earlier try was executed after all, or came late: nobody else writes these keys.
-        this.reread([...writes.map((x) => x.key)], () => {
-          this.send(writes, what, then);
+      } else if (reply.kind === 'conflict' && reply.failed.includes(LEADER_KEY)) election.stepDown('fenced');
+      else if (reply.kind === 'conflict') {
+        // An earlier attempt was executed after all, perhaps late; no other writer uses these keys.
+        this.rereadVersions([...writes.map((x) => x.key)], () => {
+          this.writeUntilConfirmed(writes, target, then);
         });
-      } else if (r.kind === 'refused' && what === 'head') {
-        // Within what the settings promise, and yet refused: an operator has to look at that.
-        ctx.error('budgets.write_rejected', { keys: writes.map((x) => x.key), bytes: bytesOf(writes) });
-        this.goBlind(HEAD, () => undefined);
-      } else if (r.kind === 'refused') {
-        // The service takes less than was announced: smaller pages from now on, and nothing more of this flush.
-        ctx.error('budgets.write_rejected', { writes: writes.length, bytes: bytesOf(writes) });
-        this.room = Math.max(512, Math.floor(this.room * 0.6));
-        this.packing.forget();
-        this.busy = false;
-        this.due = ctx.now + 10 * SECOND;
+      } else if (reply.kind === 'refused' && target === 'head') {
+        // Refused although it is within the limits of the settings: this needs an operator.
+        context.error('budgets.write_rejected', { keys: writes.map((x) => x.key), bytes: bytesOf(writes) });
+        this.stop(HEAD_KEY, () => undefined);
+      } else if (reply.kind === 'refused') {
+        // The service accepts less than its settings say: end this flush and use smaller pages from now on.
+        context.error('budgets.write_rejected', { writes: writes.length, bytes: bytesOf(writes) });
+        this.pageBytes = Math.max(512, Math.floor(this.pageBytes * 0.6));
+        this.packing.markAllChanged();
+        this.flushing = false;
+        this.nextFlushAt = context.now + 10 * SECOND;
       } else
-        this.term.after(RETRY, () => {
-          this.send(writes, what, then);
+        this.term.after(RETRY_DELAY, () => {
+          this.writeUntilConfirmed(writes, target, then);
         });
     });
   }
 
-  private reread(keys: string[], then: () => void): void {
+  /** Reads the present versions of the keys, one after another. */
+  private rereadVersions(keys: string[], then: () => void): void {
     const key = keys.shift();
     if (key === undefined) {
       then();
@@ -465,7 +506,7 @@
     }
     this.get(key, (item) => {
       this.versions.set(key, item?.version ?? 0);
-      this.reread(keys, then);
+      this.rereadVersions(keys, then);
     });
   }
 }
--- a/packages/budgets/src/verify.ts
+++ b/packages/budgets/src/verify.ts
@@ -1,4 +1,4 @@
-/** Checks a downloaded statement against the published schema, its own sums and its digest; needs no service. */
+/** Verifies a downloaded statement offline: against the published schema, its own sums and its digest. */
 import { Ajv } from 'ajv';
 
 import schema from '../schema/statement-1.json' with { type: 'json' };
@@ -6,13 +6,13 @@
 
 const valid = new Ajv({ allErrors: true }).compile<Statement>(schema);
 
-/** `text`: the file's content. Each problem names the field; none: the statement holds. */
+/** Verifies a statement. `text`: the file's content. Returns each problem with its field, or none. */
 export const verifyStatement = (text: string): string[] => {
   let value: unknown;
   try {
     value = JSON.parse(text);
-  } catch (e) {
-    return [`not JSON: ${(e as Error).message}`];
+  } catch (error) {
+    return [`not JSON: ${(error as Error).message}`];
   }
   if (valid(value)) return checkStatement(value);
   return (valid.errors ?? []).map(
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -3,15 +3,15 @@
 import { test } from 'node:test';
 
 import { Calendar } from '@shaleyoke/budgets/calendar';
-import { allBooks, booksOfMonth, type Service } from '@shaleyoke/budgets/fetch';
+import { readLedger, readLedgerOfMonth, type Service } from '@shaleyoke/budgets/fetch';
 import {
   closedKey,
   digestOf,
-  HEAD,
-  JOURNAL,
+  HEAD_KEY,
+  JOURNAL_PREFIX,
   journalKey,
   type JournalPage,
-  OPEN,
+  OPEN_PREFIX,
 } from '@shaleyoke/budgets/records';
 import { statementOf } from '@shaleyoke/budgets/statement';
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
@@ -32,7 +32,7 @@
         const keys = [...records.keys()]
           .filter((k) => k.startsWith(prefix) && k > after && k <= until)
           .sort();
-        if (prefix === JOURNAL) pages += keys.length;
+        if (prefix === JOURNAL_PREFIX) pages += keys.length;
         return Promise.resolve(keys.map(item));
       },
       get: (key) => Promise.resolve(records.has(key) ? item(key) : null),
@@ -66,7 +66,7 @@
       for (const owner of ['t', 'u']) {
         let sum = 0;
         for (const [key, p] of records)
-          if (key.startsWith(JOURNAL))
+          if (key.startsWith(JOURNAL_PREFIX))
             for (const r of (p as JournalPage).rows)
               if (r[1] === owner) for (const m of r[3]) if (m[0] === of) sum += m[1];
         const limit = { soft: null, hard: null };
@@ -98,9 +98,9 @@
       for (const month of MONTHS)
         for (const owner of ['t', 'u']) {
           const { service, pages: read } = serviceOf(records);
-          const part = await booksOfMonth(service, owner, month, calendar.month(month).from);
+          const part = await readLedgerOfMonth(service, owner, month, calendar.month(month).from);
           saved += pages - read();
-          const whole = await allBooks(service);
+          const whole = await readLedger(service);
           assert.deepEqual(part.problems, []);
           assert.deepEqual(whole.problems, []);
           assert.deepEqual(statementOf(part, owner, month, TERMS), statementOf(whole, owner, month, TERMS));
@@ -119,28 +119,28 @@
   const page = records.get(journalKey(0)) as JournalPage;
   records.set(journalKey(0), { ...page, rows: page.rows.slice(1) });
   const { service } = serviceOf(records);
-  const view = await booksOfMonth(service, 'u', '2026-09', calendar.month('2026-09').from);
+  const view = await readLedgerOfMonth(service, 'u', '2026-09', calendar.month('2026-09').from);
   assert.match(view.problems.join(), /u 2026-09: closed at 11, its jobs say 0/);
 });
 
 test('a job that goes from its open page to the journal while tools read is missed by neither', async () => {
   const { records } = written([{ passes: false, rows: 2, late: false, closes: false }]);
   const row = ['t', 'c', 0, 77, [['2026-09', 5, 5, 0, 0, 0]], []];
-  records.set(OPEN + '0', { v: 1, jobs: { 'run-99': row } });
+  records.set(OPEN_PREFIX + '0', { v: 1, jobs: { 'run-99': row } });
   const page = records.get(journalKey(0)) as JournalPage;
   const moved = new Map(records);
   moved.set(journalKey(0), { ...page, rows: [...page.rows, ['run-99', 't', 'c', row[4] as never, 1]] });
-  moved.set(OPEN + '0', { v: 1, jobs: {} });
+  moved.set(OPEN_PREFIX + '0', { v: 1, jobs: {} });
   // The flush comes after each read in turn.
   for (let at = 0; at < 6; at++) {
     let reads = 0;
     const now = (): Service => serviceOf(reads++ < at ? records : moved).service;
     const service: Service = {
       list: (...a) => now().list(...a),
-      get: (key) => (key === HEAD ? now().get(key) : Promise.resolve(null)),
+      get: (key) => (key === HEAD_KEY ? now().get(key) : Promise.resolve(null)),
       put: () => Promise.resolve(false),
     };
-    const view = await allBooks(service);
+    const view = await readLedger(service);
     assert.equal(view.lines.filter((l) => l.job === 'run-99').length, 1, `after ${at} reads`);
   }
 });
--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -73,7 +73,7 @@
       if (some !== undefined && r.chance(0.08)) w.cancel(some.id);
       if (some !== undefined && r.chance(0.2)) w.submit(some);
       w.runFor((1 + r.below(6)) * SECOND);
-      assert.equal(books()?.difference() ?? 0, 0, `seed ${seed} step ${step}`);
+      assert.equal(books()?.imbalance() ?? 0, 0, `seed ${seed} step ${step}`);
       // Whatever moment a crash would come at, no record contradicts another, and no job is in the journal twice.
       const v = view(w);
       assert.deepEqual(v.problems, [], `seed ${seed} step ${step}`);
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -122,7 +122,7 @@
       if (r.chance(0.15)) w.crash(r.below(3), (2 + r.below(6)) * SECOND);
       if (r.chance(0.05)) w.stateOutage((2 + r.below(10)) * SECOND);
       w.runFor((2 + r.below(8)) * SECOND);
-      assert.equal(books()?.difference() ?? 0, 0);
+      assert.equal(books()?.imbalance() ?? 0, 0);
       for (const c of books()?.accounts.get('t')?.values() ?? []) most = Math.max(most, c.money);
     }
     w.loss = 0;
--- a/packages/budgets/test/money.test.ts
+++ b/packages/budgets/test/money.test.ts
@@ -40,7 +40,7 @@
         let sum = 0;
         let exact = 0n;
         for (const { rate, us } of intervals) {
-          sum += m.run(rate, us);
+          sum += m.accrue(rate, us);
           exact += BigInt(rate) * BigInt(us);
         }
         assert.equal(BigInt(sum), exact / 3_600_000_000n);
@@ -72,11 +72,11 @@
     let id = '2026-01';
     for (let k = 0; k < 30; k++) {
       const m = c.month(id);
-      const next = c.month(c.after(id));
+      const next = c.month(c.nextMonth(id));
       assert.equal(m.to, next.from);
-      assert.equal(c.before(next.id), id);
-      for (const t of [m.from, m.from + 1, m.to - 1]) assert.equal(new Calendar(zone).at(t).id, id);
-      assert.equal(c.at(m.to).id, next.id);
+      assert.equal(c.previousMonth(next.id), id);
+      for (const t of [m.from, m.from + 1, m.to - 1]) assert.equal(new Calendar(zone).monthAt(t).id, id);
+      assert.equal(c.monthAt(m.to).id, next.id);
       id = next.id;
     }
   }
--- a/packages/budgets/test/played.ts
+++ b/packages/budgets/test/played.ts
@@ -16,7 +16,7 @@
 export interface Played {
   readonly w: ClusterSimulation;
   /** The books of whoever leads, or led last. */
-  readonly books: () => import('@shaleyoke/budgets/books').Books | undefined;
+  readonly books: () => import('@shaleyoke/budgets/books').Ledger | undefined;
 }
 
 export const play = (
@@ -47,8 +47,9 @@
     books: () => {
       let newest: Budgets['current'] = null;
       for (const b of all)
-        if (b.current !== null && (newest === null || b.current.termNo > newest.termNo)) newest = b.current;
-      return newest?.books;
+        if (b.current !== null && (newest === null || b.current.termNumber > newest.termNumber))
+          newest = b.current;
+      return newest?.ledger;
     },
   };
 };
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -7,7 +7,7 @@
 import { verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
 import { digestOf, readHead, readJournal, readOpen } from '@shaleyoke/budgets/records';
 import { BudgetSettingsError, parseBudgets } from '@shaleyoke/budgets/settings';
-import { csvOf, type Statement, statementOf, textOf } from '@shaleyoke/budgets/statement';
+import { type Statement, statementCsv, statementOf, textOf } from '@shaleyoke/budgets/statement';
 import { verifyStatement } from '@shaleyoke/budgets/verify';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
@@ -38,7 +38,7 @@
   ] as const) {
     const s = statementOf(v, owner, '2026-12', TERMS);
     assert.equal(s.lines.length, 2);
-    for (const text of [JSON.stringify(s), csvOf(s), textOf(s)]) {
+    for (const text of [JSON.stringify(s), statementCsv(s), textOf(s)]) {
       assert.ok(text.includes(`geheim-${owner}`) || text.includes(s.totals.charged));
       assert.ok(!text.includes(`geheim-${other}`));
       for (const l of v.lines) if (l.owner === other) assert.ok(!text.includes(l.job), l.job);
--- a/packages/budgets/test/stored-records.test.ts
+++ b/packages/budgets/test/stored-records.test.ts
@@ -4,7 +4,7 @@
 
 import {
   closedKey,
-  HEAD,
+  HEAD_KEY,
   journalKey,
   limitKey,
   openKey,
@@ -94,7 +94,7 @@
 
 test('keys', () => {
   assert.deepEqual(
-    [HEAD, openKey(1), ownersKey(1), journalKey(1), limitKey('t'), closedKey('t', '2026-11')],
+    [HEAD_KEY, openKey(1), ownersKey(1), journalKey(1), limitKey('t'), closedKey('t', '2026-11')],
     ['b/head', 'b/o/1', 'b/a/1', 'b/j/000000001', 'b/l/t', 'b/s/t/2026-11'],
   );
 });
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -6,15 +6,15 @@
 
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
-import { Books, noReasons } from '../src/books.js';
+import { Ledger, zeroPlatformCosts } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
-import { attemptsOf, Packing } from '../src/packing.js';
+import { attemptsOf, OpenJobPacking } from '../src/packing.js';
 import { verifyBooks, viewBooks } from '../src/reader.js';
 import {
   chargeOf,
   digestOf,
-  HEAD,
   type Head,
+  HEAD_KEY,
   journalKey,
   type JournalPage,
   type JournalRow,
@@ -30,11 +30,13 @@
 const time = <A>(what: string, run: () => A): A => {
   const cpu = process.cpuUsage();
   const began = performance.now();
-  const a = run();
+  const result = run();
   const used = process.cpuUsage(cpu);
-  const ms = (performance.now() - began).toFixed(0);
-  console.log(`${what}: ${ms} ms, ${((used.user + used.system) / 1000).toFixed(0)} ms of processor time`);
-  return a;
+  const elapsedMs = (performance.now() - began).toFixed(0);
+  console.log(
+    `${what}: ${elapsedMs} ms, ${((used.user + used.system) / 1000).toFixed(0)} ms of processor time`,
+  );
+  return result;
 };
 
 const month = (attempts: number): StoredItem[] => {
@@ -48,11 +50,11 @@
     page = { ...page, rows };
     items.push({ key: journalKey(page.n), value: page, version: page.n + 1, lease: null });
   };
-  for (let k = 0; k < attempts / TASKS; k++) {
-    const owner = OWNERS[k % OWNERS.length]!;
-    const money = 40_000 + ((k * 7919) % 900_000);
+  for (let run = 0; run < attempts / TASKS; run++) {
+    const owner = OWNERS[run % OWNERS.length]!;
+    const money = 40_000 + ((run * 7919) % 900_000);
     const row: JournalRow = [
-      `run-${k}`,
+      `run-${run}`,
       owner,
       'risico-scoren',
       [['2026-12', money, TASKS * 90_000_000, 0, 0, 0]],
@@ -68,10 +70,10 @@
     rows.push(row);
     size += bytes;
     cost += money;
-    const t = totals.get(owner) ?? ['2026-12', 0, 0, 0, 0, 0];
-    t[1] += money;
-    t[2] += TASKS * 90_000_000;
-    totals.set(owner, t);
+    const total = totals.get(owner) ?? ['2026-12', 0, 0, 0, 0, 0];
+    total[1] += money;
+    total[2] += TASKS * 90_000_000;
+    totals.set(owner, total);
   }
   seal();
   const head: Head = {
@@ -79,14 +81,14 @@
     f: 1,
     w: Date.UTC(2026, 11, 31) * 1000,
     cost,
-    p: noReasons(),
+    p: zeroPlatformCosts(),
     m: Object.fromEntries([...totals].map(([o, t]) => [o, [t]])),
     z: {},
     c: {},
     t: {},
     j: { from: page.n, last: page.n, prev: page.prev },
   };
-  items.push({ key: HEAD, value: head, version: 1, lease: null });
+  items.push({ key: HEAD_KEY, value: head, version: 1, lease: null });
   return items;
 };
 
@@ -94,48 +96,53 @@
 const bytes = items.reduce((sum, it) => sum + JSON.stringify(it.value).length, 0);
 console.log(`a month of 1,000,000 attempts: ${items.length} values, ${(bytes / 1e6).toFixed(1)} MB`);
 const view = time('read and check the chain', () => viewBooks(items));
-const s = time('one statement', () =>
+const statement = time('one statement', () =>
   statementOf(view, 'a', '2026-12', {
     zone: 'Europe/Warsaw',
     currency: 'EUR',
     limit: { soft: null, hard: null },
   }),
 );
-console.log(`  ${s.lines.length} lines, ${s.totals.charged} ${s.currency}`);
+console.log(`  ${statement.lines.length} lines, ${statement.totals.charged} ${statement.currency}`);
 console.log(`  differences: ${time('verify all books', () => verifyBooks(view)).length}`);
 
 const calendars = new Map(OWNERS.map((o) => [o, new Calendar('Europe/Warsaw')]));
 const now = Date.UTC(2026, 11, 1, 12) * 1000;
-const open = new Books(calendars);
-open.at(now);
-for (let k = 0; k < 1_000; k++) open.machine(`m-${k}`, 1_920_000, now, false);
-for (let k = 0; k < 1_000; k++) open.update(`m-${k}`, 1_920_000, true);
-for (let k = 0; k < 10_000; k++) {
-  const j = Math.floor(k / TASKS);
-  const job = open.job(`run-${j}`, OWNERS[j % OWNERS.length]!, 'risico-scoren', false);
-  open.run(`m-${k % 1_000}`, job, k % TASKS, 1 + k, 90_000_000);
+const open = new Ledger(calendars);
+open.setTime(now);
+for (let number = 0; number < 1_000; number++) open.addMachine(`m-${number}`, 1_920_000, now, false);
+for (let number = 0; number < 1_000; number++) open.updateMachine(`m-${number}`, 1_920_000, true);
+for (let task = 0; task < 10_000; task++) {
+  const jobNumber = Math.floor(task / TASKS);
+  const job = open.openJob(`run-${jobNumber}`, OWNERS[jobNumber % OWNERS.length]!, 'risico-scoren', false);
+  open.startAttempt(`m-${task % 1_000}`, job, task % TASKS, 1 + task, 90_000_000);
 }
-open.at(now + 60_000_000);
+open.setTime(now + 60_000_000);
 time('account for 10,000 running attempts on 1,000 machines', () => {
-  open.advance();
+  open.accrueAll();
 });
-const packing = new Packing();
+const packing = new OpenJobPacking();
 const pages = time('pack them', () => packing.pack(open.jobs, ROOM));
 console.log(`  ${pages.length} pages, ${(JSON.stringify(pages).length / 1e3).toFixed(0)} kB`);
 const values = pages.map((p) => JSON.stringify(p.page));
 time('take them over', () => {
-  const next = new Books(calendars);
-  next.at(now + 61_000_000);
+  const next = new Ledger(calendars);
+  next.setTime(now + 61_000_000);
   values.forEach((text) => {
     const page = readOpen(JSON.parse(text))!;
     for (const [id, row] of Object.entries(page.jobs)) {
-      const job = next.job(id, row[0], row[1], false);
-      for (const m of row[4]) next.restore(job.owner, m[0], chargeOf(m), job);
-      for (const a of attemptsOf(row))
-        next.recorded(job, a.index, a.no, { month: a.month, money: a.money, us: a.us });
+      const job = next.openJob(id, row[0], row[1], false);
+      for (const monthlyRow of row[4])
+        next.restoreCharge(job.owner, monthlyRow[0], chargeOf(monthlyRow), job);
+      for (const attempt of attemptsOf(row))
+        next.restoreAttempt(job, attempt.index, attempt.number, {
+          month: attempt.month,
+          money: attempt.money,
+          runUs: attempt.runUs,
+        });
     }
   });
-  next.takeOver({ cost: open.cost, platform: open.platform });
-  if (next.difference() !== 0 || next.pendingInAll() !== open.pendingInAll())
+  next.restoreTotals({ cost: open.cost, platform: open.platform });
+  if (next.imbalance() !== 0 || next.totalPending() !== open.totalPending())
     throw new Error('lost something');
 });
