--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -375,7 +375,7 @@
     let size = bytesOf({ ...this.lastPage, rows });
     let changed = false;
     let bytes = 0;
-    const seal = (): void => {
+    const completePage = (): void => {
       this.lastPage = { ...this.lastPage, rows };
       pages.push(this.lastPage);
       bytes += size;
@@ -396,7 +396,7 @@
       const addedPages = ownerPage > 0 && !requiredPages.has(ownerPage) ? 1 : 0;
       if (pages.length + 1 + requiredPages.size + addedPages > maxPages) break;
       if (size + rowBytes > this.pageBytes && rows.length > 0) {
-        if (changed) seal();
+        if (changed) completePage();
         if (
           pages.length + 1 + requiredPages.size + addedPages > maxPages ||
           bytes + this.pageBytes > MAX_TRANSACTION_BYTES
@@ -413,7 +413,7 @@
       this.requirePage(requiredPages, job.owner);
       this.accounts.addJournaled(job.owner, row[3]);
     }
-    if (changed) seal();
+    if (changed) completePage();
     return pages;
   }
 
--- a/packages/budgets/test/books.test.ts
+++ b/packages/budgets/test/books.test.ts
@@ -1,4 +1,4 @@
-/** The books by themselves: any sequence of events balances; prices, shares, months and adoption as stated. */
+/** The ledger by itself: balance under any sequence of events, prices, shares, months, and restoring from records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -13,24 +13,24 @@
 import { Calendar } from '@shaleyoke/budgets/calendar';
 import fc from 'fast-check';
 
-const S = 1_000_000;
-const HOUR = 3600 * S;
-const DEC = Date.UTC(2026, 10, 30, 23) * 1000;
-const books = (now = DEC): Ledger => {
-  const b = new Ledger(
+const SECOND = 1_000_000;
+const HOUR = 3600 * SECOND;
+const DECEMBER_START = Date.UTC(2026, 10, 30, 23) * 1000;
+const newLedger = (now = DECEMBER_START): Ledger => {
+  const ledger = new Ledger(
     new Map([
       ['t', new Calendar('Europe/Warsaw')],
       ['u', new Calendar('America/New_York')],
     ]),
   );
-  b.setTime(now);
-  return b;
+  ledger.setTime(now);
+  return ledger;
 };
-const money = (b: Ledger, owner: string, month = '2026-12'): number =>
-  b.accounts.get(owner)?.get(month)?.money ?? 0;
+const money = (ledger: Ledger, owner: string, month = '2026-12'): number =>
+  ledger.accounts.get(owner)?.get(month)?.money ?? 0;
 
-test('whatever happens in whatever order, the books balance, and nobody pays for what did not run', () => {
-  const event = fc.record({
+test('the ledger balances after any sequence of events, and owners pay only for run time', () => {
+  const anyEvent = fc.record({
     kind: fc.constantFrom(
       'machine',
       'run',
@@ -43,71 +43,89 @@
       'resolve',
       'month',
     ),
-    m: fc.nat(3),
-    j: fc.nat(4),
-    i: fc.nat(2),
-    no: fc.nat(5),
-    wait: fc.integer({ min: 0, max: 200 * S }),
-    n: fc.nat(100),
+    machineIndex: fc.nat(3),
+    jobIndex: fc.nat(4),
+    taskIndex: fc.nat(2),
+    number: fc.nat(5),
+    wait: fc.integer({ min: 0, max: 200 * SECOND }),
+    amount: fc.nat(100),
   });
   fc.assert(
-    fc.property(fc.array(event, { maxLength: 80 }), (events) => {
-      let now = DEC - 600 * S;
-      const b = books(now);
-      let dearest = 0;
-      for (const e of events) {
-        now += e.wait;
-        b.setTime(now);
-        const name = `m${e.m}`;
-        const owner = e.j % 2 === 0 ? 't' : 'u';
-        switch (e.kind) {
+    fc.property(fc.array(anyEvent, { maxLength: 80 }), (events) => {
+      let now = DECEMBER_START - 600 * SECOND;
+      const ledger = newLedger(now);
+      let highestRate = 0;
+      for (const event of events) {
+        now += event.wait;
+        ledger.setTime(now);
+        const name = `m${event.machineIndex}`;
+        const owner = event.jobIndex % 2 === 0 ? 't' : 'u';
+        switch (event.kind) {
           case 'machine':
-            b.addMachine(name, e.n * 100_000, now - e.n * S, e.n % 3 === 0);
-            dearest = Math.max(dearest, e.n * 100_000);
+            ledger.addMachine(
+              name,
+              event.amount * 100_000,
+              now - event.amount * SECOND,
+              event.amount % 3 === 0,
+            );
+            highestRate = Math.max(highestRate, event.amount * 100_000);
             break;
           case 'run': {
-            const job = b.openJob(`run-${e.j}`, owner, 'c', e.j === 4);
-            if (e.n % 7 === 0) b.restoreAttempt(job, e.i, e.no, { month: '2026-11', money: 0, runUs: 5 * S });
-            b.startAttempt(name, job, e.i, e.no, Math.max(1, Math.floor((e.n / 100) * FULL_WEIGHT)));
+            const job = ledger.openJob(`run-${event.jobIndex}`, owner, 'c', event.jobIndex === 4);
+            if (event.amount % 7 === 0)
+              ledger.restoreAttempt(job, event.taskIndex, event.number, {
+                month: '2026-11',
+                money: 0,
+                runUs: 5 * SECOND,
+              });
+            ledger.startAttempt(
+              name,
+              job,
+              event.taskIndex,
+              event.number,
+              Math.max(1, Math.floor((event.amount / 100) * FULL_WEIGHT)),
+            );
             break;
           }
           case 'end': {
-            const rest = (['lost', 'stopped', 'unseen'] as const)[e.n % 3]!;
-            const outcome: Outcome = e.n % 2 === 0 ? FULLY_KEPT : { keptUs: e.n * S, lossReason: rest };
-            b.endAttempt(`run-${e.j}`, e.i, e.no, outcome);
+            const rest = (['lost', 'stopped', 'unseen'] as const)[event.amount % 3]!;
+            const outcome: Outcome =
+              event.amount % 2 === 0 ? FULLY_KEPT : { keptUs: event.amount * SECOND, lossReason: rest };
+            ledger.endAttempt(`run-${event.jobIndex}`, event.taskIndex, event.number, outcome);
             break;
           }
           case 'gone':
-            b.removeMachine(name);
+            ledger.removeMachine(name);
             break;
           case 'price':
-            b.updateMachine(name, e.n * 200_000, true);
-            dearest = Math.max(dearest, e.n * 200_000);
+            ledger.updateMachine(name, event.amount * 200_000, true);
+            highestRate = Math.max(highestRate, event.amount * 200_000);
             break;
           case 'up':
-            b.updateMachine(name, e.n * 100_000, e.n % 2 === 0);
-            dearest = Math.max(dearest, e.n * 100_000);
+            ledger.updateMachine(name, event.amount * 100_000, event.amount % 2 === 0);
+            highestRate = Math.max(highestRate, event.amount * 100_000);
             break;
           case 'advance':
-            b.accrueAll();
+            ledger.accrueAll();
             break;
           case 'close':
-            b.closeJob(`run-${e.j}`);
+            ledger.closeJob(`run-${event.jobIndex}`);
             break;
           case 'resolve':
-            b.resumeMachine(name);
+            ledger.resumeMachine(name);
             break;
           case 'month':
-            if (now >= new Calendar('America/New_York').month('2026-11').to) b.closeMonth('u', '2026-11');
+            if (now >= new Calendar('America/New_York').month('2026-11').to)
+              ledger.closeMonth('u', '2026-11');
             break;
         }
-        assert.equal(b.imbalance(), 0);
-        assert.ok(b.cost >= 0);
-        for (const r of PLATFORM_REASONS) assert.ok(b.platform[r] >= 0, r);
-        for (const months of b.accounts.values())
-          for (const c of months.values()) {
-            assert.ok(c.money >= 0 && c.us >= 0 && c.uncharged >= 0);
-            assert.ok(c.money <= Math.ceil((c.us / HOUR) * dearest) + 300);
+        assert.equal(ledger.imbalance(), 0);
+        assert.ok(ledger.cost >= 0);
+        for (const reason of PLATFORM_REASONS) assert.ok(ledger.platform[reason] >= 0, reason);
+        for (const months of ledger.accounts.values())
+          for (const charge of months.values()) {
+            assert.ok(charge.money >= 0 && charge.us >= 0 && charge.uncharged >= 0);
+            assert.ok(charge.money <= Math.ceil((charge.us / HOUR) * highestRate) + 300);
           }
       }
     }),
@@ -115,92 +133,92 @@
   );
 });
 
-test('a price that doubles counts from when it is known, and what one machine is used for adds up to its price', () => {
-  const b = books();
-  b.addMachine('m', 3_600_000, DEC, false);
-  b.updateMachine('m', 3_600_000, true);
-  b.startAttempt('m', b.openJob('run-1', 't', 'c', false), 0, 1, FULL_WEIGHT / 2);
-  b.setTime(DEC + 10 * S);
-  b.updateMachine('m', 7_200_000, true);
-  b.setTime(DEC + 20 * S);
-  b.endAttempt('run-1', 0, 1, FULLY_KEPT);
-  // 1,000 a second, then 2,000: half of 30,000.
-  assert.equal(money(b, 't'), 15_000);
-  // Two tasks that hold four fifths each, of different things: the machine is shared, not paid twice.
-  b.startAttempt('m', b.openJob('run-2', 't', 'c', false), 0, 2, 0.8 * FULL_WEIGHT);
-  b.startAttempt('m', b.openJob('run-3', 'u', 'c', false), 0, 3, 0.8 * FULL_WEIGHT);
-  b.setTime(DEC + 30 * S);
-  b.endAttempt('run-2', 0, 2, FULLY_KEPT);
-  b.endAttempt('run-3', 0, 3, FULLY_KEPT);
-  assert.equal(money(b, 't') - 15_000, 10_000);
-  assert.equal(money(b, 'u', '2026-11'), 10_000, 'in New York it is still November');
-  assert.equal(b.cost, 50_000);
+test('a new price applies from when it is known, and the shares of a machine add up to its price', () => {
+  const ledger = newLedger();
+  ledger.addMachine('m', 3_600_000, DECEMBER_START, false);
+  ledger.updateMachine('m', 3_600_000, true);
+  ledger.startAttempt('m', ledger.openJob('run-1', 't', 'c', false), 0, 1, FULL_WEIGHT / 2);
+  ledger.setTime(DECEMBER_START + 10 * SECOND);
+  ledger.updateMachine('m', 7_200_000, true);
+  ledger.setTime(DECEMBER_START + 20 * SECOND);
+  ledger.endAttempt('run-1', 0, 1, FULLY_KEPT);
+  // Half of 30,000: 10 s at 1,000 a second, then 10 s at 2,000.
+  assert.equal(money(ledger, 't'), 15_000);
+  // Two tasks with a weight of four fifths each, of different resources, divide the price of the machine.
+  ledger.startAttempt('m', ledger.openJob('run-2', 't', 'c', false), 0, 2, 0.8 * FULL_WEIGHT);
+  ledger.startAttempt('m', ledger.openJob('run-3', 'u', 'c', false), 0, 3, 0.8 * FULL_WEIGHT);
+  ledger.setTime(DECEMBER_START + 30 * SECOND);
+  ledger.endAttempt('run-2', 0, 2, FULLY_KEPT);
+  ledger.endAttempt('run-3', 0, 3, FULLY_KEPT);
+  assert.equal(money(ledger, 't') - 15_000, 10_000);
+  assert.equal(money(ledger, 'u', '2026-11'), 10_000, 'in New York it is still November');
+  assert.equal(ledger.cost, 50_000);
 });
 
 test('repeated, late and unknown events change nothing', () => {
-  const b = books();
-  b.addMachine('m', 3_600_000, DEC, false);
-  b.updateMachine('m', 3_600_000, true);
-  const job = b.openJob('run-1', 't', 'c', false);
-  for (let k = 0; k < 3; k++) b.startAttempt('m', job, 0, 7, FULL_WEIGHT);
-  for (let k = 0; k < 2; k++) b.addMachine('m', 9_900_000, DEC - HOUR, false);
-  b.setTime(DEC + 10 * S);
-  b.endAttempt('run-1', 0, 6, FULLY_KEPT);
-  b.setTime(DEC - 5 * S);
-  for (let k = 0; k < 3; k++) b.endAttempt('run-1', 0, 7, FULLY_KEPT);
-  b.endAttempt('run-9', 0, 7, FULLY_KEPT);
-  assert.equal(money(b, 't'), 10_000);
-  assert.equal(b.imbalance(), 0);
+  const ledger = newLedger();
+  ledger.addMachine('m', 3_600_000, DECEMBER_START, false);
+  ledger.updateMachine('m', 3_600_000, true);
+  const job = ledger.openJob('run-1', 't', 'c', false);
+  for (let repeat = 0; repeat < 3; repeat++) ledger.startAttempt('m', job, 0, 7, FULL_WEIGHT);
+  for (let repeat = 0; repeat < 2; repeat++) ledger.addMachine('m', 9_900_000, DECEMBER_START - HOUR, false);
+  ledger.setTime(DECEMBER_START + 10 * SECOND);
+  ledger.endAttempt('run-1', 0, 6, FULLY_KEPT);
+  ledger.setTime(DECEMBER_START - 5 * SECOND);
+  for (let repeat = 0; repeat < 3; repeat++) ledger.endAttempt('run-1', 0, 7, FULLY_KEPT);
+  ledger.endAttempt('run-9', 0, 7, FULLY_KEPT);
+  assert.equal(money(ledger, 't'), 10_000);
+  assert.equal(ledger.imbalance(), 0);
 });
 
-test('an attempt on record is charged on from the record if it is still there, and else is not the owner’s', () => {
-  const b = books();
-  const job = b.openJob('run-1', 't', 'c', false);
-  b.restoreAttempt(job, 0, 5, { month: '2026-12', money: 4_000, runUs: 4 * S });
-  b.restoreAttempt(job, 1, 6, { month: '2026-12', money: 4_000, runUs: 4 * S });
-  b.restoreTotals({ cost: 8_500, platform: zeroPlatformCosts() });
-  assert.equal(b.platform.takeover, 500, 'what the record can not explain');
-  b.addMachine('m', 3_600_000, DEC, true);
-  b.setTime(DEC + 20 * S);
-  b.startAttempt('m', job, 0, 5, FULL_WEIGHT / 2);
-  b.startAttempt('m', job, 2, 9, FULL_WEIGHT / 2);
-  b.setTime(DEC + 21 * S);
-  b.resumeMachine('m');
-  b.writeOffUnreported();
-  b.setTime(DEC + 30 * S);
-  b.endAttempt('run-1', 0, 5, FULLY_KEPT);
-  b.endAttempt('run-1', 2, 9, FULLY_KEPT);
-  // 4,000 on record and half of 30 s; the other began nobody knows when: half of the 10 s since it was seen.
-  assert.equal(money(b, 't'), 4_000 + 15_000 + 5_000);
-  assert.equal(b.platform.takeover, 500 + 4_000 + 10_000);
-  assert.equal(b.imbalance(), 0);
+test('a recorded attempt is charged from the record on if it still runs; otherwise the platform pays', () => {
+  const ledger = newLedger();
+  const job = ledger.openJob('run-1', 't', 'c', false);
+  ledger.restoreAttempt(job, 0, 5, { month: '2026-12', money: 4_000, runUs: 4 * SECOND });
+  ledger.restoreAttempt(job, 1, 6, { month: '2026-12', money: 4_000, runUs: 4 * SECOND });
+  ledger.restoreTotals({ cost: 8_500, platform: zeroPlatformCosts() });
+  assert.equal(ledger.platform.takeover, 500, 'the difference that the records leave');
+  ledger.addMachine('m', 3_600_000, DECEMBER_START, true);
+  ledger.setTime(DECEMBER_START + 20 * SECOND);
+  ledger.startAttempt('m', job, 0, 5, FULL_WEIGHT / 2);
+  ledger.startAttempt('m', job, 2, 9, FULL_WEIGHT / 2);
+  ledger.setTime(DECEMBER_START + 21 * SECOND);
+  ledger.resumeMachine('m');
+  ledger.writeOffUnreported();
+  ledger.setTime(DECEMBER_START + 30 * SECOND);
+  ledger.endAttempt('run-1', 0, 5, FULLY_KEPT);
+  ledger.endAttempt('run-1', 2, 9, FULLY_KEPT);
+  // 4,000 on record and half of 30 s; the other attempt isn't on record: half of the 10 s since it was reported.
+  assert.equal(money(ledger, 't'), 4_000 + 15_000 + 5_000);
+  assert.equal(ledger.platform.takeover, 500 + 4_000 + 10_000);
+  assert.equal(ledger.imbalance(), 0);
 });
 
-test('a machine on record that nobody hears of costs nothing since the record', () => {
-  // Ghosts of dead machines doubled the cost after many changes of leader.
-  const b = books();
-  b.addMachine('ghost', 3_600_000, DEC, true);
-  b.addMachine('alive', 3_600_000, DEC, true);
-  b.setTime(DEC + 30 * S);
-  b.resumeMachine('alive');
-  b.discardUnreported('ghost');
-  b.discardUnreported('alive');
-  b.removeMachine('ghost');
-  b.accrueAll();
-  assert.equal(b.cost, 30_000);
-  assert.equal(b.imbalance(), 0);
+test('a recorded machine that never reports costs nothing after the record', () => {
+  // Recorded machines that were dead doubled the ledger's cost after many changes of leader.
+  const ledger = newLedger();
+  ledger.addMachine('silent', 3_600_000, DECEMBER_START, true);
+  ledger.addMachine('reporting', 3_600_000, DECEMBER_START, true);
+  ledger.setTime(DECEMBER_START + 30 * SECOND);
+  ledger.resumeMachine('reporting');
+  ledger.discardUnreported('silent');
+  ledger.discardUnreported('reporting');
+  ledger.removeMachine('silent');
+  ledger.accrueAll();
+  assert.equal(ledger.cost, 30_000);
+  assert.equal(ledger.imbalance(), 0);
 });
 
-test('what becomes clear after a month was closed is on the next one, marked late', () => {
-  const b = books(DEC - 10 * S);
-  b.addMachine('m', 3_600_000, DEC - 10 * S, false);
-  b.updateMachine('m', 3_600_000, true);
-  b.startAttempt('m', b.openJob('run-1', 't', 'c', false), 0, 1, FULL_WEIGHT);
-  b.setTime(DEC + 10 * S);
-  b.accrueAll();
-  b.closeMonth('t', '2026-11');
-  b.endAttempt('run-1', 0, 1, FULLY_KEPT);
-  assert.equal(money(b, 't', '2026-11'), 0);
-  const c = b.accounts.get('t')!.get('2026-12')!;
-  assert.deepEqual([c.money, c.late, c.us], [20_000, 10_000, 20 * S]);
+test('a charge for a month that is already closed goes to the next one, marked late', () => {
+  const ledger = newLedger(DECEMBER_START - 10 * SECOND);
+  ledger.addMachine('m', 3_600_000, DECEMBER_START - 10 * SECOND, false);
+  ledger.updateMachine('m', 3_600_000, true);
+  ledger.startAttempt('m', ledger.openJob('run-1', 't', 'c', false), 0, 1, FULL_WEIGHT);
+  ledger.setTime(DECEMBER_START + 10 * SECOND);
+  ledger.accrueAll();
+  ledger.closeMonth('t', '2026-11');
+  ledger.endAttempt('run-1', 0, 1, FULLY_KEPT);
+  assert.equal(money(ledger, 't', '2026-11'), 0);
+  const charge = ledger.accounts.get('t')!.get('2026-12')!;
+  assert.deepEqual([charge.money, charge.late, charge.us], [20_000, 10_000, 20 * SECOND]);
 });
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -1,4 +1,4 @@
-/** What tools read of the books: no more than they need, and nothing less. */
+/** What tools read of the records: all that a statement needs, without the whole journal. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -21,7 +21,7 @@
 const calendar = new Calendar('Europe/Warsaw');
 const TERMS = { zone: 'Europe/Warsaw', currency: 'EUR', limit: { soft: null, hard: null } };
 
-/** A state service that holds `records`, and counts what is read of the journal. */
+/** A state service that holds `records` and counts the journal pages that are read. */
 const serviceOf = (records: ReadonlyMap<string, unknown>): { service: Service; pages: () => number } => {
   let pages = 0;
   const item = (key: string): StoredItem => ({ key, value: records.get(key), version: 1, lease: null });
@@ -41,40 +41,52 @@
   };
 };
 
-/** The journal as leaders write it: `steps` of months that pass, jobs that end, and months that are closed late. */
-const written = (steps: readonly { passes: boolean; rows: number; late: boolean; closes: boolean }[]) => {
+/** Records as leaders write them: in each step a month may pass, jobs end and a month may be closed, perhaps late. */
+const generatedRecords = (
+  steps: readonly { passes: boolean; rows: number; late: boolean; closes: boolean }[],
+) => {
   const records = new Map<string, unknown>();
   let page: JournalPage = { v: 1, n: 0, prev: '', rows: [] };
   let month = 0;
   let closed = -1;
   let job = 0;
-  for (const s of steps) {
-    if (s.passes && month < MONTHS.length - 1 && closed >= month - 1) month++;
+  for (const step of steps) {
+    if (step.passes && month < MONTHS.length - 1 && closed >= month - 1) month++;
     const now = calendar.month(MONTHS[month]!).from + 3_600e6;
     if (page.rows.length > 3) page = { v: 1, n: page.n + 1, prev: digestOf(page), rows: [] };
     const rows = [...page.rows];
-    for (let k = 0; k < s.rows; k++) {
-      const at = s.late && closed < month - 1 ? month - 1 : month;
+    for (let row = 0; row < step.rows; row++) {
+      const at = step.late && closed < month - 1 ? month - 1 : month;
       rows.push([`run-${job}`, job++ % 3 === 0 ? 'u' : 't', 'c', [[MONTHS[at]!, 10 + job, 5, 0, 0, 0]], 1]);
     }
     page = { ...page, rows };
     records.set(journalKey(page.n), page);
-    if (s.closes && closed < month - 1) {
+    if (step.closes && closed < month - 1) {
       closed++;
-      const of = MONTHS[closed]!;
-      const { from, to } = calendar.month(of);
+      const closedMonth = MONTHS[closed]!;
+      const { from, to } = calendar.month(closedMonth);
       for (const owner of ['t', 'u']) {
         let sum = 0;
-        for (const [key, p] of records)
+        for (const [key, record] of records)
           if (key.startsWith(JOURNAL_PREFIX))
-            for (const r of (p as JournalPage).rows)
-              if (r[1] === owner) for (const m of r[3]) if (m[0] === of) sum += m[1];
+            for (const row of (record as JournalPage).rows)
+              if (row[1] === owner)
+                for (const monthlyRow of row[3]) if (monthlyRow[0] === closedMonth) sum += monthlyRow[1];
         const limit = { soft: null, hard: null };
-        const common = { v: 1, owner, month: of, zone: 'Europe/Warsaw', currency: 'EUR', from, to, limit };
-        records.set(closedKey(owner, of), {
+        const common = {
+          v: 1,
+          owner,
+          month: closedMonth,
+          zone: 'Europe/Warsaw',
+          currency: 'EUR',
+          from,
+          to,
+          limit,
+        };
+        records.set(closedKey(owner, closedMonth), {
           ...common,
           at: now,
-          row: [of, sum, 0, 0, 0, 0],
+          row: [closedMonth, sum, 0, 0, 0, 0],
           carried: 0,
           last: page.n,
         });
@@ -84,22 +96,22 @@
   return { records, pages: page.n + 1 };
 };
 
-test('a statement read from the part of the journal that it needs is that from all of it', async () => {
+test('a statement made from the needed part of the journal equals that made from all of it', async () => {
   const step = fc.record({
     passes: fc.boolean(),
     rows: fc.integer({ min: 0, max: 4 }),
     late: fc.boolean(),
     closes: fc.boolean(),
   });
-  let saved = 0;
+  let pagesSkipped = 0;
   await fc.assert(
     fc.asyncProperty(fc.array(step, { minLength: 5, maxLength: 60 }), async (steps) => {
-      const { records, pages } = written(steps);
+      const { records, pages } = generatedRecords(steps);
       for (const month of MONTHS)
         for (const owner of ['t', 'u']) {
           const { service, pages: read } = serviceOf(records);
           const part = await readLedgerOfMonth(service, owner, month, calendar.month(month).from);
-          saved += pages - read();
+          pagesSkipped += pages - read();
           const whole = await readLedger(service);
           assert.deepEqual(part.problems, []);
           assert.deepEqual(whole.problems, []);
@@ -108,11 +120,11 @@
     }),
     { seed: 11, numRuns: 150 },
   );
-  assert.ok(saved > 3_000, `${saved}`);
+  assert.ok(pagesSkipped > 3_000, `${pagesSkipped}`);
 });
 
-test('a closed month whose lines were changed since is found out where its statement is asked for', async () => {
-  const { records } = written([
+test('a closed month whose journal rows were changed is reported when its statement is read', async () => {
+  const { records } = generatedRecords([
     { passes: false, rows: 3, late: false, closes: false },
     { passes: true, rows: 1, late: false, closes: true },
   ]);
@@ -123,24 +135,24 @@
   assert.match(view.problems.join(), /u 2026-09: closed at 11, its jobs say 0/);
 });
 
-test('a job that goes from its open page to the journal while tools read is missed by neither', async () => {
-  const { records } = written([{ passes: false, rows: 2, late: false, closes: false }]);
+test('a job that moves from an open page to the journal during a read is found exactly once', async () => {
+  const { records } = generatedRecords([{ passes: false, rows: 2, late: false, closes: false }]);
   const row = ['t', 'c', 0, 77, [['2026-09', 5, 5, 0, 0, 0]], []];
   records.set(OPEN_PREFIX + '0', { v: 1, jobs: { 'run-99': row } });
   const page = records.get(journalKey(0)) as JournalPage;
   const moved = new Map(records);
   moved.set(journalKey(0), { ...page, rows: [...page.rows, ['run-99', 't', 'c', row[4] as never, 1]] });
   moved.set(OPEN_PREFIX + '0', { v: 1, jobs: {} });
-  // The flush comes after each read in turn.
-  for (let at = 0; at < 6; at++) {
+  // The flush happens after each of the reads in turn.
+  for (let readsBefore = 0; readsBefore < 6; readsBefore++) {
     let reads = 0;
-    const now = (): Service => serviceOf(reads++ < at ? records : moved).service;
+    const currentService = (): Service => serviceOf(reads++ < readsBefore ? records : moved).service;
     const service: Service = {
-      list: (...a) => now().list(...a),
-      get: (key) => (key === HEAD_KEY ? now().get(key) : Promise.resolve(null)),
+      list: (...a) => currentService().list(...a),
+      get: (key) => (key === HEAD_KEY ? currentService().get(key) : Promise.resolve(null)),
       put: () => Promise.resolve(false),
     };
     const view = await readLedger(service);
-    assert.equal(view.lines.filter((l) => l.job === 'run-99').length, 1, `after ${at} reads`);
+    assert.equal(view.lines.filter((l) => l.job === 'run-99').length, 1, `after ${readsBefore} reads`);
   }
 });
--- a/packages/budgets/test/stored-records.test.ts
+++ b/packages/budgets/test/stored-records.test.ts
@@ -1,4 +1,4 @@
-/** Literal records of the books as they stand in the key-value store: none of their names may ever change. */
+/** Literal records of the ledger as they are in the key-value store: none of their names may ever change. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -20,7 +20,7 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
 
-import { play } from './played.js';
+import { simulateBudgets } from './budget-simulation.js';
 
 const owners = {
   m: { t: [['2026-12', 500, 60_000_000, 0, 1, 0]] },
@@ -69,7 +69,7 @@
   last: 4,
 };
 
-test('each record is read as it stands', () => {
+test('each record is read unchanged', () => {
   assert.deepEqual(readHead(HEAD_RECORD), HEAD_RECORD);
   assert.deepEqual(readOwners({ v: 1, f: 8, ...owners }), { v: 1, f: 8, ...owners });
   assert.deepEqual(readOpen(OPEN_RECORD), OPEN_RECORD);
@@ -92,15 +92,15 @@
       );
 });
 
-test('keys', () => {
+test('keys of the records have a fixed form', () => {
   assert.deepEqual(
     [HEAD_KEY, openKey(1), ownersKey(1), journalKey(1), limitKey('t'), closedKey('t', '2026-11')],
     ['b/head', 'b/o/1', 'b/a/1', 'b/j/000000001', 'b/l/t', 'b/s/t/2026-11'],
   );
 });
 
-test('what a leader writes has these fields and no others', () => {
-  const { w: world } = play(new Random(1));
+test('the records that a leader writes have these fields and no others', () => {
+  const { simulation: world } = simulateBudgets(new Random(1));
   world.runFor(3 * SECOND);
   world.submit(specOf('run-1', { tasks: 2, estimatedRunUs: 20 * SECOND }));
   world.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 900 * SECOND }));
