--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -10,7 +10,16 @@
 import type { Calendar } from './calendar.js';
 import { Meter, type Money, portion, split } from './money.js';
 
-/** Why a cost is paid by the platform rather than by an owner. The names are stored in the head record. */
+/**
+ * Why the platform pays for a cost rather than an owner. The names are stored in the head record.
+ *
+ *   boot      the machine was not up yet
+ *   unused    no task occupied this share of the machine
+ *   lost      work was lost with a machine or by an error
+ *   stopped   work was lost because the attempt was stopped, as by a preemption
+ *   unseen    the machine was not heard of for longer than usual
+ *   takeover  not attributable after a change of leader
+ */
 export const PLATFORM_REASONS = ['boot', 'unused', 'lost', 'stopped', 'unseen', 'takeover'] as const;
 /** One of `PLATFORM_REASONS`. */
 export type PlatformReason = (typeof PLATFORM_REASONS)[number];
@@ -56,16 +65,20 @@
 interface PendingCharge {
   readonly month: string;
   money: Money;
+  /** Run time of the attempt within the month. */
   runUs: Micros;
 }
 
 /** An attempt at a task that runs, or that was recorded as running by an earlier leader. */
 export interface RunningAttempt {
   readonly job: OpenJob;
+  /** Index of the task within its job. */
   readonly index: number;
+  /** The attempt number that the core assigned; tells attempts at one task apart. */
   readonly number: number;
   /** Share of the machine's price, as a fraction of `FULL_WEIGHT`. */
   weight: number;
+  /** Accrued so far, one entry for each month, the oldest first. */
   readonly pending: PendingCharge[];
   /** Null: recorded as running, but not yet reported to this leader by any machine. */
   machine: MachineAccount | null;
@@ -106,10 +119,13 @@
   readonly name: string;
   /** Price per hour. */
   rate: Money;
+  /** Whether the machine has booted; before that, the platform pays for it as `boot`. */
   up: boolean;
   /** The machine's cost is accrued up to this moment. */
   accountedUntil: Micros;
+  /** Carries fractions of a unit from one interval to the next. */
   readonly meter: Meter;
+  /** Attempts that share the machine's cost. */
   readonly running: Set<RunningAttempt>;
   /** Recorded before this term: nothing accrues until the machine has reported what runs there. */
   awaitingReport: boolean;
@@ -122,6 +138,7 @@
   readonly id: string;
   readonly owner: string;
   readonly jobClass: string;
+  /** Charges by month. */
   readonly months: ReadonlyMap<string, Readonly<Charge>>;
   /** Whether the job can no longer be charged; false where only some of its months were closed. */
   readonly jobComplete: boolean;
@@ -139,7 +156,9 @@
 
 /** The totals of the head record that a new leader continues from. */
 export interface LedgerTotals {
+  /** The total cost of all machines. */
   readonly cost: Money;
+  /** Paid by the platform, by reason. */
   readonly platform: Readonly<Record<PlatformReason, Money>>;
 }
 
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -38,8 +38,11 @@
 
 /** Paths of the settings files, from the command line. */
 export interface FileOptions {
+  /** The platform's settings (TOML). */
   readonly config: string;
+  /** The operators' own settings (YAML). */
   readonly operators?: string;
+  /** The file that switches budgets on (YAML). */
   readonly budgets: string;
 }
 
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -54,7 +54,9 @@
   readonly active: readonly StoredItem[];
   /** The job's record under `t/`, if it has ended. */
   readonly ended: StoredItem | null;
+  /** Machine types with their prices. */
   readonly types: StoredItem | null;
+  /** Learned run times. */
   readonly timings: StoredItem | null;
 }
 
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -37,8 +37,11 @@
 /** The end of an attempt that was reported before the ledger was read. */
 interface EarlyEnd {
   readonly job: string;
+  /** Index of the task. */
   readonly index: number;
+  /** Number of the attempt. */
   readonly number: number;
+  /** Whether the task was done. */
   readonly done: boolean;
   /** Whether the attempt was done or had saved a checkpoint. */
   readonly kept: boolean;
@@ -506,6 +509,7 @@
 
 /** The budgets feature of a controller, made from the checked settings. */
 export class Budgets implements Feature {
+  /** Names the feature in the core's registry. */
   readonly name = 'budgets';
   /** The newest term, for tests and tools; null before this controller first leads. */
   current: BudgetTerm | null = null;
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -10,10 +10,13 @@
 
 /** An owner's spending in its current month. */
 export interface Standing {
+  /** The current month in the owner's time zone. */
   readonly month: string;
+  /** The limits in force. */
   readonly limit: Limit;
   /** Overrun of the previous month, which counts against this month's limit. */
   readonly carried: Money;
+  /** Charged in this month. */
   readonly charged: Money;
   /** Accrued by running attempts and not yet charged. */
   readonly pending: Money;
@@ -45,11 +48,15 @@
 
 /** What `Limits` asks of the leader's state. */
 export interface LimitsContext {
+  /** An active job by its id. */
   findJob(id: string): ActiveJob | undefined;
+  /** All active jobs. */
   jobs(): Iterable<ActiveJob>;
+  /** Which jobs depend on a job. */
   links: DependencyLinks;
   /** The estimated total cost of a job; of a service, of one hour. */
   estimate(job: ActiveJob): Money;
+  /** The month before one in the owner's calendar. */
   monthBefore(owner: string, month: string): string;
 }
 
--- a/packages/budgets/src/packing.ts
+++ b/packages/budgets/src/packing.ts
@@ -74,6 +74,7 @@
 
 /** A job's row and its size. */
 export interface SizedRow {
+  /** As it is stored. */
   readonly row: OpenRow;
   /** Size with its key, as a member of the page's JSON. */
   readonly bytes: number;
@@ -109,7 +110,9 @@
 
 /** A page to be written, since it differs from its recorded content. */
 export interface ChangedPage {
+  /** Its number, which is part of its key. */
   readonly pageNumber: number;
+  /** The record to write. */
   readonly page: OpenPage;
   /** The page's JSON, made once since serializing is most of the work of a flush in a large cluster. */
   readonly text: string;
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -49,7 +49,9 @@
   readonly owner: string;
   readonly jobClass: string;
   readonly service: boolean;
+  /** The estimated total cost; null if the job has not been admitted. */
   readonly commitment: Money | null;
+  /** Accrued by running attempts and not yet charged. */
   readonly pending: Money;
   /** Number of running tasks. */
   readonly running: number;
@@ -59,9 +61,13 @@
 export interface BooksView {
   /** With the owners of all pages; null if it is missing or can't be read. */
   readonly head: Head | null;
+  /** One entry for each job and month. */
   readonly lines: readonly ChargeLine[];
+  /** Jobs on open pages. */
   readonly open: readonly OpenJobView[];
+  /** Limits that operators set, by owner. */
   readonly limits: ReadonlyMap<string, LimitRecord>;
+  /** All closed months of all owners. */
   readonly closed: readonly ClosedRecord[];
   /** Faults of the records themselves; empty if there are none. */
   readonly problems: readonly string[];
@@ -193,8 +199,11 @@
 
 /** Where the cost of all machines has gone. */
 export interface Balance {
+  /** The recorded total cost. */
   readonly cost: Money;
+  /** Charged to all owners. */
   readonly charged: Money;
+  /** Paid by the platform, by reason. */
   readonly platform: Readonly<Record<PlatformReason, Money>>;
   /** Cost less charges and platform costs: pending, or not yet recorded by a flush in progress. */
   readonly pending: Money;
--- a/packages/budgets/src/statement.ts
+++ b/packages/budgets/src/statement.ts
@@ -31,16 +31,22 @@
   readonly version: 1;
   readonly owner: string;
   readonly month: string;
+  /** The owner's time zone. */
   readonly zone: string;
+  /** Local time of the first moment of the month. */
   readonly from: string;
+  /** Local time of the first moment of the next month. */
   readonly to: string;
   readonly currency: string;
   /** A closed statement never changes. */
   readonly closed: boolean;
+  /** The limits of the month; null: none. */
   readonly limit: { readonly soft: string | null; readonly hard: string | null };
   /** Overrun of the previous month, which counts against this month's limit. */
   readonly carried: string;
+  /** One line for each job, ordered by id. */
   readonly lines: readonly StatementLine[];
+  /** The sums of all lines. */
   readonly totals: Omit<StatementLine, 'job' | 'class' | 'open'>;
   /** SHA-256 of the canonical JSON (RFC 8785) of all other fields. */
   readonly digest: string;
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -52,6 +52,7 @@
 export interface LoadedState {
   /** Everything up to this moment is accounted; null if there are no readable records. */
   readonly accountedUntil: Micros | null;
+  /** The records of limits that operators set. */
   readonly limits: readonly StoredItem[];
 }
 
