--- a/eslint.config.js
+++ b/eslint.config.js
@@ -6,7 +6,6 @@
 /** Modules whose names, documentation or size don't keep the limits yet. The list only ever shrinks (docs/ROADMAP.md). */
 const NOT_YET_READABLE = [
   'packages/budgets/src/**',
-  'packages/cli/src/**',
   'packages/demo/src/**',
   // Of the emulator all but the soak.
   'packages/emulator/src/*.ts',
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The command line: a thin program over the library. */
+/** The command-line program: starts a controller, checks settings and reads what the key-value store holds. */
 import { readFileSync } from 'node:fs';
 
 import { contradictions, describe } from '@shaleyoke/config/contradictions';
@@ -14,6 +14,7 @@
 import { Command, CommanderError } from 'commander';
 import { Effect, Layer } from 'effect';
 
+/** Paths of the settings files, as given on the command line. */
 interface FileOptions {
   readonly config: string;
   readonly operators?: string;
@@ -25,98 +26,107 @@
 const EXIT_USAGE = 2;
 const EXIT_FAILED = 1;
 
-const text = (path: string): string => {
+const readText = (path: string): string => {
   try {
     return readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`${path}: ${(e as Error).message}`);
+  } catch (error) {
+    throw new SettingsError(`${path}: ${(error as Error).message}`);
   }
 };
 
-const load = (o: FileOptions): Settings => {
+const loadSettings = (options: FileOptions): Settings => {
   return parseSettings(
-    text(o.config),
-    o.operators === undefined ? null : text(o.operators),
-    o.membership === undefined ? null : parseMembership(text(o.membership), o.membership),
+    readText(options.config),
+    options.operators === undefined ? null : readText(options.operators),
+    options.membership === undefined
+      ? null
+      : parseMembership(readText(options.membership), options.membership),
   );
 };
 
-/** Bundles of their own: what is switched off costs neither start-up nor memory. */
-const budgetsPlugin = (): Promise<typeof import('@shaleyoke/budgets/plugin')> =>
+/** Optional features are separate bundles: one that is disabled costs neither start-up time nor memory. */
+const importBudgets = (): Promise<typeof import('@shaleyoke/budgets/plugin')> =>
   import('@shaleyoke/budgets/plugin');
 
-const kubePlugin = (): Promise<typeof import('@shaleyoke/kubernetes/plugin')> =>
+const importKubernetes = (): Promise<typeof import('@shaleyoke/kubernetes/plugin')> =>
   import('@shaleyoke/kubernetes/plugin');
 
-const kubeOf = async (
+const loadKubernetes = async (
   file: string,
   settings: Settings,
 ): Promise<{ feature: Feature; listener: FeatureListener }> => {
-  const { switchOn, KubeSettingsError } = await kubePlugin();
+  const kubernetes = await importKubernetes();
   try {
-    return switchOn(text(file), settings.teams, file);
-  } catch (e) {
-    throw e instanceof KubeSettingsError ? new SettingsError(e.message) : e;
+    return kubernetes.switchOn(readText(file), settings.teams, file);
+  } catch (error) {
+    throw error instanceof kubernetes.KubeSettingsError ? new SettingsError(error.message) : error;
   }
 };
 
-const budgetsOf = async (o: FileOptions, settings: Settings): Promise<Feature[]> => {
-  if (o.budgets === undefined) return [];
-  const { Budgets, BudgetSettingsError, parseBudgets } = await budgetsPlugin();
+const loadBudgets = async (options: FileOptions, settings: Settings): Promise<Feature[]> => {
+  if (options.budgets === undefined) return [];
+  const budgets = await importBudgets();
   try {
-    return [new Budgets(parseBudgets(text(o.budgets), settings.teams, o.budgets))];
-  } catch (e) {
-    throw e instanceof BudgetSettingsError ? new SettingsError(e.message) : e;
+    return [
+      new budgets.Budgets(budgets.parseBudgets(readText(options.budgets), settings.teams, options.budgets)),
+    ];
+  } catch (error) {
+    throw error instanceof budgets.BudgetSettingsError ? new SettingsError(error.message) : error;
   }
 };
 
-const serve = async (o: FileOptions): Promise<void> => {
-  const settings = load(o);
-  const wanted = process.env['LOG_LEVEL'];
-  const level = logLevel(wanted);
+const serve = async (options: FileOptions): Promise<void> => {
+  const settings = loadSettings(options);
+  const requestedLevel = process.env['LOG_LEVEL'];
+  const level = logLevel(requestedLevel);
   if (level === null)
-    throw new SettingsError(`LOG_LEVEL: expected error, info or debug, not ${JSON.stringify(wanted)}`);
+    throw new SettingsError(
+      `LOG_LEVEL: expected error, info or debug, not ${JSON.stringify(requestedLevel)}`,
+    );
   const layers = Layer.merge(LogLive(settings.member, level), ClientsLive(settings));
-  // Without features nothing is awaited: a start is as it was.
-  const features = o.budgets === undefined ? [] : await budgetsOf(o, settings);
-  const kube = o.kube === undefined ? null : await kubeOf(o.kube, settings);
+  // Nothing is awaited unless a feature is enabled, so a start without features is not delayed.
+  const features = options.budgets === undefined ? [] : await loadBudgets(options, settings);
+  const kube = options.kube === undefined ? null : await loadKubernetes(options.kube, settings);
   if (kube !== null) features.push(kube.feature);
   const listeners = kube === null ? [] : [kube.listener];
-  // Named, and served all the same: a controller that would not start keeps no rule either.
-  const named = Log.pipe(
+  // Contradictions are logged, and the controller starts all the same: one that refused to start would keep no rule either.
+  const logContradictions = Log.pipe(
     Effect.map((log) => {
       for (const { level, field, problem, remedy } of contradictions(settings))
         log.write(level === 'error' ? 'error' : 'info', 'settings.contradiction', { field, problem, remedy });
     }),
   );
-  const node = named.pipe(Effect.zipRight(runController(settings, features, listeners)));
-  Effect.runPromise(Effect.scoped(node).pipe(Effect.provide(layers))).catch((e: unknown) => {
-    console.error(String(e));
+  const controller = logContradictions.pipe(Effect.zipRight(runController(settings, features, listeners)));
+  Effect.runPromise(Effect.scoped(controller).pipe(Effect.provide(layers))).catch((error: unknown) => {
+    console.error(String(error));
     process.exit(EXIT_FAILED);
   });
 };
 
-const page = (prefix: string, after: string | undefined): Effect.Effect<StoreReply, never, Clients> =>
+const listPage = (prefix: string, after: string | undefined): Effect.Effect<StoreReply, never, Clients> =>
   Clients.pipe(
-    Effect.flatMap((c) =>
-      c.requestStore({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) }, 2),
+    Effect.flatMap((clients) =>
+      clients.requestStore(
+        { kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) },
+        2,
+      ),
     ),
   );
 
-/** Prints everything under a prefix, one JSON object a line. Reads only. */
-const show = (o: FileOptions, prefix: string): void => {
-  const settings = load(o);
-  const all = Effect.gen(function* () {
+/** Prints all items under a key prefix, one JSON object a line, and ends the process. Writes nothing to the store. */
+const printItems = (options: FileOptions, prefix: string): void => {
+  const settings = loadSettings(options);
+  const allPages = Effect.gen(function* () {
     let after: string | undefined;
     for (;;) {
-      const r = yield* page(prefix, after);
-      if (r.kind !== 'items') return false;
-      for (const it of r.items) console.log(JSON.stringify({ key: it.key, value: it.value }));
-      after = r.items.at(-1)?.key;
-      if (!r.more || after === undefined) return true;
+      const reply = yield* listPage(prefix, after);
+      if (reply.kind !== 'items') return false;
+      for (const item of reply.items) console.log(JSON.stringify({ key: item.key, value: item.value }));
+      after = reply.items.at(-1)?.key;
+      if (!reply.more || after === undefined) return true;
     }
   });
-  Effect.runPromise(all.pipe(Effect.provide(ClientsLive(settings)))).then((ok) => {
+  Effect.runPromise(allPages.pipe(Effect.provide(ClientsLive(settings)))).then((ok) => {
     if (!ok) console.error('the state service does not answer');
     process.exit(ok ? 0 : EXIT_FAILED);
   }, console.error);
@@ -127,150 +137,171 @@
   .version('0.1.0')
   .exitOverride();
 
-const withFiles = (name: string, description: string): Command =>
+/** Adds a subcommand with the options that name the settings files. */
+const addCommand = (name: string, description: string): Command =>
   program
     .command(name)
     .description(description)
     .option('--operators <file>', "operators' own settings (YAML)")
-    .option('--membership <file>', 'controllers notice one another by beats (YAML)')
+    .option('--membership <file>', 'exchange heartbeats between controllers (YAML)')
     .requiredOption('--config <file>', "the platform's settings (TOML)");
 
-withFiles('serve', 'run one controller until it is killed')
-  .option('--budgets <file>', 'charge jobs to owners and hold to limits (YAML)')
-  .option('--kube <file>', 'take Kubernetes Jobs on a listener of their own (YAML)')
+addCommand('serve', 'run one controller until it is killed')
+  .option('--budgets <file>', 'charge jobs to their owners and enforce budget limits (YAML)')
+  .option('--kube <file>', 'accept Kubernetes Jobs on a separate listener (YAML)')
   .action(serve);
-withFiles('check-config', 'check the settings and print them as understood').action((o: FileOptions) => {
-  const settings = load(o);
-  const found = contradictions(settings);
-  for (const c of found) if (c.level === 'warning') console.error(`warning: ${describe(c)}`);
-  const errors = found.filter((c) => c.level === 'error').map(describe);
-  if (errors.length > 0) throw new SettingsError(errors.join('\n'));
-  console.log(JSON.stringify(printedSettings(settings), null, 2));
-});
-withFiles('leader', 'show who leads').action((o: FileOptions) => {
-  show(o, LEADER_KEY);
+addCommand('check-config', 'check the settings and print the effective values').action(
+  (options: FileOptions) => {
+    const settings = loadSettings(options);
+    const found = contradictions(settings);
+    for (const contradiction of found)
+      if (contradiction.level === 'warning') console.error(`warning: ${describe(contradiction)}`);
+    const errors = found.filter((contradiction) => contradiction.level === 'error').map(describe);
+    if (errors.length > 0) throw new SettingsError(errors.join('\n'));
+    console.log(JSON.stringify(printedSettings(settings), null, 2));
+  },
+);
+addCommand('leader', 'show the current leader').action((options: FileOptions) => {
+  printItems(options, LEADER_KEY);
 });
-withFiles('jobs', 'list the jobs that have not ended').action((o: FileOptions) => {
-  show(o, ACTIVE_JOBS_PREFIX);
+addCommand('jobs', 'list the jobs that have not ended').action((options: FileOptions) => {
+  printItems(options, ACTIVE_JOBS_PREFIX);
 });
-withFiles('machines', 'list the machines on record').action((o: FileOptions) => {
-  show(o, MACHINE_PAGES_PREFIX);
+addCommand('machines', 'list the recorded machines').action((options: FileOptions) => {
+  printItems(options, MACHINE_PAGES_PREFIX);
 });
 
 program
   .command('demo')
-  .description('play a minute of three tenants on this machine, with crashes, and print their statements')
-  .option('--verbose', "print the controllers' logs as well", false)
-  .action(async (o: { verbose: boolean }) => {
+  .description(
+    'run three tenants on this machine for about a minute, with crashes, and print their statements',
+  )
+  .option('--verbose', "also print the controllers' logs", false)
+  .action(async (options: { verbose: boolean }) => {
     const { runDemo } = await import('@shaleyoke/demo/demo');
     const ok = await runDemo(
       [process.execPath, process.argv[1]!],
       (line) => {
         console.log(line);
       },
-      o.verbose,
+      options.verbose,
     );
     process.exit(ok ? 0 : EXIT_FAILED);
   });
 
-// For the build only: runs what a start runs, so that the code cache holds it compiled.
+// Used by the build only: runs the parsers that a start runs, so that the code cache holds their compiled code.
 program.command('warm-up', { hidden: true }).action(() => {
   parseTuning('leader_lease_s: 6');
   parseMembership('version: 1', 'membership');
   try {
     parseSettings('member = "a"', null);
-  } catch (e) {
-    if (!(e instanceof SettingsError)) throw e;
+  } catch (error) {
+    if (!(error instanceof SettingsError)) throw error;
   }
 });
 
-const fail = (e: unknown): void => {
-  if (e instanceof CommanderError) process.exitCode = e.exitCode === 0 ? 0 : EXIT_USAGE;
-  else if (e instanceof SettingsError) {
-    console.error(e.message);
+/** Sets the exit code for wrong arguments or settings; any other error is a fault of the program and is thrown again. */
+const handleError = (error: unknown): void => {
+  if (error instanceof CommanderError) process.exitCode = error.exitCode === 0 ? 0 : EXIT_USAGE;
+  else if (error instanceof SettingsError) {
+    console.error(error.message);
     process.exitCode = EXIT_USAGE;
-  } else throw e;
+  } else throw error;
 };
 
-/** The state service for tools, each call as a promise. */
-const toolService = (
-  settings: Settings,
-): import('@shaleyoke/budgets/plugin').Service & {
+/** What the features' commands need of the key-value store. */
+type StoreAccess = import('@shaleyoke/budgets/plugin').Service & {
   remove(key: string, version: number): Promise<boolean>;
-} => {
+};
+
+/** Opens the key-value store for the features' commands. A call rejects if the store does not answer. */
+const openStore = (settings: Settings): StoreAccess => {
   const layer = ClientsLive(settings);
   const clients = Effect.runSync(Effect.provide(Clients, layer));
-  const call = async (op: StoreOperation): Promise<StoreReply> => {
-    const r = await Effect.runPromise(clients.requestStore(op, 2));
-    if (r.kind === 'failed') throw new Error(`the state service does not answer (${r.reason})`);
-    return r;
+  const send = async (operation: StoreOperation): Promise<StoreReply> => {
+    const reply = await Effect.runPromise(clients.requestStore(operation, 2));
+    if (reply.kind === 'failed') throw new Error(`the state service does not answer (${reply.reason})`);
+    return reply;
   };
   return {
-    list: async (prefix, from, until) => {
+    list: async (prefix, startAfter, until) => {
       const items: StoredItem[] = [];
-      for (let after = from; ; after = items.at(-1)?.key) {
-        const r = await call({ kind: 'list', prefix, limit: 500, ...(after === undefined ? {} : { after }) });
-        if (r.kind !== 'items') throw new Error('the state service gave no list');
-        const wanted = r.items.filter((it) => until === undefined || it.key <= until);
+      for (let after = startAfter; ; after = items.at(-1)?.key) {
+        const page = await send({
+          kind: 'list',
+          prefix,
+          limit: 500,
+          ...(after === undefined ? {} : { after }),
+        });
+        if (page.kind !== 'items') throw new Error('the state service returned no items for a list request');
+        const wanted = page.items.filter((item) => until === undefined || item.key <= until);
         items.push(...wanted);
-        if (!r.more || wanted.length < r.items.length) return items;
+        if (!page.more || wanted.length < page.items.length) return items;
       }
     },
     get: async (key) => {
-      const r = await call({ kind: 'get', key });
-      return r.kind === 'item' ? r.item : null;
+      const reply = await send({ kind: 'get', key });
+      return reply.kind === 'item' ? reply.item : null;
     },
     put: async (key, value, version) => {
-      const r = await call({
+      const reply = await send({
         kind: 'txn',
         conditions: [{ key, version }],
         writes: [{ kind: 'put', key, value }],
       });
-      if (r.kind === 'refused') throw new Error(`the state service refused the change: ${r.reason}`);
-      return r.kind === 'ok';
+      if (reply.kind === 'refused') throw new Error(`the state service refused the change: ${reply.reason}`);
+      return reply.kind === 'ok';
     },
     remove: async (key, version) => {
-      const r = await call({
+      const reply = await send({
         kind: 'txn',
         conditions: [{ key, version }],
         writes: [{ kind: 'delete', key }],
       });
-      return r.kind === 'ok';
+      return reply.kind === 'ok';
     },
   };
 };
 
-const HELP = new Set(['help', '--help', '-h']);
-const BUDGET_TOOLS = new Set(['budget', 'statement']);
+const HELP_ARGUMENTS = new Set(['help', '--help', '-h']);
+const BUDGET_COMMANDS = new Set(['budget', 'statement']);
 
 const print = (line: string): void => {
   console.log(line);
 };
-const end = (code: number, problem?: string): void => {
+const exit = (code: number, problem?: string): void => {
   if (problem !== undefined) console.error(problem);
   process.exit(code);
 };
 
-const start = async (): Promise<void> => {
-  const first = process.argv[2];
-  const help = first === undefined || HELP.has(first);
-  if (help || first === 'kube') {
-    const { register } = await kubePlugin();
-    register(program, { load, service: toolService, print, now: () => Date.now() * 1000, end });
+/** Registers the features' commands that the arguments need, then runs the command that they name. */
+const run = async (): Promise<void> => {
+  const commandName = process.argv[2];
+  const needsHelp = commandName === undefined || HELP_ARGUMENTS.has(commandName);
+  if (needsHelp || commandName === 'kube') {
+    const { register } = await importKubernetes();
+    register(program, {
+      load: loadSettings,
+      service: openStore,
+      print,
+      now: () => Date.now() * 1000,
+      end: exit,
+    });
   }
-  if (help || BUDGET_TOOLS.has(first)) {
-    const { register } = await budgetsPlugin();
+  if (needsHelp || BUDGET_COMMANDS.has(commandName)) {
+    const { register } = await importBudgets();
     register(program, {
-      load,
-      service: toolService,
+      load: loadSettings,
+      service: openStore,
       print,
       now: () => Date.now() * 1000,
-      end,
+      end: exit,
     });
   }
   await program.parseAsync();
-  // Connections to the state service stay open: a tool that is done ends all the same.
-  if (first !== undefined && (BUDGET_TOOLS.has(first) || first === 'kube')) process.exitCode ??= 0;
+  // The command may still be running; idle connections to the state service don't keep the process alive once it is done.
+  if (commandName !== undefined && (BUDGET_COMMANDS.has(commandName) || commandName === 'kube'))
+    process.exitCode ??= 0;
 };
 
-start().catch(fail);
+run().catch(handleError);
