--- a/packages/controller/src/http-server.ts
+++ b/packages/controller/src/http-server.ts
@@ -1,7 +1,7 @@
 /** The listening sockets: users, workers and health checks on one address, other controllers on another. */
 import * as http from 'node:http';
 
-import { MAX_BODY } from '@shaleyoke/protocol/body';
+import { MAX_BODY_BYTES } from '@shaleyoke/protocol/body';
 import { Effect, type Scope } from 'effect';
 
 import { splitAddress } from './address.js';
@@ -58,13 +58,13 @@
     send(raw, TOO_LARGE);
     raw.once('finish', () => request.destroy());
   };
-  if (Number(request.headers['content-length'] ?? 0) > MAX_BODY) {
+  if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) {
     refuse();
     return;
   }
   request.on('data', (chunk: Buffer) => {
     size += chunk.length;
-    if (size > MAX_BODY) refuse();
+    if (size > MAX_BODY_BYTES) refuse();
     else chunks.push(chunk);
   });
   request.on('end', () => {
--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of clients: decodes submissions, routes requests, encodes responses. */
+/** The HTTP API for users: routes requests, decodes job submissions and encodes responses. */
 import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobShape, JobSpec, JobView, Priority } from '@shaleyoke/core/domain/job';
 
@@ -17,7 +17,7 @@
   text,
 } from './body.js';
 
-/** Shapes of jobs by their names on the wire. */
+/** Job shapes by their names on the wire. */
 export const SHAPES: ReadonlyMap<string, JobShape> = new Map([
   ['array', 'array'],
   ['group', 'gang'],
@@ -31,23 +31,22 @@
   ['best_effort', 0],
 ]);
 
-/** Most tasks of one job. */
+/** Maximum number of tasks of one job. */
 const MAX_TASKS = 100_000;
-/** Longest text that names a class, team or image. */
+/** Maximum length of the name of a class, team or image. */
 const MAX_NAME_LENGTH = 200;
 const JOB_ID = /^run-[0-9]{1,32}$/;
 
-/** Whether a text is the id of a job. */
 const isJobId = (id: string): boolean => JOB_ID.test(id);
 
-const nonEmpty = (fields: Fields, name: string): string => {
+const readName = (fields: Fields, name: string): string => {
   const value = text(fields, name);
   if (value === '' || value.length > MAX_NAME_LENGTH)
     throw new MalformedMessageError(`${name}: empty or too long`);
   return value;
 };
 
-/** Ids of the jobs that have to be done before this one; duplicates are dropped. */
+/** Reads the ids of the jobs that must complete before this one; duplicates are dropped. */
 const decodeDependencies = (fields: Fields, id: string): string[] => {
   const value = fields['awaits'];
   if (value === null || value === undefined) return [];
@@ -61,7 +60,7 @@
   return [...dependencies];
 };
 
-/** Decodes the description of a job. Throws `MalformedMessageError`. */
+/** Decodes and validates the specification of a job. Throws `MalformedMessageError`. */
 export const decodeSpec = (fields: Fields): JobSpec => {
   const id = text(fields, 'ref');
   if (!isJobId(id)) throw new MalformedMessageError('ref: not a job id');
@@ -70,7 +69,7 @@
     throw new MalformedMessageError(`parts: not a count from 1 to ${MAX_TASKS}`);
   const cores = amount(fields, 'cores');
   const models = fields['models'];
-  const types =
+  const machineTypes =
     models === null || models === undefined
       ? null
       : list(models, 'models').map((model) => {
@@ -79,17 +78,17 @@
         });
   return {
     id,
-    class: nonEmpty(fields, 'bundle'),
-    team: nonEmpty(fields, 'owner'),
+    class: readName(fields, 'bundle'),
+    team: readName(fields, 'owner'),
     shape: oneOf(SHAPES, fields, 'shape'),
     priority: oneOf(PRIORITIES, fields, 'urgency'),
     tasks,
     cores,
     gpus: amount(fields, 'gpus'),
     memoryGb: amount(fields, 'memory_gb'),
-    image: nonEmpty(fields, 'build'),
+    image: readName(fields, 'build'),
     imageGb: amount(fields, 'image_gb'),
-    machineTypes: types,
+    machineTypes,
     zone: optionalText(fields, 'hall'),
     sameZone: flag(fields, 'same_place'),
     spreadAcrossZones: flag(fields, 'scatter'),
@@ -102,7 +101,7 @@
   };
 };
 
-/** Decodes a submission; one that is malformed carries its problem, and its id if that is readable. */
+/** Decodes a job submission. For a malformed one the request states the problem, and the job's id if that is valid. */
 export const decodeSubmission = (bytes: Uint8Array): ClientRequest => {
   let id: string | null = null;
   try {
@@ -116,30 +115,31 @@
   }
 };
 
-/** The request that a method and a path name, or the status with which they are refused. */
+/** The operation that a method and a path select, or the status with which the request is refused. */
 export type Route =
   | { readonly kind: 'submit' | 'report' | 'health' }
   | { readonly kind: 'poll' | 'cancel'; readonly id: string }
   | { readonly kind: 'refused'; readonly status: 404 | 405 };
 
-const only = (allowed: string, method: string, route: Route): Route =>
+const allowOnly = (allowed: string, method: string, route: Route): Route =>
   method === allowed ? route : { kind: 'refused', status: 405 };
 
-/** Finds the request that a method and a URL name. */
+/** Selects the operation for a method and a URL; the query of the URL is ignored. */
 export const routeRequest = (method: string, url: string): Route => {
   const path = url.split('?', 1)[0]!;
-  if (path === '/api/jobs') return only('POST', method, { kind: 'submit' });
-  if (path === '/v1/report') return only('POST', method, { kind: 'report' });
-  if (path === '/healthz') return only('GET', method, { kind: 'health' });
+  if (path === '/api/jobs') return allowOnly('POST', method, { kind: 'submit' });
+  if (path === '/v1/report') return allowOnly('POST', method, { kind: 'report' });
+  if (path === '/healthz') return allowOnly('GET', method, { kind: 'health' });
   const match = /^\/api\/jobs\/([^/]+)(\/abort)?$/.exec(path);
   if (match !== null) {
     return match[2] === undefined
-      ? only('GET', method, { kind: 'poll', id: match[1]! })
-      : only('POST', method, { kind: 'cancel', id: match[1]! });
+      ? allowOnly('GET', method, { kind: 'poll', id: match[1]! })
+      : allowOnly('POST', method, { kind: 'cancel', id: match[1]! });
   }
   return { kind: 'refused', status: 404 };
 };
 
+/** Stages of jobs, with their names on the wire. */
 const STAGES = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
 
 const encodeView = (view: JobView): unknown => ({
@@ -149,7 +149,7 @@
   running: view.running,
 });
 
-/** An HTTP response. */
+/** An HTTP response with an encoded body. `retryAfterS` becomes the Retry-After header. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
@@ -162,7 +162,7 @@
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
-/** Encodes the response to a client. */
+/** Encodes the response to a user's request. */
 export const encodeClientResponse = (response: ClientResponse): HttpResponse => {
   switch (response.kind) {
     case 'view':
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of the cloud: machine types, and creating, deleting and listing machines. */
+/** The HTTP API of the cloud: lists machine types, and rents, deletes and lists machines. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 
@@ -15,26 +15,27 @@
   text,
 } from './body.js';
 
-/** An HTTP request that is to be made. */
+/** An HTTP request to be sent, with its body encoded. */
 export interface HttpCall {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
   readonly body: Buffer | null;
 }
 
+/** Machine states by their names on the wire. */
 const STATES: ReadonlyMap<string, ListedMachine['state']> = new Map([
   ['booting', 'booting'],
   ['running', 'running'],
   ['failed', 'failed'],
 ]);
 
-const texts = (value: unknown, what: string): string[] =>
+const readStrings = (value: unknown, what: string): string[] =>
   list(value, what).map((item) => {
     if (typeof item !== 'string') throw new MalformedMessageError(`${what}: not texts`);
     return item;
   });
 
-/** Encodes a request to the cloud. */
+/** Encodes an operation as a request to the cloud. */
 export const encodeCloudOperation = (operation: CloudOperation): HttpCall => {
   switch (operation.kind) {
     case 'types':
@@ -74,7 +75,7 @@
     price: amount(fields, 'rate'),
     spotPrice: amount(fields, 'market_price'),
     bootUs: secondsToMicros(amount(fields, 'startup_s')),
-    zones: texts(fields['halls'], 'halls'),
+    zones: readStrings(fields['halls'], 'halls'),
   };
 };
 
@@ -91,7 +92,7 @@
   };
 };
 
-/** Decodes the reply to a request; one that is malformed counts as failed. */
+/** Decodes the cloud's reply to an operation; a malformed reply counts as a failure. */
 export const decodeCloudReply = (
   operation: CloudOperation,
   status: number,
@@ -110,7 +111,7 @@
       case 'types':
         return { kind: 'types', types: list(fields['models'], 'models').map(decodeType) };
       case 'rent':
-        return { kind: 'rented', machines: texts(fields['berths'], 'berths') };
+        return { kind: 'rented', machines: readStrings(fields['berths'], 'berths') };
       case 'list':
         return {
           kind: 'listed',
--- a/packages/protocol/src/key-value-store.ts
+++ b/packages/protocol/src/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The HTTP API of the consensus-backed key-value store. */
+/** The HTTP API of the key-value store, which replicates its data by consensus. */
 import type {
   StoredItem,
   StoreEvent,
@@ -25,7 +25,7 @@
     ? { set: write.key, data: write.value, ...(write.lease === undefined ? {} : { permit: write.lease }) }
     : { remove: write.key };
 
-/** Encodes a request to the store. */
+/** Encodes an operation as a request to the store. */
 export const encodeStoreOperation = (operation: StoreOperation): HttpCall => {
   switch (operation.kind) {
     case 'get':
@@ -80,7 +80,7 @@
     : { kind: 'put', key: text(fields, 'set'), value: fields['data'], version: integer(fields, 'stamp') };
 };
 
-const decodeOk = (operation: StoreOperation, body: unknown): StoreReply => {
+const decodeSuccess = (operation: StoreOperation, body: unknown): StoreReply => {
   const readFields = () => asFields(body, 'answer');
   switch (operation.kind) {
     case 'get':
@@ -121,7 +121,7 @@
   return { kind: 'conflict', failed: keys, revision: integer(fields, 'ledger') };
 };
 
-/** A reply with a status other than 200 that the operation knows; null for any other. */
+/** Decodes a reply whose status is not 200 but has a meaning for the operation; null for any other status. */
 const decodeOutcome = (operation: StoreOperation, status: number, body: unknown): StoreReply | null => {
   switch (operation.kind) {
     case 'get':
@@ -142,7 +142,7 @@
   }
 };
 
-/** Decodes the reply to a request; one that is malformed counts as failed, and may have been executed. */
+/** Decodes the store's reply to an operation. A malformed reply counts as a failure of an operation that may have been executed. */
 export const decodeStoreReply = (
   operation: StoreOperation,
   status: number,
@@ -152,7 +152,7 @@
     if (status === 429) return failed(false, 'busy', `status ${status}`);
     if (status === 503) return failed(false, 'refused', `status ${status}`);
     const body = bytes.length === 0 ? {} : decodeBody(bytes);
-    if (status === 200) return decodeOk(operation, body);
+    if (status === 200) return decodeSuccess(operation, body);
     const outcome = decodeOutcome(operation, status, body);
     if (outcome !== null) return outcome;
     if (status === 400) return { kind: 'refused', reason: 'malformed or beyond the limits' };
--- a/packages/protocol/src/peers.ts
+++ b/packages/protocol/src/peers.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between the controllers: Avro over HTTP on the peers' address, each kind of message on a path of its own. The
- * version before serves the first path only and answers 404 on the other, so it receives nothing that it doesn't know.
+ * Messages between controllers, in Avro over HTTP, with one path for each kind of message. The previous version serves only the path
+ * for progress updates and answers 404 on the other, so it never receives a message that it can't decode.
  */
 import type { PeerHeartbeat, PeerMessage, ProgressUpdate } from '@shaleyoke/core/domain/peer';
 import avro from 'avsc';
@@ -64,14 +64,14 @@
   ],
 });
 
-/** A progress update as it is encoded in Avro. */
+/** A progress update with the field names of its Avro schema. */
 interface ProgressRecord {
   readonly member: string;
   readonly term: number;
   readonly notes: readonly { readonly id: string; readonly done: number; readonly running: number }[];
 }
 
-/** A heartbeat as it is encoded in Avro. */
+/** A heartbeat with the field names of its Avro schema. */
 interface HeartbeatRecord {
   readonly member: string;
   readonly incarnation: number;
@@ -109,11 +109,11 @@
   stateAgeUs: message.storeAnswerAgeUs,
   lateUs: message.timerDelayUs,
   workers: message.workerCount,
-  others: message.peers.map((other) => ({
-    member: other.member,
-    incarnation: other.incarnation,
-    ageUs: other.ageUs,
-    suspected: other.suspected,
+  others: message.peers.map((peer) => ({
+    member: peer.member,
+    incarnation: peer.incarnation,
+    ageUs: peer.ageUs,
+    suspected: peer.suspected,
   })),
 });
 
@@ -126,33 +126,33 @@
   storeAnswerAgeUs: record.stateAgeUs,
   timerDelayUs: record.lateUs,
   workerCount: record.workers,
-  peers: record.others.map((other) => ({
-    member: other.member,
-    incarnation: other.incarnation,
-    ageUs: other.ageUs,
-    suspected: other.suspected,
+  peers: record.others.map((peer) => ({
+    member: peer.member,
+    incarnation: peer.incarnation,
+    ageUs: peer.ageUs,
+    suspected: peer.suspected,
   })),
 });
 
-/** An HTTP request that is to be made to a peer. */
+/** The path and the encoded body of a request to a peer; its method is POST. */
 export interface PeerCall {
   readonly path: string;
   readonly body: Buffer;
 }
 
-/** Encodes a message to a peer. */
+/** Encodes a message to a peer and selects its path. */
 export const encodePeerMessage = (message: PeerMessage): PeerCall =>
   message.kind === 'progress'
     ? { path: PROGRESS_PATH, body: progressType.toBuffer(toProgressRecord(message)) }
     : { path: HEARTBEAT_PATH, body: heartbeatType.toBuffer(toHeartbeatRecord(message)) };
 
-/** The kind of messages that a path carries; null for an unknown path. */
+/** The kind of message that is sent to a path; null for an unknown path. */
 export const peerMessageKindOf = (path: string): PeerMessage['kind'] | null => {
   if (path === PROGRESS_PATH) return 'progress';
   return path === HEARTBEAT_PATH ? 'beat' : null;
 };
 
-/** Decodes a message of a peer; null for bytes that are none, which the caller logs and drops. */
+/** Decodes a message of a peer; null if it is malformed, which the caller logs. */
 export const decodePeerMessage = (kind: PeerMessage['kind'], bytes: Buffer): PeerMessage | null => {
   try {
     return kind === 'progress'
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -1,4 +1,4 @@
-/** The HTTP API between workers and the leader: heartbeats, the responses to them, and commands sent directly. */
+/** The HTTP API between workers and the leader: heartbeats and their responses, and commands that the leader sends directly. */
 import type {
   CommandReply,
   ExitCause,
@@ -24,7 +24,7 @@
   text,
 } from './body.js';
 
-/** States of tasks by their names on the wire. */
+/** Task states by their names on the wire. */
 export const TASK_STATES: ReadonlyMap<string, TaskState> = new Map([
   ['pulling', 'fetching'],
   ['gathering', 'waiting'],
@@ -32,7 +32,7 @@
   ['flushing', 'saving'],
   ['exited', 'exited'],
 ]);
-/** Causes of exits by their names on the wire. */
+/** Causes of a task's exit by their names on the wire. */
 export const EXIT_CAUSES: ReadonlyMap<string, ExitCause> = new Map([
   ['done', 'done'],
   ['stopped', 'stopped'],
@@ -44,15 +44,16 @@
   ['no_such', 'unknown'],
 ]);
 
-/** The name of a task on the wire. */
+/** The name of a task on the wire: the job's id and the index of the task. */
 export const taskName = (job: string, index: number): string => `${job}/${index}`;
 
-/** Splits the name of a task. Throws `MalformedMessageError`. */
+/** Splits the name of a task into the job's id and the index. Throws `MalformedMessageError`. */
 export const splitTask = (name: string): { job: string; index: number } => {
-  const cut = name.lastIndexOf('/');
-  const index = Number(name.slice(cut + 1));
-  if (cut <= 0 || !Number.isInteger(index) || index < 0) throw new MalformedMessageError('part: not a task');
-  return { job: name.slice(0, cut), index };
+  const separator = name.lastIndexOf('/');
+  const index = Number(name.slice(separator + 1));
+  if (separator <= 0 || !Number.isInteger(index) || index < 0)
+    throw new MalformedMessageError('part: not a task');
+  return { job: name.slice(0, separator), index };
 };
 
 const decodeTask = (value: unknown): ReportedTask => {
@@ -67,7 +68,7 @@
   };
 };
 
-/** Decodes the heartbeat of a worker. Throws `MalformedMessageError`. */
+/** Decodes the heartbeat of a worker, with the states of its tasks. Throws `MalformedMessageError`. */
 export const decodeHeartbeat = (value: unknown): Heartbeat => {
   const fields = asFields(value, 'report');
   const notice = optionalAmount(fields, 'recall_s');
@@ -97,7 +98,7 @@
   }
 };
 
-/** Encodes the response to a heartbeat. */
+/** Encodes the response to a heartbeat: commands, the name of the leader if another controller leads, or a refusal. */
 export const encodeHeartbeatResponse = (response: HeartbeatResponse): { status: number; body: Buffer } => {
   switch (response.kind) {
     case 'accepted':
@@ -112,17 +113,17 @@
   }
 };
 
-/** Path on a worker to which commands are sent. */
+/** The path on a worker that accepts commands. */
 export const COMMANDS_PATH = '/orders';
 
-/** Encodes commands for one worker. */
+/** Encodes commands for one worker, which refuses them if the fencing token is outdated or the agent's epoch differs from its own. */
 export const encodeCommands = (
   fencingToken: number,
   agentEpoch: number,
   commands: readonly WorkerCommand[],
 ): Buffer => encodeBody({ baton: fencingToken, shift: agentEpoch, orders: commands.map(encodeCommand) });
 
-/** Decodes the reply to commands. A malformed one counts as lost: whether the commands were executed stays open. */
+/** Decodes the reply to commands. A malformed reply counts as lost: the commands may or may not have been executed. */
 export const decodeCommandReply = (status: number, bytes: Uint8Array): CommandReply => {
   if (status !== 200 && status !== 409) return { kind: 'lost', heartbeat: null };
   try {
--- a/packages/protocol/test/formats.test.ts
+++ b/packages/protocol/test/formats.test.ts
@@ -1,4 +1,4 @@
-/** Round trips and malformed input for every format. */
+/** Round trips of all message formats, and malformed input, which decoders must reject without any other exception. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -71,7 +71,7 @@
   }
 });
 
-test('whatever a field is replaced by, a submission is malformed, or what is accepted is read back from its record', () => {
+test('a submission with any field replaced is either rejected or restored unchanged from its stored record', () => {
   const replacement = fc.oneof(
     fc.constantFrom<unknown>(
       null,
@@ -116,7 +116,7 @@
       assert.equal(request.kind, 'submit');
       if (request.kind !== 'submit' || request.spec === null) return;
       accepted++;
-      // The state service stores what JSON can express.
+      // The store holds JSON values only.
       const stored = JSON.parse(
         JSON.stringify(decodeBody(encodeBody(encodeActiveJob(request.spec, 5)))),
       ) as unknown;
@@ -127,7 +127,7 @@
   assert.ok(accepted > 300, `accepted: ${accepted}`);
 });
 
-test('no bytes make a decoder throw anything but MalformedMessageError', () => {
+test('decoders throw nothing but MalformedMessageError, whatever the input bytes', () => {
   fc.assert(
     fc.property(fc.oneof(fc.uint8Array({ maxLength: 200 }), fc.anything().map(encodeOrInvalid)), (bytes) => {
       const request = decodeSubmission(bytes);
@@ -167,12 +167,12 @@
 };
 
 test('progress updates are decoded as they were encoded', () => {
-  const note = fc.record(
+  const job = fc.record(
     { id: fc.string(), done: fc.nat(100_000), running: fc.nat(100_000) },
     { noNullPrototype: true },
   );
   fc.assert(
-    fc.property(fc.string(), fc.nat(), fc.array(note, { maxLength: 40 }), (member, term, jobs) => {
+    fc.property(fc.string(), fc.nat(), fc.array(job, { maxLength: 40 }), (member, term, jobs) => {
       assert.deepEqual(
         decodePeerMessage('progress', encodePeerMessage({ kind: 'progress', member, term, jobs }).body),
         {
@@ -223,7 +223,7 @@
     assert.equal(dependenciesOf(wrong), null, JSON.stringify(wrong));
 });
 
-test('heartbeats are decoded as they were encoded, on a path that the version before refuses', () => {
+test('heartbeats are decoded as they were encoded, and use a path that the previous version refuses', () => {
   const peerStatus = fc.record(
     { member: fc.string(), incarnation: fc.nat(), ageUs: fc.nat(), suspected: fc.boolean() },
     { noNullPrototype: true },
@@ -262,8 +262,8 @@
   assert.equal(peerMessageKindOf('/peer/v3'), null);
 });
 
-test('peers of the version before and of this one read each other; other bytes are dropped', () => {
-  // As the version before sends it.
+test('progress updates are compatible with the previous version; malformed bytes are rejected', () => {
+  // Bytes as the previous version sends them.
   const bytes = Buffer.from('0c646f636b2d300602' + '0a72756e2d37' + '0608' + '00', 'hex');
   const message = {
     kind: 'progress',
@@ -277,8 +277,8 @@
   assert.equal(decodePeerMessage('progress', bytes.subarray(0, 9)), null);
 });
 
-test('bodies that are nested as deeply as possible are refused like any other, and do not end the process', () => {
-  // A parser that calls itself for each level ended a whole process once (docs/incidents/nested-body.md).
+test('a body with the deepest possible nesting is refused as malformed and does not end the process', () => {
+  // Guards against a recursive parser, whose stack overflow once ended a whole process (docs/incidents/nested-body.md).
   const lists = Buffer.concat([Buffer.alloc(65_000, 0x91), Buffer.from([0xc0])]);
   const maps = Buffer.concat([Buffer.alloc(60_000, Buffer.from([0x81, 0xa1, 0x61])), Buffer.from([0xc0])]);
   for (const body of [lists, maps]) {
--- a/packages/protocol/test/wire-examples.test.ts
+++ b/packages/protocol/test/wire-examples.test.ts
@@ -1,6 +1,6 @@
 /**
- * Literal bodies of each message on the wire, as the protocol names them. The codecs are the only place that knows these
- * names; none of them may change.
+ * Literal bodies of each message on the wire. Guards against a rename in the code changing a field name of the protocol: only the
+ * codecs know these names, and none of them may change.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -77,22 +77,22 @@
 
 test('responses to clients', () => {
   const view = { id: 'run-1', done: 3, running: 2 };
-  const words = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
+  const wireStages = { queued: 'queued', running: 'running', done: 'done', cancelled: 'withdrawn' } as const;
   for (const stage of ['queued', 'running', 'done', 'cancelled'] as const) {
-    const answer = encodeClientResponse({ kind: 'view', created: true, view: { ...view, stage } });
-    assert.equal(answer.status, 201);
-    assert.deepEqual(bodyOf(answer.body), { ref: 'run-1', stage: words[stage], done: 3, running: 2 });
+    const response = encodeClientResponse({ kind: 'view', created: true, view: { ...view, stage } });
+    assert.equal(response.status, 201);
+    assert.deepEqual(bodyOf(response.body), { ref: 'run-1', stage: wireStages[stage], done: 3, running: 2 });
   }
-  const known = encodeClientResponse({ kind: 'view', created: false, view: { ...view, stage: 'queued' } });
-  assert.equal(known.status, 200);
+  const existing = encodeClientResponse({ kind: 'view', created: false, view: { ...view, stage: 'queued' } });
+  assert.equal(existing.status, 200);
   const refusals = [
     [encodeClientResponse({ kind: 'malformed', problem: 'x' }), 400],
     [encodeClientResponse({ kind: 'impossible', problem: 'x' }), 422],
     [encodeClientResponse({ kind: 'unavailable', retryAfterS: 1, problem: 'x' }), 503],
   ] as const;
-  for (const [answer, status] of refusals) {
-    assert.equal(answer.status, status);
-    assert.deepEqual(bodyOf(answer.body), { error: 'x' });
+  for (const [response, status] of refusals) {
+    assert.equal(response.status, status);
+    assert.deepEqual(bodyOf(response.body), { error: 'x' });
   }
   assert.equal(refusals[2][0].retryAfterS, 1);
   assert.equal(encodeClientResponse({ kind: 'absent' }).status, 404);
@@ -124,7 +124,7 @@
     { part: 'run-1/11', try: 61, stage: 'exited', cause: 'no_such' },
   ],
 };
-const live = (index: number, state: 'fetching' | 'waiting' | 'running' | 'saving') =>
+const active = (index: number, state: 'fetching' | 'waiting' | 'running' | 'saving') =>
   ({ job: 'run-1', index, attempt: 50 + index, state, cause: null, checkpointed: false }) as const;
 const exited = (
   index: number,
@@ -142,10 +142,10 @@
   fencingToken: 3_145_729,
   terminationNoticeUs: 12_500_000,
   tasks: [
-    live(0, 'fetching'),
-    live(1, 'waiting'),
-    live(2, 'running'),
-    live(3, 'saving'),
+    active(0, 'fetching'),
+    active(1, 'waiting'),
+    active(2, 'running'),
+    active(3, 'saving'),
     exited(4, 'done'),
     exited(5, 'stopped', true),
     exited(6, 'peers'),
@@ -176,7 +176,7 @@
 
 test('responses to heartbeats, and commands', () => {
   const id = { job: 'run-1', index: 4, attempt: 50 };
-  const orders = [
+  const commands = [
     { op: 'start', ...id },
     { op: 'stop', ...id, graceUs: 1_500_000 },
     { op: 'forget', ...id },
@@ -186,7 +186,7 @@
     { verb: 'kill', part: 'run-1/4', try: 50, leeway_s: 1.5 },
     { verb: 'clear', part: 'run-1/4', try: 50 },
   ];
-  const accepted = encodeHeartbeatResponse({ kind: 'accepted', fencingToken: 9, commands: orders });
+  const accepted = encodeHeartbeatResponse({ kind: 'accepted', fencingToken: 9, commands });
   assert.equal(accepted.status, 200);
   assert.deepEqual(bodyOf(accepted.body), { baton: 9, orders: bodies });
   const redirect = encodeHeartbeatResponse({ kind: 'redirect', leader: 'dock-1' });
@@ -196,7 +196,7 @@
   const unavailable = encodeHeartbeatResponse({ kind: 'unavailable' });
   assert.equal(unavailable.status, 503);
   assert.deepEqual(bodyOf(unavailable.body), { error: 'not entitled to answer reports now' });
-  assert.deepEqual(bodyOf(encodeCommands(9, 2, orders)), { baton: 9, shift: 2, orders: bodies });
+  assert.deepEqual(bodyOf(encodeCommands(9, 2, commands)), { baton: 9, shift: 2, orders: bodies });
 });
 
 test('requests to the key-value store', () => {
@@ -387,7 +387,7 @@
   const progressBytes = Buffer.from('0c646f636b2d300602' + '0a72756e2d37' + '060800', 'hex');
   assert.deepEqual(encodePeerMessage(progress), { path: '/peer/v1', body: progressBytes });
   assert.deepEqual(decodePeerMessage('progress', progressBytes), progress);
-  const beat = {
+  const heartbeat = {
     kind: 'beat',
     member: 'dock-0',
     incarnation: 9,
@@ -398,7 +398,7 @@
     workerCount: 7,
     peers: [{ member: 'dock-1', incarnation: 8, ageUs: 50, suspected: true }],
   } as const;
-  const beatBytes = Buffer.from(
+  const heartbeatBytes = Buffer.from(
     '0c646f636b2d30' +
       '12' +
       '0a' +
@@ -414,6 +414,6 @@
       '00',
     'hex',
   );
-  assert.deepEqual(encodePeerMessage(beat), { path: '/peer/v2/beat', body: beatBytes });
-  assert.deepEqual(decodePeerMessage('beat', beatBytes), beat);
+  assert.deepEqual(encodePeerMessage(heartbeat), { path: '/peer/v2/beat', body: heartbeatBytes });
+  assert.deepEqual(decodePeerMessage('beat', heartbeatBytes), heartbeat);
 });
