--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -5,7 +5,7 @@
 import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
-import { Log, logLevel, LogLive } from '@shaleyoke/controller/log';
+import { Log, LogLive, parseLogLevel } from '@shaleyoke/controller/log';
 import { type FeatureListener, runController } from '@shaleyoke/controller/run-controller';
 import { ACTIVE_JOBS_PREFIX, LEADER_KEY, MACHINE_PAGES_PREFIX } from '@shaleyoke/core/codecs/keys';
 import type { StoredItem, StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
@@ -78,7 +78,7 @@
 const serve = async (options: FileOptions): Promise<void> => {
   const settings = loadSettings(options);
   const requestedLevel = process.env['LOG_LEVEL'];
-  const level = logLevel(requestedLevel);
+  const level = parseLogLevel(requestedLevel);
   if (level === null)
     throw new SettingsError(
       `LOG_LEVEL: expected error, info or debug, not ${JSON.stringify(requestedLevel)}`,
--- a/packages/controller/src/address.ts
+++ b/packages/controller/src/address.ts
@@ -1,6 +1,6 @@
-/** Addresses of the form `HOST:PORT`. */
+/** Network addresses of the form `HOST:PORT`. */
 
-/** A host and a port; the port is not a number where the address is none. */
+/** The parts of an address; the port is NaN if the address is malformed. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/packages/controller/src/admission.ts
+++ b/packages/controller/src/admission.ts
@@ -1,11 +1,11 @@
-/** Waiting for a rate limiter as an effect. */
+/** Admission of calls by a rate limiter, as an effect. */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
 import { Effect } from 'effect';
 
 import type { RateLimiter } from './rate-limiter.js';
 
-/** True once the call may be sent; false when it has waited for too long. */
+/** Waits for admission: true once the call may be sent, false if it has waited for too long. */
 export const waitForAdmission = (
   limiter: RateLimiter,
   urgency: RequestUrgency,
@@ -17,10 +17,10 @@
     });
   });
 
-/** Status of an answer that asks for fewer requests. */
+/** HTTP status of a response that rejects a request because there are too many. */
 export const TOO_MANY_REQUESTS = 429;
 
-/** How long a call to the store that was rejected with this status is tried again, by urgency. */
+/** How long a call to the store that was rejected with that status is retried, by urgency. */
 export const RETRY_REJECTED_FOR: Record<RequestUrgency, Micros> = {
   0: 2 * SECOND,
   1: 900 * MILLI,
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -1,4 +1,4 @@
-/** The outside systems that the core calls: key-value store, cloud, workers, other controllers. */
+/** Clients of the external systems that the core calls: key-value store, cloud, workers and other controllers. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import type { CommandReply, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
@@ -17,32 +17,36 @@
 import { RateLimiter, type RateLimiterSummary } from './rate-limiter.js';
 import { StoreClient } from './store-client.js';
 
-/** Calls to outside systems. None of them fails: a call without an answer has a reply that says so. */
+/** Calls to external systems. None of the effects fails: the reply states that there was no answer. */
 export interface ClientsService {
+  /** Executes an operation of the key-value store; waits for admission by the rate limiter first. */
   readonly requestStore: (operation: StoreOperation, urgency: RequestUrgency) => Effect.Effect<StoreReply>;
+  /** Executes an operation of the cloud; waits for admission by the rate limiter first. */
   readonly requestCloud: (operation: CloudOperation, urgency: RequestUrgency) => Effect.Effect<CloudReply>;
+  /** Sends commands to the worker at an address, and returns the heartbeat in its reply. */
   readonly sendCommands: (
     address: string,
     fencingToken: number,
     agentEpoch: number,
     commands: readonly WorkerCommand[],
   ) => Effect.Effect<CommandReply>;
+  /** Sends a message to another controller, without a delivery guarantee; does nothing for an unknown member. */
   readonly sendToPeer: (member: string, message: PeerMessage) => Effect.Effect<void>;
-  /** The leader gets the larger share of the request budgets. */
+  /** Adjusts the shares of the request budgets to the role: the leader's are larger. */
   readonly setRole: (isLeader: boolean) => void;
-  /** What the budget of the store has let through since the last time. */
+  /** Statistics of the store's rate limiter since the last call. */
   readonly takeStoreSummary: () => RateLimiterSummary;
 }
 
-/** The tag under which the clients are provided. */
+/** Effect's service tag under which the clients are provided. */
 export class Clients extends Context.Tag('Clients')<Clients, ClientsService>() {}
 
 const COMMANDS_TIMEOUT: Micros = 2_500 * MILLI;
 const PEER_TIMEOUT: Micros = 2 * SECOND;
-/** Idle connections to workers are closed: at a thousand machines they would use up the sockets. */
+/** Idle connections to workers are closed: with a thousand machines they would use up the sockets. */
 const WORKER_IDLE_MS = 4_000;
-/** The cloud's budget does not count writes. */
-const NO_WRITES = 1;
+/** The cloud has no write limit: its calls are admitted with no writes, so that this rate never applies. */
+const UNUSED_WRITE_RATE = 1;
 
 const makeClients = (settings: Settings): ClientsService => {
   const { memberCount, storeRequestsPerS, storeWritesPerS, cloudRequestsPerS } = settings;
@@ -52,7 +56,7 @@
     storeWritesPerS * shares.writes,
     steadyNow,
   );
-  const cloudLimiter = new RateLimiter(cloudRequestsPerS * shares.cloud, NO_WRITES, steadyNow);
+  const cloudLimiter = new RateLimiter(cloudRequestsPerS * shares.cloud, UNUSED_WRITE_RATE, steadyNow);
   const store = new StoreClient(settings.storeAddress, storeLimiter);
   const cloud = new CloudClient(settings.cloudAddress, cloudLimiter);
   const workerAgent = makeAgent(1, WORKER_IDLE_MS);
@@ -80,11 +84,11 @@
     setRole: (isLeader) => {
       const { requests, writes, cloud: cloudShare } = budgetShares(memberCount, isLeader);
       storeLimiter.setRates(storeRequestsPerS * requests, storeWritesPerS * writes);
-      cloudLimiter.setRates(cloudRequestsPerS * cloudShare, NO_WRITES);
+      cloudLimiter.setRates(cloudRequestsPerS * cloudShare, UNUSED_WRITE_RATE);
     },
   };
 };
 
-/** Clients for the outside systems that the settings name. */
+/** Provides clients for the external systems that the settings name. */
 export const ClientsLive = (settings: Settings): Layer.Layer<Clients> =>
   Layer.sync(Clients, () => makeClients(settings));
--- a/packages/controller/src/clock.ts
+++ b/packages/controller/src/clock.ts
@@ -5,9 +5,9 @@
 
 const startedAt = process.hrtime.bigint();
 
-/** Steady time, counted from the start of the process so that it stays small. */
+/** Monotonic time since the start of the process: a small number, which stays exact in microseconds. */
 export const steadyNow = (): Micros =>
   Number((process.hrtime.bigint() - startedAt) / NANOSECONDS_PER_MICROSECOND);
 
-/** Time of day. */
+/** Time of day, since the Unix epoch. */
 export const wallNow = (): Micros => Date.now() * MILLI;
--- a/packages/controller/src/cloud-client.ts
+++ b/packages/controller/src/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The client of the cloud, within the request budget. */
+/** The client of the cloud; keeps to the request budget. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
@@ -12,7 +12,7 @@
 const TIMEOUT: Micros = 5 * SECOND;
 const SOCKETS = 4;
 
-/** Sends requests to the cloud. */
+/** Sends requests to the cloud, each once: the caller decides on retries. */
 export class CloudClient {
   private readonly agent = makeAgent(SOCKETS);
 
@@ -21,7 +21,7 @@
     private readonly limiter: RateLimiter,
   ) {}
 
-  /** Sends one request; the reply says so where there was no answer. */
+  /** Sends one request; without an answer the reply is a failure. */
   request(operation: CloudOperation, urgency: RequestUrgency): Effect.Effect<CloudReply> {
     return waitForAdmission(this.limiter, urgency, 0).pipe(
       Effect.flatMap((admitted) =>
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: passes inputs to the core's state machine and carries out the effects that it returns. */
+/** One controller process: passes inputs to the core's state machine and carries out the effects that it returns. */
 import { Core } from '@shaleyoke/core/core';
 import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
@@ -17,30 +17,30 @@
 import type { LogService } from './log.js';
 import { ProcessMetrics } from './process-metrics.js';
 
-/** Calls back with the response of a request. */
+/** Sends the response to a request; called once, possibly later. */
 export type Respond = (response: ServerResponse) => void;
-/** Runs an effect and passes its result on. */
+/** Runs an effect without waiting for it and passes its result to `then`. */
 export type RunEffect = <A>(effect: Effect.Effect<A>, then: (result: A) => void) => void;
-/** Called for each answer of a feature, until the last. */
+/** Called with each answer of a feature; `last` marks the final one. */
 type OnFeatureAnswer = (answer: unknown, last: boolean) => void;
 
 const UNAVAILABLE = 503;
-/** How often the gauges of the process are logged. */
+/** Interval at which the metrics of the process are logged. */
 const SUMMARY_INTERVAL_MS = 10_000;
 const ACCEPTED: ServerResponse = { status: 200, body: Buffer.alloc(0) };
 
 const emptyResponse = (status: number): ServerResponse => ({ status, body: encodeBody({}) });
 
-/** Owns the core of one process and the requests that wait for its responses. */
+/** Owns the core of one process and the requests that await a response from it. */
 export class Controller {
   private readonly core: Core;
-  /** Requests of users and workers that wait for their response. */
-  private readonly waiting = new Map<number, Respond>();
-  /** Requests of features' clients that wait for further answers. */
+  /** Requests of users and workers that await a response, by request number. */
+  private readonly pendingRequests = new Map<number, Respond>();
+  /** Requests of features' clients that await further answers, by request number. */
   private readonly featureRequests = new Map<number, OnFeatureAnswer>();
   private nextRequest = 1;
   private timer: NodeJS.Timeout | null = null;
-  private wakeAt: Micros = 0;
+  private timerDueAt: Micros = 0;
   private readonly metrics: ProcessMetrics;
 
   constructor(
@@ -52,12 +52,12 @@
   ) {
     this.core = new Core(settings, steadyNow, log.verbose, features);
     this.metrics = new ProcessMetrics(() => ({
-      openRequests: this.waiting.size,
+      openRequests: this.pendingRequests.size,
       store: { ...clients.takeStoreSummary() },
     }));
   }
 
-  /** Starts the core. To be called once everything listens. */
+  /** Starts the core; to be called once all listeners are open. */
   start(): void {
     this.step({ kind: 'start', wallUs: wallNow() });
     this.scheduleSummary();
@@ -70,7 +70,7 @@
     }, SUMMARY_INTERVAL_MS);
   }
 
-  /** A request of a user, a worker or a health check. */
+  /** Handles a request of a user, a worker or a health check. */
   handlePublic({ method, url, body }: ServerRequest, respond: Respond): void {
     const target = routeRequest(method, url);
     switch (target.kind) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** A message of another controller. */
+  /** Handles a message of another controller. It is acknowledged before the core processes it. */
   handlePeer({ url, body }: ServerRequest, respond: Respond): void {
     const kind = peerMessageKindOf(url);
     if (kind === null) {
@@ -110,7 +110,7 @@
     this.step({ kind: 'peerMessage', message });
   }
 
-  /** A request of a feature's client; returns its number. `onAnswer` is called for each answer, until the last. */
+  /** Passes a feature client's request to the core and returns its number. `onAnswer` is called for each answer, until the last. */
   handleFeatureRequest(feature: string, body: unknown, onAnswer: OnFeatureAnswer): number {
     const request = this.nextRequest++;
     this.featureRequests.set(request, onAnswer);
@@ -120,7 +120,7 @@
 
   private handleClientRequest(body: ClientRequest, respond: Respond): void {
     const request = this.nextRequest++;
-    this.waiting.set(request, respond);
+    this.pendingRequests.set(request, respond);
     this.step({ kind: 'clientRequest', request, body, wallUs: wallNow() });
   }
 
@@ -128,7 +128,7 @@
     try {
       const heartbeat = decodeHeartbeat(decodeBody(body));
       const request = this.nextRequest++;
-      this.waiting.set(request, respond);
+      this.pendingRequests.set(request, respond);
       this.step({ kind: 'heartbeat', request, heartbeat });
     } catch (error) {
       if (!(error instanceof MalformedMessageError)) throw error;
@@ -141,7 +141,7 @@
     try {
       for (const effect of this.core.step(steadyNow(), input)) this.perform(effect);
     } catch (error) {
-      // A fault of the program must not take the controller, and with it users' requests, down.
+      // A fault in the handling of one input must not end the process, which would lose the requests of all users.
       const stack = error instanceof Error ? error.stack : String(error);
       this.log.write('error', 'node.exception_caught', { input: input.kind, stack });
     }
@@ -159,7 +159,7 @@
         return;
       case 'clientResponse': {
         const response = encodeClientResponse(effect.answer);
-        // A controller that can't serve now says so at once, and lets the retry go to another one.
+        // Closing the connection lets the client's retry reach another controller, which may be able to serve it.
         this.respond(effect.request, { ...response, close: response.status === UNAVAILABLE });
         return;
       }
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Calls an outside system; its reply is a later input. */
+  /** Calls an external system; the reply becomes a later input of the core. */
   private call(effect: CoreEffect & { kind: 'storeRequest' | 'cloudRequest' | 'workerCommands' }): void {
     const { call } = effect;
     switch (effect.kind) {
@@ -206,8 +206,8 @@
   }
 
   private respond(request: number, response: ServerResponse): void {
-    const respond = this.waiting.get(request);
-    this.waiting.delete(request);
+    const respond = this.pendingRequests.get(request);
+    this.pendingRequests.delete(request);
     respond?.(response);
   }
 
@@ -217,13 +217,13 @@
     onAnswer?.(answer, last);
   }
 
-  /** One timer at a time: the core names the next moment at which it wants to be woken with each step. */
+  /** Replaces the timer: with each step the core states the next time at which it wants to be woken. */
   private setTimer(at: Micros): void {
     if (this.timer !== null) {
-      if (this.wakeAt === at) return;
+      if (this.timerDueAt === at) return;
       clearTimeout(this.timer);
     }
-    this.wakeAt = at;
+    this.timerDueAt = at;
     const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MILLI));
     this.timer = setTimeout(() => {
       this.timer = null;
--- a/packages/controller/src/http-client.ts
+++ b/packages/controller/src/http-client.ts
@@ -1,4 +1,4 @@
-/** Calls over Node's http, each with a deadline: a silent server costs its time-out, never more. */
+/** HTTP calls with a time limit each, so that a server that does not respond holds up its caller for no longer than that. */
 import * as http from 'node:http';
 
 import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
@@ -7,12 +7,12 @@
 
 import { splitAddress } from './address.js';
 
-/** Null: no answer; whether the request was executed is not known. */
+/** The response to a call. Null: there was none, and the request may or may not have been executed. */
 export type HttpReply = { readonly status: number; readonly body: Buffer } | null;
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
 
-/** A pool of connections that are kept open; `idleMs`: those that were not used for that long are closed. */
+/** A pool of persistent connections, at most `sockets` to a server; those that are idle for `idleMs` are closed. */
 export const makeAgent = (sockets: number, idleMs?: number): http.Agent =>
   new http.Agent({
     keepAlive: true,
@@ -25,7 +25,7 @@
 const headersOf = (body: Buffer | null): http.OutgoingHttpHeaders =>
   body === null ? {} : { 'Content-Type': 'application/msgpack', 'Content-Length': body.length };
 
-/** Passes the whole response on; null for one that breaks off or is too large. */
+/** Reads the whole response; passes null on if it is cut off or too large. */
 const readResponse = (
   request: http.ClientRequest,
   response: http.IncomingMessage,
@@ -49,7 +49,7 @@
   response.on('aborted', fail);
 };
 
-/** Sends a request, and gives the response, or null once `timeout` has passed or the connection fails. */
+/** Sends a request; the result is the response, or null if the connection fails or `timeout` passes first. */
 export const callHttp = (
   agent: http.Agent,
   address: string,
@@ -86,7 +86,7 @@
       request.destroy();
     });
   }).pipe(
-    // An address that can't be one throws at once. Nothing was sent then, and the caller must learn of that all the same: else its
-    // machine would get no command any more, and whatever waits for the call would wait for ever.
+    // An invalid address makes Node throw at once, before anything is sent. The caller must get a result all the same: without one
+    // its machine would get no further commands, and whatever awaits the call would never go on.
     Effect.catchAllDefect(() => Effect.succeed<HttpReply>(null)),
   );
--- a/packages/controller/src/http-server.ts
+++ b/packages/controller/src/http-server.ts
@@ -1,4 +1,4 @@
-/** The listening sockets: users, workers and health checks on one address, other controllers on another. */
+/** HTTP servers: one address serves users, workers and health checks, another the other controllers. */
 import * as http from 'node:http';
 
 import { MAX_BODY_BYTES } from '@shaleyoke/protocol/body';
@@ -7,28 +7,28 @@
 import { splitAddress } from './address.js';
 import { closeIdleConnections } from './idle-connections.js';
 
-/** A request with its whole body. */
+/** A request whose body has been received completely. */
 export interface ServerRequest {
   readonly method: string;
   readonly url: string;
   readonly body: Buffer;
 }
 
-/** The response to a request. */
+/** The response to a request, with its body already encoded. */
 export interface ServerResponse {
   readonly status: number;
   readonly body: Buffer;
   readonly retryAfterS?: number;
-  /** Ends the connection, so that a retry may reach another controller. */
+  /** Closes the connection, so that a retry may reach another controller. */
   readonly close?: boolean;
 }
 
-/** Calls back with the response, now or later. */
+/** Handles a request; `respond` may be called at once or later. */
 export type RequestHandler = (request: ServerRequest, respond: (response: ServerResponse) => void) => void;
 
-/** Users and workers come every few seconds: a connection that is idle for longer has probably lost its other end. */
+/** Users and workers send requests every few seconds: a connection that is idle for longer has probably lost its client. */
 const IDLE_MS = 12_000;
-/** Connections stay open until one side closes them: users poll every few seconds. */
+/** Kept long, so that users, who poll every few seconds, can reuse their connections. */
 const KEEP_ALIVE_MS = 120_000;
 const HEADERS_TIMEOUT_MS = 20_000;
 const REQUEST_TIMEOUT_MS = 20_000;
@@ -47,7 +47,7 @@
   raw.end(response.body);
 };
 
-/** Reads the body of a request, which must not be larger than the protocol allows, and handles it. */
+/** Reads the body of a request and handles it; a body larger than the protocol allows is refused with status 413. */
 const receive = (request: http.IncomingMessage, raw: http.ServerResponse, handle: RequestHandler): void => {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -92,7 +92,7 @@
   return server;
 };
 
-/** Listens until the scope closes. `maxConnections`: 0 for no limit. */
+/** Listens until the scope closes. `maxConnections`: 0 for no limit; `idleMs`: idle time after which a connection may be closed. */
 export const listen = (
   address: string,
   maxConnections: number,
--- a/packages/controller/src/log.ts
+++ b/packages/controller/src/log.ts
@@ -1,4 +1,4 @@
-/** Structured logs on standard error, one JSON object a line, down to the level that LOG_LEVEL sets. */
+/** Structured logs on standard error, one JSON object per line, up to the level that LOG_LEVEL sets. */
 import type { LogFields, LogLevel } from '@shaleyoke/core/domain/effects';
 import { Context, Layer } from 'effect';
 
@@ -7,23 +7,24 @@
 
 /** Writes log events of one controller. */
 export interface LogService {
-  /** Whether decisions are logged: else their fields need not be gathered. */
+  /** Whether debug events are logged; if not, callers needn't collect their fields. */
   readonly verbose: boolean;
+  /** Writes one event with its fields, unless its level is below the configured one. */
   readonly write: (level: LogLevel, event: string, fields: LogFields) => void;
 }
 
-/** The tag under which the log is provided. */
+/** Effect's service tag under which the log is provided. */
 export class Log extends Context.Tag('Log')<Log, LogService>() {}
 
 const isLogLevel = (text: string): text is LogLevel => Object.hasOwn(SEVERITY, text);
 
-/** The level that LOG_LEVEL names; unset is `info`. Null if it is none of the levels. */
-export const logLevel = (text: string | undefined): LogLevel | null => {
+/** Parses the value of LOG_LEVEL; `info` if it is unset or empty, null if it is not a level. */
+export const parseLogLevel = (text: string | undefined): LogLevel | null => {
   if (text === undefined || text === '') return DEFAULT_LEVEL;
   return isLogLevel(text) ? text : null;
 };
 
-/** Written by hand: Effect's own structured logger takes 69 us a line here, this 10 (docs/design.md, Libraries). */
+/** Provides the log. Effect's own structured logger is not used: it takes 69 us per line, this 10 (docs/design.md, Libraries). */
 export const LogLive = (member: string, level: LogLevel): Layer.Layer<Log> => {
   const limit = SEVERITY[level];
   return Layer.succeed(Log, {
--- a/packages/controller/src/rate-limiter.ts
+++ b/packages/controller/src/rate-limiter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a controller inside its share of a service's request budget. Urgent calls go first, and the last tokens are reserved for
- * them: renewals of the lease must not starve behind anything.
+ * Keeps a controller within its share of a service's request budget. Urgent calls go first, and the last tokens are reserved for
+ * them, so that renewals of the leader's lease are never starved by other calls.
  */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -11,16 +11,16 @@
   readonly urgency: RequestUrgency;
   readonly writes: number;
   readonly arrivedAt: Micros;
-  readonly giveUpAt: Micros;
-  readonly run: (admitted: boolean) => void;
+  readonly abandonAt: Micros;
+  readonly onDecision: (admitted: boolean) => void;
 }
 
-/** How long a call may wait for its turn before it is given up, by urgency. */
+/** How long a call may wait for admission before it is abandoned, by urgency. */
 const MAX_WAIT: Record<RequestUrgency, Micros> = { 0: 4 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
-/** The share of the burst that calls of this urgency leave to more urgent ones. */
+/** The share of the tokens that calls of an urgency leave to more urgent ones. */
 const RESERVED_SHARE: Record<RequestUrgency, number> = { 0: 0, 1: 0.1, 2: 0.3 };
 
-/** So many answers of 429 within the window show that the rate is too high, not that one burst met another. */
+/** This many rejections within the window mean that the rate is too high; fewer may come from bursts that coincide. */
 const REJECTIONS_TO_SLOW_DOWN = 6;
 const REJECTION_WINDOW: Micros = 2 * SECOND;
 /** How long less urgent calls pause after a rejection. */
@@ -29,41 +29,43 @@
 const MIN_USED_SHARE = 0.15;
 const RECOVERY_INTERVAL: Micros = 2 * SECOND;
 const RECOVERY_STEP = 0.1;
-/** How often waiting calls are looked at. */
+/** Interval at which waiting calls are tried again. */
 const SERVE_INTERVAL: Micros = 20 * MILLI;
 
-/** Runs something once the delay has passed. */
+/** Runs a function once, after the delay. */
 export type Schedule = (delay: Micros, run: () => void) => void;
 
 const scheduleOnEventLoop: Schedule = (delay, run) => {
   setTimeout(run, delay / MILLI);
 };
 
-/** What a limiter has done since it was last asked. */
+/** Statistics of a limiter since the last summary. */
 export interface RateLimiterSummary {
-  /** Calls that wait now, and how long the oldest has waited, in milliseconds. */
+  /** Calls that wait now. */
   readonly waiting: number;
+  /** How long the oldest of them has waited, in milliseconds; 0 if none waits. */
   readonly oldestMs: number;
+  /** Calls that were allowed to be sent. */
   readonly admitted: number;
-  /** Calls that were given up before they were sent. */
+  /** Calls that waited for too long and were abandoned before they were sent. */
   readonly givenUp: number;
   /** Calls that the service rejected. */
   readonly rejected: number;
-  /** The share of the budget that is used. */
+  /** The share of the request rate that is used; below 1 after repeated rejections. */
   readonly usedShare: number;
 }
 
-/** Admits calls to one service. */
+/** Admits the calls to one service at its request rate and write rate. */
 export class RateLimiter {
   private readonly requests: TokenBucket;
   private readonly writes: TokenBucket;
-  /** By urgency, and in the order in which they came. */
+  /** Waiting calls by urgency; those of the same urgency in the order of arrival. */
   private queue: WaitingCall[] = [];
   private isServeScheduled = false;
   private pausedUntil: Micros = 0;
   private rejectedAt: Micros[] = [];
   private rates: { requests: number; writes: number };
-  /** The share of the rates that is used. */
+  /** The share of each rate that is used: lowered after repeated rejections, raised again while there are none. */
   private readonly usedShare = { requests: 1, writes: 1 };
   private shareChangedAt: Micros = 0;
   private counts = { admitted: 0, givenUp: 0, rejected: 0 };
@@ -79,15 +81,16 @@
     this.rates = { requests: requestsPerS, writes: writesPerS };
   }
 
-  /** Changes the budget, in calls and in writes a second. */
+  /** Changes the budget, in calls and in writes per second. */
   setRates(requestsPerS: number, writesPerS: number): void {
     this.rates = { requests: requestsPerS, writes: writesPerS };
     this.applyRates();
   }
 
   /**
-   * The service rejected a call with 429: others used what was counted as this controller's, or the service takes less than was
-   * announced. Once is no reason to change; again and again, the rate goes down, and recovers while nothing is rejected.
+   * Records that the service rejected a call with 429, because others exceeded their share or because the service accepts less than
+   * it announced. A single rejection pauses less urgent calls for a moment; repeated ones lower the rate, which recovers once they
+   * stop.
    */
   recordRejection(wrote: boolean): void {
     const now = this.now();
@@ -103,17 +106,23 @@
     this.applyRates();
   }
 
-  /** Calls back with true once the call may be sent, or with false when it has waited for too long. */
-  admit(urgency: RequestUrgency, writes: number, run: (admitted: boolean) => void): void {
+  /** Calls back with true once the call may be sent, or with false if it has waited for too long. */
+  admit(urgency: RequestUrgency, writes: number, onDecision: (admitted: boolean) => void): void {
     const arrivedAt = this.now();
-    const call: WaitingCall = { urgency, writes, arrivedAt, giveUpAt: arrivedAt + MAX_WAIT[urgency], run };
+    const call: WaitingCall = {
+      urgency,
+      writes,
+      arrivedAt,
+      abandonAt: arrivedAt + MAX_WAIT[urgency],
+      onDecision,
+    };
     let position = this.queue.length;
     while (position > 0 && this.queue[position - 1]!.urgency > urgency) position--;
     this.queue.splice(position, 0, call);
     this.serve();
   }
 
-  /** What was done since the last summary. */
+  /** Returns the statistics since the last summary and starts counting anew. */
   takeSummary(): RateLimiterSummary {
     const oldest = this.queue.reduce((earliest, { arrivedAt }) => Math.min(earliest, arrivedAt), this.now());
     const summary = {
@@ -146,35 +155,35 @@
     this.recover(now);
     this.requests.refill(now);
     this.writes.refill(now);
-    const held: WaitingCall[] = [];
-    let writesHeld = false;
+    const stillWaiting: WaitingCall[] = [];
+    let writesBlocked = false;
     for (const call of this.queue) {
-      if (this.mayRun(call, now, writesHeld)) {
+      if (this.canAdmit(call, now, writesBlocked)) {
         this.requests.take(1);
         this.writes.take(call.writes);
         this.counts.admitted++;
-        call.run(true);
-      } else if (now >= call.giveUpAt) {
+        call.onDecision(true);
+      } else if (now >= call.abandonAt) {
         this.counts.givenUp++;
-        call.run(false);
+        call.onDecision(false);
       } else {
-        // Writes of the same or lower urgency don't overtake one that waits for a fuller bucket.
-        writesHeld ||= call.writes > 0;
-        held.push(call);
+        // Later writes of the same or lower urgency must not overtake one that waits for more tokens: it would starve.
+        writesBlocked ||= call.writes > 0;
+        stillWaiting.push(call);
       }
     }
-    this.queue = held;
-    if (held.length > 0) this.serveLater();
+    this.queue = stillWaiting;
+    if (stillWaiting.length > 0) this.scheduleServe();
   }
 
-  private mayRun({ urgency, writes }: WaitingCall, now: Micros, writesHeld: boolean): boolean {
+  private canAdmit({ urgency, writes }: WaitingCall, now: Micros, writesBlocked: boolean): boolean {
     const isPaused = now < this.pausedUntil && urgency > 0;
     const reserved = RESERVED_SHARE[urgency];
     if (isPaused || !this.requests.has(1, reserved)) return false;
-    return writes === 0 || (!writesHeld && this.writes.has(writes, reserved));
+    return writes === 0 || (!writesBlocked && this.writes.has(writes, reserved));
   }
 
-  private serveLater(): void {
+  private scheduleServe(): void {
     if (this.isServeScheduled) return;
     this.isServeScheduled = true;
     this.schedule(SERVE_INTERVAL, () => {
--- a/packages/controller/src/run-controller.ts
+++ b/packages/controller/src/run-controller.ts
@@ -8,18 +8,18 @@
 import { listen } from './http-server.js';
 import { Log, type LogService } from './log.js';
 
-/** The share of all sockets that is kept for calls to workers, peers, cloud and store. */
+/** The share of all sockets that is reserved for calls to workers, peers, cloud and store. */
 const OUTGOING_SHARE = 0.25;
 
-/** A feature's own listener, which passes its clients' requests to the core. */
+/** Opens a feature's own listener, which passes its clients' requests to the core through `ask`. */
 export type FeatureListener = (ask: AskFeature) => Promise<{ readonly close: () => void }>;
 
-/** Connections that users and workers may have; 0: no limit. */
+/** Most connections of users and workers; 0: no limit. */
 const incomingConnections = (maxConnections: number): number =>
   maxConnections > 0 ? Math.floor(maxConnections * (1 - OUTGOING_SHARE)) : 0;
 
-/** Runs effects of the core in the given runtime; a failure is logged, since none is expected. */
-const runnerOf =
+/** Makes a function that runs effects in the given runtime. None is expected to fail; a failure is logged. */
+const makeRunner =
   (runtime: Runtime.Runtime<never>, log: LogService): RunEffect =>
   (effect, then) => {
     Runtime.runCallback(runtime)(effect, {
@@ -40,10 +40,10 @@
         listener((feature, body, onAnswer) => controller.handleFeatureRequest(feature, body, onAnswer)),
       catch: (error) => (error instanceof Error ? error : new Error(String(error))),
     }),
-    (open) => Effect.sync(open.close),
+    (handle) => Effect.sync(handle.close),
   );
 
-/** `features`: what is switched on beside the scheduler itself; `listeners`: where their clients connect. */
+/** Runs one controller; never completes by itself. `features`: the enabled features; `listeners`: where their clients connect. */
 export const runController = (
   settings: Settings,
   features: readonly Feature[] = [],
@@ -53,7 +53,7 @@
     const clients = yield* Clients;
     const log = yield* Log;
     const runtime = yield* Effect.runtime();
-    const controller = new Controller(settings, clients, log, runnerOf(runtime, log), features);
+    const controller = new Controller(settings, clients, log, makeRunner(runtime, log), features);
     const maxIncoming = incomingConnections(settings.maxConnections);
     yield* listen(settings.listen, maxIncoming, (request, respond) => {
       controller.handlePublic(request, respond);
--- a/packages/controller/src/store-client.ts
+++ b/packages/controller/src/store-client.ts
@@ -1,4 +1,4 @@
-/** The client of the key-value store: within the request budget, with retries of what was rejected for it. */
+/** The client of the key-value store: keeps to the request budget and retries requests that the store rejected as too many. */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -12,7 +12,7 @@
 import type { RateLimiter } from './rate-limiter.js';
 
 const TIMEOUT: Micros = 1_200 * MILLI;
-/** How much longer than it asks for a watch may take. */
+/** Added to the wait time of a watch before it counts as unanswered. */
 const WATCH_MARGIN: Micros = 2 * SECOND;
 const SOCKETS = 16;
 const WATCH_SOCKETS = 4;
@@ -31,7 +31,7 @@
 /** Sends requests to the key-value store. */
 export class StoreClient {
   private readonly agent = makeAgent(SOCKETS);
-  /** Watches stay open for seconds: they must not take the connections of other calls. */
+  /** Watches stay open for seconds, so they have connections of their own and don't block other calls. */
   private readonly watchAgent = makeAgent(WATCH_SOCKETS);
 
   constructor(
@@ -39,7 +39,7 @@
     private readonly limiter: RateLimiter,
   ) {}
 
-  /** Sends one request, again for a while if it is rejected for the budget. */
+  /** Sends one request; retries it for a limited time while the store rejects it with status 429. */
   request(operation: StoreOperation, urgency: RequestUrgency): Effect.Effect<StoreReply> {
     const call = encodeStoreOperation(operation);
     const retryUntil = steadyNow() + RETRY_REJECTED_FOR[urgency];
--- a/packages/controller/src/token-bucket.ts
+++ b/packages/controller/src/token-bucket.ts
@@ -1,7 +1,7 @@
-/** A token bucket: a rate a second, with a burst of one second's tokens. */
+/** A token bucket: refilled at a rate per second, with a capacity of one second's tokens. */
 import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
 
-/** Sums of fractions of tokens are compared with this tolerance. */
+/** Tolerance for rounding errors in sums of fractions of tokens. */
 const TOLERANCE = 1e-9;
 
 /** Tokens of one kind, refilled as time passes. */
@@ -13,34 +13,34 @@
     private rate: number,
     now: Micros,
   ) {
-    this.tokens = this.burst;
+    this.tokens = this.capacity;
     this.refilledAt = now;
   }
 
-  private get burst(): number {
+  private get capacity(): number {
     return Math.max(1, this.rate);
   }
 
-  /** Changes the rate from now on. */
+  /** Changes the rate from now on; tokens above the new capacity are lost. */
   setRate(rate: number, now: Micros): void {
     this.refill(now);
     this.rate = rate;
-    this.tokens = Math.min(this.tokens, this.burst);
+    this.tokens = Math.min(this.tokens, this.capacity);
   }
 
   /** Adds the tokens that were earned since the last call. */
   refill(now: Micros): void {
     const earned = ((now - this.refilledAt) / SECOND) * this.rate;
-    this.tokens = Math.min(this.burst, this.tokens + earned);
+    this.tokens = Math.min(this.capacity, this.tokens + earned);
     this.refilledAt = now;
   }
 
-  /** Whether `count` tokens are there beyond a reserved share; a call larger than the burst waits for a full bucket. */
+  /** Whether `count` tokens are available beyond the reserved share; a call larger than the capacity needs a full bucket. */
   has(count: number, reservedShare: number): boolean {
-    return this.tokens >= Math.min(count + reservedShare * this.burst, this.burst) - TOLERANCE;
+    return this.tokens >= Math.min(count + reservedShare * this.capacity, this.capacity) - TOLERANCE;
   }
 
-  /** Takes tokens, which may leave a debt. */
+  /** Takes tokens; the balance may become negative. */
   take(count: number): void {
     this.tokens -= count;
   }
--- a/packages/controller/test/http-client.test.ts
+++ b/packages/controller/test/http-client.test.ts
@@ -1,4 +1,4 @@
-/** Whoever calls hears how it went, whatever the address or the answer. */
+/** Guards against calls that never complete: an invalid address or a response that is cut off must yield "no answer". */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
 import { test } from 'node:test';
@@ -10,7 +10,7 @@
 const agent = makeAgent(1);
 const call = { method: 'GET', path: '/inspect', body: null } as const;
 
-test('an address that can not be one is no answer', async () => {
+test('a call to an invalid address yields no answer', async () => {
   for (const address of ['', 'm-1', '127.0.0.1:99999', '127.0.0.1:x', '::::', '127.0.0.1:-1'])
     assert.equal(
       await Effect.runPromise(callHttp(agent, address, call, SECOND)),
@@ -19,11 +19,11 @@
     );
 });
 
-test('a connection that ends in the middle of an answer is no answer', async () => {
-  const server = http.createServer((_q, res) => {
-    res.writeHead(200, { 'Content-Length': '100' });
-    res.write('half');
-    setImmediate(() => res.destroy());
+test('a connection that ends in the middle of a response yields no answer', async () => {
+  const server = http.createServer((_request, response) => {
+    response.writeHead(200, { 'Content-Length': '100' });
+    response.write('half');
+    setImmediate(() => response.destroy());
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as { port: number };
--- a/packages/controller/test/log.test.ts
+++ b/packages/controller/test/log.test.ts
@@ -1,16 +1,16 @@
-/** LOG_LEVEL: a wrong one is named, not taken for another. */
+/** Guards against an unknown LOG_LEVEL being accepted as some level instead of being reported. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { logLevel } from '@shaleyoke/controller/log';
+import { parseLogLevel } from '@shaleyoke/controller/log';
 
-test('the level is one of three, info where none is set, and nothing else is taken for one', () => {
-  assert.deepEqual([undefined, '', 'error', 'info', 'debug'].map(logLevel), [
+test('the level is error, info or debug, defaults to info, and any other value is rejected', () => {
+  assert.deepEqual([undefined, '', 'error', 'info', 'debug'].map(parseLogLevel), [
     'info',
     'info',
     'error',
     'info',
     'debug',
   ]);
-  for (const wrong of ['INFO', 'warn', 'toString', ' info']) assert.equal(logLevel(wrong), null, wrong);
+  for (const wrong of ['INFO', 'warn', 'toString', ' info']) assert.equal(parseLogLevel(wrong), null, wrong);
 });
--- a/packages/controller/test/rate-limiter.test.ts
+++ b/packages/controller/test/rate-limiter.test.ts
@@ -1,45 +1,45 @@
-/** The rate goes down while the service turns calls away again and again, and comes back. */
+/** The limiter lowers its rate while the service keeps rejecting calls, and raises it again afterwards. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
 import { RateLimiter } from '@shaleyoke/controller/rate-limiter';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
-/** Writes that a service with a limit of its own takes in a while, and how many it turns away. */
-const play = (announced: number, real: number, seconds: number) => {
+/** Numbers of writes that a service accepts and rejects if it announces one rate and enforces another. */
+const simulate = (announcedPerS: number, actualPerS: number, seconds: number) => {
   let now = 0;
-  let over = false;
-  // Once the play is over time runs by itself: what still waits is given up, and no timer stays.
-  const limiter = new RateLimiter(1_000, announced, () => (over ? (now += SECOND) : now));
-  let tokens = real;
-  let taken = 0;
-  let turnedAway = 0;
+  let ended = false;
+  // After the end the clock advances with each reading, so that calls that still wait are abandoned and no timer remains.
+  const limiter = new RateLimiter(1_000, announcedPerS, () => (ended ? (now += SECOND) : now));
+  let tokens = actualPerS;
+  let accepted = 0;
+  let rejected = 0;
   for (let ms = 0; ms < seconds * 1_000; ms += 10) {
     now = ms * MILLI;
-    tokens = Math.min(real, tokens + real / 100);
-    limiter.admit(1, 1, (ok) => {
-      if (!ok || over) return;
+    tokens = Math.min(actualPerS, tokens + actualPerS / 100);
+    limiter.admit(1, 1, (admitted) => {
+      if (!admitted || ended) return;
       if (tokens >= 1) {
         tokens--;
-        taken++;
+        accepted++;
       } else {
-        turnedAway++;
+        rejected++;
         limiter.recordRejection(true);
       }
     });
   }
-  over = true;
-  return { taken, turnedAway };
+  ended = true;
+  return { accepted, rejected };
 };
 
-test('a service that takes less than announced is used at about its own rate', () => {
-  const { taken, turnedAway } = play(20, 5, 120);
-  assert.ok(taken > 120 * 5 * 0.6, `${taken} taken`);
-  assert.ok(turnedAway < taken, `${turnedAway} turned away, ${taken} taken`);
+test('a service that accepts less than it announced is used at about its actual rate', () => {
+  const { accepted, rejected } = simulate(20, 5, 120);
+  assert.ok(accepted > 120 * 5 * 0.6, `${accepted} accepted`);
+  assert.ok(rejected < accepted, `${rejected} rejected, ${accepted} accepted`);
 });
 
-test('a service that keeps its word is used in full', () => {
-  const { taken, turnedAway } = play(20, 20, 60);
-  assert.ok(taken > 60 * 20 * 0.8, `${taken} taken`);
-  assert.ok(turnedAway < taken / 20, `${turnedAway} turned away`);
+test('a service that accepts its announced rate is used in full', () => {
+  const { accepted, rejected } = simulate(20, 20, 60);
+  assert.ok(accepted > 60 * 20 * 0.8, `${accepted} accepted`);
+  assert.ok(rejected < accepted / 20, `${rejected} rejected`);
 });
