--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,7 +1,7 @@
 /** The command-line program: starts a controller, checks settings and reads what the key-value store holds. */
 import { readFileSync } from 'node:fs';
 
-import { contradictions, describe } from '@shaleyoke/config/contradictions';
+import { describeContradiction, findContradictions } from '@shaleyoke/config/contradictions';
 import { printedSettings } from '@shaleyoke/config/printed-settings';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { Clients, ClientsLive } from '@shaleyoke/controller/clients';
@@ -92,7 +92,7 @@
   // Contradictions are logged, and the controller starts all the same: one that refused to start would keep no rule either.
   const logContradictions = Log.pipe(
     Effect.map((log) => {
-      for (const { level, field, problem, remedy } of contradictions(settings))
+      for (const { level, field, problem, remedy } of findContradictions(settings))
         log.write(level === 'error' ? 'error' : 'info', 'settings.contradiction', { field, problem, remedy });
     }),
   );
@@ -153,10 +153,13 @@
 addCommand('check-config', 'check the settings and print the effective values').action(
   (options: FileOptions) => {
     const settings = loadSettings(options);
-    const found = contradictions(settings);
+    const found = findContradictions(settings);
     for (const contradiction of found)
-      if (contradiction.level === 'warning') console.error(`warning: ${describe(contradiction)}`);
-    const errors = found.filter((contradiction) => contradiction.level === 'error').map(describe);
+      if (contradiction.level === 'warning')
+        console.error(`warning: ${describeContradiction(contradiction)}`);
+    const errors = found
+      .filter((contradiction) => contradiction.level === 'error')
+      .map(describeContradiction);
     if (errors.length > 0) throw new SettingsError(errors.join('\n'));
     console.log(JSON.stringify(printedSettings(settings), null, 2));
   },
--- a/packages/config/src/checked.ts
+++ b/packages/config/src/checked.ts
@@ -1,15 +1,15 @@
-/** Decoding of files and records by schemas: one way to name what is wrong, whoever wrote them. */
+/** Decodes files and records by schemas, and describes what is wrong with them in one form. */
 import { Either, ParseResult, Schema } from 'effect';
 
-/** Makes the error of the caller, whose bundle has an error class of its own. */
+/** Makes an error of the caller's class: each bundle has its own. */
 export type MakeError = (message: string) => Error;
 
 const describeIssue = (file: string, issue: ParseResult.ArrayFormatterIssue): string =>
   `${file}: ${issue.path.join('.') || '(whole file)'}: ${issue.message}`;
 
 /**
- * Decodes a value by a schema; throws an error that names each wrong field. `file`: the file's name, for messages; `closed`: fields
- * that the schema does not name are wrong as well.
+ * Decodes a value by a schema; throws an error that names each invalid field. `file`: the file's name, for messages; `closed`:
+ * whether fields that the schema does not define are errors too.
  */
 export const check = <A, I>(
   schema: Schema.Schema<A, I>,
@@ -25,7 +25,7 @@
   throw makeError(issues.map((issue) => describeIssue(file, issue)).join('\n'));
 };
 
-/** Parses a file's text; what the parser throws becomes the caller's error. */
+/** Parses a file's text; an error of the parser is rethrown as the caller's error, with the file's name. */
 export const read = (
   parse: (source: string) => unknown,
   source: string,
@@ -39,7 +39,7 @@
   }
 };
 
-/** A reader of records: the whole record, or null for one that can't be read. */
+/** Makes a function that decodes a record by a schema; null for a record that does not match it. */
 export const reader =
   <A, I>(schema: Schema.Schema<A, I>) =>
   (value: unknown): A | null => {
--- a/packages/config/src/contradictions.ts
+++ b/packages/config/src/contradictions.ts
@@ -1,4 +1,4 @@
-/** Settings that contradict each other, each with the field and the remedy. */
+/** Finds settings that contradict each other, and suggests a remedy for each. */
 import type { Settings, Team } from '@shaleyoke/core/domain/settings';
 import { type Micros, SECOND } from '@shaleyoke/core/domain/time';
 import {
@@ -6,18 +6,19 @@
   MIN_CANCELLATION_AGE_LIMIT,
 } from '@shaleyoke/core/leadership/cancellation-freshness';
 
-/**
- *
- */
+/** Settings that can't all be met, and the remedy. */
 export interface Contradiction {
-  /** `error`: a rule of the protocol can't be kept so; `warning`: something else does not hold. */
+  /** `error`: a guarantee of the protocol can't be met; `warning`: another setting has no effect or an unintended one. */
   readonly level: 'error' | 'warning';
+  /** The path of the field in the settings file. */
   readonly field: string;
+  /** What does not fit, and its consequence. */
   readonly problem: string;
+  /** A change of the settings that resolves the contradiction. */
   readonly remedy: string;
 }
 
-/** Added to a suggested value, so that rounding does not make it too small. */
+/** Added to a suggested value, so that rounding to tenths of a second does not make it too small. */
 const ROUNDING_MARGIN: Micros = 100_000;
 
 const inSeconds = (duration: Micros): string => (duration / SECOND).toFixed(1);
@@ -26,13 +27,13 @@
   const { cancellationDeadlineUs, workerLeaseUs } = settings;
   const maxAge = maxCancellationAge(settings);
   if (maxAge >= MIN_CANCELLATION_AGE_LIMIT) return [];
-  const least = cancellationDeadlineUs + MIN_CANCELLATION_AGE_LIMIT - maxAge;
+  const minimum = cancellationDeadlineUs + MIN_CANCELLATION_AGE_LIMIT - maxAge;
   return [
     {
       level: 'error',
       field: 'cluster.workers.cancel_s',
-      problem: `${inSeconds(cancellationDeadlineUs)} s leaves too little beside lease_s of ${inSeconds(workerLeaseUs)} s: where the state service can't be reached, tasks of cancelled jobs may run longer`,
-      remedy: `raise cancel_s to ${inSeconds(least + ROUNDING_MARGIN)} s or more, or lower lease_s`,
+      problem: `${inSeconds(cancellationDeadlineUs)} s is too short for a lease_s of ${inSeconds(workerLeaseUs)} s: while the state service can't be reached, tasks of cancelled jobs may run longer`,
+      remedy: `raise cancel_s to ${inSeconds(minimum + ROUNDING_MARGIN)} s or more, or lower lease_s`,
     },
   ];
 };
@@ -48,7 +49,7 @@
     {
       level: 'warning',
       field: `cluster.teams.${team}.${resource}`,
-      problem: `the guarantee of ${guaranteed} is above the limit of ${maximum}: the limit holds`,
+      problem: `the guarantee of ${guaranteed} exceeds the limit of ${maximum}: the limit applies`,
       remedy: `lower ${resource} or raise ${resource}_max`,
     },
   ];
@@ -65,19 +66,19 @@
     {
       level: 'warning',
       field: 'peers',
-      problem: `names this node (${member}) among the others: it is sent messages of its own`,
-      remedy: 'leave it out',
+      problem: `lists this controller (${member}) as its own peer: it would send messages to itself`,
+      remedy: 'remove the entry',
     },
   ];
 };
 
-/** All contradictions, the gravest first; none if the settings agree. */
-export const contradictions = (settings: Settings): readonly Contradiction[] => [
+/** All contradictions in the settings, errors first. */
+export const findContradictions = (settings: Settings): readonly Contradiction[] => [
   ...cancellationContradictions(settings),
   ...peerContradictions(settings),
   ...settings.teams.flatMap(teamContradictions),
 ];
 
-/** One line for people. */
-export const describe = ({ field, problem, remedy }: Contradiction): string =>
+/** Describes a contradiction in one line for an operator. */
+export const describeContradiction = ({ field, problem, remedy }: Contradiction): string =>
   `${field}: ${problem}; ${remedy}`;
--- a/packages/config/src/printed-settings.ts
+++ b/packages/config/src/printed-settings.ts
@@ -1,4 +1,4 @@
-/** Settings as `check-config` prints them. The printed names are documented: they stay when fields of the domain are renamed. */
+/** Settings as `check-config` prints them. The printed names are documented and stay when fields of `Settings` are renamed. */
 import type { MembershipSettings, Settings, Team, Tuning } from '@shaleyoke/core/domain/settings';
 
 const printedTeam = (team: Team): unknown => ({
@@ -30,7 +30,7 @@
   progressUs: tuning.progressIntervalUs,
 });
 
-/** The settings of one controller under the names that are printed. */
+/** Converts the settings of one controller to the printed form. */
 export const printedSettings = (settings: Settings): unknown => ({
   member: settings.member,
   listen: settings.listen,
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -1,4 +1,4 @@
-/** The platform's file (TOML) and the operators' own file (YAML), checked into `Settings`. */
+/** Parses and checks the platform's settings file (TOML) and the operators' files (YAML). */
 import type {
   MembershipSettings,
   ServiceLevelObjective,
@@ -13,7 +13,7 @@
 
 import { check, read } from './checked.js';
 
-/** Files have seconds; whole microseconds inside. */
+/** Converts seconds, as in the files, to whole microseconds. */
 const micros = (seconds: number): Micros => Math.round(seconds * SECOND);
 
 const BYTES_PER_KB = 1024;
@@ -75,7 +75,7 @@
       write_rps: Positive,
       value_kb: Positive,
       txn_ops: Positive,
-      // Limits that will hold from some moment on, without notice.
+      // Announced limits that replace the present ones at an unknown later time, without notice.
       next: Schema.optional(
         Schema.Struct({
           rps: Schema.optional(Positive),
@@ -115,17 +115,17 @@
   suspect_after_beats: Schema.optionalWith(Schema.Number.pipe(Schema.between(2, 100)), { default: () => 3 }),
 });
 
-/** A file that can't be used; the message names each wrong field. */
+/** A settings file is invalid; the message names each invalid field. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
 const settingsError = (message: string): SettingsError => new SettingsError(message);
 
-/** Time that the leader's lease must last at least. */
+/** The shortest lease of the leader, whatever the other settings are. */
 const MIN_LEADER_LEASE: Micros = SECOND;
 
-/** The operators' file (YAML); null: all defaults. Throws `SettingsError`. */
+/** Parses the operators' file (YAML); null: all defaults. Throws `SettingsError`. */
 export const parseTuning = (yaml: string | null): Tuning => {
   const file = 'operators settings';
   const value = yaml === null ? {} : (read(parseYaml, yaml, file, settingsError) ?? {});
@@ -147,7 +147,7 @@
   };
 };
 
-/** The operators' file that switches heartbeats between controllers on. Throws `SettingsError`. */
+/** Parses the operators' file (YAML) that enables heartbeats between controllers. Throws `SettingsError`. */
 export const parseMembership = (yaml: string, file: string): MembershipSettings => {
   const value = read(parseYaml, yaml, file, settingsError);
   const membership = check(MembershipFile, value, file, settingsError, true);
@@ -177,7 +177,7 @@
     deadlineFactor: objective.times ?? 1,
   }));
 
-/** Limits of the store and the cloud; of those in force and those announced the smaller ones. */
+/** Limits of the store and the cloud; of each present limit and its announced successor the smaller one applies. */
 const limitsOf = ({
   state,
   cloud,
@@ -204,15 +204,15 @@
 };
 
 /**
- * A leader that is cut off from the store must step down, and its workers' leases expire, in time for cancellations that it can't
- * know of: its lease never exceeds half of what `cancel_s` leaves beside `lease_s`.
+ * Limits the leader's lease to half of the difference between `cancel_s` and `lease_s`. A leader that is cut off from the store must
+ * step down, and its workers' leases must expire, before the deadline of a cancellation that it does not know of.
  */
 const boundedLeaderLease = (leaderLeaseUs: Micros, { workers }: Cluster): Micros => {
-  const longest = Math.floor((micros(workers.cancel_s) - micros(workers.lease_s)) / 2);
-  return Math.max(MIN_LEADER_LEASE, Math.min(leaderLeaseUs, longest));
+  const maxLease = Math.floor((micros(workers.cancel_s) - micros(workers.lease_s)) / 2);
+  return Math.max(MIN_LEADER_LEASE, Math.min(leaderLeaseUs, maxLease));
 };
 
-/** The platform's file (TOML) with the operators' files. Throws `SettingsError`. */
+/** Parses the platform's file (TOML) and combines it with the operators' settings. Throws `SettingsError`. */
 export const parseSettings = (
   toml: string,
   yaml: string | null,
--- a/packages/config/test/printed-settings.test.ts
+++ b/packages/config/test/printed-settings.test.ts
@@ -1,4 +1,4 @@
-/** `check-config` prints these names, whatever the fields of the domain are called. */
+/** Guards against a rename of a field in `Settings` changing the documented names that `check-config` prints. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
--- a/packages/config/test/settings.test.ts
+++ b/packages/config/test/settings.test.ts
@@ -1,8 +1,8 @@
-/** Settings: checked with readable errors, unknown fields ignored, lease inside what cancellation leaves. */
+/** Parsing and checking of settings: error messages, unknown fields, defaults, announced limits and contradictions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { contradictions, describe } from '@shaleyoke/config/contradictions';
+import { describeContradiction, findContradictions } from '@shaleyoke/config/contradictions';
 import { parseMembership, parseSettings, parseTuning, SettingsError } from '@shaleyoke/config/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import {
@@ -11,34 +11,34 @@
 } from '@shaleyoke/core/leadership/cancellation-freshness';
 import { settingsFor } from '@shaleyoke/emulator/site';
 
-test('the leader lease never outgrows half of what cancel_s leaves beside lease_s', () => {
-  const s = settingsFor('a', ['a'], '');
-  assert.ok(s.tuning.leaderLeaseUs * 2 + s.workerLeaseUs <= s.cancellationDeadlineUs);
-  assert.equal(s.memberCount, 1);
+test('the leader lease never exceeds half of the difference between cancel_s and lease_s', () => {
+  const settings = settingsFor('a', ['a'], '');
+  assert.ok(settings.tuning.leaderLeaseUs * 2 + settings.workerLeaseUs <= settings.cancellationDeadlineUs);
+  assert.equal(settings.memberCount, 1);
 });
 
-test('wrong settings are named', () => {
+test('an error message names the invalid field', () => {
   assert.throws(
     () => parseSettings('member = 3', null),
-    (e: unknown) => e instanceof SettingsError && e.message.includes('member'),
+    (error: unknown) => error instanceof SettingsError && error.message.includes('member'),
   );
   assert.throws(() => parseSettings('member = ', null), SettingsError);
   assert.throws(
     () => parseTuning('silent_s: -1'),
-    (e: unknown) => e instanceof SettingsError && e.message.includes('silent_s'),
+    (error: unknown) => error instanceof SettingsError && error.message.includes('silent_s'),
   );
 });
 
-test('unknown fields are ignored and defaults hold', () => {
+test('unknown fields are ignored and defaults apply', () => {
   assert.equal(parseTuning('a_later_field: 1').machineSuspicionUs, 10 * SECOND);
   assert.equal(parseTuning(null).costSensitivity, 'auto');
 });
 
-test('the smaller of the present and the announced limits holds, whichever are announced', () => {
-  const plain = settingsFor('a', ['a'], '');
+test('the smaller of a present and an announced limit applies, whichever limits are announced', () => {
+  const present = settingsFor('a', ['a'], '');
   const next = settingsFor('a', ['a'], '', 'value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0');
   assert.deepEqual(
-    [plain.maxValueBytes, plain.maxTransactionOperations, plain.storeWritesPerS],
+    [present.maxValueBytes, present.maxTransactionOperations, present.storeWritesPerS],
     [16_384, 16, 50],
   );
   assert.deepEqual([next.maxValueBytes, next.maxTransactionOperations, next.storeWritesPerS], [2_048, 5, 15]);
@@ -47,7 +47,7 @@
   assert.deepEqual([larger.maxValueBytes, larger.maxTransactionOperations], [16_384, 16]);
 });
 
-test('the file that switches beats on is closed, and names what is wrong in it', () => {
+test('the membership file allows no unknown fields, and an error message names the invalid field', () => {
   assert.deepEqual(parseMembership('version: 1\n', 'm.yaml'), {
     heartbeatIntervalUs: SECOND,
     suspectAfterMissed: 3,
@@ -56,7 +56,7 @@
     heartbeatIntervalUs: SECOND / 4,
     suspectAfterMissed: 5,
   });
-  for (const [yaml, named] of [
+  for (const [yaml, expectedMessage] of [
     ['', /m\.yaml/],
     ['version: 2', /version/],
     ['version: 1\nbeat_s: 0', /beat_s/],
@@ -66,38 +66,52 @@
   ] as const)
     assert.throws(
       () => parseMembership(yaml, 'm.yaml'),
-      (e: unknown) => e instanceof SettingsError && named.test(e.message),
+      (error: unknown) => error instanceof SettingsError && expectedMessage.test(error.message),
       yaml,
     );
 });
 
-test('settings by which a cancellation can not hold are named, with field and remedy', () => {
-  const good = settingsFor('a', ['a', 'b'], '[[cluster.teams]]\nname = "t"\ncpus = 4.0\ncpus_max = 8.0\n');
-  assert.deepEqual(contradictions(good), []);
+test('settings by which the cancellation deadline can not be met are errors, with field and remedy', () => {
+  const consistent = settingsFor(
+    'a',
+    ['a', 'b'],
+    '[[cluster.teams]]\nname = "t"\ncpus = 4.0\ncpus_max = 8.0\n',
+  );
+  assert.deepEqual(findContradictions(consistent), []);
   for (const [cancelS, leaseS] of [
     [20, 20],
     [10, 27],
     [30, 27],
   ] as const) {
-    const bad = { ...good, cancellationDeadlineUs: cancelS * SECOND, workerLeaseUs: leaseS * SECOND };
-    const [c, ...more] = contradictions(bad);
-    assert.ok(c !== undefined && more.length === 0);
-    assert.equal(c.level, 'error');
-    assert.match(describe(c), /cancel_s.*lease_s.*raise cancel_s to/s);
-    // What the remedy says is enough, and little less is not.
-    const least = Number(/to (\d+\.\d)/.exec(c.remedy)![1]) * SECOND;
-    assert.deepEqual(contradictions({ ...bad, cancellationDeadlineUs: least }), []);
-    assert.equal(contradictions({ ...bad, cancellationDeadlineUs: least - SECOND / 2 }).length, 1);
+    const inconsistent = {
+      ...consistent,
+      cancellationDeadlineUs: cancelS * SECOND,
+      workerLeaseUs: leaseS * SECOND,
+    };
+    const [contradiction, ...others] = findContradictions(inconsistent);
+    assert.ok(contradiction !== undefined && others.length === 0);
+    assert.equal(contradiction.level, 'error');
+    assert.match(describeContradiction(contradiction), /cancel_s.*lease_s.*raise cancel_s to/s);
+    // The suggested value is sufficient, and half a second less is not.
+    const suggested = Number(/to (\d+\.\d)/.exec(contradiction.remedy)![1]) * SECOND;
+    assert.deepEqual(findContradictions({ ...inconsistent, cancellationDeadlineUs: suggested }), []);
+    assert.equal(
+      findContradictions({ ...inconsistent, cancellationDeadlineUs: suggested - SECOND / 2 }).length,
+      1,
+    );
   }
-  assert.ok(maxCancellationAge(good) > MIN_CANCELLATION_AGE_LIMIT);
+  assert.ok(maxCancellationAge(consistent) > MIN_CANCELLATION_AGE_LIMIT);
 });
 
-test('limits below guarantees and a node among its own peers are warned of', () => {
+test('a limit below a guarantee and a controller among its own peers are warnings', () => {
   const teams = '[[cluster.teams]]\nname = "t"\ncpus = 9.0\ncpus_max = 8.0\n';
-  const s = settingsFor('a', ['a', 'b'], teams);
-  const found = contradictions({ ...s, peers: [...s.peers, { member: 'a', address: '10.0.0.9:81' }] });
+  const settings = settingsFor('a', ['a', 'b'], teams);
+  const found = findContradictions({
+    ...settings,
+    peers: [...settings.peers, { member: 'a', address: '10.0.0.9:81' }],
+  });
   assert.deepEqual(
-    found.map((c) => [c.level, c.field]),
+    found.map((contradiction) => [contradiction.level, contradiction.field]),
     [
       ['warning', 'peers'],
       ['warning', 'cluster.teams.t.cpus'],
