--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The product in a minute or two on one machine: three real controllers, and stand-ins of this repository for
- * state service, cloud, workers and users. A controller and a machine are killed on the way.
+ * A demonstration on one machine that takes a minute or two: three controllers run as real processes, the store, the cloud, the
+ * workers and the users are emulated in this process. The leader and a machine are killed during the run.
  */
 import { formatMoney } from '@shaleyoke/budgets/money';
 import { balanceOf, type BooksView, verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
@@ -11,10 +11,12 @@
 import { Loopback } from '@shaleyoke/emulator/loopback';
 import { specOf } from '@shaleyoke/emulator/specs';
 
+/** Teams that submit jobs; the last one has a budget limit. */
 export const TENANTS = ['gemeente', 'waterbedrijf', 'energie'] as const;
-const ZONE = 'Europe/Amsterdam';
+const TIME_ZONE = 'Europe/Amsterdam';
 
-export const BOX: MachineType = {
+/** The only machine type that the emulated cloud offers. */
+export const MACHINE_TYPE: MachineType = {
   name: 'rekenbak',
   cores: 8,
   gpus: 0,
@@ -27,15 +29,16 @@
   zones: ['zone-a', 'zone-b'],
 };
 
-/** `hard`: limits by team, as texts; no entry: none. */
-export const budgetsFile = (hard: Readonly<Record<string, string>>): string =>
-  `version: 1\ncurrency: EUR\nzone: ${ZONE}\nchanges_per_s: 2\nowners:\n` +
-  Object.entries(hard)
+/** The text of a budgets file. `hardLimits`: amounts by team; a team without an entry has no limit. */
+export const budgetsYaml = (hardLimits: Readonly<Record<string, string>>): string =>
+  `version: 1\ncurrency: EUR\nzone: ${TIME_ZONE}\nchanges_per_s: 2\nowners:\n` +
+  Object.entries(hardLimits)
     .map(([team, amount]) => `  ${team}: { hard: ${amount} }\n`)
     .join('') +
-  (Object.keys(hard).length === 0 ? '  {}\n' : '');
+  (Object.keys(hardLimits).length === 0 ? '  {}\n' : '');
 
-export const jobOf = (id: string, team: string, more: Partial<JobSpec> = {}): JobSpec =>
+/** A job of a team: four tasks of some seconds, unless `overrides` says otherwise. */
+export const makeJob = (id: string, team: string, overrides: Partial<JobSpec> = {}): JobSpec =>
   specOf(id, {
     class: 'brieven',
     team,
@@ -44,147 +47,172 @@
     memoryGb: 4,
     image: 'brieven-1',
     estimatedRunUs: 8 * SECOND,
-    ...more,
+    ...overrides,
   });
 
-export const booksOf = (l: Loopback): BooksView =>
-  viewBooks(l.state.keys('b/').map((key) => ({ key, value: l.state.value(key), version: 1, lease: null })));
+/** The accounting records that the emulated store holds now. */
+export const readBooks = (deployment: Loopback): BooksView =>
+  viewBooks(
+    deployment.state
+      .keys('b/')
+      .map((key) => ({ key, value: deployment.state.value(key), version: 1, lease: null })),
+  );
 
-/** Waits until it holds, or so long. */
-export const until = async (holds: () => boolean | Promise<boolean>, seconds: number): Promise<boolean> => {
-  for (let k = 0; k < seconds * 4; k++) {
-    if (await holds()) return true;
-    await new Promise((done) => setTimeout(done, 250));
+/** Polls a condition four times a second; false if it does not hold within the given time. */
+export const waitUntil = async (
+  condition: () => boolean | Promise<boolean>,
+  seconds: number,
+): Promise<boolean> => {
+  for (let i = 0; i < seconds * 4; i++) {
+    if (await condition()) return true;
+    await new Promise((resolve) => setTimeout(resolve, 250));
   }
   return false;
 };
 
-/** `program`: how to start a controller, up to `serve`. True if all went as it should. */
+/**
+ * Runs the demonstration; true if all jobs without a limit finished and the accounting records agree. `program`: the command line
+ * that starts a controller, up to `serve`; `verbose`: prints the controllers' logs as well.
+ */
 export const runDemo = async (
   program: readonly string[],
   print: (line: string) => void,
   verbose: boolean,
 ): Promise<boolean> => {
   print('shaleyoke demo: three controllers as real processes; state service, cloud, machines and');
-  print('users are stand-ins in this process, on loopback. It takes about a minute and ends by itself.');
+  print('users are emulated in this process, over loopback. It takes about a minute and ends by itself.');
   print('');
-  const l = new Loopback({
+  const deployment = new Loopback({
     program,
     nodes: 3,
     teams: TENANTS,
-    types: [BOX],
+    types: [MACHINE_TYPE],
     perZone: 4,
-    budgets: budgetsFile({ energie: '0.20' }),
+    budgets: budgetsYaml({ energie: '0.20' }),
     log: verbose
       ? (member, line) => {
           print(`  ${member} ${line}`);
         }
       : null,
   });
-  const end = (): void => {
-    l.stop();
+  const interrupt = (): void => {
+    deployment.stop();
     process.exit(130);
   };
-  process.once('SIGINT', end);
-  process.once('SIGTERM', end);
-  const began = Date.now();
-  const say = (text: string): void => {
-    print(`${((Date.now() - began) / 1000).toFixed(0).padStart(4)} s  ${text}`);
+  process.once('SIGINT', interrupt);
+  process.once('SIGTERM', interrupt);
+  const startedAt = Date.now();
+  const report = (text: string): void => {
+    print(`${((Date.now() - startedAt) / 1000).toFixed(0).padStart(4)} s  ${text}`);
   };
   try {
-    await l.start();
-    if (!(await until(() => l.leader() !== null, 30))) {
-      print('no controller came to lead within 30 s; run again with --verbose to see their logs');
+    await deployment.start();
+    if (!(await waitUntil(() => deployment.leader() !== null, 30))) {
+      print('no controller became leader within 30 s; run again with --verbose to see the logs');
       return false;
     }
-    say(`${l.nodes[l.leader()!]!.member} leads`);
+    report(`${deployment.nodes[deployment.leader()!]!.member} is the leader`);
     const jobs: JobSpec[] = [];
-    for (const [t, team] of TENANTS.entries())
-      for (let k = 0; k < 4; k++)
+    for (const [tenantIndex, team] of TENANTS.entries())
+      for (let i = 0; i < 4; i++)
         jobs.push(
-          jobOf(
-            `run-${100 * (t + 1) + k}`,
+          makeJob(
+            `run-${100 * (tenantIndex + 1) + i}`,
             team,
-            k === 3 ? { shape: 'gang', tasks: 3, sameZone: true, class: 'koppelen' } : {},
+            i === 3 ? { shape: 'gang', tasks: 3, sameZone: true, class: 'koppelen' } : {},
           ),
         );
-    const accepted = await Promise.all(jobs.map((j) => l.submit(j)));
-    say(`${accepted.filter((s) => s === 201).length} jobs of ${TENANTS.length} tenants accepted`);
-    await until(() => [...l.workers.values()].some((w) => w.running > 0), 40);
-    const leader = l.leader() ?? 0;
-    say(`killing ${l.nodes[leader]!.member}, which leads (SIGKILL)`);
-    l.crash(leader, 3_000);
-    await until(() => {
-      const now = l.leader();
-      return now !== null && now !== leader;
+    const accepted = await Promise.all(jobs.map((job) => deployment.submit(job)));
+    report(
+      `${accepted.filter((status) => status === 201).length} jobs of ${TENANTS.length} tenants accepted`,
+    );
+    await waitUntil(() => [...deployment.workers.values()].some((worker) => worker.running > 0), 40);
+    const leader = deployment.leader() ?? 0;
+    report(`killing ${deployment.nodes[leader]!.member}, the leader (SIGKILL)`);
+    deployment.crash(leader, 3_000);
+    await waitUntil(() => {
+      const current = deployment.leader();
+      return current !== null && current !== leader;
     }, 30);
-    const next = l.leader();
-    say(next === null ? 'nobody leads yet' : `${l.nodes[next]!.member} leads`);
-    await until(() => [...l.workers.values()].some((w) => w.alive && w.running > 0), 30);
-    const victim = [...l.workers.values()].find((w) => w.alive && w.running > 0);
+    const successor = deployment.leader();
+    report(
+      successor === null
+        ? 'no controller is the leader yet'
+        : `${deployment.nodes[successor]!.member} is the leader`,
+    );
+    await waitUntil(
+      () => [...deployment.workers.values()].some((worker) => worker.alive && worker.running > 0),
+      30,
+    );
+    const victim = [...deployment.workers.values()].find((worker) => worker.alive && worker.running > 0);
     if (victim !== undefined) {
-      say(`killing machine ${victim.name} with ${victim.running} running tasks`);
-      l.killWorker(victim.name);
+      report(`killing machine ${victim.name} with ${victim.running} running tasks`);
+      deployment.killWorker(victim.name);
     }
-    // One tenant's limit is less than its jobs will cost: what does not fit waits, and the others go on.
-    const others = jobs.filter((j) => j.team !== 'energie');
+    // The limit of energie is lower than the cost of its jobs: those beyond it wait, and the other tenants' jobs go on.
+    const unlimited = jobs.filter((job) => job.team !== 'energie');
     const allDone = async (list: readonly JobSpec[]): Promise<boolean> =>
-      (await Promise.all(list.map((j) => l.stageOf(j.id)))).every((s) => s === 'done');
-    const done = await until(() => allDone(others), 90);
-    say(done ? 'all jobs of two tenants are done' : 'not all jobs were done in time');
+      (await Promise.all(list.map((job) => deployment.stageOf(job.id)))).every((stage) => stage === 'done');
+    const done = await waitUntil(() => allDone(unlimited), 90);
+    report(done ? 'all jobs of the two tenants without a limit are done' : 'some jobs were not done in time');
     const stages = new Map<string, string>();
-    for (const j of jobs) stages.set(j.id, (await l.stageOf(j.id)) ?? 'unknown');
-    const held = jobs.filter((j) => stages.get(j.id) === 'queued');
-    say(`${held.length} jobs of energie wait: its limit of 0.20 EUR leaves no room for them`);
-    // The books are written every few seconds.
-    const agree = await until(
-      () => verifyBooks(booksOf(l)).length === 0 && booksOf(l).open.every((o) => o.running === 0),
+    for (const job of jobs) stages.set(job.id, (await deployment.stageOf(job.id)) ?? 'unknown');
+    const held = jobs.filter((job) => stages.get(job.id) === 'queued');
+    report(`${held.length} jobs of energie wait: its budget limit of 0.20 EUR does not cover them`);
+    // Accounting records are written every few seconds, so they lag behind the jobs.
+    const agree = await waitUntil(
+      () =>
+        verifyBooks(readBooks(deployment)).length === 0 &&
+        readBooks(deployment).open.every((job) => job.running === 0),
       30,
     );
     print('');
-    print('Where the tasks ran, by the machines themselves:');
-    for (const j of jobs) {
-      const runs = l.ran.filter((r) => r.job === j.id);
-      const lost = runs.filter((r) => !r.done).length;
+    print('Machines on which the tasks ran, as the machines recorded it:');
+    for (const job of jobs) {
+      const runs = deployment.ran.filter((run) => run.job === job.id);
+      const lost = runs.filter((run) => !run.done).length;
       print(
-        `  ${j.id}  ${j.team.padEnd(13)} ${stages.get(j.id)!.padEnd(8)} ` +
-          runs.map((r) => `${r.index}@${r.machine}${r.done ? '' : ' (lost)'}`).join(' ') +
-          (lost > 0 ? '  -- run again, billed once' : ''),
+        `  ${job.id}  ${job.team.padEnd(13)} ${stages.get(job.id)!.padEnd(8)} ` +
+          runs.map((run) => `${run.index}@${run.machine}${run.done ? '' : ' (lost)'}`).join(' ') +
+          (lost > 0 ? '  -- run again, charged once' : ''),
       );
     }
-    const view = booksOf(l);
+    const books = readBooks(deployment);
     for (const team of TENANTS) {
       print('');
-      const month = [...view.lines].find((x) => x.owner === team)?.month;
+      const month = [...books.lines].find((line) => line.owner === team)?.month;
       if (month === undefined) print(`${team}: nothing was charged`);
       else
         print(
           textOf(
-            statementOf(view, team, month, {
-              zone: ZONE,
+            statementOf(books, team, month, {
+              zone: TIME_ZONE,
               currency: 'EUR',
               limit: { soft: null, hard: team === 'energie' ? 200_000 : null },
             }),
           ),
         );
     }
-    const b = balanceOf(view);
+    const balance = balanceOf(books);
     let bill = 0;
-    for (const x of l.bills) bill += Math.round((((x.to ?? l.now()) - x.from) / 3.6e9) * BOX.price * 1e6);
+    for (const rental of deployment.bills)
+      bill += Math.round(
+        (((rental.to ?? deployment.now()) - rental.from) / 3.6e9) * MACHINE_TYPE.price * 1e6,
+      );
     print('');
-    print(`cost of all machines, by the books   ${formatMoney(b.cost).padStart(12)}`);
-    print(`charged to the tenants               ${formatMoney(b.charged).padStart(12)}`);
-    print(`pending                              ${formatMoney(b.pending).padStart(12)}`);
-    for (const [why, m] of Object.entries(b.platform))
-      print(`the platform's account, ${why.padEnd(12)} ${formatMoney(m).padStart(12)}`);
+    print(`cost of all machines, as recorded    ${formatMoney(balance.cost).padStart(12)}`);
+    print(`charged to the tenants               ${formatMoney(balance.charged).padStart(12)}`);
+    print(`pending                              ${formatMoney(balance.pending).padStart(12)}`);
+    for (const [reason, money] of Object.entries(balance.platform))
+      print(`the platform's account, ${reason.padEnd(12)} ${formatMoney(money).padStart(12)}`);
     print(`the cloud's own bill, now            ${formatMoney(bill).padStart(12)}`);
-    print(agree ? 'The books agree with themselves, to the last unit.' : "The books DON'T agree.");
+    print(agree ? 'The accounting records agree, to the last unit.' : "The accounting records DON'T agree.");
     return done && agree;
   } finally {
-    l.stop();
-    process.removeListener('SIGINT', end);
-    process.removeListener('SIGTERM', end);
+    deployment.stop();
+    process.removeListener('SIGINT', interrupt);
+    process.removeListener('SIGTERM', interrupt);
     print('');
-    print('All processes of the demo are ended, its files removed.');
+    print('All processes of the demo have ended, and its files are removed.');
   }
 };
