--- a/packages/emulator/src/soak/checkers.ts
+++ b/packages/emulator/src/soak/checkers.ts
@@ -1,67 +1,70 @@
-/** Checks of a soak's history: the rules of the protocol, judged by what users and workers saw alone. */
+/** Checks the protocol's invariants on the history of a soak run, using only what users and workers observed. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 
-import type { AskedEvent, SoakHistory, TaskEvent } from './history.js';
+import type { RequestEvent, SoakHistory, TaskEvent } from './history.js';
 
-/** A broken rule. `timed`: it rests on times, so that a machine that stood still may have caused it. */
+/**
+ * A violated rule. `timed` marks rules that depend on durations: a stalled test machine alone can cause a violation of
+ * one of these.
+ */
 export interface Violation {
   readonly rule: string;
   readonly timed: boolean;
   readonly text: string;
 }
 
-/** Finds violations of one rule, or of a few that belong together. */
+/** Returns the violations of one rule, or of a few related rules. */
 export type Checker = (history: SoakHistory) => Violation[];
 
-const FORGOTTEN_UNDER_TROUBLES_MS = 90_000;
-const FORGOTTEN_AFTER_TROUBLES_MS = 75_000;
-const LEFT_WAITING_MS = 90_000;
-/** Samples of waiting jobs come every second; so far apart they are of different spells. */
-const SAMPLE_GAP_MS = 3_000;
+const MAX_UNANSWERED_DURING_FAULTS_MS = 90_000;
+const MAX_UNANSWERED_AFTER_FAULTS_MS = 75_000;
+const MAX_WAITING_DESPITE_CAPACITY_MS = 90_000;
+/** Waiting jobs are sampled every second; samples further apart than this belong to separate waiting periods. */
+const MAX_SAMPLE_GAP_MS = 3_000;
 const FINAL_STAGES: readonly (string | null)[] = ['done', 'withdrawn'];
-const SUCCESS = 200;
-const CREATED = 201;
-const BAD_REQUEST = 400;
-const NOT_FOUND = 404;
-const UNPROCESSABLE = 422;
+const STATUS_OK = 200;
+const STATUS_CREATED = 201;
+const STATUS_BAD_REQUEST = 400;
+const STATUS_NOT_FOUND = 404;
+const STATUS_UNPROCESSABLE = 422;
 
 const violation = (rule: string, text: string, timed = false): Violation => ({ rule, timed, text });
 
-const asksOf = ({ events }: SoakHistory): AskedEvent[] =>
-  events.filter((event): event is AskedEvent => event.kind === 'asked');
+const requestsOf = ({ events }: SoakHistory): RequestEvent[] =>
+  events.filter((event): event is RequestEvent => event.kind === 'request');
 
-const tasksOf = ({ events }: SoakHistory): TaskEvent[] =>
+const taskEventsOf = ({ events }: SoakHistory): TaskEvent[] =>
   events.filter((event): event is TaskEvent => event.kind === 'arrived' || event.kind === 'left');
 
-const isPositive = ({ status }: AskedEvent): boolean => status === SUCCESS || status === CREATED;
+const isSuccessful = ({ status }: RequestEvent): boolean => status === STATUS_OK || status === STATUS_CREATED;
 
-const troublesOverAt = ({ events }: SoakHistory): number =>
-  events.find(({ kind }) => kind === 'troublesOver')?.at ?? Infinity;
+const faultsEndedAt = ({ events }: SoakHistory): number =>
+  events.find(({ kind }) => kind === 'faultsEnded')?.at ?? Infinity;
 
-/** When each job was first told to be accepted. */
+/** For each job, the time of the first response that reported it as accepted. */
 const acceptedAt = (history: SoakHistory): Map<string, number> => {
   const accepted = new Map<string, number>();
-  for (const ask of asksOf(history))
-    if (isPositive(ask) && !accepted.has(ask.job)) accepted.set(ask.job, ask.at);
+  for (const request of requestsOf(history))
+    if (isSuccessful(request) && !accepted.has(request.job)) accepted.set(request.job, request.at);
   return accepted;
 };
 
-/** When each job was first told to be cancelled. */
+/** For each job, the time of the first response that reported it as cancelled. */
 const cancelledAt = (history: SoakHistory): Map<string, number> => {
   const cancelled = new Map<string, number>();
-  for (const ask of asksOf(history))
-    if (ask.stage === 'withdrawn' && !cancelled.has(ask.job)) cancelled.set(ask.job, ask.at);
+  for (const request of requestsOf(history))
+    if (request.stage === 'withdrawn' && !cancelled.has(request.job)) cancelled.set(request.job, request.at);
   return cancelled;
 };
 
-const nameOf = ({ job, index }: TaskEvent): string => `${job}/${index}`;
+const taskKey = ({ job, index }: TaskEvent): string => `${job}/${index}`;
 
-/** A task starts on one machine while it is on another. */
-export const checkRanTwice: Checker = (history) => {
+/** Rule `ran_twice`: a task must not start on a machine while it is still on another one. */
+export const checkSingleExecution: Checker = (history) => {
   const machines = new Map<string, string>();
   const violations: Violation[] = [];
-  for (const event of tasksOf(history)) {
-    const task = nameOf(event);
+  for (const event of taskEventsOf(history)) {
+    const task = taskKey(event);
     const other = machines.get(task);
     if (event.kind === 'left') {
       if (other === event.machine) machines.delete(task);
@@ -74,11 +77,11 @@
   return violations;
 };
 
-/** A team's tasks use more than its limit. */
+/** Rule `quota`: the tasks of a team must not use more cores than the team's limit. */
 export const checkQuota: Checker = (history) => {
   const used = new Map<string, number>();
   const violations: Violation[] = [];
-  for (const event of tasksOf(history)) {
+  for (const event of taskEventsOf(history)) {
     const spec = history.jobs.get(event.job);
     if (spec === undefined) continue;
     const cores = (used.get(spec.team) ?? 0) + (event.kind === 'arrived' ? spec.cores : -spec.cores);
@@ -90,48 +93,48 @@
   return violations;
 };
 
-/** A task starts on a machine, or in a zone, that its job doesn't allow. */
-export const checkPlaces: Checker = (history) => {
+/** Rule `wrong_place`: a task must only start on a machine and in a zone that its job allows. */
+export const checkPlacement: Checker = (history) => {
   const zones = new Map<string, Map<string, string>>();
   const violations: Violation[] = [];
-  for (const event of tasksOf(history)) {
+  for (const event of taskEventsOf(history)) {
     const spec = history.jobs.get(event.job);
     const machine = history.machines.get(event.machine);
     if (spec === undefined || machine === undefined) continue;
     const zonesOfJob = zones.get(event.job) ?? new Map<string, string>();
     zones.set(event.job, zonesOfJob);
     if (event.kind === 'left') {
-      zonesOfJob.delete(nameOf(event));
+      zonesOfJob.delete(taskKey(event));
       continue;
     }
-    zonesOfJob.set(nameOf(event), machine.zone);
+    zonesOfJob.set(taskKey(event), machine.zone);
     const allowsMachine = spec.machineTypes?.includes(machine.type) !== false && (spec.spot || !machine.spot);
     const allowsZone = spec.zone === null || spec.zone === machine.zone;
     const isTogether = !spec.sameZone || new Set(zonesOfJob.values()).size === 1;
     if (!allowsMachine || !allowsZone || !isTogether)
-      violations.push(violation('wrong_place', `${nameOf(event)} on ${event.machine} at ${event.at}`));
+      violations.push(violation('wrong_place', `${taskKey(event)} on ${event.machine} at ${event.at}`));
   }
   return violations;
 };
 
-/** A task is on a machine, or starts, too long after its job was told to be cancelled. */
-export const checkCancelled: Checker = (history) => {
+/** Rule `ran_cancelled`: no task may start or remain on a machine once the grace period after cancellation is over. */
+export const checkCancellation: Checker = (history) => {
   const cancelled = cancelledAt(history);
   const present = new Map<string, TaskEvent>();
   const violations: Violation[] = [];
   const check = (task: TaskEvent, until: number): void => {
-    const deadline = (cancelled.get(task.job) ?? Infinity) + history.cancelMs;
+    const deadline = (cancelled.get(task.job) ?? Infinity) + history.cancelGraceMs;
     if (until > deadline)
       violations.push(
         violation(
           'ran_cancelled',
-          `${nameOf(task)} on ${task.machine} until ${until}, allowed ${deadline}`,
+          `${taskKey(task)} on ${task.machine} until ${until}, allowed ${deadline}`,
           true,
         ),
       );
   };
-  for (const event of tasksOf(history)) {
-    const key = `${nameOf(event)}@${event.machine}`;
+  for (const event of taskEventsOf(history)) {
+    const key = `${taskKey(event)}@${event.machine}`;
     if (event.kind === 'arrived') present.set(key, event);
     else {
       check(event, event.at);
@@ -142,193 +145,207 @@
   return violations;
 };
 
-/** An accepted job gets 404, or a repeated submission of it 400 or 422. */
-export const checkRefusedThoughAccepted: Checker = (history) => {
+/** Rule `forgotten`: requests for an accepted job, including repeated submissions, must not get 400, 404 or 422. */
+export const checkAcceptedNotRefused: Checker = (history) => {
   const accepted = acceptedAt(history);
   const violations: Violation[] = [];
-  for (const { job, askedAt, status, request, controller, at } of asksOf(history)) {
-    if ((accepted.get(job) ?? Infinity) >= askedAt) continue;
-    const isRefused = status === NOT_FOUND || status === BAD_REQUEST || status === UNPROCESSABLE;
+  for (const { job, sentAt, status, request, controller, at } of requestsOf(history)) {
+    if ((accepted.get(job) ?? Infinity) >= sentAt) continue;
+    const isRefused =
+      status === STATUS_NOT_FOUND || status === STATUS_BAD_REQUEST || status === STATUS_UNPROCESSABLE;
     if (isRefused)
       violations.push(violation('forgotten', `${job}: ${status} to ${request} by ${controller} at ${at}`));
   }
   return violations;
 };
 
-/** A time in which every question about a job failed. */
-interface UnansweredSpell {
+/** A period in which every request about a job failed. */
+interface UnansweredPeriod {
   readonly job: string;
-  /** When the first question was asked, and when the last one was given up. */
+  /** When the first failed request was sent, and when the last one failed or timed out. */
   readonly from: number;
   readonly to: number;
 }
 
-/** All spells in which questions about accepted jobs failed, one after the other. */
-const unansweredSpells = (history: SoakHistory): UnansweredSpell[] => {
+/** All periods in which consecutive requests about an accepted job failed. */
+const unansweredPeriods = (history: SoakHistory): UnansweredPeriod[] => {
   const accepted = acceptedAt(history);
-  const open = new Map<string, UnansweredSpell>();
-  const spells: UnansweredSpell[] = [];
-  for (const ask of asksOf(history)) {
-    const { job, at, askedAt } = ask;
-    if ((accepted.get(job) ?? Infinity) > askedAt) continue;
-    const spell = open.get(job);
-    if (!isPositive(ask)) {
-      open.set(job, { job, from: spell?.from ?? askedAt, to: at });
-    } else if (spell !== undefined) {
-      spells.push(spell);
-      open.delete(job);
+  const openPeriods = new Map<string, UnansweredPeriod>();
+  const periods: UnansweredPeriod[] = [];
+  for (const request of requestsOf(history)) {
+    const { job, at, sentAt } = request;
+    if ((accepted.get(job) ?? Infinity) > sentAt) continue;
+    const period = openPeriods.get(job);
+    if (!isSuccessful(request)) {
+      openPeriods.set(job, { job, from: period?.from ?? sentAt, to: at });
+    } else if (period !== undefined) {
+      periods.push(period);
+      openPeriods.delete(job);
     }
   }
-  return [...spells, ...open.values()];
+  return [...periods, ...openPeriods.values()];
 };
 
-/** Every poll for a job fails for 90 s while most others get answers. */
-export const checkUnansweredWhileOthersAre: Checker = (history) => {
-  const asks = asksOf(history);
-  return unansweredSpells(history)
-    .filter(({ from, to }) => to - from > FORGOTTEN_UNDER_TROUBLES_MS)
+/** Rule `forgotten`: requests for a job must not all fail for 90 s while most requests for other jobs succeed. */
+export const checkAnsweredDuringFaults: Checker = (history) => {
+  const requests = requestsOf(history);
+  return unansweredPeriods(history)
+    .filter(({ from, to }) => to - from > MAX_UNANSWERED_DURING_FAULTS_MS)
     .filter(({ job, from, to }) => {
-      const others = asks.filter((ask) => ask.job !== job && ask.askedAt >= from && ask.at <= to);
-      return others.filter(isPositive).length * 2 > others.length;
+      const others = requests.filter(
+        (request) => request.job !== job && request.sentAt >= from && request.at <= to,
+      );
+      return others.filter(isSuccessful).length * 2 > others.length;
     })
     .map(({ job, from, to }) =>
-      violation('forgotten', `${job}: nothing answered from ${from} to ${to} while others were`, true),
+      violation(
+        'forgotten',
+        `${job}: no response from ${from} to ${to} while other jobs had responses`,
+        true,
+      ),
     );
 };
 
-/** Once all troubles are over, no question about a job is answered for 75 s. */
-export const checkUnansweredAfterTroubles: Checker = (history) => {
-  const over = troublesOverAt(history);
-  return unansweredSpells(history)
-    .map(({ job, from, to }) => ({ job, from: Math.max(from, over), to }))
-    .filter(({ from, to }) => to - from > FORGOTTEN_AFTER_TROUBLES_MS)
+/** Rule `forgotten`: once all faults have ended, requests for a job must not all fail for 75 s. */
+export const checkAnsweredAfterFaults: Checker = (history) => {
+  const faultsEnded = faultsEndedAt(history);
+  return unansweredPeriods(history)
+    .map(({ job, from, to }) => ({ job, from: Math.max(from, faultsEnded), to }))
+    .filter(({ from, to }) => to - from > MAX_UNANSWERED_AFTER_FAULTS_MS)
     .map(({ job, from, to }) =>
-      violation('forgotten', `${job}: nothing answered from ${from} to ${to}, after all troubles`, true),
+      violation('forgotten', `${job}: no response from ${from} to ${to}, after all faults ended`, true),
     );
 };
 
-/** A job that nobody submitted, or that can't run, is answered as accepted. */
-export const checkInvented: Checker = (history) =>
-  asksOf(history)
-    .filter((ask) => isPositive(ask) && !history.jobs.has(ask.job))
+/** Rules `invented` and `accepted_impossible`: only a job that was submitted and can run may be accepted. */
+export const checkOnlyValidAccepted: Checker = (history) =>
+  requestsOf(history)
+    .filter((request) => isSuccessful(request) && !history.jobs.has(request.job))
     .map(({ job, status, controller, at }) =>
       history.impossibleJobs.has(job)
         ? violation('accepted_impossible', `${job}: ${status} by ${controller} at ${at}`)
         : violation('invented', `${job}: ${status} by ${controller} at ${at}`),
     );
 
-const doneTasksAt = (history: SoakHistory, spec: JobSpec, at: number): number => {
-  const done = tasksOf(history).filter(
+const completedTasksAt = (history: SoakHistory, spec: JobSpec, at: number): number => {
+  const done = taskEventsOf(history).filter(
     (event) => event.kind === 'left' && event.done && event.job === spec.id && event.at <= at,
   );
-  // The tasks of a gang complete together: if one is done, all of them are, whenever their machines say so.
+  // The tasks of a gang complete together: once one is done all are, even if their machines report it later.
   if (spec.shape === 'gang' && done.length > 0) return spec.tasks;
   return new Set(done.map(({ index }) => index)).size;
 };
 
-/** A job is called done before all of its tasks are. */
-export const checkDone: Checker = (history) => {
+/** Rule `not_done`: a job must not be reported as done before all of its tasks have completed. */
+export const checkCompletion: Checker = (history) => {
   const checked = new Set<string>();
   const violations: Violation[] = [];
-  for (const { job, stage, at, controller } of asksOf(history)) {
+  for (const { job, stage, at, controller } of requestsOf(history)) {
     const spec = history.jobs.get(job);
     if (stage !== 'done' || spec === undefined || checked.has(job)) continue;
     checked.add(job);
-    const done = doneTasksAt(history, spec, at);
+    const done = completedTasksAt(history, spec, at);
     if (done < spec.tasks)
       violations.push(
         violation(
           'not_done',
-          `${job} (${spec.shape}): done by ${controller} at ${at}, ${done} of ${spec.tasks} tasks`,
+          `${job} (${spec.shape}): reported done by ${controller} at ${at}, ${done} of ${spec.tasks} tasks completed`,
         ),
       );
   }
   return violations;
 };
 
-/** A job called done or cancelled is called something else, or one that nobody cancelled is called cancelled. */
-export const checkStages: Checker = (history) => {
-  const final = new Map<string, { stage: string | null; at: number }>();
-  const asks = asksOf(history);
-  const cancelAsked = new Map<string, number>();
+/** Rule `went_back`: a final stage must not change, and a job must not be cancelled unless a user requested it. */
+export const checkStageTransitions: Checker = (history) => {
+  const finalStages = new Map<string, { stage: string | null; at: number }>();
+  const requests = requestsOf(history);
+  const cancelSentAt = new Map<string, number>();
   const violations: Violation[] = [];
-  for (const { job, askedAt, request } of asks)
-    if (request === 'cancel') cancelAsked.set(job, Math.min(askedAt, cancelAsked.get(job) ?? Infinity));
-  for (const ask of asks) {
-    if (!isPositive(ask)) continue;
-    const { job, stage, askedAt, at, controller } = ask;
-    const before = final.get(job);
-    if (before !== undefined && before.at < askedAt && stage !== before.stage)
+  for (const { job, sentAt, request } of requests)
+    if (request === 'cancel') cancelSentAt.set(job, Math.min(sentAt, cancelSentAt.get(job) ?? Infinity));
+  for (const request of requests) {
+    if (!isSuccessful(request)) continue;
+    const { job, stage, sentAt, at, controller } = request;
+    const earlier = finalStages.get(job);
+    if (earlier !== undefined && earlier.at < sentAt && stage !== earlier.stage)
       violations.push(
-        violation('went_back', `${job}: ${before.stage} at ${before.at}, ${stage} by ${controller} at ${at}`),
+        violation(
+          'went_back',
+          `${job}: reported ${earlier.stage} at ${earlier.at}, then ${stage} by ${controller} at ${at}`,
+        ),
       );
-    if (stage === 'withdrawn' && (cancelAsked.get(job) ?? Infinity) > at)
-      violations.push(violation('went_back', `${job}: cancelled by nobody, by ${controller} at ${at}`));
-    if (before === undefined && FINAL_STAGES.includes(stage)) final.set(job, { stage, at });
+    if (stage === 'withdrawn' && (cancelSentAt.get(job) ?? Infinity) > at)
+      violations.push(
+        violation('went_back', `${job}: reported cancelled by ${controller} at ${at} without a request`),
+      );
+    if (earlier === undefined && FINAL_STAGES.includes(stage)) finalStages.set(job, { stage, at });
   }
   return violations;
 };
 
-/** No task was started. */
-export const checkSomethingRan: Checker = (history) =>
-  tasksOf(history).some(({ kind }) => kind === 'arrived')
+/** Rule `nothing_ran`: at least one task must start. */
+export const checkAnyTaskStarted: Checker = (history) =>
+  taskEventsOf(history).some(({ kind }) => kind === 'arrived')
     ? []
     : [violation('nothing_ran', 'no task was started')];
 
-/** A controller has ended by itself, or has logged a broken invariant or an exception. */
+/** Rules `ended_by_itself` and `error_logged`: a controller must not exit on its own or log an error. */
 export const checkControllers: Checker = ({ events }) => {
   const violations: Violation[] = [];
   for (const event of events) {
-    if (event.kind === 'controllerEnded')
-      violations.push(violation('ended_by_itself', `${event.controller}: code ${event.code} at ${event.at}`));
+    if (event.kind === 'controllerExited')
+      violations.push(
+        violation('ended_by_itself', `${event.controller}: exit code ${event.code} at ${event.at}`),
+      );
     if (event.kind === 'errorLogged') violations.push(violation('error_logged', event.line));
   }
   return violations;
 };
 
-/** After the troubles a job waits for 90 s while a machine that fits has room. */
-export const checkLeftWaiting: Checker = (history) => {
-  const over = troublesOverAt(history);
-  const spells = new Map<string, { from: number; last: number }>();
+/** Rule `left_waiting`: once all faults have ended, no job may wait for 90 s while a suitable machine has capacity. */
+export const checkNoStarvation: Checker = (history) => {
+  const faultsEnded = faultsEndedAt(history);
+  const periods = new Map<string, { from: number; last: number }>();
   const violations = new Map<string, Violation>();
   for (const event of history.events) {
-    if (event.kind !== 'waitingBesideRoom' || event.at < over) continue;
+    if (event.kind !== 'waitingDespiteCapacity' || event.at < faultsEnded) continue;
     for (const job of event.jobs) {
-      const spell = spells.get(job);
-      const goesOn = spell !== undefined && event.at - spell.last <= SAMPLE_GAP_MS;
-      const from = goesOn ? spell.from : event.at;
-      spells.set(job, { from, last: event.at });
-      if (event.at - from > LEFT_WAITING_MS)
+      const period = periods.get(job);
+      const continues = period !== undefined && event.at - period.last <= MAX_SAMPLE_GAP_MS;
+      const from = continues ? period.from : event.at;
+      periods.set(job, { from, last: event.at });
+      if (event.at - from > MAX_WAITING_DESPITE_CAPACITY_MS)
         violations.set(
           job,
-          violation('left_waiting', `${job}: from ${from} to ${event.at} beside room`, true),
+          violation('left_waiting', `${job}: waited from ${from} to ${event.at} despite free capacity`, true),
         );
     }
   }
   return [...violations.values()];
 };
 
-/** All rules. */
+/** The checkers of all rules. */
 export const CHECKERS: readonly Checker[] = [
-  checkRanTwice,
+  checkSingleExecution,
   checkQuota,
-  checkPlaces,
-  checkCancelled,
-  checkRefusedThoughAccepted,
-  checkUnansweredWhileOthersAre,
-  checkUnansweredAfterTroubles,
-  checkInvented,
-  checkDone,
-  checkStages,
-  checkSomethingRan,
+  checkPlacement,
+  checkCancellation,
+  checkAcceptedNotRefused,
+  checkAnsweredDuringFaults,
+  checkAnsweredAfterFaults,
+  checkOnlyValidAccepted,
+  checkCompletion,
+  checkStageTransitions,
+  checkAnyTaskStarted,
   checkControllers,
-  checkLeftWaiting,
+  checkNoStarvation,
 ];
 
-/** The longest time in which questions about an accepted job were asked and none was answered, in milliseconds. */
+/** The longest period in which all requests about an accepted job failed, in milliseconds. */
 export const longestUnansweredMs = (history: SoakHistory): number =>
-  Math.max(0, ...unansweredSpells(history).map(({ from, to }) => to - from));
+  Math.max(0, ...unansweredPeriods(history).map(({ from, to }) => to - from));
 
-/** All violations of all rules. */
+/** Runs all checkers on a history and returns every violation. */
 export const checkHistory = (history: SoakHistory): Violation[] =>
   CHECKERS.flatMap((checker) => checker(history));
--- a/packages/emulator/src/soak/controller-process.ts
+++ b/packages/emulator/src/soak/controller-process.ts
@@ -1,14 +1,16 @@
-/** A controller of the built program as a real process: killed, paused, started again, and watched. */
+/** Runs a controller of the built program as a separate process that can be killed, paused and restarted. */
 import { type ChildProcess, spawn } from 'node:child_process';
 
-/** Told of what a controller's process does by itself. */
+/** Receives what a controller's process does on its own. */
 export interface ControllerObserver {
-  onEnd(controller: string, code: number | null): void;
+  /** The process has exited without being killed by this program. */
+  onExit(controller: string, code: number | null): void;
+  /** The process has logged an error, or has written a line that is not a log entry. */
   onError(controller: string, event: string, line: string): void;
 }
 
-/** Where a controller listens, and its settings. */
-export interface ControllerPlace {
+/** Member name, listen addresses and settings file of a controller. */
+export interface ControllerEndpoint {
   readonly member: string;
   readonly address: string;
   readonly peerAddress: string;
@@ -28,43 +30,43 @@
   }
 };
 
-/** One controller, process after process. */
+/** One controller member; each restart runs it in a new process. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
-  private paused = false;
+  private isPaused = false;
   private isStopped = false;
-  /** Lines that its processes have written, the newest last. */
-  readonly log: string[] = [];
+  /** Lines that all processes of this controller have written to standard error, the newest last. */
+  readonly logLines: string[] = [];
 
   constructor(
-    readonly place: ControllerPlace,
+    readonly endpoint: ControllerEndpoint,
     private readonly program: readonly string[],
     private readonly observer: ControllerObserver,
   ) {}
 
-  /** Starts a process. */
+  /** Starts a process, unless one is running or the controller is stopped. */
   start(): void {
     if (this.isStopped || this.child !== null) return;
-    const [file, ...first] = this.program;
-    const child = spawn(file!, [...first, 'serve', '--config', this.place.configFile], {
+    const [executable, ...programArguments] = this.program;
+    const child = spawn(executable!, [...programArguments, 'serve', '--config', this.endpoint.configFile], {
       stdio: ['ignore', 'ignore', 'pipe'],
     });
     this.child = child;
-    this.paused = false;
-    let rest = '';
+    this.isPaused = false;
+    let incompleteLine = '';
     child.stderr.on('data', (chunk: Buffer) => {
-      const lines = (rest + chunk.toString()).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (incompleteLine + chunk.toString()).split('\n');
+      incompleteLine = lines.pop() ?? '';
       for (const line of lines) this.receive(line);
     });
     child.on('exit', (code) => {
       if (this.child !== child) return;
       this.child = null;
-      this.observer.onEnd(this.place.member, code);
+      this.observer.onExit(this.endpoint.member, code);
     });
   }
 
-  /** Kills the process without a signal that it could handle, and starts another one later. */
+  /** Kills the process with SIGKILL and starts a new one after a delay. */
   crash(backAfterMs: number): void {
     this.kill();
     setTimeout(() => {
@@ -72,20 +74,20 @@
     }, backAfterMs);
   }
 
-  /** The process stands still for so long, while its clocks run on. */
-  pause(forMs: number): void {
+  /** Suspends the process with SIGSTOP for a time; its clocks continue to advance. */
+  pause(durationMs: number): void {
     const { child } = this;
-    if (child === null || this.paused) return;
-    this.paused = true;
+    if (child === null || this.isPaused) return;
+    this.isPaused = true;
     child.kill('SIGSTOP');
     setTimeout(() => {
       if (this.child !== child) return;
-      this.paused = false;
+      this.isPaused = false;
       child.kill('SIGCONT');
-    }, forMs);
+    }, durationMs);
   }
 
-  /** Ends the process for good. */
+  /** Kills the process and prevents further restarts. */
   stop(): void {
     this.isStopped = true;
     this.kill();
@@ -98,10 +100,11 @@
   }
 
   private receive(line: string): void {
-    this.log.push(line);
+    this.logLines.push(line);
     const parsed = parseLine(line);
-    // Whatever is no line of the log is the runtime's last word.
-    if (parsed === null) this.observer.onError(this.place.member, 'unparseable', line);
-    else if (parsed.level === 'error') this.observer.onError(this.place.member, String(parsed.event), line);
+    // A line that is not a log entry comes from the Node runtime, such as an uncaught exception.
+    if (parsed === null) this.observer.onError(this.endpoint.member, 'unparseable', line);
+    else if (parsed.level === 'error')
+      this.observer.onError(this.endpoint.member, String(parsed.event), line);
   }
 }
--- a/packages/emulator/src/soak/faulty-link.ts
+++ b/packages/emulator/src/soak/faulty-link.ts
@@ -1,69 +1,69 @@
-/** A link between two parties whose messages can be held back, delayed, delivered again late, or lose their answers. */
+/** A network link with injectable faults: blocked, delayed and duplicated requests, and lost responses. */
 import type { Random } from '../random.js';
 import type { Answer } from '../wire.js';
 
-/** Late copies arrive after this many milliseconds. */
-const LATE_COPY_FROM_MS = 2_000;
-const LATE_COPY_SPREAD_MS = 10_000;
+/** A duplicate request arrives after this delay plus a random part of the spread. */
+const MIN_DUPLICATE_DELAY_MS = 2_000;
+const DUPLICATE_DELAY_SPREAD_MS = 10_000;
 
-const pause = (ms: number): Promise<void> =>
+const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** Messages of one party to another, and the answers. */
+/** Carries requests from one party to another, and the responses back. */
 export class FaultyLink {
-  private requestsHeldUntil = 0;
-  private answersHeldUntil = 0;
-  /** Messages are delayed by up to this many milliseconds. */
+  private requestsBlockedUntil = 0;
+  private responsesBlockedUntil = 0;
+  /** Upper bound of the random delay of each request, in milliseconds. */
   maxDelayMs = 0;
-  /** The share of requests that are carried out and whose answers are lost. */
-  lostAnswers = 0;
-  /** The share of requests of which a copy arrives late. */
-  lateCopies = 0;
+  /** Share of requests that are executed but whose response is lost. */
+  responseLossRate = 0;
+  /** Share of requests that are executed a second time later. */
+  duplicateRate = 0;
 
   constructor(
     private readonly random: Random,
     private readonly now: () => number,
   ) {}
 
-  /** Holds back requests, answers or both for so long; what was held back is delivered then. */
-  cut(forMs: number, direction: 'requests' | 'answers' | 'both' = 'both'): void {
-    const until = this.now() + forMs;
-    if (direction !== 'answers') this.requestsHeldUntil = Math.max(this.requestsHeldUntil, until);
-    if (direction !== 'requests') this.answersHeldUntil = Math.max(this.answersHeldUntil, until);
+  /** Blocks requests, responses or both for a time; blocked messages are delivered afterwards. */
+  block(durationMs: number, direction: 'requests' | 'responses' | 'both' = 'both'): void {
+    const until = this.now() + durationMs;
+    if (direction !== 'responses') this.requestsBlockedUntil = Math.max(this.requestsBlockedUntil, until);
+    if (direction !== 'requests') this.responsesBlockedUntil = Math.max(this.responsesBlockedUntil, until);
   }
 
-  /** Ends all troubles of the link. */
+  /** Removes all faults of the link. */
   heal(): void {
-    this.requestsHeldUntil = 0;
-    this.answersHeldUntil = 0;
+    this.requestsBlockedUntil = 0;
+    this.responsesBlockedUntil = 0;
     this.maxDelayMs = 0;
-    this.lostAnswers = 0;
-    this.lateCopies = 0;
+    this.responseLossRate = 0;
+    this.duplicateRate = 0;
   }
 
-  /** Carries a request and its answer; null: no answer. Whoever waits gives up by itself. */
-  async carry(execute: () => Promise<Answer | null>): Promise<Answer | null> {
-    await this.waitFor(() => this.requestsHeldUntil);
-    if (this.maxDelayMs > 0) await pause(this.random.below(this.maxDelayMs));
-    if (this.lateCopies > 0 && this.random.chance(this.lateCopies)) {
+  /** Executes a request and returns its response, or null if it is lost. Timeouts are up to the caller. */
+  async exchange(execute: () => Promise<Answer | null>): Promise<Answer | null> {
+    await this.waitFor(() => this.requestsBlockedUntil);
+    if (this.maxDelayMs > 0) await sleep(this.random.below(this.maxDelayMs));
+    if (this.duplicateRate > 0 && this.random.chance(this.duplicateRate)) {
       setTimeout(
         () => {
           void execute();
         },
-        LATE_COPY_FROM_MS + this.random.below(LATE_COPY_SPREAD_MS),
+        MIN_DUPLICATE_DELAY_MS + this.random.below(DUPLICATE_DELAY_SPREAD_MS),
       );
     }
-    const losesAnswer = this.lostAnswers > 0 && this.random.chance(this.lostAnswers);
-    const answer = await execute();
-    if (losesAnswer) return null;
-    await this.waitFor(() => this.answersHeldUntil);
-    return answer;
+    const isResponseLost = this.responseLossRate > 0 && this.random.chance(this.responseLossRate);
+    const response = await execute();
+    if (isResponseLost) return null;
+    await this.waitFor(() => this.responsesBlockedUntil);
+    return response;
   }
 
-  /** A cut may be healed or extended while messages wait. */
+  /** Re-reads the deadline while waiting, since a block may be lifted or extended meanwhile. */
   private async waitFor(until: () => number): Promise<void> {
-    while (until() > this.now()) await pause(Math.min(100, until() - this.now()));
+    while (until() > this.now()) await sleep(Math.min(100, until() - this.now()));
   }
 }
--- a/packages/emulator/src/soak/history.ts
+++ b/packages/emulator/src/soak/history.ts
@@ -1,41 +1,41 @@
-/** What users, workers and the operating system saw of a soak: the checkers know nothing else. */
+/** Events of a soak run as observed by users, workers and the operating system; the only input of the checkers. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 
 import type { PlacedTask } from '../loopback-workers.js';
 
-/** How users ask. */
+/** Kinds of user requests. */
 export type RequestKind = 'submit' | 'poll' | 'cancel';
 
-/** A user has asked a controller, and was answered or has given up. Times are milliseconds since the beginning. */
-export interface AskedEvent {
-  readonly kind: 'asked';
+/** A user's request that got a response or timed out. Times are in milliseconds since the run's start. */
+export interface RequestEvent {
+  readonly kind: 'request';
   readonly at: number;
-  readonly askedAt: number;
+  readonly sentAt: number;
   readonly job: string;
   readonly request: RequestKind;
   readonly controller: string;
-  /** Null: no answer. */
+  /** HTTP status of the response; null: no response. */
   readonly status: number | null;
   readonly stage: string | null;
 }
 
-/** A task is on a machine from `arrived` to `left`. */
+/** A task occupies a machine from its `arrived` event to its `left` event. */
 export interface TaskEvent extends PlacedTask {
   readonly kind: 'arrived' | 'left';
   readonly at: number;
-  /** It has completed. */
+  /** Whether the task has completed; false for `arrived`. */
   readonly done: boolean;
 }
 
-/** A controller's process has ended by itself. */
-export interface ControllerEndedEvent {
-  readonly kind: 'controllerEnded';
+/** A controller's process has exited without being killed by the run. */
+export interface ControllerExitedEvent {
+  readonly kind: 'controllerExited';
   readonly at: number;
   readonly controller: string;
   readonly code: number | null;
 }
 
-/** A controller has logged an error. */
+/** A controller has logged an error, or has written a line that is not a log entry. */
 export interface ErrorLoggedEvent {
   readonly kind: 'errorLogged';
   readonly at: number;
@@ -44,47 +44,47 @@
   readonly line: string;
 }
 
-/** A job waits though a machine that fits has room and its team is under its limit. */
-export interface WaitingBesideRoomEvent {
-  readonly kind: 'waitingBesideRoom';
+/** Jobs wait although a suitable machine has free capacity and their team is below its limit. */
+export interface WaitingDespiteCapacityEvent {
+  readonly kind: 'waitingDespiteCapacity';
   readonly at: number;
   readonly jobs: readonly string[];
 }
 
-/** All troubles are over. */
-export interface TroublesOverEvent {
-  readonly kind: 'troublesOver';
+/** All faults have been removed; none follow. */
+export interface FaultsEndedEvent {
+  readonly kind: 'faultsEnded';
   readonly at: number;
 }
 
-/** An event of a soak. */
+/** Any observed event of a soak run. */
 export type SoakEvent =
-  | AskedEvent
+  | RequestEvent
   | TaskEvent
-  | ControllerEndedEvent
+  | ControllerExitedEvent
   | ErrorLoggedEvent
-  | WaitingBesideRoomEvent
-  | TroublesOverEvent;
+  | WaitingDespiteCapacityEvent
+  | FaultsEndedEvent;
 
-/** What a machine is. */
-export interface MachineFacts {
+/** Properties of a machine that restrict which jobs may use it. */
+export interface MachineProperties {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Everything that was seen in one run. */
+/** All observations of one run, in order of time, with the submitted jobs and the limits that apply. */
 export interface SoakHistory {
   readonly events: readonly SoakEvent[];
-  /** Jobs that users submitted and that can run. */
+  /** Submitted jobs that can run. */
   readonly jobs: ReadonlyMap<string, JobSpec>;
-  /** Jobs that users submitted though they can't run. */
+  /** Submitted jobs that no machine can run. */
   readonly impossibleJobs: ReadonlySet<string>;
-  readonly machines: ReadonlyMap<string, MachineFacts>;
-  /** Cores that the tasks of a team may use. */
+  readonly machines: ReadonlyMap<string, MachineProperties>;
+  /** Limit on the cores that the tasks of each team use. */
   readonly teamCores: ReadonlyMap<string, number>;
-  /** Time that the tasks of a cancelled job have, in milliseconds. */
-  readonly cancelMs: number;
-  /** When the run ended. */
+  /** Grace period of the tasks of a cancelled job, in milliseconds. */
+  readonly cancelGraceMs: number;
+  /** When the run ended, in milliseconds since its start. */
   readonly endedAt: number;
 }
--- a/packages/emulator/src/soak/port-block.ts
+++ b/packages/emulator/src/soak/port-block.ts
@@ -1,6 +1,6 @@
 /**
- * Ports for the controllers of one run, in a block that no other run on this machine uses: two runs that shared ports talked to
- * each other's controllers. All are below those that the system gives out.
+ * Reserves ports for the controllers of one run in a block that no other run on this machine uses: when two runs shared
+ * ports, they sent requests to each other's controllers. All blocks lie below the system's ephemeral port range.
  */
 import { freePortsFrom, serve, type Served } from '../loopback-http.js';
 
@@ -8,7 +8,7 @@
 const PORT_BLOCKS = 300;
 const PORTS_PER_BLOCK = 64;
 
-/** Ports, and the server that holds their block as long as it is open. */
+/** Reserved ports, and the listening server that reserves their block until it is closed. */
 export interface ReservedPorts {
   readonly ports: readonly number[];
   readonly lock: Served;
@@ -22,7 +22,7 @@
   }
 };
 
-/** Reserves ports; the search for a block begins at the given one. */
+/** Reserves ports in the first free block, starting the search at the given block. */
 export const reservePorts = async (firstBlock: number, count: number): Promise<ReservedPorts> => {
   for (let block = firstBlock; ; block++) {
     const first = FIRST_PORT + (block % PORT_BLOCKS) * PORTS_PER_BLOCK;
--- a/packages/emulator/src/soak/soak-cluster.ts
+++ b/packages/emulator/src/soak/soak-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * The deployment of a soak: controllers as real processes; store, cloud and workers in this process; and between any two
- * parties a link that can fail. Each controller reaches the others through servers of its own here.
+ * The deployment under test in a soak run: controllers as separate processes, and store, cloud and workers simulated in
+ * this process, with a faulty link between any two. Each controller reaches its peers through its own proxies here.
  */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -22,14 +22,14 @@
 import { type Answer, cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from '../wire.js';
 import { ControllerProcess } from './controller-process.js';
 import { FaultyLink } from './faulty-link.js';
-import type { MachineFacts, SoakEvent } from './history.js';
+import type { MachineProperties, SoakEvent } from './history.js';
 import { serveThroughLink } from './link-server.js';
 import { reservePorts } from './port-block.js';
 
-/** The settings of a deployment. */
+/** Seed, program and size of a deployment. */
 export interface SoakClusterOptions {
   readonly seed: number;
-  /** How to start a controller, up to `serve`. */
+  /** The command that starts a controller, without `serve` and its options. */
   readonly program: readonly string[];
   readonly controllers: number;
   readonly workers: number;
@@ -37,25 +37,25 @@
 
 /** The team of all jobs. */
 export const TEAM = 't';
-/** Time that the tasks of a cancelled job have. */
-export const CANCEL_MS = 30_000;
+/** Grace period of the tasks of a cancelled job. */
+export const CANCEL_GRACE_MS = 30_000;
 const HEARTBEAT_S = 2;
 const LEASE_S = 12;
 const STORE_REQUESTS_PER_S = 300;
 const STORE_WRITES_PER_S = 80;
 const CLOUD_REQUESTS_PER_S = 6;
-/** Cores of each machine. */
+/** Number of cores of each machine. */
 export const CORES_PER_MACHINE = 4;
-/** The team may use this share of all cores. */
-const TEAM_SHARE = 0.75;
+/** The team's limit as a share of all cores. */
+const TEAM_LIMIT_SHARE = 0.75;
 const PEER_TIMEOUT_MS = 5_000;
-const WORKER_TIMEOUT_MS = 4_000;
+const HEARTBEAT_TIMEOUT_MS = 4_000;
 const EXPIRY_INTERVAL_MS = 20;
 const MEMBER_PREFIX = 'dock-';
-const UNAVAILABLE = 503;
-const REFUSED: StoreReply = { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
+const STATUS_UNAVAILABLE = 503;
+const STORE_REFUSED: StoreReply = { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
 
-const TYPE: MachineType = {
+const MACHINE_TYPE: MachineType = {
   name: 'box',
   cores: CORES_PER_MACHINE,
   gpus: 0,
@@ -68,47 +68,54 @@
   zones: ['zone-a', 'zone-b'],
 };
 
-/** Links of one controller to the parties that it calls, and of users and workers to it. */
+/** Links from one controller to the parties it calls, and from users to it. */
 export interface ControllerLinks {
   readonly toStore: FaultyLink;
   readonly toCloud: FaultyLink;
   readonly toPeers: FaultyLink;
   readonly fromUsers: FaultyLink;
-  /** The store answers this controller with 503 until then. */
+  /** Until this time the store responds to this controller with 503. */
   storeRefusedUntil: number;
 }
 
-/** Links of one worker. */
+/** Links of one worker, for its heartbeats and for the commands sent to it. */
 export interface WorkerLinks {
   readonly heartbeats: FaultyLink;
   readonly commands: FaultyLink;
 }
 
-/** A deployment on loopback. */
+/** A deployment on the loopback interface. */
 export class SoakCluster {
+  /** All controllers, by index. */
   readonly controllers: ControllerProcess[] = [];
+  /** The links of each controller, by its index. */
   readonly links: ControllerLinks[] = [];
-  readonly machines = new Map<string, MachineFacts>();
+  /** Every machine that was ever provisioned, by name. */
+  readonly machines = new Map<string, MachineProperties>();
+  /** Specifications of the submitted jobs, by job id. */
   readonly specs = new Map<string, JobSpec>();
-  /** Cores that the tasks of the team may use. */
+  /** Limit on the cores that the team's tasks use. */
   readonly teamCores: number;
+  /** The simulated key-value store. */
   readonly store: StateModel;
+  /** The simulated cloud provider, which runs the workers. */
   readonly cloud: LoopbackCloud;
+  /** Until this time the cloud responds with 503. */
   cloudDownUntil = 0;
   private readonly workerLinks = new Map<string, WorkerLinks>();
   private readonly servers: Served[] = [];
-  private readonly folder = mkdtempSync(join(tmpdir(), 'shaleyoke-soak-'));
-  private readonly beganAt = performance.now();
+  private readonly configFolder = mkdtempSync(join(tmpdir(), 'shaleyoke-soak-'));
+  private readonly startedAt = performance.now();
   private readonly random: Random;
-  private readonly expiry: NodeJS.Timeout;
-  private stopping = false;
+  private readonly expiryTimer: NodeJS.Timeout;
+  private isStopping = false;
 
   constructor(
     private readonly options: SoakClusterOptions,
     private readonly record: (event: SoakEvent) => void,
   ) {
     this.random = new Random(options.seed + 1);
-    this.teamCores = Math.floor(options.workers * CORES_PER_MACHINE * TEAM_SHARE);
+    this.teamCores = Math.floor(options.workers * CORES_PER_MACHINE * TEAM_LIMIT_SHARE);
     this.store = new StateModel(
       () => this.nowUs(),
       (run) => setImmediate(run),
@@ -117,31 +124,31 @@
     this.store.writesPerSecond = STORE_WRITES_PER_S;
     this.cloud = new LoopbackCloud({
       now: () => this.nowUs(),
-      isStopping: () => this.stopping,
-      types: [TYPE],
-      perZone: Math.ceil(options.workers / TYPE.zones.length),
+      isStopping: () => this.isStopping,
+      types: [MACHINE_TYPE],
+      perZone: Math.ceil(options.workers / MACHINE_TYPE.zones.length),
       makeWorker: (name, type, zone, spot) => this.makeWorker(name, type, zone, spot),
     });
-    this.expiry = setInterval(() => {
+    this.expiryTimer = setInterval(() => {
       this.store.expire();
     }, EXPIRY_INTERVAL_MS);
   }
 
-  /** Milliseconds since the beginning. */
+  /** Milliseconds since the start of the run. */
   now(): number {
-    return Math.round(performance.now() - this.beganAt);
+    return Math.round(performance.now() - this.startedAt);
   }
 
   private nowUs(): Micros {
-    return Math.round((performance.now() - this.beganAt) * MILLI);
+    return Math.round((performance.now() - this.startedAt) * MILLI);
   }
 
-  /** A link without troubles. */
+  /** Creates a link without faults. */
   makeLink(): FaultyLink {
     return new FaultyLink(this.random, () => this.now());
   }
 
-  /** Starts the servers, then the controllers. */
+  /** Starts the servers of the simulated parties, then the controllers. */
   async start(): Promise<void> {
     const count = this.options.controllers;
     const { ports, lock } = await reservePorts(this.options.seed, 2 * count);
@@ -151,7 +158,7 @@
       address: `127.0.0.1:${ports[2 * i]}`,
       peerAddress: `127.0.0.1:${ports[2 * i + 1]}`,
     }));
-    for (const [i, place] of members.entries()) {
+    for (const [i, endpoint] of members.entries()) {
       const links: ControllerLinks = {
         toStore: this.makeLink(),
         toCloud: this.makeLink(),
@@ -163,26 +170,26 @@
       const peers = await Promise.all(
         members.filter((_, k) => k !== i).map((peer) => this.servePeer(links, peer)),
       );
-      const configFile = join(this.folder, `${place.member}.toml`);
-      writeFileSync(configFile, await this.settingsOf(place, peers, links));
-      this.controllers.push(this.makeController({ ...place, configFile }));
+      const configFile = join(this.configFolder, `${endpoint.member}.toml`);
+      writeFileSync(configFile, await this.settingsFor(endpoint, peers, links));
+      this.controllers.push(this.makeController({ ...endpoint, configFile }));
     }
     for (const controller of this.controllers) controller.start();
   }
 
-  /** The controller that leads, as the store knows it; null if none does. */
+  /** The current leader according to the store's leader record; null if there is none. */
   leader(): ControllerProcess | null {
     const record = this.store.value('lead') as { member?: string } | undefined;
-    return this.controllers.find(({ place }) => place.member === record?.member) ?? null;
+    return this.controllers.find(({ endpoint }) => endpoint.member === record?.member) ?? null;
   }
 
-  /** Workers that are up. */
-  workersUp(): LoopWorker[] {
+  /** Workers that are alive and reachable. */
+  runningWorkers(): LoopWorker[] {
     return [...this.cloud.workers.values()].filter((worker) => worker.alive && worker.address !== '');
   }
 
-  /** The links of a worker. */
-  linksOf(machine: string): WorkerLinks {
+  /** The links of a worker, created on first use. */
+  linksOfWorker(machine: string): WorkerLinks {
     const known = this.workerLinks.get(machine);
     if (known !== undefined) return known;
     const links = { heartbeats: this.makeLink(), commands: this.makeLink() };
@@ -190,7 +197,7 @@
     return links;
   }
 
-  /** Ends the troubles of all links. */
+  /** Removes all faults of the links, and makes store and cloud available again. */
   heal(): void {
     for (const links of this.links) {
       for (const link of [links.toStore, links.toCloud, links.toPeers, links.fromUsers]) link.heal();
@@ -203,20 +210,20 @@
     this.cloudDownUntil = 0;
   }
 
-  /** Ends everything that it started, and removes its files. */
+  /** Stops all controllers, workers and servers, and removes the settings files. */
   stop(): void {
-    this.stopping = true;
-    clearInterval(this.expiry);
+    this.isStopping = true;
+    clearInterval(this.expiryTimer);
     for (const controller of this.controllers) controller.stop();
     for (const worker of this.cloud.workers.values()) if (worker.alive) worker.kill();
     for (const server of this.servers) server.close();
-    rmSync(this.folder, { recursive: true, force: true });
+    rmSync(this.configFolder, { recursive: true, force: true });
   }
 
-  private makeController(place: ControllerProcess['place']): ControllerProcess {
-    return new ControllerProcess(place, this.options.program, {
-      onEnd: (controller, code) => {
-        this.record({ kind: 'controllerEnded', at: this.now(), controller, code });
+  private makeController(endpoint: ControllerProcess['endpoint']): ControllerProcess {
+    return new ControllerProcess(endpoint, this.options.program, {
+      onExit: (controller, code) => {
+        this.record({ kind: 'controllerExited', at: this.now(), controller, code });
       },
       onError: (controller, event, line) => {
         this.record({ kind: 'errorLogged', at: this.now(), controller, event, line });
@@ -224,17 +231,17 @@
     });
   }
 
-  private async settingsOf(
-    place: { readonly member: string; readonly address: string; readonly peerAddress: string },
+  private async settingsFor(
+    endpoint: { readonly member: string; readonly address: string; readonly peerAddress: string },
     peers: readonly { readonly member: string; readonly address: string }[],
     links: ControllerLinks,
   ): Promise<string> {
     const store = await this.serveStore(links);
     const cloud = await this.serveCloud(links);
     return controllerSettings({
-      member: place.member,
-      listen: place.address,
-      peerListen: place.peerAddress,
+      member: endpoint.member,
+      listen: endpoint.address,
+      peerListen: endpoint.peerAddress,
       peers,
       cloud,
       state: store,
@@ -242,7 +249,7 @@
       more: `[[cluster.teams]]\nname = "${TEAM}"\ncpus_max = ${this.teamCores}.0\n`,
       reportS: HEARTBEAT_S,
       leaseS: LEASE_S,
-      cancelS: CANCEL_MS / 1_000,
+      cancelS: CANCEL_GRACE_MS / 1_000,
       stateRps: STORE_REQUESTS_PER_S,
       stateWriteRps: STORE_WRITES_PER_S,
       cloudRps: CLOUD_REQUESTS_PER_S,
@@ -251,7 +258,7 @@
 
   // ---- servers -------------------------------------------------------------------------------------
 
-  /** Serves requests through a link; returns the address. */
+  /** Serves requests through a link and returns the server's address. */
   private async serveThrough(
     link: FaultyLink,
     execute: (request: Asked) => Promise<Answer | null>,
@@ -264,7 +271,8 @@
   private serveStore(links: ControllerLinks): Promise<string> {
     return this.serveThrough(links.toStore, ({ method, url, body }) => {
       const operation = stateOpOf(method, url, body);
-      if (links.storeRefusedUntil > this.now()) return Promise.resolve(encodeStateReply(operation, REFUSED));
+      if (links.storeRefusedUntil > this.now())
+        return Promise.resolve(encodeStateReply(operation, STORE_REFUSED));
       if (operation.kind !== 'watch')
         return Promise.resolve(encodeStateReply(operation, this.store.apply(operation)));
       return new Promise((resolve) => {
@@ -279,7 +287,7 @@
     return this.serveThrough(links.toCloud, ({ method, url, body }) => {
       const isDown = this.cloudDownUntil > this.now();
       const answer = isDown
-        ? { status: UNAVAILABLE, body: Buffer.alloc(0) }
+        ? { status: STATUS_UNAVAILABLE, body: Buffer.alloc(0) }
         : encodeCloudReply(this.cloud.apply(cloudOpOf(method, url, body)));
       return Promise.resolve(answer);
     });
@@ -299,11 +307,11 @@
 
   private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker {
     this.machines.set(name, { type, zone, spot });
-    const { heartbeats, commands } = this.linksOf(name);
+    const { heartbeats, commands } = this.linksOfWorker(name);
     const world: WorkerWorld = {
       now: () => this.nowUs(),
       spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.store.value(activeJobKey(job)))?.spec,
-      nodes: this.controllers.map(({ place }) => place),
+      nodes: this.controllers.map(({ endpoint }) => endpoint),
       reportUs: HEARTBEAT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
       workers: this.cloud.workers,
@@ -316,15 +324,15 @@
       },
       call: (address, path, body) => this.callController(heartbeats, address, path, body),
       carryCommand: (machine, execute) =>
-        commands.carry(async () => {
-          await this.waitWhileHanging(machine);
+        commands.exchange(async () => {
+          await this.waitWhileHung(machine);
           return execute();
         }),
     };
     return new LoopWorker(name, type, zone, spot, world);
   }
 
-  private async waitWhileHanging(machine: string): Promise<void> {
+  private async waitWhileHung(machine: string): Promise<void> {
     const worker = this.cloud.workers.get(machine);
     while (worker !== undefined && worker.hangsFor > 0) {
       const { hangsFor } = worker;
@@ -332,7 +340,7 @@
     }
   }
 
-  /** A worker gives a heartbeat up after four seconds, whatever becomes of it on its way. */
+  /** Sends a worker's heartbeat, which times out after four seconds wherever on the link it is delayed. */
   private callController(
     link: FaultyLink,
     address: string,
@@ -342,9 +350,9 @@
     const timeout = new Promise<null>((resolve) => {
       setTimeout(() => {
         resolve(null);
-      }, WORKER_TIMEOUT_MS);
+      }, HEARTBEAT_TIMEOUT_MS);
     });
-    const answer = link.carry(() => call(address, 'POST', path, body, WORKER_TIMEOUT_MS));
+    const answer = link.exchange(() => call(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS));
     return Promise.race([answer, timeout]);
   }
 }
--- a/packages/emulator/src/soak/soak-run.ts
+++ b/packages/emulator/src/soak/soak-run.ts
@@ -1,33 +1,33 @@
-/** Plays one seed of a soak, and judges it. */
+/** Executes one seed of the soak test and checks the resulting history. */
 import { Random } from '../random.js';
 import { checkHistory, longestUnansweredMs, type Violation } from './checkers.js';
+import { FaultInjector } from './fault-injector.js';
+import { describeFaults, type FaultKind, generateFaults } from './fault-schedule.js';
 import type { SoakEvent, SoakHistory } from './history.js';
-import { CANCEL_MS, CORES_PER_MACHINE, SoakCluster, TEAM } from './soak-cluster.js';
+import { CANCEL_GRACE_MS, CORES_PER_MACHINE, SoakCluster, TEAM } from './soak-cluster.js';
 import { SoakUsers } from './soak-users.js';
-import { TroubleMaker } from './trouble-maker.js';
-import { describeTroubles, drawTroubles, type TroubleKind } from './trouble-schedule.js';
 
-/** How a seed is played. */
+/** Parameters of one soak run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How to start a controller, up to `serve`. */
+  /** The command that starts a controller, without `serve` and its options. */
   readonly program: readonly string[];
   readonly controllers: number;
   readonly workers: number;
-  /** How long troubles come, in milliseconds. */
-  readonly troubleMs: number;
-  /** Kinds of troubles that may come. */
-  readonly kinds: readonly TroubleKind[];
-  /** A job is submitted this often. */
+  /** Duration of fault injection, in milliseconds. */
+  readonly faultMs: number;
+  /** Kinds of faults that may be injected. */
+  readonly faultKinds: readonly FaultKind[];
+  /** Interval between job submissions. */
   readonly submitIntervalMs: number;
-  /** Rules on times are judged as well; not so where the machine may be busy with other work. */
-  readonly judgesTimes: boolean;
+  /** Whether timed rules count; false where the machine may be busy with other work. */
+  readonly checksTimedRules: boolean;
 }
 
-/** `inconclusive`: this process itself was late, so that rules on times can't be judged. */
+/** `inconclusive`: the timers of this process fired late, so timed rules can't be evaluated. */
 export type SoakResult = 'passed' | 'failed' | 'inconclusive';
 
-/** What came of a seed. */
+/** The outcome of one seed, as written to the results file. */
 export interface SoakSummary {
   readonly seed: number;
   readonly result: SoakResult;
@@ -38,31 +38,31 @@
   readonly requests: number;
   readonly answers: number;
   readonly longestUnansweredS: number;
-  /** The longest that this process was late, in seconds. */
+  /** The greatest delay of this process's timers, in seconds. */
   readonly latenessS: number;
-  /** How long the run took, in seconds. */
+  /** Duration of the run, in seconds. */
   readonly tookS: number;
-  /** The newest log lines of each controller; only of a run that did not pass. */
+  /** The newest log lines of each controller; only for a run that did not pass. */
   readonly logs?: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Jobs go on being submitted for this long after the troubles. */
-const SUBMIT_AFTER_MS = 3_000;
-/** The longest that is waited for jobs to end, more than the time after which a job counts as forgotten or left waiting. */
-const MAX_SETTLE_MS = 100_000;
-/** Times are not judged where this process was later than this. */
+/** Job submission continues for this long after fault injection ends. */
+const SUBMIT_AFTER_FAULTS_MS = 3_000;
+/** Maximum wait for jobs to end; longer than the limits after which a job counts as forgotten or left waiting. */
+const MAX_COMPLETION_WAIT_MS = 100_000;
+/** Timed rules are not evaluated if a timer of this process fired later than this. */
 const MAX_LATENESS_MS = 1_000;
 const SAMPLE_INTERVAL_MS = 1_000;
-const LATENESS_INTERVAL_MS = 100;
-const START_TIMEOUT_MS = 30_000;
-const LOG_LINES_KEPT = 400;
+const LATENESS_CHECK_INTERVAL_MS = 100;
+const ELECTION_TIMEOUT_MS = 30_000;
+const MAX_REPORTED_LOG_LINES = 400;
 
-const pause = (ms: number): Promise<void> =>
+const sleep = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** A run that goes on; it can be stopped from outside. */
+/** A soak run of one seed, which can be stopped from outside. */
 export class SoakRun {
   private readonly events: SoakEvent[] = [];
   private readonly cluster: SoakCluster;
@@ -80,15 +80,15 @@
     this.users = new SoakUsers(this.cluster, this.random, record);
   }
 
-  /** Plays the seed; everything is ended at its end. */
-  async play(): Promise<SoakSummary> {
+  /** Executes the run and stops everything it started, also on failure. */
+  async run(): Promise<SoakSummary> {
     try {
       this.measureLateness();
       await this.cluster.start();
-      await this.untilSomebodyLeads();
+      await this.waitForLeader();
       this.sampleWaitingJobs();
-      await this.playTroubles();
-      await this.settle();
+      await this.injectFaults();
+      await this.waitForCompletion();
       this.users.stop();
       return this.summarize();
     } finally {
@@ -96,94 +96,95 @@
     }
   }
 
-  /** Ends everything that it started. */
+  /** Stops users, timers and the cluster. */
   stop(): void {
     this.users.stop();
     for (const timer of this.timers) clearInterval(timer);
     this.cluster.stop();
   }
 
-  private get troubles(): ReturnType<typeof drawTroubles> {
-    const { seed, troubleMs, controllers, kinds } = this.options;
-    return drawTroubles(seed, troubleMs, controllers, kinds);
+  private get faults(): ReturnType<typeof generateFaults> {
+    const { seed, faultMs, controllers, faultKinds: kinds } = this.options;
+    return generateFaults(seed, faultMs, controllers, kinds);
   }
 
-  private async untilSomebodyLeads(): Promise<void> {
-    const until = this.cluster.now() + START_TIMEOUT_MS;
-    while (this.cluster.leader() === null && this.cluster.now() < until) await pause(SAMPLE_INTERVAL_MS / 10);
+  private async waitForLeader(): Promise<void> {
+    const until = this.cluster.now() + ELECTION_TIMEOUT_MS;
+    while (this.cluster.leader() === null && this.cluster.now() < until) await sleep(SAMPLE_INTERVAL_MS / 10);
   }
 
-  private async playTroubles(): Promise<void> {
-    const { troubleMs, submitIntervalMs } = this.options;
-    this.users.start(submitIntervalMs, troubleMs + SUBMIT_AFTER_MS);
-    const maker = new TroubleMaker(this.cluster, new Random(this.options.seed + 2));
-    for (const trouble of this.troubles)
+  private async injectFaults(): Promise<void> {
+    const { faultMs, submitIntervalMs } = this.options;
+    this.users.start(submitIntervalMs, faultMs + SUBMIT_AFTER_FAULTS_MS);
+    const injector = new FaultInjector(this.cluster, new Random(this.options.seed + 2));
+    for (const fault of this.faults)
       this.timers.push(
         setTimeout(() => {
-          maker.begin(trouble);
-        }, trouble.atMs),
+          injector.inject(fault);
+        }, fault.startMs),
       );
-    await pause(troubleMs);
+    await sleep(faultMs);
     this.cluster.heal();
-    this.events.push({ kind: 'troublesOver', at: this.cluster.now() });
+    this.events.push({ kind: 'faultsEnded', at: this.cluster.now() });
   }
 
-  /** Waits until all jobs have ended, and the tasks of cancelled ones may no longer be there. */
-  private async settle(): Promise<void> {
+  /** Waits until all jobs have ended and the grace period of cancelled jobs is over, or the maximum wait is reached. */
+  private async waitForCompletion(): Promise<void> {
     const from = this.cluster.now();
-    await pause(SUBMIT_AFTER_MS + SAMPLE_INTERVAL_MS);
-    while (this.cluster.now() - from < MAX_SETTLE_MS) {
-      if (this.users.unfinished().length === 0 && this.cluster.now() - from > CANCEL_MS) return;
-      await pause(SAMPLE_INTERVAL_MS);
+    await sleep(SUBMIT_AFTER_FAULTS_MS + SAMPLE_INTERVAL_MS);
+    while (this.cluster.now() - from < MAX_COMPLETION_WAIT_MS) {
+      if (this.users.unfinishedJobs().length === 0 && this.cluster.now() - from > CANCEL_GRACE_MS) return;
+      await sleep(SAMPLE_INTERVAL_MS);
     }
   }
 
   private measureLateness(): void {
-    let expected = performance.now() + LATENESS_INTERVAL_MS;
+    let expected = performance.now() + LATENESS_CHECK_INTERVAL_MS;
     this.timers.push(
       setInterval(() => {
         const now = performance.now();
         this.latenessMs = Math.max(this.latenessMs, now - expected);
-        expected = now + LATENESS_INTERVAL_MS;
-      }, LATENESS_INTERVAL_MS),
+        expected = now + LATENESS_CHECK_INTERVAL_MS;
+      }, LATENESS_CHECK_INTERVAL_MS),
     );
   }
 
   private sampleWaitingJobs(): void {
     this.timers.push(
       setInterval(() => {
-        const jobs = this.waitingBesideRoom();
-        if (jobs.length > 0) this.events.push({ kind: 'waitingBesideRoom', at: this.cluster.now(), jobs });
+        const jobs = this.jobsWaitingDespiteCapacity();
+        if (jobs.length > 0)
+          this.events.push({ kind: 'waitingDespiteCapacity', at: this.cluster.now(), jobs });
       }, SAMPLE_INTERVAL_MS),
     );
   }
 
-  /** Jobs without any task on a machine, though one that fits has room and the team is under its limit. */
-  private waitingBesideRoom(): string[] {
+  /** Unfinished jobs that never had a task on a machine although free cores and the team's limit allow a start. */
+  private jobsWaitingDespiteCapacity(): string[] {
     const usedCores = new Map<string, number>();
-    const begun = new Set<string>();
+    const everStarted = new Set<string>();
     for (const event of this.events) {
       if (event.kind !== 'arrived' && event.kind !== 'left') continue;
       const cores = this.cluster.specs.get(event.job)?.cores ?? 0;
       const sign = event.kind === 'arrived' ? 1 : -1;
       usedCores.set(event.machine, (usedCores.get(event.machine) ?? 0) + sign * cores);
-      begun.add(event.job);
+      everStarted.add(event.job);
     }
     const total = [...usedCores.values()].reduce((sum, cores) => sum + cores, 0);
-    const free = this.cluster
-      .workersUp()
+    const freeByWorker = this.cluster
+      .runningWorkers()
       .map((worker) => ({ zone: worker.zone, cores: CORES_PER_MACHINE - (usedCores.get(worker.name) ?? 0) }));
     return this.users
-      .unfinished()
-      .filter(({ id }) => !begun.has(id))
+      .unfinishedJobs()
+      .filter(({ id }) => !everStarted.has(id))
       .filter(({ zone, cores, tasks, shape, sameZone }) => {
         const needed = shape === 'gang' ? tasks * cores : cores;
         if (total + needed > this.cluster.teamCores) return false;
         const zones = zone === null ? ['zone-a', 'zone-b'] : [zone];
-        const rooms = zones.map((each) => sumOfFree(free, each));
+        const freeCores = zones.map((each) => freeCoresIn(freeByWorker, each));
         return sameZone || shape !== 'gang'
-          ? rooms.some((room) => room >= needed)
-          : rooms.reduce((sum, room) => sum + room, 0) >= needed;
+          ? freeCores.some((room) => room >= needed)
+          : freeCores.reduce((sum, room) => sum + room, 0) >= needed;
       })
       .map(({ id }) => id);
   }
@@ -195,7 +196,7 @@
       impossibleJobs: this.users.impossibleJobs,
       machines: this.cluster.machines,
       teamCores: new Map([[TEAM, this.cluster.teamCores]]),
-      cancelMs: CANCEL_MS,
+      cancelGraceMs: CANCEL_GRACE_MS,
       endedAt: this.cluster.now(),
     };
   }
@@ -203,18 +204,18 @@
   private summarize(): SoakSummary {
     const history = this.history();
     const violations = checkHistory(history);
-    const asked = history.events.filter((event) => event.kind === 'asked');
+    const requests = history.events.filter((event) => event.kind === 'request');
     const isLate = this.latenessMs > MAX_LATENESS_MS;
-    const result = resultOf(violations, isLate, this.options.judgesTimes);
+    const result = resultOf(violations, isLate, this.options.checksTimedRules);
     return {
       seed: this.options.seed,
       result,
-      troubles: describeTroubles(this.troubles),
+      troubles: describeFaults(this.faults),
       violations,
-      jobs: this.users.submitted,
-      unfinished: this.users.unfinished().map(({ id }) => id),
-      requests: asked.length,
-      answers: asked.filter(({ status }) => status !== null).length,
+      jobs: this.users.submittedCount,
+      unfinished: this.users.unfinishedJobs().map(({ id }) => id),
+      requests: requests.length,
+      answers: requests.filter(({ status }) => status !== null).length,
       longestUnansweredS: longestUnansweredMs(history) / 1_000,
       latenessS: this.latenessMs / 1_000,
       tookS: this.cluster.now() / 1_000,
@@ -224,21 +225,24 @@
 
   private newestLogLines(): Record<string, readonly string[]> {
     return Object.fromEntries(
-      this.cluster.controllers.map(({ place, log }) => [place.member, log.slice(-LOG_LINES_KEPT)]),
+      this.cluster.controllers.map(({ endpoint, logLines: log }) => [
+        endpoint.member,
+        log.slice(-MAX_REPORTED_LOG_LINES),
+      ]),
     );
   }
 }
 
-const sumOfFree = (free: readonly { zone: string; cores: number }[], zone: string): number =>
+const freeCoresIn = (free: readonly { zone: string; cores: number }[], zone: string): number =>
   free.filter((each) => each.zone === zone).reduce((sum, { cores }) => sum + cores, 0);
 
-/** Rules that don't rest on times are judged even where this process was late; a late run never passes. */
+/** Untimed rules count even if this process was late; a late run never passes if timed rules are checked. */
 export const resultOf = (
   violations: readonly Violation[],
   isLate: boolean,
-  judgesTimes = true,
+  checksTimedRules = true,
 ): SoakResult => {
-  const certain = violations.filter(({ timed }) => !timed || (judgesTimes && !isLate));
-  if (certain.length > 0) return 'failed';
-  return isLate && judgesTimes ? 'inconclusive' : 'passed';
+  const counted = violations.filter(({ timed }) => !timed || (checksTimedRules && !isLate));
+  if (counted.length > 0) return 'failed';
+  return isLate && checksTimedRules ? 'inconclusive' : 'passed';
 };
--- a/packages/emulator/test/soak.test.ts
+++ b/packages/emulator/test/soak.test.ts
@@ -1,4 +1,4 @@
-/** The soak's checkers, each on a history that breaks its rule and on one that doesn't; its schedule, links and arguments. */
+/** Tests the soak checkers on valid histories and on violations, and the fault schedule, links, ports and options. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -6,21 +6,21 @@
 
 import { Random } from '../src/random.js';
 import { checkHistory, type Violation } from '../src/soak/checkers.js';
+import { describeFaults, FAULT_KINDS, generateFaults } from '../src/soak/fault-schedule.js';
 import { FaultyLink } from '../src/soak/faulty-link.js';
-import type { AskedEvent, SoakEvent, SoakHistory, TaskEvent } from '../src/soak/history.js';
+import type { RequestEvent, SoakEvent, SoakHistory, TaskEvent } from '../src/soak/history.js';
 import { reservePorts } from '../src/soak/port-block.js';
 import { resultOf } from '../src/soak/soak-run.js';
-import { describeTroubles, drawTroubles, TROUBLE_KINDS } from '../src/soak/trouble-schedule.js';
 import { specOf } from '../src/specs.js';
 import { toolOf } from '../src/tool.js';
 
 const JOB = 'run-1';
-const CANCEL_MS = 30_000;
+const CANCEL_GRACE_MS = 30_000;
 
-const asked = (at: number, more: Partial<AskedEvent> = {}): AskedEvent => ({
-  kind: 'asked',
+const request = (at: number, more: Partial<RequestEvent> = {}): RequestEvent => ({
+  kind: 'request',
   at,
-  askedAt: at - 10,
+  sentAt: at - 10,
   job: JOB,
   request: 'poll',
   controller: 'dock-0',
@@ -29,7 +29,8 @@
   ...more,
 });
 
-const accepted = (at: number, job = JOB): AskedEvent => asked(at, { request: 'submit', status: 201, job });
+const accepted = (at: number, job = JOB): RequestEvent =>
+  request(at, { request: 'submit', status: 201, job });
 
 const task = (kind: 'arrived' | 'left', at: number, more: Partial<TaskEvent> = {}): TaskEvent => ({
   kind,
@@ -55,26 +56,26 @@
     ['m-3', { type: 'box', zone: 'zone-a', spot: true }],
   ]),
   teamCores: new Map([['t', 4]]),
-  cancelMs: CANCEL_MS,
+  cancelGraceMs: CANCEL_GRACE_MS,
   endedAt: 300_000,
 });
 
-/** A history in which nothing is wrong. */
-const WELL: readonly SoakEvent[] = [
+/** A history that violates no rule. */
+const VALID_HISTORY: readonly SoakEvent[] = [
   accepted(100),
   task('arrived', 200),
-  asked(300, { stage: 'running' }),
+  request(300, { stage: 'running' }),
   task('left', 400, { done: true }),
-  asked(500, { stage: 'done' }),
+  request(500, { stage: 'done' }),
 ];
 
-const pollsEvery = (ms: number, from: number, to: number, more: Partial<AskedEvent>): AskedEvent[] =>
-  Array.from({ length: Math.floor((to - from) / ms) + 1 }, (_, i) => asked(from + i * ms, more));
+const requestsEvery = (ms: number, from: number, to: number, more: Partial<RequestEvent>): RequestEvent[] =>
+  Array.from({ length: Math.floor((to - from) / ms) + 1 }, (_, i) => request(from + i * ms, more));
 
-const FAILS: Partial<AskedEvent> = { status: null, stage: null };
+const NO_RESPONSE: Partial<RequestEvent> = { status: null, stage: null };
 
-/** Histories that break a rule each. */
-const BROKEN: readonly {
+/** Histories that each violate one rule. */
+const VIOLATIONS: readonly {
   readonly rule: string;
   readonly why: string;
   readonly events: readonly SoakEvent[];
@@ -82,102 +83,133 @@
 }[] = [
   {
     rule: 'ran_twice',
-    why: 'two machines at once',
+    why: 'a task on two machines',
     events: [task('arrived', 200), task('arrived', 300, { machine: 'm-2', attempt: 2 })],
   },
-  { rule: 'quota', why: 'five of four cores', events: [task('arrived', 200)], spec: { cores: 5 } },
-  { rule: 'wrong_place', why: 'another zone', events: [task('arrived', 200)], spec: { zone: 'zone-b' } },
-  { rule: 'wrong_place', why: 'another type', events: [task('arrived', 200)], spec: { machineTypes: ['x'] } },
-  { rule: 'wrong_place', why: 'a spot machine', events: [task('arrived', 200, { machine: 'm-3' })] },
+  {
+    rule: 'quota',
+    why: 'five cores with a limit of four',
+    events: [task('arrived', 200)],
+    spec: { cores: 5 },
+  },
+  {
+    rule: 'wrong_place',
+    why: 'a zone that the job excludes',
+    events: [task('arrived', 200)],
+    spec: { zone: 'zone-b' },
+  },
   {
     rule: 'wrong_place',
-    why: 'two zones',
+    why: 'a machine type that the job excludes',
+    events: [task('arrived', 200)],
+    spec: { machineTypes: ['x'] },
+  },
+  {
+    rule: 'wrong_place',
+    why: 'a spot machine for a job that excludes them',
+    events: [task('arrived', 200, { machine: 'm-3' })],
+  },
+  {
+    rule: 'wrong_place',
+    why: 'two zones for a job that needs a single one',
     events: [task('arrived', 200), task('arrived', 300, { machine: 'm-2', index: 1 })],
     spec: { sameZone: true, tasks: 2 },
   },
   {
     rule: 'ran_cancelled',
-    why: 'still there',
+    why: 'a task outlives the grace period',
     events: [
       accepted(100),
       task('arrived', 200),
-      asked(300, { request: 'cancel', stage: 'withdrawn' }),
-      task('left', 301 + CANCEL_MS),
+      request(300, { request: 'cancel', stage: 'withdrawn' }),
+      task('left', 301 + CANCEL_GRACE_MS),
     ],
   },
   {
     rule: 'ran_cancelled',
-    why: 'started afterwards',
+    why: 'a task starts after the grace period',
     events: [
       accepted(100),
-      asked(300, { request: 'cancel', stage: 'withdrawn' }),
-      task('arrived', 400 + CANCEL_MS),
+      request(300, { request: 'cancel', stage: 'withdrawn' }),
+      task('arrived', 400 + CANCEL_GRACE_MS),
     ],
   },
-  { rule: 'forgotten', why: '404', events: [accepted(100), asked(300, { status: 404, stage: null })] },
   {
     rule: 'forgotten',
-    why: 'a repeated submission is refused',
-    events: [accepted(100), asked(300, { request: 'submit', status: 422, stage: null })],
+    why: 'an accepted job gets 404',
+    events: [accepted(100), request(300, { status: 404, stage: null })],
   },
   {
     rule: 'forgotten',
-    why: 'unanswered for 90 s while others are answered',
+    why: 'a repeated submission gets 422',
+    events: [accepted(100), request(300, { request: 'submit', status: 422, stage: null })],
+  },
+  {
+    rule: 'forgotten',
+    why: 'no response for 90 s while other jobs get responses',
     events: [
       accepted(100),
-      ...pollsEvery(5_000, 5_000, 100_000, FAILS),
-      ...pollsEvery(1_000, 1_000, 100_000, { job: 'run-2' }),
+      ...requestsEvery(5_000, 5_000, 100_000, NO_RESPONSE),
+      ...requestsEvery(1_000, 1_000, 100_000, { job: 'run-2' }),
     ],
   },
   {
     rule: 'forgotten',
-    why: 'unanswered for 75 s after the troubles, and so are the others',
+    why: 'no response for any job for 75 s after the faults',
     events: [
       accepted(100),
-      { kind: 'troublesOver', at: 10_000 },
-      ...pollsEvery(5_000, 12_000, 90_000, FAILS),
-      ...pollsEvery(1_000, 1_000, 90_000, { job: 'run-2', ...FAILS }),
+      { kind: 'faultsEnded', at: 10_000 },
+      ...requestsEvery(5_000, 12_000, 90_000, NO_RESPONSE),
+      ...requestsEvery(1_000, 1_000, 90_000, { job: 'run-2', ...NO_RESPONSE }),
     ],
   },
-  { rule: 'invented', why: 'a job of nobody', events: [asked(300, { job: 'run-900000' })] },
-  { rule: 'accepted_impossible', why: 'too large', events: [asked(300, { job: 'run-800000', status: 201 })] },
-  { rule: 'not_done', why: 'no task is', events: [accepted(100), asked(300, { stage: 'done' })] },
+  { rule: 'invented', why: 'a job that was never submitted', events: [request(300, { job: 'run-900000' })] },
+  {
+    rule: 'accepted_impossible',
+    why: 'a job that is too large for any machine',
+    events: [request(300, { job: 'run-800000', status: 201 })],
+  },
+  {
+    rule: 'not_done',
+    why: 'no task has completed',
+    events: [accepted(100), request(300, { stage: 'done' })],
+  },
   {
     rule: 'not_done',
-    why: 'one of two tasks of an array is',
-    events: [accepted(100), task('left', 200, { done: true }), asked(300, { stage: 'done' })],
+    why: 'one of two tasks of an array has completed',
+    events: [accepted(100), task('left', 200, { done: true }), request(300, { stage: 'done' })],
     spec: { tasks: 2 },
   },
   {
     rule: 'went_back',
-    why: 'done, then queued',
-    events: [...WELL, asked(900, { stage: 'queued' })],
+    why: 'queued after done',
+    events: [...VALID_HISTORY, request(900, { stage: 'queued' })],
   },
   {
     rule: 'went_back',
-    why: 'cancelled by nobody',
-    events: [accepted(100), asked(300, { stage: 'withdrawn' })],
+    why: 'cancelled without a request',
+    events: [accepted(100), request(300, { stage: 'withdrawn' })],
   },
-  { rule: 'nothing_ran', why: 'nothing', events: [accepted(100)] },
+  { rule: 'nothing_ran', why: 'no task has started', events: [accepted(100)] },
   {
     rule: 'ended_by_itself',
-    why: 'a process ends',
-    events: [{ kind: 'controllerEnded', at: 10, controller: 'dock-0', code: 1 }],
+    why: 'a controller process exits',
+    events: [{ kind: 'controllerExited', at: 10, controller: 'dock-0', code: 1 }],
   },
   {
     rule: 'error_logged',
-    why: 'a broken invariant',
+    why: 'a violated invariant is logged',
     events: [
       { kind: 'errorLogged', at: 10, controller: 'dock-0', event: 'invariant.violated', line: 'a line' },
     ],
   },
   {
     rule: 'left_waiting',
-    why: 'beside room',
+    why: 'a job waits despite free capacity',
     events: [
-      { kind: 'troublesOver', at: 10 },
+      { kind: 'faultsEnded', at: 10 },
       ...Array.from({ length: 95 }, (_, i) => ({
-        kind: 'waitingBesideRoom' as const,
+        kind: 'waitingDespiteCapacity' as const,
         at: 1_000 * (i + 1),
         jobs: [JOB],
       })),
@@ -187,36 +219,36 @@
 
 const rulesOf = (violations: readonly Violation[]): string[] => violations.map(({ rule }) => rule);
 
-test('a history in which nothing is wrong breaks no rule', () => {
-  assert.deepEqual(checkHistory(historyOf(WELL)), []);
+test('a valid history has no violations', () => {
+  assert.deepEqual(checkHistory(historyOf(VALID_HISTORY)), []);
 });
 
-for (const { rule, why, events, spec } of BROKEN)
-  test(`a broken rule is found: ${rule}, ${why}`, () => {
+for (const { rule, why, events, spec } of VIOLATIONS)
+  test(`a violation is found: ${rule}, ${why}`, () => {
     assert.ok(rulesOf(checkHistory(historyOf(events, spec))).includes(rule));
   });
 
-test('what is allowed is not taken for a broken rule', () => {
+test('allowed histories are not reported as violations', () => {
   const allowed: readonly (readonly SoakEvent[])[] = [
-    // The machine's lease ended before the task started elsewhere.
-    [...WELL, task('arrived', 600, { machine: 'm-2' }), task('left', 700, { machine: 'm-2' })],
-    // Asked before it was accepted.
-    [asked(200, { askedAt: 50, status: 404, stage: null }), ...WELL],
-    // An answer that was on its way while the job ended.
-    [...WELL, asked(600, { askedAt: 450, stage: 'running' })],
-    // No answer while nobody is answered, for less than 75 s after the troubles.
+    // The task had left the first machine before it started on the second.
+    [...VALID_HISTORY, task('arrived', 600, { machine: 'm-2' }), task('left', 700, { machine: 'm-2' })],
+    // The 404 belongs to a request that was sent before the job was accepted.
+    [request(200, { sentAt: 50, status: 404, stage: null }), ...VALID_HISTORY],
+    // The response was sent before the job ended.
+    [...VALID_HISTORY, request(600, { sentAt: 450, stage: 'running' })],
+    // No job gets responses, for less than 75 s after the faults.
     [
-      ...WELL,
-      { kind: 'troublesOver', at: 50_000 },
-      ...pollsEvery(5_000, 5_000, 120_000, FAILS),
-      ...pollsEvery(1_000, 1_000, 120_000, { job: 'run-2', ...FAILS }),
+      ...VALID_HISTORY,
+      { kind: 'faultsEnded', at: 50_000 },
+      ...requestsEvery(5_000, 5_000, 120_000, NO_RESPONSE),
+      ...requestsEvery(1_000, 1_000, 120_000, { job: 'run-2', ...NO_RESPONSE }),
     ],
-    // Waits with an interruption, in which there was no room.
+    // The wait is interrupted by a period without free capacity.
     [
-      ...WELL,
-      { kind: 'troublesOver', at: 10 },
+      ...VALID_HISTORY,
+      { kind: 'faultsEnded', at: 10 },
       ...Array.from({ length: 120 }, (_, i) => ({
-        kind: 'waitingBesideRoom' as const,
+        kind: 'waitingDespiteCapacity' as const,
         at: 1_000 * (i + 1) + (i >= 60 ? 10_000 : 0),
         jobs: [JOB],
       })),
@@ -226,76 +258,76 @@
     assert.deepEqual(checkHistory(historyOf(events)), [], `history ${i}`);
 });
 
-test('a gang is done once one of its tasks is', () => {
+test('a gang may be reported as done once one of its tasks has completed', () => {
   const events = [
     accepted(100),
     task('arrived', 150),
     task('left', 200, { done: true }),
-    asked(300, { stage: 'done' }),
+    request(300, { stage: 'done' }),
   ];
   assert.deepEqual(checkHistory(historyOf(events, { shape: 'gang', tasks: 2 })), []);
 });
 
-test('a late run never passes, and its rules on times are not judged', () => {
+test('a late run never passes, and its timed rules are not evaluated', () => {
   const timed: Violation = { rule: 'ran_cancelled', timed: true, text: '' };
-  const certain: Violation = { rule: 'went_back', timed: false, text: '' };
+  const untimed: Violation = { rule: 'went_back', timed: false, text: '' };
   assert.equal(resultOf([], false), 'passed');
   assert.equal(resultOf([], true), 'inconclusive');
   assert.equal(resultOf([timed], false), 'failed');
   assert.equal(resultOf([timed], true), 'inconclusive');
-  assert.equal(resultOf([timed, certain], true), 'failed');
-  // On a busy machine the verdict is the same however late the run is.
+  assert.equal(resultOf([timed, untimed], true), 'failed');
+  // If timed rules are excluded, lateness does not affect the result.
   for (const isLate of [false, true]) {
     assert.equal(resultOf([timed], isLate, false), 'passed');
-    assert.equal(resultOf([timed, certain], isLate, false), 'failed');
+    assert.equal(resultOf([timed, untimed], isLate, false), 'failed');
   }
 });
 
-test('a seed always draws the same troubles, and a shortened run keeps them', () => {
-  const all = drawTroubles(7, 60_000, 3);
-  assert.deepEqual(drawTroubles(7, 60_000, 3), all);
-  assert.equal(describeTroubles(all).length, all.length);
+test('a seed always generates the same faults, and restricting the kinds keeps their times', () => {
+  const all = generateFaults(7, 60_000, 3);
+  assert.deepEqual(generateFaults(7, 60_000, 3), all);
+  assert.equal(describeFaults(all).length, all.length);
   const kind = all[0]!.kind;
   assert.deepEqual(
-    drawTroubles(7, 60_000, 3, [kind]),
+    generateFaults(7, 60_000, 3, [kind]),
     all.filter((trouble) => trouble.kind === kind),
   );
   const kinds = new Set(
-    Array.from({ length: 40 }, (_, i) => drawTroubles(i + 1, 60_000, 3))
+    Array.from({ length: 40 }, (_, i) => generateFaults(i + 1, 60_000, 3))
       .flat()
       .map((trouble) => trouble.kind),
   );
-  assert.equal(kinds.size, TROUBLE_KINDS.length);
+  assert.equal(kinds.size, FAULT_KINDS.length);
   const overlapping = all.filter((a) =>
-    all.some((b) => b !== a && b.atMs < a.atMs + a.forMs && a.atMs < b.atMs + b.forMs),
+    all.some((b) => b !== a && b.startMs < a.startMs + a.durationMs && a.startMs < b.startMs + b.durationMs),
   );
   assert.ok(overlapping.length > 0);
 });
 
-test('a link holds back what is cut, loses answers and delivers copies', async () => {
+test('a link blocks requests and responses, and loses responses', async () => {
   const link = new FaultyLink(new Random(1), () => performance.now());
   let executed = 0;
   const execute = (): Promise<{ status: number; body: Buffer }> => {
     executed++;
     return Promise.resolve({ status: 200, body: Buffer.alloc(0) });
   };
-  link.cut(150, 'requests');
-  const held = link.carry(execute);
+  link.block(150, 'requests');
+  const blockedRequest = link.exchange(execute);
   await new Promise((resolve) => setTimeout(resolve, 50));
   assert.equal(executed, 0);
-  assert.equal((await held)?.status, 200);
-  link.cut(60_000, 'answers');
-  const unheard = link.carry(execute);
+  assert.equal((await blockedRequest)?.status, 200);
+  link.block(60_000, 'responses');
+  const blockedResponse = link.exchange(execute);
   await new Promise((resolve) => setTimeout(resolve, 20));
   assert.equal(executed, 2);
   link.heal();
-  assert.equal((await unheard)?.status, 200);
-  link.lostAnswers = 1;
-  assert.equal(await link.carry(execute), null);
+  assert.equal((await blockedResponse)?.status, 200);
+  link.responseLossRate = 1;
+  assert.equal(await link.exchange(execute), null);
   assert.equal(executed, 3);
 });
 
-test('two runs never share ports', async () => {
+test('two runs never reserve the same ports', async () => {
   const first = await reservePorts(290, 6);
   const second = await reservePorts(290, 6);
   first.lock.close();
@@ -303,14 +335,14 @@
   assert.equal(new Set([...first.ports, ...second.ports]).size, 12);
 });
 
-test('wrong arguments of the soak are named before anything starts', async () => {
+test('invalid arguments of the soak tool are reported before anything starts', async () => {
   const soak = toolOf([
     process.execPath,
     '--import',
     'tsx',
     new URL('../tools/soak.ts', import.meta.url).pathname,
   ]);
-  const wrong: [args: string[], says: RegExp][] = [
+  const invalid: [args: string[], message: RegExp][] = [
     [['--seeds', '5'], /--seeds: give a range like 1\.\.50/],
     [['--seeds', '5..1'], /--seeds: give a range/],
     [['--jobs', '0'], /--jobs: give a whole number from 1 to/],
@@ -324,9 +356,9 @@
       /half of the machine's memory: fewer --jobs/,
     ],
   ];
-  for (const [args, says] of wrong) {
+  for (const [args, message] of invalid) {
     const { code, out } = await soak(...args);
     assert.equal(code, 2, `${args.join(' ')}: ${out}`);
-    assert.match(out, says, args.join(' '));
+    assert.match(out, message, args.join(' '));
   }
 });
