--- a/eslint.config.js
+++ b/eslint.config.js
@@ -8,10 +8,10 @@
   'packages/budgets/src/**',
   'packages/cli/src/**',
   'packages/demo/src/**',
-  // Of the emulator all but the soak.
   'packages/emulator/src/*.ts',
   'packages/emulator/src/digest/**',
-  'packages/emulator/src/scale/**',
+  'packages/emulator/src/scale/capacity.ts',
+  'packages/emulator/src/scale/hollow.ts',
   'packages/kubernetes/src/**',
 ];
 
--- a/packages/emulator/src/scale/capacity.ts
+++ b/packages/emulator/src/scale/capacity.ts
@@ -1,12 +1,12 @@
 /**
- * What control needs at the size that the operators expect, worked out from stored measurements: every figure of
- * `docs/CAPACITY.md`'s table comes from here, so that page and measurement can't drift apart.
+ * Computes the resource requirements of the control plane at the target size from stored measurements. All figures in the
+ * table of `docs/CAPACITY.md` come from here, so that the page always matches the measurements.
  */
 import type { HollowReport } from './hollow.js';
 import type { SizeReport } from './slopes.js';
 import { fitLine, type Line, type Point } from './statistics.js';
 
-/** The size that the operators wrote of. */
+/** The deployment size to plan for, as the operators specified it. */
 export const TARGET = {
   workers: 12_000,
   jobsPerDay: 230_000,
@@ -19,86 +19,94 @@
   workerBytesPerSecond: 24 * 1024,
 } as const;
 
-/** Not measured, and not in the letter: named as assumptions on the page. */
+/** Values that are neither measured nor specified by the operators; the page lists them as assumptions. */
 export const ASSUMED = {
-  /** The core is single-threaded: the leader has one whole core of its machine. */
+  /** The controller is single-threaded, so the leader can use one core of its machine. */
   leaderCores: 1,
   leaderMemoryMb: 4_096,
-  /** As the largest deployment of today has them. */
+  /** Limits of the key-value store and the cloud API in today's largest deployment. */
   statePutsPerSecond: 25,
   stateBytesPerSecond: 25 * 16 * 1024,
   cloudCallsPerSecond: 6,
   cloudListPage: 500,
   leaderSockets: 20_000,
-  /** The largest load balancer's share of a peak hour in jobs, as a multiple of the day's mean. */
+  /** Job submissions through the largest load balancer in a peak hour, as a multiple of the day's mean. */
   jobPeak: 4,
   putsPerJob: 3,
-  /** From a silent leader to its successor's first plan, at most. */
+  /** Maximum time from a leader's failure to its successor's first plan. */
   takeoverS: 20,
-  /** A worker reports each change, but no more often. */
+  /** A worker sends a heartbeat after each state change, limited to this rate. */
   mostReportsPerWorkerPerSecond: 2,
   reportEveryS: 3,
   secondsPerDay: 86_400,
   attemptsPerTerm: 2 ** 24,
 } as const;
 
-export interface Stored<T> {
-  /** Command, commit and time of the run. */
+/** A result of the scale tool as stored in a JSON file, with the command, commit and time of the run. */
+export interface StoredResult<T> {
   readonly command: string;
   readonly commit: string;
   readonly at: string;
   readonly result: T;
 }
 
-export interface StoredSlopes {
+/** The result of the `slopes` command. */
+export interface SlopesResult {
   readonly sizes: readonly SizeReport[];
 }
 
+/** All stored measurements that the capacity table is computed from. */
 export interface Measurements {
-  readonly slopes: Stored<StoredSlopes>;
-  /** Runs of different sizes under load, without a killed leader. */
-  readonly hollow: readonly Stored<HollowReport>[];
-  /** Runs of different sizes in which hardly anything is started. */
-  readonly rest: readonly Stored<HollowReport>[];
+  readonly slopes: StoredResult<SlopesResult>;
+  /** Runs of different sizes under load in which the leader is not killed. */
+  readonly hollow: readonly StoredResult<HollowReport>[];
+  /** Runs of different sizes with hardly any task starts. */
+  readonly rest: readonly StoredResult<HollowReport>[];
 }
 
-/** How a figure was come by. */
-export type Kind = 'measured' | 'extrapolated' | 'estimated';
+/** How a figure was obtained. */
+export type Evidence = 'measured' | 'extrapolated' | 'estimated';
 
+/** A row of the capacity table: one resource requirement at the target size, and its budget. */
 export interface CapacityRow {
   readonly role: string;
-  readonly what: string;
+  readonly requirement: string;
   readonly unit: string;
-  readonly need: number;
+  readonly demand: number;
   readonly budget: number;
-  readonly kind: Kind;
-  /** Workers at which the need passes the budget, with the load in proportion; infinite where it does not grow with them. */
-  readonly crossedAt: number;
+  readonly evidence: Evidence;
+  /**
+   * Number of workers at which the demand exceeds the budget if the load grows in proportion to them; infinite if the
+   * demand does not grow.
+   */
+  readonly exceededAtWorkers: number;
   readonly mechanism: string;
 }
 
-const at = (line: Line, x: number): number => line.intercept + line.slope * x;
+const valueAt = (line: Line, x: number): number => line.intercept + line.slope * x;
 
-/** Where a line passes a budget; infinite where it never does. */
-const crossing = (line: Line, budget: number): number =>
+/** The x at which a line exceeds a budget; infinite if it never does. */
+const crossingPoint = (line: Line, budget: number): number =>
   line.slope <= 0 ? Infinity : Math.max(0, (budget - line.intercept) / line.slope);
 
-/** A need that is the same at any size. */
-const constant = (value: number): Line => ({ intercept: value, slope: 0, residual: 0 });
+/** A demand that is the same at any size. */
+const constantLine = (value: number): Line => ({ intercept: value, slope: 0, residual: 0 });
 
-const rate = (perWorker: number): Line => ({ intercept: 0, slope: perWorker, residual: 0 });
+/** A demand in proportion to the number of workers. */
+const proportionalLine = (perWorker: number): Line => ({ intercept: 0, slope: perWorker, residual: 0 });
 
-const leaderOf = (report: HollowReport): HollowReport['usage'][number] =>
+const leaderUsage = (report: HollowReport): HollowReport['usage'][number] =>
   report.usage.find((u) => u.role === report.leader)!;
 
-const workersOf = (report: HollowReport): HollowReport['usage'] =>
+const workerUsages = (report: HollowReport): HollowReport['usage'] =>
   report.usage.filter((u) => u.role.startsWith('workers-'));
 
-interface Lines {
+/** Costs of the control plane: per operation, or as lines over the number of workers. */
+interface FittedCosts {
   readonly restCore: Line;
   readonly startCoreS: number;
   readonly reportSocketCoreS: number;
-  /** Beside the reports that it brings with it. */
+  /** Without the heartbeats that a start causes. */
   readonly startSocketCoreS: number;
   readonly memoryMb: Line;
   readonly putsPerStart: number;
@@ -107,67 +115,70 @@
   readonly orderCallsPerStart: number;
 }
 
-/** Processor time of a start at the leader, with sockets: what is left of the busiest run without its reports. */
+/** Leader CPU time per start including network I/O: that of the busiest run, less the share of its heartbeats. */
 const startSocketCoreS = (busiest: HollowReport, reportCoreS: number): number =>
-  (leaderOf(busiest).coreShare - reportCoreS * busiest.reportsPerSecond) / busiest.startsPerSecond;
+  (leaderUsage(busiest).coreShare - reportCoreS * busiest.reportsPerSecond) / busiest.startsPerSecond;
 
-const lines = ({ slopes, hollow, rest }: Measurements): Lines => {
+const fitCosts = ({ slopes, hollow, rest }: Measurements): FittedCosts => {
   const { sizes } = slopes.result;
-  const points = (value: (r: SizeReport) => number): Point[] =>
+  const pointsBySize = (value: (r: SizeReport) => number): Point[] =>
     sizes.map((r) => ({ x: r.machines, y: value(r) }));
   const largest = sizes.at(-1)!;
   const reportCoreS = fitLine(
-    rest.map(({ result }) => ({ x: result.reportsPerSecond, y: leaderOf(result).coreShare })),
+    rest.map(({ result }) => ({ x: result.reportsPerSecond, y: leaderUsage(result).coreShare })),
   ).slope;
   const busiest = hollow.reduce((x, y) => (y.result.startsPerSecond > x.result.startsPerSecond ? y : x));
   return {
-    restCore: fitLine(points((r) => r.rest.coreShare)),
+    restCore: fitLine(pointsBySize((r) => r.rest.coreShare)),
     startCoreS: largest.burst.coreMsPerStart / 1_000,
     reportSocketCoreS: reportCoreS,
     startSocketCoreS: startSocketCoreS(busiest.result, reportCoreS),
     memoryMb: fitLine(
-      hollow.map(({ result }) => ({ x: result.options.workers, y: leaderOf(result).memoryMb })),
+      hollow.map(({ result }) => ({ x: result.options.workers, y: leaderUsage(result).memoryMb })),
     ),
     putsPerStart: largest.burst.putsPerStart,
     bytesPerStart: largest.burst.bytesPerStart,
-    takeoverS: fitLine(points((r) => r.takeover.readyAfterS ?? Infinity)),
+    takeoverS: fitLine(pointsBySize((r) => r.takeover.readyAfterS ?? Infinity)),
     orderCallsPerStart: largest.burst.orderCalls / Math.max(1, largest.burst.starts),
   };
 };
 
-/** One row for each need, the first to be crossed first. */
-export const capacityRows = (m: Measurements): CapacityRow[] => {
-  const l = lines(m);
+/** Returns one row for each requirement, ordered by the number of workers at which its budget is exceeded. */
+export const capacityRows = (measurements: Measurements): CapacityRow[] => {
+  const costs = fitCosts(measurements);
   const { workers, startsPerSecond } = TARGET;
   const startsPerWorker = startsPerSecond / workers;
-  const largestHollow = m.hollow.reduce((x, y) =>
+  const largestHollow = measurements.hollow.reduce((x, y) =>
     y.result.options.workers > x.result.options.workers ? y : x,
   ).result;
-  const largestSlope = m.slopes.result.sizes.at(-1)!;
-  const reached = largestHollow.options.workers >= workers ? 'measured' : 'extrapolated';
-  const restReports = 1 / ASSUMED.reportEveryS;
-  // A task's start and end are reported; no worker reports more often than twice a second.
-  const peakReports = Math.min(ASSUMED.mostReportsPerWorkerPerSecond, restReports + 2 * startsPerWorker);
-  const jobPuts = (ASSUMED.putsPerJob * ASSUMED.jobPeak * TARGET.jobsPerDay) / ASSUMED.secondsPerDay;
+  const largestSlope = measurements.slopes.result.sizes.at(-1)!;
+  const memoryEvidence = largestHollow.options.workers >= workers ? 'measured' : 'extrapolated';
+  const idleReportsPerWorker = 1 / ASSUMED.reportEveryS;
+  // Each task start and end causes a heartbeat, up to the limit of two per second and worker.
+  const peakReportsPerWorker = Math.min(
+    ASSUMED.mostReportsPerWorkerPerSecond,
+    idleReportsPerWorker + 2 * startsPerWorker,
+  );
+  const peakJobPuts = (ASSUMED.putsPerJob * ASSUMED.jobPeak * TARGET.jobsPerDay) / ASSUMED.secondsPerDay;
   const pages = workers / ASSUMED.cloudListPage;
-  const workerProcesses = workersOf(largestHollow);
+  const workerProcesses = workerUsages(largestHollow);
   const hollowWorkers = largestHollow.options.workers;
   const row = (
     role: string,
-    what: string,
+    requirement: string,
     unit: string,
     line: Line,
     budget: number,
-    kind: Kind,
+    evidence: Evidence,
     mechanism: string,
   ): CapacityRow => ({
     role,
-    what,
+    requirement,
     unit,
-    need: at(line, workers),
+    demand: valueAt(line, workers),
     budget,
-    kind,
-    crossedAt: crossing(line, budget),
+    evidence,
+    exceededAtWorkers: crossingPoint(line, budget),
     mechanism,
   });
   const rows: CapacityRow[] = [
@@ -175,7 +186,7 @@
       'leader',
       'processor at rest, decisions alone',
       'cores',
-      l.restCore,
+      costs.restCore,
       ASSUMED.leaderCores,
       'measured',
       'one leader',
@@ -184,7 +195,7 @@
       'leader',
       'processor for starts at the peak, decisions alone',
       'cores',
-      rate(l.startCoreS * startsPerWorker),
+      proportionalLine(costs.startCoreS * startsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'bulk starts, sums kept up, plans in slices',
@@ -193,7 +204,7 @@
       'leader',
       'processor for starts at the peak, with sockets and without reports',
       'cores',
-      rate(l.startSocketCoreS * startsPerWorker),
+      proportionalLine(costs.startSocketCoreS * startsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'one call a machine and step; missing: orders through the other controllers',
@@ -202,7 +213,7 @@
       'leader',
       'processor for reports at rest, with sockets',
       'cores',
-      rate(l.reportSocketCoreS * restReports),
+      proportionalLine(costs.reportSocketCoreS * idleReportsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'missing: reports through the other controllers',
@@ -211,18 +222,26 @@
       'leader',
       'processor for reports at the peak, with sockets',
       'cores',
-      rate(l.reportSocketCoreS * peakReports),
+      proportionalLine(costs.reportSocketCoreS * peakReportsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'missing: reports through the other controllers',
     ),
-    row('leader', 'memory', 'MB', l.memoryMb, ASSUMED.leaderMemoryMb, reached, 'one leader'),
-    row('leader', 'sockets of workers', 'sockets', rate(1), ASSUMED.leaderSockets, 'estimated', 'one leader'),
+    row('leader', 'memory', 'MB', costs.memoryMb, ASSUMED.leaderMemoryMb, memoryEvidence, 'one leader'),
+    row(
+      'leader',
+      'sockets of workers',
+      'sockets',
+      proportionalLine(1),
+      ASSUMED.leaderSockets,
+      'estimated',
+      'one leader',
+    ),
     row(
       'leader',
       'calls to /orders at the peak',
       'calls/s',
-      rate(l.orderCallsPerStart * startsPerWorker),
+      proportionalLine(costs.orderCallsPerStart * startsPerWorker),
       Infinity,
       'extrapolated',
       'one call a machine and step; missing: starts in answers to reports',
@@ -231,7 +250,7 @@
       'leader',
       'from its end to the next leader having read the records',
       's',
-      l.takeoverS,
+      costs.takeoverS,
       ASSUMED.takeoverS,
       'measured',
       'lease and term; records in pages',
@@ -240,7 +259,7 @@
       'state service',
       'puts for starts at the peak',
       'puts/s',
-      rate(l.putsPerStart * startsPerWorker),
+      proportionalLine(costs.putsPerStart * startsPerWorker),
       ASSUMED.statePutsPerSecond,
       'extrapolated',
       'pages; missing: places by plan, not by job',
@@ -249,7 +268,7 @@
       'state service',
       'bytes for starts at the peak',
       'bytes/s',
-      rate(l.bytesPerStart * startsPerWorker),
+      proportionalLine(costs.bytesPerStart * startsPerWorker),
       ASSUMED.stateBytesPerSecond,
       'extrapolated',
       'pages; missing: places by plan, not by job',
@@ -258,7 +277,7 @@
       'state service',
       `puts of jobs at ${ASSUMED.jobPeak} times the day's mean`,
       'puts/s',
-      rate(jobPuts / workers),
+      proportionalLine(peakJobPuts / workers),
       ASSUMED.statePutsPerSecond,
       'estimated',
       'missing: acceptances of a moment in one transaction',
@@ -267,7 +286,7 @@
       'worker',
       'bytes of reports and answers',
       'bytes/s',
-      constant(largestHollow.workerBytesPerSecond),
+      constantLine(largestHollow.workerBytesPerSecond),
       TARGET.workerBytesPerSecond,
       'measured',
       'reports',
@@ -276,7 +295,7 @@
       'worker',
       'processor of a hollow worker',
       'cores',
-      constant(workerProcesses.reduce((sum, u) => sum + u.coreShare, 0) / hollowWorkers),
+      constantLine(workerProcesses.reduce((sum, u) => sum + u.coreShare, 0) / hollowWorkers),
       TARGET.workerCoreShare,
       'measured',
       'reports',
@@ -285,7 +304,7 @@
       'worker',
       'memory of a hollow worker',
       'MB',
-      constant(workerProcesses.reduce((sum, u) => sum + u.memoryMb, 0) / hollowWorkers),
+      constantLine(workerProcesses.reduce((sum, u) => sum + u.memoryMb, 0) / hollowWorkers),
       TARGET.workerMemoryMb,
       'measured',
       'reports',
@@ -294,7 +313,7 @@
       'cloud',
       'calls for a list of all machines, of each 4 s',
       'calls/s',
-      rate(pages / workers / 4),
+      proportionalLine(pages / workers / 4),
       ASSUMED.cloudCallsPerSecond,
       'estimated',
       'lists more seldom as they grow',
@@ -303,7 +322,7 @@
       'users',
       'urgent work from submission to start, 99th percentile, decisions alone',
       's',
-      constant(largestSlope.burst.urgentTimeToStartS.p99),
+      constantLine(largestSlope.burst.urgentTimeToStartS.p99),
       TARGET.urgentStartS,
       'measured',
       'an urgent pass, and room kept by rate of arrival',
@@ -312,26 +331,28 @@
       'leader',
       'attempt numbers in an hour at the peak',
       'attempts',
-      rate(startsPerWorker * 3_600),
+      proportionalLine(startsPerWorker * 3_600),
       ASSUMED.attemptsPerTerm,
       'estimated',
       'missing: a new term before the numbers run out',
     ),
   ];
-  return rows.sort((x, y) => x.crossedAt - y.crossedAt);
+  return rows.sort((x, y) => x.exceededAtWorkers - y.exceededAtWorkers);
 };
 
-const figure = (value: number): string => {
+const formatFigure = (value: number): string => {
   if (!Number.isFinite(value)) return 'none';
   if (value === 0) return '0';
   const digits = value >= 100 ? 0 : value >= 1 ? 1 : 4;
   return value.toFixed(digits);
 };
 
-export const BEGIN = '<!-- table: begin -->';
-export const END = '<!-- table: end -->';
+/** Marks the start of the generated table in the page. */
+export const TABLE_BEGIN = '<!-- table: begin -->';
+/** Marks the end of the generated table in the page. */
+export const TABLE_END = '<!-- table: end -->';
 
-/** The page's table, in Markdown. */
+/** Formats the rows as a Markdown table. */
 export const capacityTable = (rows: readonly CapacityRow[]): string => {
   const head = [
     'role',
@@ -346,22 +367,23 @@
   ];
   const cells = rows.map((r) => [
     r.role,
-    r.what,
-    figure(r.need),
-    figure(r.budget),
+    r.requirement,
+    formatFigure(r.demand),
+    formatFigure(r.budget),
     r.unit,
-    Number.isFinite(r.budget) ? figure(r.need / r.budget) : '',
-    Number.isFinite(r.crossedAt) ? figure(r.crossedAt) : 'not',
-    r.kind,
+    Number.isFinite(r.budget) ? formatFigure(r.demand / r.budget) : '',
+    Number.isFinite(r.exceededAtWorkers) ? formatFigure(r.exceededAtWorkers) : 'not',
+    r.evidence,
     r.mechanism,
   ]);
   return [head, head.map(() => '---'), ...cells].map((row) => `| ${row.join(' | ')} |`).join('\n');
 };
 
-/** The page with its table made anew; the rest is left as it is. */
-export const withTable = (page: string, table: string): string => {
-  const from = page.indexOf(BEGIN);
-  const to = page.indexOf(END);
-  if (from < 0 || to < from) throw new Error(`the page has no lines ${BEGIN} and ${END}`);
-  return `${page.slice(0, from + BEGIN.length)}\n\n<!-- prettier-ignore -->\n${table}\n\n${page.slice(to)}`;
+/** Replaces the generated table of a page and leaves the rest unchanged. */
+export const replaceTable = (page: string, table: string): string => {
+  const from = page.indexOf(TABLE_BEGIN);
+  const to = page.indexOf(TABLE_END);
+  if (from < 0 || to < from)
+    throw new Error(`the page lacks the table markers ${TABLE_BEGIN} and ${TABLE_END}`);
+  return `${page.slice(0, from + TABLE_BEGIN.length)}\n\n<!-- prettier-ignore -->\n${table}\n\n${page.slice(to)}`;
 };
--- a/packages/emulator/src/scale/hollow-messages.ts
+++ b/packages/emulator/src/scale/hollow-messages.ts
@@ -1,10 +1,10 @@
-/** What the parts of a hollow run tell each other, and what its types of machines are. */
+/** Messages between the processes of a hollow run, and names, addresses and type of its machines. */
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
-/** Handed to a process of hollow workers as the only argument, as JSON. */
+/** Configuration of a process of hollow workers, passed as JSON in its only argument. */
 export interface HollowWorkersConfig {
-  /** Number of the first worker; the others follow. */
+  /** Number of the first worker; the others are numbered consecutively. */
   readonly first: number;
   readonly count: number;
   readonly nodes: readonly { readonly member: string; readonly address: string }[];
@@ -13,23 +13,24 @@
   readonly taskUs: number;
 }
 
-/** What the workers of one process did since it last said so. */
+/** Activity of the workers of one process since its previous message. */
 export interface HollowCounts {
   reports: number;
-  /** Answered with 200. */
+  /** Heartbeats that got a response with status 200. */
   answered: number;
-  /** Not answered within the worker's patience. */
+  /** Heartbeats that got no response before the worker's timeout. */
   unanswered: number;
   bytesOut: number;
   bytesIn: number;
   leasesEnded: number;
-  /** Jobs whose tasks were started, with the time of day of each start in milliseconds. */
+  /** Job and Unix time in milliseconds of each task start. */
   starts: [job: string, atMs: number][];
-  /** How long answers took, in milliseconds: a sample. */
+  /** A sample of the response times, in milliseconds. */
   answerMs: number[];
 }
 
-export const noCounts = (): HollowCounts => ({
+/** Counts at the start of a measurement. */
+export const emptyCounts = (): HollowCounts => ({
   reports: 0,
   answered: 0,
   unanswered: 0,
@@ -40,7 +41,9 @@
   answerMs: [],
 });
 
+/** Zones over which the hollow workers are distributed. */
 export const ZONES = ['zone-a', 'zone-b', 'zone-c'];
+/** The machine type of all hollow workers. */
 export const HOLLOW_TYPE: MachineType = {
   name: 'hollow',
   cores: 16,
@@ -56,8 +59,10 @@
 
 const WORKER_PORT = 9_000;
 
+/** The machine name of a worker; the simulated cloud's page tokens are such names. */
 export const machineName = (number: number): string => `m-${String(number).padStart(6, '0')}`;
+/** The zone of a worker; consecutive workers are in different zones. */
 export const zoneOf = (number: number): string => ZONES[number % ZONES.length]!;
-/** Each worker has an address of its own on loopback. */
+/** The listen address of a worker; each has its own IP address in 127.0.0.0/8. */
 export const addressOf = (number: number): string =>
   `127.${1 + (number >> 16)}.${(number >> 8) & 255}.${number & 255}:${WORKER_PORT}`;
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -1,4 +1,7 @@
-/** Thousands of workers in one process: each with its own address, connection, session, token, lease and tasks. */
+/**
+ * A process that simulates thousands of workers, each with its own address, connection, session, fencing token, lease and
+ * tasks.
+ */
 import { Agent } from 'node:http';
 
 import { MILLI } from '@shaleyoke/core/domain/time';
@@ -8,20 +11,20 @@
 import { specOf } from '../specs.js';
 import {
   addressOf,
+  emptyCounts,
   HOLLOW_TYPE,
   type HollowCounts,
   type HollowWorkersConfig,
   machineName,
-  noCounts,
   zoneOf,
 } from './hollow-messages.js';
 
-/** A worker gives a report up after that. */
-const CALL_MS = 4_000;
-const TELL_EVERY_MS = 1_000;
-/** Of so many answers the time of one is kept. */
-const SAMPLE = 20;
-const ACCEPTED = 200;
+/** Timeout of a worker's heartbeat. */
+const HEARTBEAT_TIMEOUT_MS = 4_000;
+const COUNTS_INTERVAL_MS = 1_000;
+/** The response time of every n-th heartbeat is kept. */
+const LATENCY_SAMPLE_INTERVAL = 20;
+const STATUS_OK = 200;
 
 const nowUs = (): number => Math.round(performance.now() * MILLI);
 
@@ -35,7 +38,7 @@
   const agent = new Agent({ keepAlive: true, maxSockets: 1, localAddress });
   return {
     now: nowUs,
-    // Descriptions are the users' to upload: all tasks of a hollow run are alike.
+    // All tasks of a hollow run are alike, so workers need not look up the submitted specification.
     spec: (job) => specOf(job, { estimatedRunUs: config.taskUs }),
     nodes: config.nodes,
     reportUs: config.reportUs,
@@ -50,25 +53,25 @@
     ran: () => undefined,
     call: async (address, path, body) => {
       const began = performance.now();
-      const answer = await call(address, 'POST', path, body, CALL_MS, agent);
-      const now = counts();
-      now.reports++;
-      now.bytesOut += body.length;
-      if (answer === null) now.unanswered++;
+      const answer = await call(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS, agent);
+      const current = counts();
+      current.reports++;
+      current.bytesOut += body.length;
+      if (answer === null) current.unanswered++;
       else {
-        now.bytesIn += answer.body.length;
-        if (answer.status === ACCEPTED) now.answered++;
-        if (now.reports % SAMPLE === 0) now.answerMs.push(performance.now() - began);
+        current.bytesIn += answer.body.length;
+        if (answer.status === STATUS_OK) current.answered++;
+        if (current.reports % LATENCY_SAMPLE_INTERVAL === 0) current.answerMs.push(performance.now() - began);
       }
       return answer;
     },
   };
 };
 
-/** Runs until the process that started it is gone; tells it once a second what was done. */
+/** Runs until the parent process exits, and sends it the activity counts once a second. */
 const main = async (): Promise<void> => {
   const config = JSON.parse(process.argv[2]!) as HollowWorkersConfig;
-  let current = noCounts();
+  let current = emptyCounts();
   const workers = new Map<string, LoopWorker>();
   process.on('disconnect', () => process.exit(0));
   for (let number = config.first; number < config.first + config.count; number++) {
@@ -80,8 +83,8 @@
   }
   setInterval(() => {
     process.send?.(current);
-    current = noCounts();
-  }, TELL_EVERY_MS);
+    current = emptyCounts();
+  }, COUNTS_INTERVAL_MS);
 };
 
 await main();
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -1,6 +1,6 @@
 /**
- * A deployment on loopback whose controllers are real processes, and whose workers, cloud and state service are hollow.
- * Whatever ends by itself is reported; at the end all that was started is ended by its process id.
+ * A deployment on the loopback interface with controllers as real processes, and simulated ("hollow") workers, cloud and
+ * key-value store. Processes that exit unexpectedly are reported; at the end all child processes are killed.
  */
 import { type ChildProcess, fork, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -19,46 +19,48 @@
 import { encodeSubmission } from '../wire.js';
 import {
   addressOf,
+  emptyCounts,
   HOLLOW_TYPE,
   type HollowCounts,
   type HollowWorkersConfig,
   machineName,
-  noCounts,
   zoneOf,
 } from './hollow-messages.js';
-import { TEAMS } from './load.js';
 import { type ProcessUsage, usageOf } from './process-usage.js';
 import { summarize, type Summary } from './statistics.js';
+import { TEAM_NAMES } from './workload.js';
 
+/** Parameters of a hollow run. */
 export interface HollowOptions {
   readonly workers: number;
   readonly controllers: number;
-  /** Processes that share the workers. */
+  /** Number of processes over which the workers are distributed. */
   readonly processes: number;
   readonly seconds: number;
   readonly startsPerSecond: number;
   readonly taskSeconds: number;
   readonly reportSeconds: number;
   readonly leaseSeconds: number;
-  /** Limit of the state service that the controllers are told, in puts and deletes a second. */
+  /** The key-value store's limit in the controllers' settings, in puts and deletes per second. */
   readonly stateWriteRps: number;
-  /** After so many seconds of work the leader is killed; null: it is not. */
+  /** The leader is killed this many seconds after job submission starts; null: never. */
   readonly killLeaderAt: number | null;
-  /** Memory that the heap of each controller may take, in megabytes. */
+  /** Heap limit of each controller, in megabytes. */
   readonly heapMb: number;
-  /** How to start a controller, up to its first argument. */
+  /** The command that starts a controller, without `serve` and its options. */
   readonly program: readonly string[];
 }
 
 interface RoleUsage extends ProcessUsage {
   readonly role: string;
-  /** Share of a core while work came. */
+  /** CPU usage as a share of one core while jobs were submitted. */
   readonly coreShare: number;
 }
 
+/** The result of a hollow run, as stored in a JSON file. */
 export interface HollowReport {
   readonly options: Omit<HollowOptions, 'program'>;
-  /** From the start of the workers until all had been answered by a leader; null: not within the time. */
+  /** Time from the start of the workers until the leader accepted heartbeats of nearly all; null: not within the limit. */
   readonly settledS: number | null;
   readonly usage: readonly RoleUsage[];
   readonly leader: string;
@@ -70,26 +72,26 @@
   readonly submitted: number;
   readonly refusedSubmissions: number;
   readonly startedTasks: number;
-  /** From submission to start, of the tasks that started. */
+  /** Time from submission to start, of the started tasks. */
   readonly timeToStartS: Summary;
-  /** Of one worker, both ways, bodies alone. */
+  /** Traffic of one worker in both directions, message bodies only. */
   readonly workerBytesPerSecond: number;
   readonly stateRequestsPerSecond: number;
   readonly statePutsPerSecond: number;
-  /** After the leader was killed until another one was on record; null: nobody was, or it was not killed. */
+  /** Time from killing the leader until the store recorded a new one; null: none was recorded, or it was not killed. */
   readonly newLeaderAfterS: number | null;
   readonly endedByThemselves: readonly string[];
 }
 
 const ARRAY_TASKS = 100;
-const SETTLE_MOST_S = 120;
-const USER_PATIENCE_MS = 5_000;
-const LOOK_EVERY_MS = 500;
-const STATE_RPS = 2_000;
-const CLOUD_RPS = 10;
-const LIST_PAGE = 500;
+const MAX_SETTLE_S = 120;
+const SUBMISSION_TIMEOUT_MS = 5_000;
+const LEADER_POLL_INTERVAL_MS = 500;
+const STORE_REQUESTS_PER_S = 2_000;
+const CLOUD_REQUESTS_PER_S = 10;
+const MAX_LIST_PAGE = 500;
 
-const pause = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
+const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
 interface Controller {
   readonly member: string;
@@ -99,37 +101,37 @@
 
 class HollowRun {
   private readonly folder = mkdtempSync(join(tmpdir(), 'shaleyoke-scale-'));
-  private readonly began = performance.now();
-  private readonly state = new StateModel(
+  private readonly startedAt = performance.now();
+  private readonly store = new StateModel(
     () => this.now(),
     (run) => setImmediate(run),
   );
   private readonly servers: Served[] = [];
   private readonly controllers: Controller[] = [];
   private readonly workerProcesses: ChildProcess[] = [];
-  private readonly endedByThemselves: string[] = [];
+  private readonly unexpectedExits: string[] = [];
   private readonly submittedAt = new Map<string, number>();
-  private readonly waitsS: number[] = [];
-  private stateRequests = 0;
-  private counts = noCounts();
-  private refused = 0;
+  private readonly startDelaysS: number[] = [];
+  private storeRequests = 0;
+  private counts = emptyCounts();
+  private refusedSubmissions = 0;
   private nextJob = 1;
-  private stopping = false;
+  private isStopping = false;
 
-  constructor(private readonly o: HollowOptions) {}
+  constructor(private readonly options: HollowOptions) {}
 
   private now(): Micros {
-    return Math.round((performance.now() - this.began) * MILLI);
+    return Math.round((performance.now() - this.startedAt) * MILLI);
   }
 
   async run(): Promise<HollowReport> {
     const expiry = setInterval(() => {
-      this.state.expire();
+      this.store.expire();
     }, 50);
     try {
       await this.startControllers();
       this.startWorkers();
-      const settledS = await this.settle();
+      const settledS = await this.waitUntilSettled();
       return await this.measure(settledS);
     } finally {
       clearInterval(expiry);
@@ -137,24 +139,24 @@
     }
   }
 
-  // ---- what the controllers talk to ----------------------------------------------------------------
+  // ---- simulated store and cloud -------------------------------------------------------------------
 
   private async startStandIns(): Promise<{ state: string; cloud: string }> {
-    const state = await serveState(this.state, () => {
-      this.stateRequests++;
+    const state = await serveState(this.store, () => {
+      this.storeRequests++;
     });
     const cloud = await serveCloud((op) => this.cloud(op));
     this.servers.push(state, cloud);
     return { state: state.address, cloud: cloud.address };
   }
 
-  /** All machines stand ready; none can be rented. */
+  /** All machines are already running; none can be provisioned. */
   private cloud(op: CloudOperation): CloudReply {
     if (op.kind === 'types') return { kind: 'types', types: [HOLLOW_TYPE] };
     if (op.kind === 'rent') return { kind: 'noCapacity' };
     if (op.kind === 'delete') return { kind: 'deleted' };
     const after = op.after === '' ? 0 : Number(op.after.slice(2));
-    const last = Math.min(this.o.workers, after + Math.min(op.limit, LIST_PAGE));
+    const last = Math.min(this.options.workers, after + Math.min(op.limit, MAX_LIST_PAGE));
     const machines = [];
     for (let number = after + 1; number <= last; number++)
       machines.push({
@@ -166,15 +168,15 @@
         state: 'running' as const,
         ageUs: this.now(),
       });
-    return { kind: 'listed', machines, more: last < this.o.workers };
+    return { kind: 'listed', machines, more: last < this.options.workers };
   }
 
   // ---- processes -----------------------------------------------------------------------------------
 
   private async startControllers(): Promise<void> {
     const { state, cloud } = await this.startStandIns();
-    const ports = await freePorts(2 * this.o.controllers);
-    const members = Array.from({ length: this.o.controllers }, (_, i) => ({
+    const ports = await freePorts(2 * this.options.controllers);
+    const members = Array.from({ length: this.options.controllers }, (_, i) => ({
       member: `controller-${i}`,
       listen: `127.0.0.1:${ports[2 * i]}`,
       address: `127.0.0.1:${ports[2 * i + 1]}`,
@@ -187,56 +189,62 @@
         peers: members.filter((p) => p.member !== member),
         cloud,
         state,
-        teams: TEAMS,
-        reportS: this.o.reportSeconds,
-        leaseS: this.o.leaseSeconds,
-        cancelS: 2 * this.o.leaseSeconds,
-        stateRps: STATE_RPS,
-        stateWriteRps: this.o.stateWriteRps,
-        cloudRps: CLOUD_RPS,
+        teams: TEAM_NAMES,
+        reportS: this.options.reportSeconds,
+        leaseS: this.options.leaseSeconds,
+        cancelS: 2 * this.options.leaseSeconds,
+        stateRps: STORE_REQUESTS_PER_S,
+        stateWriteRps: this.options.stateWriteRps,
+        cloudRps: CLOUD_REQUESTS_PER_S,
       });
       const file = join(this.folder, `${member}.toml`);
       writeFileSync(file, settings);
-      const [program, ...first] = this.o.program;
-      const args = [`--max-old-space-size=${this.o.heapMb}`, ...first, 'serve', '--config', file];
+      const [program, ...programArguments] = this.options.program;
+      const args = [
+        `--max-old-space-size=${this.options.heapMb}`,
+        ...programArguments,
+        'serve',
+        '--config',
+        file,
+      ];
       const child = spawn(program!, args, {
         stdio: 'ignore',
         env: { ...process.env, LOG_LEVEL: 'error' },
       });
-      this.watchEnd(child, member);
+      this.reportUnexpectedExit(child, member);
       this.controllers.push({ member, address: listen, child });
     }
   }
 
   private startWorkers(): void {
-    const each = Math.ceil(this.o.workers / this.o.processes);
+    const workersPerProcess = Math.ceil(this.options.workers / this.options.processes);
     const script = new URL('./hollow-workers.ts', import.meta.url).pathname;
-    for (let first = 1; first <= this.o.workers; first += each) {
+    for (let first = 1; first <= this.options.workers; first += workersPerProcess) {
       const config: HollowWorkersConfig = {
         first,
-        count: Math.min(each, this.o.workers - first + 1),
+        count: Math.min(workersPerProcess, this.options.workers - first + 1),
         nodes: this.controllers.map(({ member, address }) => ({ member, address })),
-        reportUs: this.o.reportSeconds * SECOND,
-        leaseUs: this.o.leaseSeconds * SECOND,
-        taskUs: this.o.taskSeconds * SECOND,
+        reportUs: this.options.reportSeconds * SECOND,
+        leaseUs: this.options.leaseSeconds * SECOND,
+        taskUs: this.options.taskSeconds * SECOND,
       };
       const child = fork(script, [JSON.stringify(config)], { execArgv: ['--import', 'tsx'] });
       child.on('message', (counts) => {
-        this.take(counts as HollowCounts);
+        this.addCounts(counts as HollowCounts);
       });
-      this.watchEnd(child, `workers-${this.workerProcesses.length}`);
+      this.reportUnexpectedExit(child, `workers-${this.workerProcesses.length}`);
       this.workerProcesses.push(child);
     }
   }
 
-  private watchEnd(child: ChildProcess, name: string): void {
+  private reportUnexpectedExit(child: ChildProcess, name: string): void {
     child.on('exit', (code, signal) => {
-      if (!this.stopping && !child.killed) this.endedByThemselves.push(`${name}: ${signal ?? code}`);
+      if (!this.isStopping && !child.killed) this.unexpectedExits.push(`${name}: ${signal ?? code}`);
     });
   }
 
   private stop(): void {
-    this.stopping = true;
+    this.isStopping = true;
     for (const child of [...this.controllers.map((c) => c.child), ...this.workerProcesses])
       if (child.pid !== undefined && child.exitCode === null) child.kill('SIGKILL');
     for (const server of this.servers) server.close();
@@ -245,7 +253,7 @@
 
   // ---- the run -------------------------------------------------------------------------------------
 
-  private take(counts: HollowCounts): void {
+  private addCounts(counts: HollowCounts): void {
     const all = this.counts;
     all.reports += counts.reports;
     all.answered += counts.answered;
@@ -257,51 +265,51 @@
     for (const start of counts.starts) {
       all.starts.push(start);
       const submitted = this.submittedAt.get(start[0]);
-      if (submitted !== undefined) this.waitsS.push((start[1] - submitted) / 1_000);
+      if (submitted !== undefined) this.startDelaysS.push((start[1] - submitted) / 1_000);
     }
   }
 
   private leader(): string {
-    return (this.state.value('lead') as { member?: string } | undefined)?.member ?? '';
+    return (this.store.value('lead') as { member?: string } | undefined)?.member ?? '';
   }
 
-  /** Until reports are answered at the rate at which they come, all workers together. */
-  private async settle(): Promise<number | null> {
+  /** Waits until the leader accepts one heartbeat per worker and heartbeat interval; returns the seconds that took. */
+  private async waitUntilSettled(): Promise<number | null> {
     const began = performance.now();
-    while (performance.now() - began < SETTLE_MOST_S * 1_000) {
-      this.counts = noCounts();
-      await pause(this.o.reportSeconds * 1_000);
-      if (this.endedByThemselves.length > 0) return null;
+    while (performance.now() - began < MAX_SETTLE_S * 1_000) {
+      this.counts = emptyCounts();
+      await sleep(this.options.reportSeconds * 1_000);
+      if (this.unexpectedExits.length > 0) return null;
       const { answered } = this.counts;
-      // Each reports once in that time, give or take a little.
-      if (answered >= 0.9 * this.o.workers) return (performance.now() - began) / 1_000;
+      // Each worker sends about one heartbeat per interval; a few may fall outside of it.
+      if (answered >= 0.9 * this.options.workers) return (performance.now() - began) / 1_000;
     }
     return null;
   }
 
   private async measure(settledS: number | null): Promise<HollowReport> {
-    this.counts = noCounts();
+    this.counts = emptyCounts();
     const leader = this.leader();
-    const before = this.usages();
-    const puts = this.state.changes;
-    const requests = this.stateRequests;
+    const usagesBefore = this.processUsages();
+    const putsBefore = this.store.changes;
+    const requestsBefore = this.storeRequests;
     const began = performance.now();
-    const killed =
-      this.o.killLeaderAt === null ? Promise.resolve(null) : this.killLeader(this.o.killLeaderAt);
-    await this.submitFor(this.o.seconds);
-    const newLeaderAfterS = await killed;
+    const leaderChange =
+      this.options.killLeaderAt === null ? Promise.resolve(null) : this.killLeader(this.options.killLeaderAt);
+    await this.submitJobsFor(this.options.seconds);
+    const newLeaderAfterS = await leaderChange;
     const seconds = (performance.now() - began) / 1_000;
-    const usage = [...this.usages()].map(([role, now]) => ({
+    const usage = [...this.processUsages()].map(([role, now]) => ({
       role,
       ...now,
-      coreShare: Math.max(0, now.cpuS - (before.get(role)?.cpuS ?? 0)) / seconds,
+      coreShare: Math.max(0, now.cpuS - (usagesBefore.get(role)?.cpuS ?? 0)) / seconds,
     }));
-    // What was started in the last second is told a little later.
-    await pause(2_000);
-    const { counts, o } = this;
-    const { program: _program, ...options } = o;
+    // The worker processes send the counts of the last second with a delay.
+    await sleep(2_000);
+    const { counts, options } = this;
+    const { program: _program, ...reportedOptions } = options;
     return {
-      options,
+      options: reportedOptions,
       settledS,
       usage,
       leader,
@@ -311,18 +319,18 @@
       answerMs: summarize(counts.answerMs),
       startsPerSecond: counts.starts.length / seconds,
       submitted: this.submittedAt.size,
-      refusedSubmissions: this.refused,
+      refusedSubmissions: this.refusedSubmissions,
       startedTasks: counts.starts.length,
-      timeToStartS: summarize(this.waitsS),
-      workerBytesPerSecond: (counts.bytesIn + counts.bytesOut) / seconds / o.workers,
-      stateRequestsPerSecond: (this.stateRequests - requests) / seconds,
-      statePutsPerSecond: (this.state.changes - puts) / seconds,
+      timeToStartS: summarize(this.startDelaysS),
+      workerBytesPerSecond: (counts.bytesIn + counts.bytesOut) / seconds / options.workers,
+      stateRequestsPerSecond: (this.storeRequests - requestsBefore) / seconds,
+      statePutsPerSecond: (this.store.changes - putsBefore) / seconds,
       newLeaderAfterS,
-      endedByThemselves: this.endedByThemselves,
+      endedByThemselves: this.unexpectedExits,
     };
   }
 
-  private usages(): Map<string, ProcessUsage> {
+  private processUsages(): Map<string, ProcessUsage> {
     const usages = new Map<string, ProcessUsage>();
     const add = (role: string, pid: number | undefined): void => {
       const usage = pid === undefined ? null : usageOf(pid);
@@ -336,50 +344,50 @@
     return usages;
   }
 
-  /** Kills the controller that leads, as a crash would, and waits until another one leads. */
+  /** Kills the leader with SIGKILL and waits until the store records another leader. */
   private async killLeader(afterS: number): Promise<number | null> {
-    await pause(afterS * 1_000);
+    await sleep(afterS * 1_000);
     const former = this.leader();
     const began = performance.now();
     this.controllers.find((c) => c.member === former)?.child.kill('SIGKILL');
-    while (performance.now() - began < SETTLE_MOST_S * 1_000) {
-      await pause(LOOK_EVERY_MS);
+    while (performance.now() - began < MAX_SETTLE_S * 1_000) {
+      await sleep(LEADER_POLL_INTERVAL_MS);
       if (this.leader() !== '' && this.leader() !== former) return (performance.now() - began) / 1_000;
     }
     return null;
   }
 
-  /** Arrays at the given rate of starts, each to the next controller. */
-  private async submitFor(seconds: number): Promise<void> {
+  /** Submits array jobs at the requested rate of task starts, to the controllers in turn. */
+  private async submitJobsFor(seconds: number): Promise<void> {
     const end = performance.now() + seconds * 1_000;
-    const everyMs = (ARRAY_TASKS / this.o.startsPerSecond) * 1_000;
-    let next = performance.now();
-    while (performance.now() < end && this.endedByThemselves.length === 0) {
-      while (next <= performance.now()) {
-        next += everyMs;
-        void this.submit();
+    const intervalMs = (ARRAY_TASKS / this.options.startsPerSecond) * 1_000;
+    let nextSubmissionAt = performance.now();
+    while (performance.now() < end && this.unexpectedExits.length === 0) {
+      while (nextSubmissionAt <= performance.now()) {
+        nextSubmissionAt += intervalMs;
+        void this.submitJob();
       }
-      await pause(Math.max(1, Math.min(50, next - performance.now())));
+      await sleep(Math.max(1, Math.min(50, nextSubmissionAt - performance.now())));
     }
   }
 
-  private async submit(): Promise<void> {
+  private async submitJob(): Promise<void> {
     const number = this.nextJob++;
     const spec = specOf(`run-${String(number).padStart(6, '0')}`, {
-      team: TEAMS[number % TEAMS.length]!,
+      team: TEAM_NAMES[number % TEAM_NAMES.length]!,
       tasks: ARRAY_TASKS,
       gpus: number % 2,
       image: `image-${number % 8}`,
-      estimatedRunUs: this.o.taskSeconds * SECOND,
+      estimatedRunUs: this.options.taskSeconds * SECOND,
     });
     const { address } = this.controllers[number % this.controllers.length]!;
     this.submittedAt.set(spec.id, Date.now());
-    const answer = await call(address, 'POST', '/api/jobs', encodeSubmission(spec), USER_PATIENCE_MS);
+    const answer = await call(address, 'POST', '/api/jobs', encodeSubmission(spec), SUBMISSION_TIMEOUT_MS);
     if (answer !== null && answer.status < 300) return;
-    this.refused++;
+    this.refusedSubmissions++;
     this.submittedAt.delete(spec.id);
   }
 }
 
-/** Takes the run's seconds and up to two minutes until all workers have a leader. */
+/** Executes a hollow run. It takes `seconds`, after up to two minutes until the workers have found the leader. */
 export const runHollow = (options: HollowOptions): Promise<HollowReport> => new HollowRun(options).run();
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -1,4 +1,4 @@
-/** Measures the leader of an emulated deployment: processor time by kind of input, writes, orders and starts. */
+/** Measures the leader of a simulated deployment: CPU time by kind of input, store writes, worker commands and starts. */
 import type { CoreEffect, Input, LogFields } from '@shaleyoke/core/domain/effects';
 import type { WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -8,7 +8,7 @@
 
 const NANOSECONDS_PER_MICROSECOND = 1000n;
 
-/** Names of inputs in stored measurements, which stay comparable with those of earlier versions. */
+/** Names of inputs in stored measurements, kept so that they remain comparable with those of earlier versions. */
 const STORED_INPUT_NAMES: Readonly<Record<Input['kind'], string>> = {
   start: 'start',
   timer: 'timer',
@@ -21,6 +21,7 @@
   peerMessage: 'peer',
 };
 
+/** Durations of the planner's phases, and of whole planning passes. */
 export interface PlanTimes {
   readonly groupsUs: Summary;
   readonly searchUs: Summary;
@@ -28,7 +29,7 @@
   readonly wholeUs: Summary;
 }
 
-/** What the leader did in one phase of a run. */
+/** The leader's costs and operations in one phase of a run. */
 export interface PhaseReport {
   readonly coreS: number;
   readonly stepUs: Readonly<Record<string, Summary>>;
@@ -41,35 +42,38 @@
   readonly starts: number;
 }
 
+/** Records the steps and effects of one node of a simulated deployment. */
 export class LeaderProbe implements StepMeter {
-  /** Told of each start when it is first sent to its machine. */
+  /** Called for each start command that is sent to a machine. */
   onStart: (order: WorkerCommand & { op: 'start' }) => void = () => undefined;
   private leader = '';
-  private steps = new Map<Input['kind'], number[]>();
-  private plans: { groups: number; search: number; act: number }[] = [];
+  private stepTimes = new Map<Input['kind'], number[]>();
+  private plans: { groups: number; search: number; commit: number }[] = [];
   private counts = { transactions: 0, puts: 0, putBytes: 0, orderCalls: 0, starts: 0 };
 
+  /** Reads the monotonic clock that measures the duration of steps. */
   stopwatch(): Micros {
     return Number(process.hrtime.bigint() / NANOSECONDS_PER_MICROSECOND);
   }
 
-  /** Forgets what was measured so far, and measures this node from now on. */
-  begin(leader: string): void {
+  /** Discards previous measurements and measures the given node from now on. */
+  startPhase(leader: string): void {
     this.leader = leader;
-    this.steps = new Map();
+    this.stepTimes = new Map();
     this.plans = [];
     this.counts = { transactions: 0, puts: 0, putBytes: 0, orderCalls: 0, starts: 0 };
   }
 
+  /** Records a step of a node; steps of other nodes than the measured one are ignored. */
   stepped(node: string, input: Input, elapsedUs: Micros, effects: readonly CoreEffect[]): void {
     if (node !== this.leader) return;
-    const times = this.steps.get(input.kind) ?? [];
+    const times = this.stepTimes.get(input.kind) ?? [];
     times.push(elapsedUs);
-    this.steps.set(input.kind, times);
-    for (const effect of effects) this.count(effect);
+    this.stepTimes.set(input.kind, times);
+    for (const effect of effects) this.countEffect(effect);
   }
 
-  private count(effect: CoreEffect): void {
+  private countEffect(effect: CoreEffect): void {
     if (effect.kind === 'storeRequest' && effect.op.kind === 'txn') {
       this.counts.transactions++;
       for (const write of effect.op.writes) {
@@ -81,28 +85,29 @@
       this.countStarts(effect.commands);
     } else if (effect.kind === 'heartbeatResponse' && effect.answer.kind === 'accepted')
       this.countStarts(effect.answer.commands);
-    else if (effect.kind === 'log' && effect.event === 'plan.completed') this.notePlan(effect.fields);
+    else if (effect.kind === 'log' && effect.event === 'plan.completed') this.recordPlan(effect.fields);
   }
 
-  private countStarts(orders: readonly WorkerCommand[]): void {
-    for (const order of orders)
-      if (order.op === 'start') {
+  private countStarts(commands: readonly WorkerCommand[]): void {
+    for (const command of commands)
+      if (command.op === 'start') {
         this.counts.starts++;
-        this.onStart(order);
+        this.onStart(command);
       }
   }
 
-  private notePlan(fields: LogFields): void {
+  private recordPlan(fields: LogFields): void {
     this.plans.push({
       groups: Number(fields['groupsUs']),
       search: Number(fields['searchUs']),
-      act: Number(fields['commitUs']),
+      commit: Number(fields['commitUs']),
     });
   }
 
+  /** Summarizes the measurements since the phase started. */
   report(): PhaseReport {
     const stepUs = Object.fromEntries(
-      [...this.steps].map(([kind, times]) => [STORED_INPUT_NAMES[kind], summarize(times)]),
+      [...this.stepTimes].map(([kind, times]) => [STORED_INPUT_NAMES[kind], summarize(times)]),
     );
     const summaries = Object.values(stepUs);
     return {
@@ -112,8 +117,8 @@
       plans: {
         groupsUs: summarize(this.plans.map((p) => p.groups)),
         searchUs: summarize(this.plans.map((p) => p.search)),
-        actUs: summarize(this.plans.map((p) => p.act)),
-        wholeUs: summarize(this.plans.map((p) => p.groups + p.search + p.act)),
+        actUs: summarize(this.plans.map((p) => p.commit)),
+        wholeUs: summarize(this.plans.map((p) => p.groups + p.search + p.commit)),
       },
       ...this.counts,
     };
--- a/packages/emulator/src/scale/poll-load.ts
+++ b/packages/emulator/src/scale/poll-load.ts
@@ -1,6 +1,7 @@
 /**
- * What polls cost the store: simulated controllers with limits on requests, thousands of unfinished jobs polled every five
- * seconds at all nodes, first as usual and then right after a restart of all controllers.
+ * Measures the store requests that polls cause: users poll thousands of unfinished jobs at all simulated controllers, which
+ * limit their store requests. Each job is polled every five seconds, in steady state and right after a restart of all
+ * controllers.
  */
 import { encodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { activeJobKey } from '@shaleyoke/core/codecs/keys';
@@ -11,52 +12,52 @@
 import { Random } from '../random.js';
 import { specOf } from '../specs.js';
 
-/** What is measured. */
+/** Parameters of a measurement. */
 export interface PollLoadOptions {
   readonly jobs: number;
   readonly controllers: number;
   readonly seed: number;
 }
 
-/** Polls of one phase. */
+/** Polls and store requests of one phase. */
 export interface PollLoadPhase {
   readonly polls: number;
   readonly answered: number;
   readonly latencyP50Ms: number;
   readonly latencyP99Ms: number;
   readonly longestUnansweredS: number;
-  /** Requests of all controllers to the store, whatever they are for. */
+  /** Store requests of all controllers, including those unrelated to polls. */
   readonly storeRequests: number;
   readonly requestsPerAnswer: number;
 }
 
-/** The phases of one number of jobs. */
+/** The measurements for one number of jobs. */
 export interface PollLoadReport {
   readonly jobs: number;
-  /** Once all controllers know the jobs. */
+  /** Steady state, once all controllers have the jobs in memory. */
   readonly warm: PollLoadPhase;
-  /** The same number of requests without any poll: leases, watches and records of the leader. */
+  /** Store requests in a phase without polls: leases, watches and the leader's records. */
   readonly idleRequests: number;
-  /** From the return of all controllers on. */
+  /** The phase that begins when all controllers have restarted. */
   readonly cold: PollLoadPhase;
   readonly brokenRules: readonly string[];
 }
 
-const PHASE: Micros = 60 * SECOND;
-const START: Micros = 5 * SECOND;
-/** Long enough that also the slowest controllers know all jobs. */
-const WARM_UP: Micros = 200 * SECOND;
-const RESTART: Micros = 300 * MILLI;
-const TEAM = '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n';
+const PHASE_DURATION: Micros = 60 * SECOND;
+const ELECTION_TIME: Micros = 5 * SECOND;
+/** Long enough for even the slowest controller to load all jobs. */
+const WARM_UP_TIME: Micros = 200 * SECOND;
+const RESTART_DELAY: Micros = 300 * MILLI;
+const TEAM_SETTINGS = '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n';
 const FIRST_JOB_NUMBER = 100_000;
 
 const simulationOf = ({ controllers, seed }: PollLoadOptions): ClusterSimulation =>
-  new ClusterSimulation(new Random(seed), controllers, TEAM, 4, 2, '', () => [], 0, null, {
+  new ClusterSimulation(new Random(seed), controllers, TEAM_SETTINGS, 4, 2, '', () => [], 0, null, {
     limitStoreRequests: true,
   });
 
-/** Records of accepted jobs, as an earlier leader left them. */
-const putJobs = (simulation: ClusterSimulation, count: number): string[] => {
+/** Stores records of accepted jobs, as a previous leader would have left them. */
+const storeJobs = (simulation: ClusterSimulation, count: number): string[] => {
   const ids = Array.from({ length: count }, (_, i) => `run-${FIRST_JOB_NUMBER + i}`);
   for (const id of ids) {
     const spec = specOf(id, { tasks: 1, estimatedRunUs: 3_600 * SECOND });
@@ -65,13 +66,17 @@
   return ids;
 };
 
-/** Requests that the present processes have sent to the store. */
+/** Store requests that the current processes of all nodes have sent. */
 const requestsSent = (simulation: ClusterSimulation): number =>
   simulation.nodes.reduce((sum, { storeAccess }) => sum + (storeAccess?.sent ?? 0), 0);
 
-const playPhase = (simulation: ClusterSimulation, users: PollingUsers, sentBefore: number): PollLoadPhase => {
+const measurePhase = (
+  simulation: ClusterSimulation,
+  users: PollingUsers,
+  sentBefore: number,
+): PollLoadPhase => {
   users.resetMeasurements();
-  simulation.runFor(PHASE);
+  simulation.runFor(PHASE_DURATION);
   const storeRequests = requestsSent(simulation) - sentBefore;
   return {
     polls: users.polls,
@@ -84,23 +89,23 @@
   };
 };
 
-/** Measures one number of jobs. */
+/** Measures steady state, idle load and restart for one number of jobs. */
 export const measurePollLoad = (options: PollLoadOptions): PollLoadReport => {
   const simulation = simulationOf(options);
-  const ids = putJobs(simulation, options.jobs);
-  simulation.runFor(START);
+  const ids = storeJobs(simulation, options.jobs);
+  simulation.runFor(ELECTION_TIME);
   const sentBeforeIdle = requestsSent(simulation);
-  simulation.runFor(PHASE);
+  simulation.runFor(PHASE_DURATION);
   const idleRequests = requestsSent(simulation) - sentBeforeIdle;
   const users = new PollingUsers(simulation, new Random(options.seed + 1));
   for (const id of ids) users.add(id);
-  simulation.runFor(WARM_UP);
-  const warm = playPhase(simulation, users, requestsSent(simulation));
+  simulation.runFor(WARM_UP_TIME);
+  const warm = measurePhase(simulation, users, requestsSent(simulation));
   simulation.nodes.forEach((_, i) => {
-    simulation.crash(i, RESTART);
+    simulation.crash(i, RESTART_DELAY);
   });
-  simulation.runFor(RESTART);
-  const cold = playPhase(simulation, users, 0);
+  simulation.runFor(RESTART_DELAY);
+  const cold = measurePhase(simulation, users, 0);
   users.stop();
   return { jobs: options.jobs, warm, idleRequests, cold, brokenRules: [...new Set(simulation.broken)] };
 };
--- a/packages/emulator/src/scale/process-usage.ts
+++ b/packages/emulator/src/scale/process-usage.ts
@@ -1,11 +1,13 @@
-/** Processor time, memory and sockets of a process, as Linux tells them. */
+/** CPU time, memory and sockets of a process, read from Linux's /proc. */
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 
-/** The kernel counts processor time in hundredths of a second. */
+/** The unit of CPU times in /proc/PID/stat is a hundredth of a second. */
 const TICKS_PER_SECOND = 100;
-const USER_TICKS = 11;
-const SYSTEM_TICKS = 12;
+/** Positions of CPU times in /proc/PID/stat, counted from the field after the process name. */
+const USER_TICKS_FIELD = 11;
+const SYSTEM_TICKS_FIELD = 12;
 
+/** CPU time of a process since its start, and its current memory and number of sockets. */
 export interface ProcessUsage {
   readonly cpuS: number;
   readonly memoryMb: number;
@@ -14,23 +16,23 @@
 
 const countSockets = (pid: number): number => {
   let sockets = 0;
-  for (const fd of readdirSync(`/proc/${pid}/fd`)) {
+  for (const descriptor of readdirSync(`/proc/${pid}/fd`)) {
     try {
-      if (readlinkSync(`/proc/${pid}/fd/${fd}`).startsWith('socket:')) sockets++;
+      if (readlinkSync(`/proc/${pid}/fd/${descriptor}`).startsWith('socket:')) sockets++;
     } catch {
-      // Closed meanwhile.
+      // The descriptor was closed in the meantime.
     }
   }
   return sockets;
 };
 
-/** Null: there is no such process any more. */
+/** Reads the usage of a process; null if it no longer exists. */
 export const usageOf = (pid: number): ProcessUsage | null => {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    // The name, in brackets, may hold spaces.
+    // The process name is in parentheses and may contain spaces.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
-    const ticks = Number(fields[USER_TICKS]) + Number(fields[SYSTEM_TICKS]);
+    const ticks = Number(fields[USER_TICKS_FIELD]) + Number(fields[SYSTEM_TICKS_FIELD]);
     const status = readFileSync(`/proc/${pid}/status`, 'utf8');
     const kilobytes = Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0);
     return { cpuS: ticks / TICKS_PER_SECOND, memoryMb: kilobytes / 1024, sockets: countSockets(pid) };
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -1,4 +1,4 @@
-/** One size of an emulated deployment, measured: at rest, in a burst of mixed work, and at a change of leader. */
+/** Measures a simulated deployment of one size: idle, during a burst of mixed jobs, and during a change of leader. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
@@ -6,43 +6,45 @@
 import { ClusterSimulation } from '../cluster-simulation.js';
 import { Random } from '../random.js';
 import { LeaderProbe, type PhaseReport } from './leader-probe.js';
-import { clusterSettings, isUrgent, LARGEST_GANG, mixedJobs, TEAMS } from './load.js';
 import { summarize, type Summary } from './statistics.js';
+import { clusterSettings, generateMixedJobs, isUrgent, LARGEST_GANG, TEAM_NAMES } from './workload.js';
 
 const CONTROLLERS = 3;
 const ZONES = 2;
-/** Until a leader is there and all machines have reported to it. */
-const SETTLE_MOST: Micros = 60 * SECOND;
-const REST: Micros = 10 * SECOND;
-/** A burst's jobs are submitted evenly over this time. */
-const BURST_ARRIVES: Micros = 5 * SECOND;
-/** A burst that has not ended by then is given up, and said to be so. */
-const BURST_MOST: Micros = 150 * SECOND;
-const TAKEOVER_MOST: Micros = 40 * SECOND;
-const LOOK_EVERY: Micros = 100 * MILLI;
-
-export interface SlopeOptions {
+/** Limit on the time until a leader is elected and all machines have sent it a heartbeat. */
+const MAX_SETTLE_TIME: Micros = 60 * SECOND;
+const REST_DURATION: Micros = 10 * SECOND;
+/** The jobs of a burst are submitted evenly over this time. */
+const BURST_SUBMISSION_TIME: Micros = 5 * SECOND;
+/** Limit on the duration of a burst; the report says so if its tasks have not all started or ended by then. */
+const MAX_BURST_DURATION: Micros = 150 * SECOND;
+const MAX_TAKEOVER_TIME: Micros = 40 * SECOND;
+const CHECK_INTERVAL: Micros = 100 * MILLI;
+
+/** Size and seed of a measurement. */
+export interface SizeOptions {
   readonly machines: number;
   readonly burstTasks: number;
   readonly seed: number;
 }
 
-export interface SizeReport extends SlopeOptions {
+/** The measurements of one size, as stored in a JSON file. */
+export interface SizeReport extends SizeOptions {
   readonly jobs: number;
   readonly rest: PhaseReport & { readonly seconds: number; readonly coreShare: number };
   readonly burst: PhaseReport & {
     readonly seconds: number;
     readonly tasks: number;
-    /** Until the last start was sent; null: some were not. */
+    /** Time until the last start command was sent; null: some were not sent within the limit. */
     readonly allStartedS: number | null;
-    /** Whether all tasks that end were done in time. */
+    /** Whether all jobs other than services completed within the limit. */
     readonly allDone: boolean;
-    /** All that a task costs the leader from submission to end; what the machines cost at rest is taken off. */
+    /** Leader CPU time per started task from submission to end, without the cost of the idle deployment. */
     readonly coreMsPerStart: number;
     readonly startsPerCoreSecond: number;
     readonly putsPerStart: number;
     readonly bytesPerStart: number;
-    /** From submission until the start is sent, in seconds; what never started counts as the burst's end. */
+    /** Seconds from submission until the start command; tasks that never started count until the end of the burst. */
     readonly timeToStartS: Summary;
     readonly urgentTimeToStartS: Summary;
   };
@@ -50,17 +52,17 @@
     readonly leaderAfterS: number | null;
     readonly readyAfterS: number | null;
   };
-  /** Heap of the whole emulation, all nodes and stand-ins together, in megabytes. */
+  /** Heap size of the simulation with all nodes, workers, store and cloud, in megabytes. */
   readonly heapMb: number;
   readonly brokenRules: readonly string[];
 }
 
-/** Plays until the condition holds, or the time is over: whether it held. */
-const playUntil = (world: ClusterSimulation, most: Micros, condition: () => boolean): boolean => {
-  const end = world.now + most;
+/** Runs the simulation until the condition holds or the time is over; returns whether the condition held. */
+const runUntil = (world: ClusterSimulation, maxDuration: Micros, condition: () => boolean): boolean => {
+  const end = world.now + maxDuration;
   while (world.now < end) {
     if (condition()) return true;
-    world.runFor(LOOK_EVERY);
+    world.runFor(CHECK_INTERVAL);
   }
   return condition();
 };
@@ -72,10 +74,10 @@
   private readonly submittedAt = new Map<string, Micros>();
   private readyAt: Micros | null = null;
 
-  constructor(private readonly options: SlopeOptions) {
+  constructor(private readonly options: SizeOptions) {
     const { machines, seed } = options;
-    // Twice what a team's share of a burst takes: quotas are counted, and hold nobody up.
-    const quota = Math.max(4 * LARGEST_GANG, Math.ceil((16 * machines) / TEAMS.length));
+    // Twice a team's share of a burst: quotas are evaluated but delay no task.
+    const quota = Math.max(4 * LARGEST_GANG, Math.ceil((16 * machines) / TEAM_NAMES.length));
     this.world = new ClusterSimulation(
       new Random(seed),
       CONTROLLERS,
@@ -99,11 +101,11 @@
   }
 
   run(): SizeReport {
-    this.settle();
-    const rest = this.rest();
-    const jobs = mixedJobs(this.options.burstTasks, 1, new Random(this.options.seed));
-    const burst = this.burst(jobs, rest.coreShare);
-    const takeover = this.takeover();
+    this.waitUntilSettled();
+    const rest = this.measureRest();
+    const jobs = generateMixedJobs(this.options.burstTasks, 1, new Random(this.options.seed));
+    const burst = this.measureBurst(jobs, rest.coreShare);
+    const takeover = this.measureTakeover();
     return {
       ...this.options,
       jobs: jobs.length,
@@ -115,50 +117,51 @@
     };
   }
 
-  private settle(): void {
+  private waitUntilSettled(): void {
     const { world } = this;
-    const settled = playUntil(
+    const settled = runUntil(
       world,
-      SETTLE_MOST,
+      MAX_SETTLE_TIME,
       () => this.readyAt !== null && [...world.workers.values()].every((w) => w.token > 0),
     );
-    if (!settled) throw new Error(`no leader knows all ${this.options.machines} machines within a minute`);
+    if (!settled)
+      throw new Error(`no leader has heartbeats of all ${this.options.machines} machines after a minute`);
     world.runFor(5 * SECOND);
   }
 
-  private rest(): SizeReport['rest'] {
-    this.probe.begin(this.leaderName);
-    this.world.runFor(REST);
+  private measureRest(): SizeReport['rest'] {
+    this.probe.startPhase(this.leaderName);
+    this.world.runFor(REST_DURATION);
     const report = this.probe.report();
-    const seconds = REST / SECOND;
+    const seconds = REST_DURATION / SECOND;
     return { ...report, seconds, coreShare: report.coreS / seconds };
   }
 
-  private burst(jobs: readonly JobSpec[], restShare: number): SizeReport['burst'] {
+  private measureBurst(jobs: readonly JobSpec[], restCoreShare: number): SizeReport['burst'] {
     const { world } = this;
     const tasks = jobs.reduce((sum, job) => sum + job.tasks, 0);
-    this.probe.begin(this.leaderName);
+    this.probe.startPhase(this.leaderName);
     const began = world.now;
     jobs.forEach((job, i) => {
-      const after = Math.round((BURST_ARRIVES * i) / jobs.length);
+      const after = Math.round((BURST_SUBMISSION_TIME * i) / jobs.length);
       this.submittedAt.set(job.id, began + after);
       world.later(after, () => {
         world.submit(job);
       });
     });
-    const allStarted = playUntil(world, BURST_MOST, () => this.startedAt.size >= tasks);
+    const allStarted = runUntil(world, MAX_BURST_DURATION, () => this.startedAt.size >= tasks);
     const allStartedS = allStarted ? (world.now - began) / SECOND : null;
     const finite = jobs.filter((job) => job.shape !== 'service');
-    const allDone = playUntil(world, began + BURST_MOST - world.now, () =>
+    const allDone = runUntil(world, began + MAX_BURST_DURATION - world.now, () =>
       finite.every((job) => world.work.isDone(job.id)),
     );
-    // The last ends are still to be reported and put on record.
+    // The last task ends have yet to be reported and stored.
     world.runFor(5 * SECOND);
     const report = this.probe.report();
     const seconds = (world.now - began) / SECOND;
     const started = Math.max(1, this.startedAt.size);
-    const coreS = Math.max(1e-6, report.coreS - restShare * seconds);
-    const waits = (wanted: readonly JobSpec[]): Summary => summarize(this.waitsOf(wanted));
+    const coreS = Math.max(1e-6, report.coreS - restCoreShare * seconds);
+    const summarizeDelays = (wanted: readonly JobSpec[]): Summary => summarize(this.startDelaysOf(wanted));
     return {
       ...report,
       seconds,
@@ -169,42 +172,42 @@
       startsPerCoreSecond: started / coreS,
       putsPerStart: report.puts / started,
       bytesPerStart: report.putBytes / started,
-      timeToStartS: waits(jobs),
-      urgentTimeToStartS: waits(jobs.filter(isUrgent)),
+      timeToStartS: summarizeDelays(jobs),
+      urgentTimeToStartS: summarizeDelays(jobs.filter(isUrgent)),
     };
   }
 
-  private waitsOf(jobs: readonly JobSpec[]): number[] {
-    const waits: number[] = [];
+  private startDelaysOf(jobs: readonly JobSpec[]): number[] {
+    const delays: number[] = [];
     for (const job of jobs)
       for (let index = 0; index < job.tasks; index++)
-        waits.push(
+        delays.push(
           ((this.startedAt.get(`${job.id}/${index}`) ?? this.world.now) - this.submittedAt.get(job.id)!) /
             SECOND,
         );
-    return waits;
+    return delays;
   }
 
-  private takeover(): SizeReport['takeover'] {
+  private measureTakeover(): SizeReport['takeover'] {
     const { world } = this;
     const former = world.leader();
     this.readyAt = null;
     const began = world.now;
-    if (former >= 0) world.crash(former, TAKEOVER_MOST);
-    playUntil(world, TAKEOVER_MOST, () => world.leader() >= 0);
+    if (former >= 0) world.crash(former, MAX_TAKEOVER_TIME);
+    runUntil(world, MAX_TAKEOVER_TIME, () => world.leader() >= 0);
     const leaderAfterS = world.leader() >= 0 ? (world.now - began) / SECOND : null;
-    this.probe.begin(this.leaderName);
-    playUntil(world, TAKEOVER_MOST, () => this.readyAt !== null);
+    this.probe.startPhase(this.leaderName);
+    runUntil(world, MAX_TAKEOVER_TIME, () => this.readyAt !== null);
     const readyAfterS = this.secondsUntilReady(began);
-    world.runFor(REST);
+    world.runFor(REST_DURATION);
     return { ...this.probe.report(), leaderAfterS, readyAfterS };
   }
 
-  /** Null: no leader has restored the state since. */
+  /** Seconds until a leader had restored the state; null if none has. */
   private secondsUntilReady(began: Micros): number | null {
     return this.readyAt === null ? null : (this.readyAt - began) / SECOND;
   }
 }
 
-/** Plays and measures one size. Takes up to some minutes of processor time at 12,000 machines. */
-export const measureSize = (options: SlopeOptions): SizeReport => new SizeRun(options).run();
+/** Simulates and measures one size; 12,000 machines take several minutes of CPU time. */
+export const measureSize = (options: SizeOptions): SizeReport => new SizeRun(options).run();
--- a/packages/emulator/test/scale.test.ts
+++ b/packages/emulator/test/scale.test.ts
@@ -1,22 +1,22 @@
-/** The scale tool: its arguments, a small size, a hundred hollow workers with the leader killed, and the capacity page. */
+/** Tests the scale tool: arguments, a small simulated size, a hollow run with a killed leader, and the capacity page. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 
-import { capacityRows, capacityTable, withTable } from '../src/scale/capacity.js';
+import { capacityRows, capacityTable, replaceTable } from '../src/scale/capacity.js';
 import { runHollow } from '../src/scale/hollow.js';
 import { measurePollLoad } from '../src/scale/poll-load.js';
 import { measureSize } from '../src/scale/slopes.js';
 import { fitLine, summarize } from '../src/scale/statistics.js';
-import { readMeasurements } from '../src/scale/stored.js';
+import { readMeasurements } from '../src/scale/stored-measurements.js';
 import { toolOf } from '../src/tool.js';
 
 const path = (relative: string): string => new URL(relative, import.meta.url).pathname;
 const scale = toolOf([process.execPath, '--import', 'tsx', path('../tools/scale.ts')]);
 const PROGRAM = [process.execPath, '--import', 'tsx', path('../../cli/src/main.ts')];
 
-test('wrong arguments are named before anything starts', async () => {
-  const wrong: [args: string[], says: RegExp][] = [
+test('invalid arguments are reported before anything starts', async () => {
+  const invalid: [args: string[], message: RegExp][] = [
     [['slopes', '--machines', '0'], /--machines.*1 to/],
     [['slopes', '--machines', '300,-5'], /--machines.*1 to/],
     [['slopes', '--machines', '99999'], /--machines.*1 to/],
@@ -32,20 +32,20 @@
     [['sleep'], /unknown command/],
     [['capacity', 'docs/CAPACITY.md', '/no/such/folder'], /error: .*\/no\/such\/folder/],
   ];
-  for (const [args, says] of wrong) {
+  for (const [args, message] of invalid) {
     const { code, out } = await scale(...args);
     assert.equal(code, 2, `${args.join(' ')}: ${out}`);
-    assert.match(out, says, args.join(' '));
+    assert.match(out, message, args.join(' '));
   }
 });
 
-test('summaries and lines', () => {
+test('summaries and linear fits are computed', () => {
   assert.deepEqual(summarize([3, 1, 2]), { count: 3, total: 6, p50: 2, p99: 3, max: 3 });
   const line = fitLine([1, 2, 3].map((x) => ({ x, y: 2 * x + 1 })));
   assert.ok(Math.abs(line.slope - 2) < 1e-9 && Math.abs(line.intercept - 1) < 1e-9 && line.residual < 1e-9);
 });
 
-test('a small size is measured whole: all tasks start and end, and a new leader is ready', () => {
+test('a small size is measured: all tasks start and end, and a new leader restores the state', () => {
   const size = measureSize({ machines: 60, burstTasks: 260, seed: 3 });
   assert.deepEqual(size.brokenRules, []);
   assert.ok(size.burst.tasks > 80 && size.burst.allStartedS !== null && size.burst.allDone);
@@ -54,7 +54,7 @@
   assert.ok(size.takeover.readyAfterS !== null);
 });
 
-test('polls are measured as usual and after a restart', () => {
+test('polls are measured in steady state and after a restart', () => {
   const { warm, cold, brokenRules } = measurePollLoad({ jobs: 60, controllers: 3, seed: 2 });
   assert.deepEqual(brokenRules, []);
   for (const phase of [warm, cold]) {
@@ -64,7 +64,7 @@
   assert.ok(warm.requestsPerAnswer < 1.5, `${warm.requestsPerAnswer}`);
 });
 
-test('a hundred hollow workers, real controllers, and the leader killed', async () => {
+test('controller processes with a hundred hollow workers survive the loss of the leader', async () => {
   const report = await runHollow({
     workers: 100,
     controllers: 3,
@@ -84,13 +84,13 @@
   assert.notEqual(report.newLeaderAfterS, null);
   assert.ok(report.startedTasks > 0 && report.submitted > 0);
   assert.equal(report.leasesEnded, 0);
-  // Two controllers are left, two processes of workers, and the tool itself.
+  // The two remaining controllers, two worker processes, and this process.
   assert.equal(report.usage.length, 5);
 });
 
-test("the capacity page's table is what the stored measurements give", () => {
+test("the capacity page's table matches the stored measurements", () => {
   const page = readFileSync(path('../../../docs/CAPACITY.md'), 'utf8');
   const rows = capacityRows(readMeasurements(path('../../../docs/capacity')));
-  assert.equal(page, withTable(page, capacityTable(rows)));
-  for (const row of rows) assert.ok(Number.isFinite(row.need), `${row.role}: ${row.what}`);
+  assert.equal(page, replaceTable(page, capacityTable(rows)));
+  for (const row of rows) assert.ok(Number.isFinite(row.demand), `${row.role}: ${row.requirement}`);
 });
