--- a/eslint.config.js
+++ b/eslint.config.js
@@ -9,7 +9,6 @@
   'packages/cli/src/**',
   'packages/demo/src/**',
   'packages/emulator/src/*.ts',
-  'packages/emulator/src/digest/**',
   'packages/emulator/src/scale/capacity.ts',
   'packages/emulator/src/scale/hollow.ts',
   'packages/kubernetes/src/**',
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -1,6 +1,6 @@
 /**
- * Generated histories of a simulated deployment, for comparing versions of the code: which jobs, cancellations and faults
- * come when depends on the seed alone, and the stopwatch stands still, so that equal code sends equal bytes.
+ * Generated histories of a simulated deployment, for comparing versions of the code. Jobs, cancellations and faults depend
+ * on the seed alone, and the clock that measures durations stands still, so that equal code sends equal bytes.
  */
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
@@ -15,29 +15,30 @@
 import { MessageDigest } from './message-digest.js';
 import type { FeatureAnswerEncoder } from './message-encoding.js';
 
-/** A client of a feature, which sends requests of its own between the steps of a history. */
+/** A client of a feature that sends requests between the steps of a history. */
 export interface FeatureClient {
-  /** Called once, before the deployment has played. */
+  /** Called once, before the simulation runs. */
   prepare(world: ClusterSimulation): void;
-  /** Called at each step. */
-  step(world: ClusterSimulation, random: Random): void;
+  /** Called at each step of the history; may send requests to any node. */
+  sendRequests(world: ClusterSimulation, random: Random): void;
 }
 
-/** What a history switches on beside the scheduler itself. */
+/** The features that a history enables in addition to the scheduler, and their clients. */
 export interface HistoryFeatures {
-  /** Features of a new process. */
+  /** Creates the features of a newly started controller. */
   readonly features: (random: Random) => readonly Feature[];
   readonly clients: readonly FeatureClient[];
   readonly encodeAnswer: FeatureAnswerEncoder;
 }
 
+/** Runs the scheduler without any feature. */
 export const NO_FEATURES: HistoryFeatures = {
   features: () => [],
   clients: [],
   encodeAnswer: () => '',
 };
 
-/** What one seed plays. */
+/** What the history of a seed contains, besides jobs and cancellations. */
 export interface HistoryPlan {
   readonly seed: number;
   readonly faults: boolean;
@@ -46,7 +47,7 @@
   readonly kubernetes: boolean;
 }
 
-/** Every fourth seed is quiet; the features change from seed to seed, each in a rhythm of its own. */
+/** Derives the plan from the seed: every fourth seed has no faults; each feature is enabled with a different period. */
 export const planOf = (seed: number): HistoryPlan => ({
   seed,
   faults: seed % 4 !== 0,
@@ -55,6 +56,7 @@
   kubernetes: seed % 5 < 2,
 });
 
+/** The digest of a history, and the messages that went into it. */
 export interface HistoryDigest {
   readonly digest: string;
   readonly messages: number;
@@ -64,14 +66,14 @@
 
 const STEPS = 40;
 const MAX_JOBS = 30;
-const NODES = 3;
+const NODE_COUNT = 3;
 const LARGEST_TEAM_CORES = 14;
 const TEAMS =
   `[[cluster.teams]]\nname = "t"\ncpus_max = ${LARGEST_TEAM_CORES}.0\n` +
   '[[cluster.teams]]\nname = "u"\ncpus = 6.0\n';
-const WALL_START: Micros = Date.UTC(2026, 11, 1, 12) * 1000;
+const WALL_CLOCK_START: Micros = Date.UTC(2026, 11, 1, 12) * 1000;
 
-/** One job of any shape, with the options that the shape allows. */
+/** Generates a job of a random shape, with random options that the shape allows. */
 const generateJob = (random: Random, id: string, earlier: readonly string[]): JobSpec => {
   const common: Partial<JobSpec> = {
     team: random.chance(0.5) ? 't' : 'u',
@@ -96,19 +98,19 @@
   return specOf(id, { ...common, tasks: 1 + random.below(30) });
 };
 
-/** Restarts, cuts, outages, lost and late answers, machines that end or are taken back. */
-const injectFaults = (world: ClusterSimulation, random: Random): void => {
+/** Injects random restarts, partitions, outages, lost and delayed messages, and failed or reclaimed machines. */
+const injectRandomFaults = (world: ClusterSimulation, random: Random): void => {
   world.loss = random.chance(0.3) ? 0.15 : 0.02;
   world.repeats = random.chance(0.2) ? 0.2 : 0;
   world.lateWrites = random.chance(0.1) ? 0.3 : 0;
   world.answersLost = random.chance(0.1) ? 0.3 : 0;
   world.keepReports = random.chance(0.2) ? 0.5 : 0;
-  if (random.chance(0.08)) world.crash(random.below(NODES), random.below(6_000) * MILLI);
+  if (random.chance(0.08)) world.crash(random.below(NODE_COUNT), random.below(6_000) * MILLI);
   if (random.chance(0.05) && world.leader() >= 0) world.crash(world.leader(), 700 * MILLI);
   if (random.chance(0.04)) world.stateOutage((2 + random.below(10)) * SECOND);
-  if (random.chance(0.05)) world.freeze(random.below(NODES), (1 + random.below(8)) * SECOND);
+  if (random.chance(0.05)) world.freeze(random.below(NODE_COUNT), (1 + random.below(8)) * SECOND);
   if (random.chance(0.06))
-    world.network.cut(world.nodes[random.below(NODES)]!.name, 'state', (2 + random.below(20)) * SECOND);
+    world.network.cut(world.nodes[random.below(NODE_COUNT)]!.name, 'state', (2 + random.below(20)) * SECOND);
   const worker = world.anyWorker();
   if (worker === undefined) return;
   if (random.chance(0.05)) world.killWorker(worker);
@@ -120,7 +122,7 @@
   }
 };
 
-const stopFaults = (world: ClusterSimulation): void => {
+const clearFaults = (world: ClusterSimulation): void => {
   world.loss = 0;
   world.repeats = 0;
   world.lateWrites = 0;
@@ -130,7 +132,7 @@
 
 type EffectListener = (node: string, effect: CoreEffect, now: Micros) => void;
 
-const playJobs = (
+const runGeneratedJobs = (
   plan: HistoryPlan,
   { features, clients }: HistoryFeatures,
   onEffect: EffectListener,
@@ -138,13 +140,13 @@
   const random = new Random(plan.seed * 7_919 + 3);
   const world = new ClusterSimulation(
     random,
-    NODES,
+    NODE_COUNT,
     TEAMS,
     LARGEST_TEAM_CORES,
     4,
     '',
     () => features(new Random(plan.seed)),
-    WALL_START,
+    WALL_CLOCK_START,
     plan.membership ? { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 } : null,
     { onEffect },
   );
@@ -153,34 +155,34 @@
   world.runFor(2 * SECOND);
   const ids: string[] = [];
   for (let step = 0; step < STEPS; step++) {
-    if (plan.faults) injectFaults(world, random);
+    if (plan.faults) injectRandomFaults(world, random);
     if (random.chance(0.7) && ids.length < MAX_JOBS) {
       const id = `run-${plan.seed}${String(ids.length).padStart(3, '0')}`;
       world.submit(generateJob(random, id, ids));
       ids.push(id);
     }
-    const chosen = ids[random.below(Math.max(1, ids.length))];
-    if (chosen !== undefined && random.chance(0.15)) world.cancel(chosen);
-    if (chosen !== undefined && random.chance(0.4)) world.poll(chosen);
-    for (const client of clients) client.step(world, random);
+    const jobId = ids[random.below(Math.max(1, ids.length))];
+    if (jobId !== undefined && random.chance(0.15)) world.cancel(jobId);
+    if (jobId !== undefined && random.chance(0.4)) world.poll(jobId);
+    for (const client of clients) client.sendRequests(world, random);
     world.runFor((500 + random.below(4_000)) * MILLI);
   }
-  stopFaults(world);
+  clearFaults(world);
   for (const id of ids) world.poll(id);
   world.runFor(90 * SECOND);
   for (const id of ids) world.cancel(id);
   world.runFor(30 * SECOND);
 };
 
-/** Two of the scenarios in which faults meet, one after the other. */
-const playMeetings = (plan: HistoryPlan, onEffect: EffectListener): void => {
-  const meetings = Object.values({ ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS });
-  const first = meetings[plan.seed % meetings.length]!;
-  const second = meetings[(plan.seed * 7 + 3) % meetings.length]!;
-  play(plan.seed, [first, second], 1, { calm: 20 * SECOND, last: 60 * SECOND }, { onEffect });
+/** Runs two of the scenarios that combine faults, one after the other. */
+const runScenarioPair = (plan: HistoryPlan, onEffect: EffectListener): void => {
+  const scenarios = Object.values({ ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS });
+  const firstScenario = scenarios[plan.seed % scenarios.length]!;
+  const secondScenario = scenarios[(plan.seed * 7 + 3) % scenarios.length]!;
+  play(plan.seed, [firstScenario, secondScenario], 1, { calm: 20 * SECOND, last: 60 * SECOND }, { onEffect });
 };
 
-/** Plays all of one seed. */
+/** Simulates the history of one seed and returns the digest of all messages that the controllers sent. */
 export const digestOfSeed = (
   plan: HistoryPlan,
   options: HistoryFeatures,
@@ -190,7 +192,7 @@
   const onEffect: EffectListener = (node, effect, now) => {
     digest.add(now, node, effect);
   };
-  playJobs(plan, options, onEffect);
-  if (plan.faults) playMeetings(plan, onEffect);
-  return { messages: digest.messages, counts: digest.counts, digest: digest.finish() };
+  runGeneratedJobs(plan, options, onEffect);
+  if (plan.faults) runScenarioPair(plan, onEffect);
+  return { messages: digest.messageCount, counts: digest.counts, digest: digest.finish() };
 };
--- a/packages/emulator/test/digest.test.ts
+++ b/packages/emulator/test/digest.test.ts
@@ -1,4 +1,4 @@
-/** The digest of a generated history is the same for equal code, and notices a single byte and a single message. */
+/** Tests that the digest of a generated history is deterministic, and changes with any byte, message, time or order. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -24,7 +24,7 @@
   return digest.finish();
 };
 
-test('a seed gives the same digest and the same trace each time, with and without faults', () => {
+test('a seed has the same digest and trace in each run, with and without faults', () => {
   for (const seed of [4, 7]) {
     const traces: string[][] = [[], []];
     const results = traces.map((lines): HistoryDigest =>
@@ -45,11 +45,11 @@
   assert.notEqual(digestOfSeed(planOf(4), NO_FEATURES).digest, digestOfSeed(planOf(8), NO_FEATURES).digest);
 });
 
-test("controllers' messages to each other are part of the digest where membership is on", () => {
+test('the digest includes peer messages if membership is enabled', () => {
   assert.ok((digestOfSeed(planOf(2), NO_FEATURES).counts.get('peerMessage') ?? 0) > 100);
 });
 
-test('a stored field with another name, another time and another order change the digest', () => {
+test('the digest depends on field names, times, number and order of messages', () => {
   const spec = { saveUs: 1 };
   const same = digestOf([5, put({ spec })]);
   assert.equal(digestOf([5, put({ spec: { saveUs: 1 } })]), same);
@@ -59,7 +59,7 @@
   assert.notEqual(digestOf([5, put(1)], [5, put(2)]), digestOf([5, put(2)], [5, put(1)]));
 });
 
-test('logs, timers and roles are no messages', () => {
+test('the digest ignores logs, timers and roles', () => {
   const none = digestOf();
   assert.equal(digestOf([1, { kind: 'wake', at: 2 }]), none);
   assert.equal(digestOf([1, { kind: 'role', leader: true }]), none);
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -1,4 +1,4 @@
-/** Budgets and Kubernetes-shaped clients for the histories that `digest.ts` plays. */
+/** Budgets, and clients of the Kubernetes API, for the histories that `digest.ts` simulates. */
 import { Budgets } from '@shaleyoke/budgets/feature';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import type { Team } from '@shaleyoke/core/domain/settings';
@@ -25,20 +25,20 @@
   guaranteedGpus: 0,
   maxGpus: 0,
 }));
-const BUDGETS = parseBudgets(
+const BUDGET_SETTINGS = parseBudgets(
   'version: 1\ncurrency: EUR\nzone: Europe/Warsaw\nowners:\n  u: { soft: 0.02, hard: 0.06 }\n',
   TEAMS,
   'budgets.yaml',
 );
-const KUBERNETES = parseKube(
+const KUBERNETES_SETTINGS = parseKube(
   'version: 1\nlisten: 127.0.0.1:6443\nstatus_changes_per_s: 5\ntenants:\n  maps: { namespaces: { maps: t } }\n',
   TEAMS,
   'kube.yaml',
 );
 const bytes = (length: number): Uint8Array => new Uint8Array(length).fill(1);
 const TOKEN = newToken(bytes(4), bytes(32), bytes(16), { tenant: 'maps', at: 0, by: 'test', why: 'test' });
-const COLLECTION = '/apis/batch/v1/namespaces/maps/jobs';
-const NAMES = 6;
+const JOBS_PATH = '/apis/batch/v1/namespaces/maps/jobs';
+const JOB_NAME_COUNT = 6;
 
 const manifest = (name: string, tasks: number): string =>
   JSON.stringify({
@@ -57,23 +57,23 @@
     },
   });
 
-/** Method, path and body of a request that is chosen at random. */
+/** Generates the method, path and body of a random request. */
 const generateRequest = (random: Random): readonly [method: string, url: string, body: string] => {
-  const name = `job-${random.below(NAMES)}`;
+  const name = `job-${random.below(JOB_NAME_COUNT)}`;
   const choice = random.below(6);
-  if (choice <= 1) return ['POST', COLLECTION, manifest(name, 1 + random.below(4))];
-  if (choice === 2) return ['GET', `${COLLECTION}/${name}`, ''];
-  if (choice === 3) return ['GET', `${COLLECTION}?limit=3`, ''];
-  if (choice === 4) return ['GET', `${COLLECTION}?watch=true&allowWatchBookmarks=true`, ''];
-  return ['DELETE', `${COLLECTION}/${name}`, ''];
+  if (choice <= 1) return ['POST', JOBS_PATH, manifest(name, 1 + random.below(4))];
+  if (choice === 2) return ['GET', `${JOBS_PATH}/${name}`, ''];
+  if (choice === 3) return ['GET', `${JOBS_PATH}?limit=3`, ''];
+  if (choice === 4) return ['GET', `${JOBS_PATH}?watch=true&allowWatchBookmarks=true`, ''];
+  return ['DELETE', `${JOBS_PATH}/${name}`, ''];
 };
 
-/** Creates, reads, watches and deletes Jobs on any node. */
+/** Creates, reads, lists, watches and deletes Jobs through any node. */
 const kubernetesClient: FeatureClient = {
   prepare: (world) => {
     world.put(tokenKey(TOKEN.id), TOKEN.record);
   },
-  step: (world: ClusterSimulation, random: Random) => {
+  sendRequests: (world: ClusterSimulation, random: Random) => {
     if (!random.chance(0.5)) return;
     const [method, url, body] = generateRequest(random);
     const request = requestOf({ method, url, contentType: 'application/json', body });
@@ -86,14 +86,14 @@
 const encodeKubernetesAnswer = (answer: KubeAnswer, last: boolean): string =>
   answer.kind === 'event' ? `${lineOf(answer)} ${last}` : `${JSON.stringify(responseOf(answer))} ${last}`;
 
-/** The features and clients that a plan asks for. */
+/** The features and clients that a plan enables. */
 export const featuresOf = (plan: HistoryPlan): HistoryFeatures => {
   if (!plan.budgets && !plan.kubernetes) return NO_FEATURES;
   return {
     features: (random) => [
-      ...(plan.budgets ? [new Budgets(BUDGETS)] : []),
+      ...(plan.budgets ? [new Budgets(BUDGET_SETTINGS)] : []),
       ...(plan.kubernetes
-        ? [new Kube(() => Uint8Array.from({ length: 16 }, () => random.below(256)), KUBERNETES)]
+        ? [new Kube(() => Uint8Array.from({ length: 16 }, () => random.below(256)), KUBERNETES_SETTINGS)]
         : []),
     ],
     clients: plan.kubernetes ? [kubernetesClient] : [],
--- a/packages/emulator/tools/digest.ts
+++ b/packages/emulator/tools/digest.ts
@@ -1,10 +1,10 @@
 /**
- * Prints a digest for each seed of all bytes that simulated controllers send. Two versions of the code behave alike where
- * their digests are equal.
+ * Prints for each seed a digest of all messages that simulated controllers send. If the digests of two versions of the
+ * code are equal, the versions behave alike in these histories.
  *
  *     node --import tsx packages/emulator/tools/digest.ts --seeds 1..20 [--trace FILE]
  *
- * `--trace` writes a line for each message, so that `diff` of two traces shows where two versions part.
+ * `--trace` writes a line for each message, so that a diff of two traces shows the first message that differs.
  */
 import { closeSync, openSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
