--- a/packages/emulator/test/known-red.test.ts
+++ b/packages/emulator/test/known-red.test.ts
@@ -1,4 +1,4 @@
-/** The list of tests that are known to fail: how it is read, what it passes over, and what it does not. */
+/** Tests how the list of known failures is parsed, and which failures it lets pass. */
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -10,15 +10,15 @@
 
 const LISTED = { test: 'a, b', cause: 'no reason', issue: 'an issue' };
 
-test('the list of known failures is read', () => {
+test('the list of known failures is parsed', () => {
   assert.deepEqual(parseKnownRed('# comment\n\na, b | no reason | an issue\n'), [LISTED]);
   assert.deepEqual(parseKnownRed(''), []);
-  for (const wrong of ['a', 'a | b', 'a |  | c', 'a | b | c | d'])
-    assert.throws(() => parseKnownRed(wrong), KnownRedListError, wrong);
+  for (const invalid of ['a', 'a | b', 'a |  | c', 'a | b | c | d'])
+    assert.throws(() => parseKnownRed(invalid), KnownRedListError, invalid);
   assert.throws(() => parseKnownRed('a | b | c\n'.repeat(4)), /3 at most/);
 });
 
-test('only failures of listed tests are passed over', () => {
+test('only failures of listed tests are ignored', () => {
   const failed = { name: 'a, b', passed: false };
   assert.deepEqual(judge([failed], [LISTED]).problems, []);
   assert.match(judge([failed], [LISTED]).report[0]!, /failed: a, b \(no reason; an issue\)/);
@@ -29,14 +29,14 @@
   assert.match(judge([], []).problems[0]!, /no test was run/);
 });
 
-test('the runner fails for a failure that is not listed, and passes over one that is', () => {
+test('the runner fails for an unlisted failure and ignores a listed one', () => {
   const folder = mkdtempSync(join(tmpdir(), 'shaleyoke-known-red-'));
   const runner = new URL('../tools/run-tests.ts', import.meta.url).pathname;
   const file = join(folder, 'sample.test.mjs');
   const run = (known: string): { code: number | null; text: string } => {
     writeFileSync(join(folder, 'KNOWN-RED.txt'), known);
     const environment = { ...process.env };
-    // Else the inner runner takes itself for a part of this one, and reports to it.
+    // With this variable set, the inner test runner would act as a child process of this one and report to it.
     delete environment['NODE_TEST_CONTEXT'];
     const { status, stdout, stderr } = spawnSync(
       process.execPath,
--- a/packages/emulator/test/larger.test.ts
+++ b/packages/emulator/test/larger.test.ts
@@ -1,4 +1,4 @@
-/** Larger copies of site files: what grows with the number of machines does, all else stays. */
+/** Tests that scaled copies of site files change only the values that depend on the number of machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -31,7 +31,7 @@
 faults = [{ at_s = 1.0, kind = "machine_die", count = 26 }, { at_s = 2.0, kind = "node_crash", count = 2 }, { at_s = 3.0, kind = "capacity", count = 0.3 }]
 `;
 
-test('machines, capacity, limits, arrivals and what dies grow; jobs, controllers and shares stay', () => {
+test('scales machines, capacity, arrivals and failing machines; keeps job sizes, controllers and shares', () => {
   fc.assert(
     fc.property(fc.double({ min: 0.5, max: 4, noNaN: true }), fc.boolean(), (times, quick) => {
       const grown = larger(parse(SITE), times, quick ? 0.2 : null);
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -1,4 +1,4 @@
-/** The check for jobs left waiting beside free room finds one, and takes none that waits for a reason. */
+/** Tests that the check for starved jobs reports jobs that wait despite free capacity, and no others. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -9,41 +9,41 @@
 import { specOf } from '../src/specs.js';
 import { LeftWaiting } from '../src/waiting.js';
 
-const longest = (coresMax: number, before: (w: ClusterSimulation) => void): number => {
-  const w = new ClusterSimulation(
+const longestWaitS = (coresMax: number, before: (world: ClusterSimulation) => void): number => {
+  const world = new ClusterSimulation(
     new Random(3),
     3,
     `[[cluster.teams]]\nname = "t"\ncpus_max = ${coresMax}.0\n`,
     coresMax,
     1,
   );
-  w.stand(2);
-  w.runFor(3 * SECOND);
-  for (let i = 0; i < 5; i++) w.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
-  w.runFor(20 * SECOND);
-  before(w);
-  const waiting = new LeftWaiting(w, coresMax);
-  for (let t = 0; t < 150; t += 5) {
-    w.runFor(5 * SECOND);
+  world.stand(2);
+  world.runFor(3 * SECOND);
+  for (let i = 0; i < 5; i++) world.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
+  world.runFor(20 * SECOND);
+  before(world);
+  const waiting = new LeftWaiting(world, coresMax);
+  for (let elapsedS = 0; elapsedS < 150; elapsedS += 5) {
+    world.runFor(5 * SECOND);
     waiting.look(['run-0', 'run-1', 'run-2', 'run-3', 'run-4']);
   }
   return Math.max(0, ...waiting.longest.values()) / SECOND;
 };
 
-test('work that nobody places beside free machines is found', () => {
-  // All controllers are away: the machines' leases run out, and they stand empty.
-  const away = longest(40, (w) => {
-    for (let i = 0; i < 3; i++) w.crash(i, 3_600 * SECOND);
+test('jobs that wait although machines are free are reported', () => {
+  // All controllers are down: the machines' leases expire, which ends their tasks.
+  const withoutControllersS = longestWaitS(40, (world) => {
+    for (let i = 0; i < 3; i++) world.crash(i, 3_600 * SECOND);
   });
-  assert.ok(away > 90, `${away} s`);
+  assert.ok(withoutControllersS > 90, `${withoutControllersS} s`);
 });
 
-test('work that waits for room, for its team, or while machines hang is not', () => {
-  assert.ok(longest(40, () => undefined) < 20);
-  assert.ok(longest(4, () => undefined) < 20);
-  const hung = longest(40, (w) => {
-    for (let i = 0; i < 3; i++) w.crash(i, 3_600 * SECOND);
-    for (const x of w.workers.values()) x.cutUntil = w.now + 3_600 * SECOND;
+test('jobs that wait for capacity, for their team limit, or while machines are unreachable are not reported', () => {
+  assert.ok(longestWaitS(40, () => undefined) < 20);
+  assert.ok(longestWaitS(4, () => undefined) < 20);
+  const unreachableS = longestWaitS(40, (world) => {
+    for (let i = 0; i < 3; i++) world.crash(i, 3_600 * SECOND);
+    for (const worker of world.workers.values()) worker.cutUntil = world.now + 3_600 * SECOND;
   });
-  assert.ok(hung < 20, `${hung} s`);
+  assert.ok(unreachableS < 20, `${unreachableS} s`);
 });
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -1,6 +1,7 @@
 /**
- * The detector by itself: how soon a peer that ended is suspected, and how often one that lives is, by loss, freezes and slowness.
- * Prints a table. Beats go over a link that sends a lost packet again after 0.2 s, twice as long each time, as TCP does.
+ * Measures the peer failure detector in isolation, with packet loss, frozen and slow senders and delayed timers: how soon
+ * it suspects a stopped peer, and how often a live one. Prints a table. Heartbeats are sent over a link that retransmits a
+ * lost packet after 0.2 s and doubles the delay each time, as TCP does.
  *
  *     npx tsx packages/emulator/tools/detector.ts [HOURS]
  */
@@ -12,97 +13,119 @@
 import { beatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
 
-const ON: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
+const SETTINGS: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 
-interface Case {
+interface TestCase {
   readonly name: string;
-  /** Chance that a packet is lost. */
-  readonly loss: number;
-  /** How much longer than a second the sender takes from beat to beat, at most. */
-  readonly slow: Micros;
-  /** The sender stands still that long, once in two minutes. */
-  readonly freeze: Micros;
-  /** How late the watcher's own timers fire, at most. */
-  readonly late: Micros;
+  /** Probability that a packet is lost. */
+  readonly lossRate: number;
+  /** Upper bound of the random time by which the interval between heartbeats exceeds one second. */
+  readonly extraIntervalUs: Micros;
+  /** How long the sender is frozen every two minutes. */
+  readonly freezeUs: Micros;
+  /** Upper bound of the random delay of the detector's own timers. */
+  readonly timerDelayUs: Micros;
 }
 
-const quiet: Case = { name: 'nothing', loss: 0.0003, slow: 20 * MILLI, freeze: 0, late: 20 * MILLI };
-const CASES: Case[] = [
-  quiet,
-  { ...quiet, name: 'loss 1%', loss: 0.01 },
-  { ...quiet, name: 'loss 5%', loss: 0.05 },
-  { ...quiet, name: 'sender 2 times slower', slow: SECOND },
-  { ...quiet, name: 'sender 8 times slower', slow: 7 * SECOND },
-  { ...quiet, name: 'watcher late by up to 2 s', late: 2 * SECOND },
-  { ...quiet, name: 'sender stands still for 1 s', freeze: SECOND },
-  { ...quiet, name: 'sender stands still for 5 s', freeze: 5 * SECOND },
-  { ...quiet, name: 'sender stands still for 33 s', freeze: 33 * SECOND },
-  { name: 'loss 5%, 2 times slower, late by 1 s', loss: 0.05, slow: SECOND, freeze: 0, late: SECOND },
+const BASELINE: TestCase = {
+  name: 'baseline',
+  lossRate: 0.0003,
+  extraIntervalUs: 20 * MILLI,
+  freezeUs: 0,
+  timerDelayUs: 20 * MILLI,
+};
+const CASES: TestCase[] = [
+  BASELINE,
+  { ...BASELINE, name: 'loss 1%', lossRate: 0.01 },
+  { ...BASELINE, name: 'loss 5%', lossRate: 0.05 },
+  { ...BASELINE, name: 'sender up to 2 times slower', extraIntervalUs: SECOND },
+  { ...BASELINE, name: 'sender up to 8 times slower', extraIntervalUs: 7 * SECOND },
+  { ...BASELINE, name: 'timers of the detector up to 2 s late', timerDelayUs: 2 * SECOND },
+  { ...BASELINE, name: 'sender frozen for 1 s', freezeUs: SECOND },
+  { ...BASELINE, name: 'sender frozen for 5 s', freezeUs: 5 * SECOND },
+  { ...BASELINE, name: 'sender frozen for 33 s', freezeUs: 33 * SECOND },
+  {
+    name: 'loss 5%, sender up to 2 times slower, timers up to 1 s late',
+    lossRate: 0.05,
+    extraIntervalUs: SECOND,
+    freezeUs: 0,
+    timerDelayUs: SECOND,
+  },
 ];
 
-interface Heard {
+interface ReceivedHeartbeat {
   readonly at: Micros;
-  readonly beat: PeerHeartbeat;
+  readonly heartbeat: PeerHeartbeat;
 }
 
-/** The beats of a sender that ends at `end`, as they arrive. */
-const beats = (c: Case, r: Random, end: Micros): Heard[] => {
-  const out: Heard[] = [];
+/** Generates the heartbeats of a sender that stops at `end`, in order of arrival. */
+const generateHeartbeats = (testCase: TestCase, random: Random, end: Micros): ReceivedHeartbeat[] => {
+  const received: ReceivedHeartbeat[] = [];
   let at: Micros = 0;
-  let nextFreeze: Micros = c.freeze > 0 ? 60 * SECOND : Infinity;
-  let last: Micros = 0;
-  for (let seq = 1; ; seq++) {
-    at += SECOND + r.below(c.slow + 1);
+  let nextFreeze: Micros = testCase.freezeUs > 0 ? 60 * SECOND : Infinity;
+  let lastArrival: Micros = 0;
+  for (let sequence = 1; ; sequence++) {
+    at += SECOND + random.below(testCase.extraIntervalUs + 1);
     if (at >= nextFreeze) {
-      at += c.freeze;
+      at += testCase.freezeUs;
       nextFreeze += 120 * SECOND;
     }
-    if (at >= end) return out;
+    if (at >= end) return received;
     let delay = 1 * MILLI;
-    for (let again = 200 * MILLI; r.chance(c.loss); again *= 2) delay += again;
-    // One connection: what comes after a lost packet waits for it.
-    last = Math.max(last, at + delay);
-    out.push({ at: last, beat: beatOf('p', seq) });
+    for (let retransmitDelay = 200 * MILLI; random.chance(testCase.lossRate); retransmitDelay *= 2)
+      delay += retransmitDelay;
+    // All heartbeats use one connection, so later ones wait for the retransmission of a lost packet.
+    lastArrival = Math.max(lastArrival, at + delay);
+    received.push({ at: lastArrival, heartbeat: beatOf('p', sequence) });
   }
 };
 
-const play = (c: Case, r: Random, end: Micros): { wrong: number; found: Micros } => {
+const simulate = (
+  testCase: TestCase,
+  random: Random,
+  end: Micros,
+): { falseSuspicions: number; detectionTime: Micros } => {
   let now: Micros = 0;
-  const members = new PeerFailureDetector(ON, ['p'], () => now);
-  const inbox = beats(c, r, end);
-  let wrong = 0;
-  for (let i = 0, look = SECOND; ;) {
-    const next = inbox[i];
-    if (next !== undefined && next.at <= look) {
+  const detector = new PeerFailureDetector(SETTINGS, ['p'], () => now);
+  const heartbeats = generateHeartbeats(testCase, random, end);
+  let falseSuspicions = 0;
+  for (let i = 0, nextCheck = SECOND; ;) {
+    const next = heartbeats[i];
+    if (next !== undefined && next.at <= nextCheck) {
       now = next.at;
-      members.receive(next.beat);
+      detector.receive(next.heartbeat);
       i++;
       continue;
     }
-    now = look;
-    const late = r.below(c.late + 1);
-    if (members.suspectSilentPeers(late).length > 0) {
-      if (now >= end) return { wrong, found: now - end };
-      wrong++;
-    } else if (now >= end && members.stateOf('p') === 'suspected') return { wrong, found: 0 };
-    look += SECOND + late;
+    now = nextCheck;
+    const timerDelay = random.below(testCase.timerDelayUs + 1);
+    if (detector.suspectSilentPeers(timerDelay).length > 0) {
+      if (now >= end) return { falseSuspicions, detectionTime: now - end };
+      falseSuspicions++;
+    } else if (now >= end && detector.stateOf('p') === 'suspected')
+      return { falseSuspicions, detectionTime: 0 };
+    nextCheck += SECOND + timerDelay;
   }
 };
 
-const hours = Number(process.argv[2] ?? 20);
-console.log('| case | suspected wrongly, an hour | a peer that ended: median | worst |');
+const HOURS = Number(process.argv[2] ?? 20);
+console.log('| case | false suspicions per hour | detection of a stopped peer: median | worst |');
 console.log('| --- | --- | --- | --- |');
-for (const [k, c] of CASES.entries()) {
-  const found: Micros[] = [];
-  let wrong = 0;
-  for (let h = 0; h < hours; h++) {
-    const p = play(c, new Random(1_000 * k + h + 1), 3_600 * SECOND + ((h * 377) % 1_000) * MILLI);
-    wrong += p.wrong;
-    found.push(p.found);
+for (const [caseIndex, testCase] of CASES.entries()) {
+  const detectionTimes: Micros[] = [];
+  let falseSuspicions = 0;
+  for (let hour = 0; hour < HOURS; hour++) {
+    const result = simulate(
+      testCase,
+      new Random(1_000 * caseIndex + hour + 1),
+      3_600 * SECOND + ((hour * 377) % 1_000) * MILLI,
+    );
+    falseSuspicions += result.falseSuspicions;
+    detectionTimes.push(result.detectionTime);
   }
-  found.sort((a, b) => a - b);
-  const s = (us: Micros): string => (us / SECOND).toFixed(1);
+  detectionTimes.sort((a, b) => a - b);
+  const toSeconds = (us: Micros): string => (us / SECOND).toFixed(1);
   console.log(
-    `| ${c.name} | ${(wrong / hours).toFixed(2)} | ${s(found[Math.floor(found.length / 2)]!)} s | ${s(found.at(-1)!)} s |`,
+    `| ${testCase.name} | ${(falseSuspicions / HOURS).toFixed(2)} | ${toSeconds(detectionTimes[Math.floor(detectionTimes.length / 2)]!)} s | ${toSeconds(detectionTimes.at(-1)!)} s |`,
   );
 }
--- a/packages/emulator/tools/larger.ts
+++ b/packages/emulator/tools/larger.ts
@@ -1,5 +1,5 @@
 /**
- * A larger copy of a site file, with the file of names that it refers to. Plays nothing itself.
+ * Writes a scaled copy of a site file and of the file that its `wire` key names. It doesn't run the site.
  *
  *     npx tsx packages/emulator/tools/larger.ts SITE.toml FOLDER [--times 1.5] [--restart-s 0.2]
  */
@@ -16,25 +16,25 @@
     allowPositionals: true,
     options: { times: { type: 'string', default: '1.5' }, 'restart-s': { type: 'string' } },
   });
-  const [from, folder] = positionals;
+  const [siteFile, folder] = positionals;
   const times = Number(values.times);
   const restartS = values['restart-s'] === undefined ? null : Number(values['restart-s']);
-  const wrong = [
-    from === undefined || folder === undefined ? 'name a site file and a folder' : '',
+  const problems = [
+    siteFile === undefined || folder === undefined ? 'expected a site file and an output folder' : '',
     times > 0 ? '' : '--times: expected a number above 0',
     restartS === null || restartS >= 0 ? '' : '--restart-s: expected seconds, 0 or more',
-  ].filter((w) => w !== '');
-  if (wrong.length > 0 || from === undefined || folder === undefined) {
-    console.error(wrong.join('; '));
+  ].filter((problem) => problem !== '');
+  if (problems.length > 0 || siteFile === undefined || folder === undefined) {
+    console.error(problems.join('; '));
     process.exit(2);
   }
-  const site = larger(parse(readFileSync(from, 'utf8')), times, restartS);
+  const site = larger(parse(readFileSync(siteFile, 'utf8')), times, restartS);
   mkdirSync(folder, { recursive: true });
-  writeFileSync(join(folder, basename(from)), stringify(site));
+  writeFileSync(join(folder, basename(siteFile)), stringify(site));
   const wireName = site['wire'];
-  const wire = join(dirname(from), typeof wireName === 'string' ? wireName : '');
+  const wire = join(dirname(siteFile), typeof wireName === 'string' ? wireName : '');
   if (existsSync(wire)) copyFileSync(wire, join(folder, basename(wire)));
-  console.log(join(folder, basename(from)));
+  console.log(join(folder, basename(siteFile)));
 };
 
 main();
--- a/packages/emulator/tools/mutants.ts
+++ b/packages/emulator/tools/mutants.ts
@@ -1,6 +1,7 @@
 /**
- * Takes the conditions that the rules rest on out, one at a time, on a copy of the sources, and tells which test notices.
- * By hand, from the project's root: `node --import tsx packages/emulator/tools/mutants.ts [PART-OF-NAME]`.
+ * Mutation testing: removes the conditions that the protocol's rules depend on, one at a time, in a copy of the sources,
+ * and reports which test fails. Run it by hand from the project's root:
+ * `node --import tsx packages/emulator/tools/mutants.ts [PART-OF-NAME]`.
  */
 import { spawnSync } from 'node:child_process';
 import {
@@ -18,7 +19,7 @@
 
 import { MUTANTS, occurrences } from '../src/mutants.js';
 
-/** The quickest to notice first; a mutant is done with once one fails. */
+/** Names of test files, those that detect mutants fastest first; the first failure ends the run of a mutant. */
 const TESTS = [
   'usage-totals',
   'bulk-starts',
@@ -34,53 +35,57 @@
 ];
 
 const root = resolve('.');
-const only = process.argv[2] ?? '';
+const nameFilter = process.argv[2] ?? '';
 const copy = mkdtempSync(join(tmpdir(), 'mutants-'));
 try {
   for (const name of ['package.json', 'tsconfig.json']) cpSync(join(root, name), join(copy, name));
-  for (const p of readdirSync(join(root, 'packages')))
-    cpSync(join(root, 'packages', p), join(copy, 'packages', p), {
+  for (const packageName of readdirSync(join(root, 'packages')))
+    cpSync(join(root, 'packages', packageName), join(copy, 'packages', packageName), {
       recursive: true,
       filter: (s) => !s.includes('node_modules'),
     });
-  // Libraries are shared; the project's own packages are the copy's.
+  // Third-party packages are linked from the project; its own packages resolve to the copy.
   mkdirSync(join(copy, 'node_modules', '@shaleyoke'), { recursive: true });
   for (const name of readdirSync(join(root, 'node_modules')))
     if (name !== '@shaleyoke')
       symlinkSync(join(root, 'node_modules', name), join(copy, 'node_modules', name));
   for (const name of readdirSync(join(root, 'node_modules', '@shaleyoke')))
     symlinkSync(join(copy, 'packages', name), join(copy, 'node_modules', '@shaleyoke', name));
-  const noticedBy = (): string | null => {
-    for (const t of TESTS) {
+  const findFailingTest = (): string | null => {
+    for (const testName of TESTS) {
       const run = spawnSync(
         process.execPath,
-        ['--import', 'tsx', '--test', `packages/core/test/${t}.test.ts`],
+        ['--import', 'tsx', '--test', `packages/core/test/${testName}.test.ts`],
         {
           cwd: copy,
           encoding: 'utf8',
           maxBuffer: 64 * 1024 * 1024,
         },
       );
-      if (run.status !== 0) return `${t}: ${/^\s*not ok \d+ - (.*)$/m.exec(run.stdout)?.[1] ?? 'fails'}`;
+      if (run.status !== 0)
+        return `${testName}: ${/^\s*not ok \d+ - (.*)$/m.exec(run.stdout)?.[1] ?? 'fails'}`;
     }
     return null;
   };
-  let survivors = 0;
-  for (const m of MUTANTS.filter((x) => x.name.includes(only))) {
-    const path = join(copy, 'packages/core/src', m.file);
+  let survivorCount = 0;
+  for (const mutant of MUTANTS.filter((x) => x.name.includes(nameFilter))) {
+    const path = join(copy, 'packages/core/src', mutant.file);
     const text = readFileSync(path, 'utf8');
-    const count = occurrences(text, m);
-    if (count !== 1) throw new Error(`${m.name}: what it takes out stands ${count} times in ${m.file}`);
+    const count = occurrences(text, mutant);
+    if (count !== 1)
+      throw new Error(`${mutant.name}: expected its text once, found it ${count} times in ${mutant.file}`);
     writeFileSync(
       path,
-      text.replace(m.from, () => m.to),
+      text.replace(mutant.from, () => mutant.to),
     );
-    const by = noticedBy();
+    const failingTest = findFailingTest();
     writeFileSync(path, text);
-    if (by === null) survivors++;
-    console.log(`${by === null ? 'SURVIVES' : 'noticed'}  ${m.name}${by === null ? '' : `  (${by})`}`);
+    if (failingTest === null) survivorCount++;
+    console.log(
+      `${failingTest === null ? 'SURVIVED' : 'detected'}  ${mutant.name}${failingTest === null ? '' : `  (${failingTest})`}`,
+    );
   }
-  process.exitCode = survivors > 0 ? 1 : 0;
+  process.exitCode = survivorCount > 0 ? 1 : 0;
 } finally {
   rmSync(copy, { recursive: true, force: true });
 }
--- a/packages/emulator/tools/run-tests.ts
+++ b/packages/emulator/tools/run-tests.ts
@@ -1,5 +1,5 @@
 /**
- * Runs tests with Node's test runner and passes over the failures of those that KNOWN-RED.txt lists, and of no others.
+ * Runs tests with Node's test runner and ignores only the failures of tests that KNOWN-RED.txt lists.
  *
  *     npx tsx packages/emulator/tools/run-tests.ts packages/core/test/*.test.ts
  */
@@ -12,15 +12,15 @@
 
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
-const LIST = 'KNOWN-RED.txt';
+const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const REPORTER = new URL('test-results-reporter.mjs', import.meta.url).pathname;
 
-/** Runs the tests, with the usual report on standard output. */
+/** Runs the tests with the spec reporter on standard output, and collects the results of top-level tests. */
 const runTests = (files: readonly string[]): { results: TestResult[]; endedNormally: boolean } => {
   const folder = mkdtempSync(join(tmpdir(), 'shaleyoke-tests-'));
   const resultsFile = join(folder, 'results.jsonl');
   try {
-    const run = spawnSync(
+    const testRun = spawnSync(
       process.execPath,
       [
         '--import',
@@ -36,7 +36,7 @@
     );
     const lines = existsSync(resultsFile) ? readFileSync(resultsFile, 'utf8').trim().split('\n') : [];
     const results = lines.filter((line) => line !== '').map((line) => JSON.parse(line) as TestResult);
-    return { results, endedNormally: run.status === 0 || run.status === 1 };
+    return { results, endedNormally: testRun.status === 0 || testRun.status === 1 };
   } finally {
     rmSync(folder, { recursive: true, force: true });
   }
@@ -44,10 +44,10 @@
 
 const main = (files: readonly string[]): number => {
   if (files.length === 0) {
-    console.error('error: no test file is named: run-tests.ts FILE...');
+    console.error('error: no test files given; usage: run-tests.ts FILE...');
     return EXIT_USAGE;
   }
-  const knownRed = existsSync(LIST) ? parseKnownRed(readFileSync(LIST, 'utf8')) : [];
+  const knownRed = existsSync(KNOWN_RED_FILE) ? parseKnownRed(readFileSync(KNOWN_RED_FILE, 'utf8')) : [];
   const { results, endedNormally } = runTests(files);
   const { report, problems } = judge(results, knownRed);
   for (const line of report) console.log(line);
@@ -60,6 +60,6 @@
   process.exitCode = main(process.argv.slice(2));
 } catch (error) {
   if (!(error instanceof KnownRedListError)) throw error;
-  console.error(`error: ${LIST}: ${error.message}`);
+  console.error(`error: ${KNOWN_RED_FILE}: ${error.message}`);
   process.exitCode = EXIT_USAGE;
 }
--- a/packages/emulator/tools/test-results-reporter.mjs
+++ b/packages/emulator/tools/test-results-reporter.mjs
@@ -1,4 +1,4 @@
-/** A reporter of Node's test runner: a line of JSON for each top-level test, for run-tests.ts. */
+/** A reporter for Node's test runner that writes a line of JSON for each top-level test, as run-tests.ts reads it. */
 
 /**
  * @param {AsyncIterable<{ type: string, data: { name: string, nesting: number } }>} events
