--- a/packages/emulator/src/scale/capacity.ts
+++ b/packages/emulator/src/scale/capacity.ts
@@ -25,19 +25,19 @@
   leaderCores: 1,
   leaderMemoryMb: 4_096,
   /** Limits of the key-value store and the cloud API in today's largest deployment. */
-  statePutsPerSecond: 25,
-  stateBytesPerSecond: 25 * 16 * 1024,
+  storePutsPerSecond: 25,
+  storeBytesPerSecond: 25 * 16 * 1024,
   cloudCallsPerSecond: 6,
   cloudListPage: 500,
   leaderSockets: 20_000,
   /** Job submissions through the largest load balancer in a peak hour, as a multiple of the day's mean. */
-  jobPeak: 4,
+  peakJobRateFactor: 4,
   putsPerJob: 3,
   /** Maximum time from a leader's failure to its successor's first plan. */
   takeoverS: 20,
   /** A worker sends a heartbeat after each state change, limited to this rate. */
-  mostReportsPerWorkerPerSecond: 2,
-  reportEveryS: 3,
+  maxHeartbeatsPerWorkerPerSecond: 2,
+  heartbeatIntervalS: 3,
   secondsPerDay: 86_400,
   attemptsPerTerm: 2 ** 24,
 } as const;
@@ -103,20 +103,20 @@
 
 /** Costs of the control plane: per operation, or as lines over the number of workers. */
 interface FittedCosts {
-  readonly restCore: Line;
+  readonly idleCore: Line;
   readonly startCoreS: number;
-  readonly reportSocketCoreS: number;
+  readonly heartbeatCoreSWithNetwork: number;
   /** Without the heartbeats that a start causes. */
-  readonly startSocketCoreS: number;
+  readonly startCoreSWithNetwork: number;
   readonly memoryMb: Line;
   readonly putsPerStart: number;
   readonly bytesPerStart: number;
   readonly takeoverS: Line;
-  readonly orderCallsPerStart: number;
+  readonly commandRequestsPerStart: number;
 }
 
 /** Leader CPU time per start including network I/O: that of the busiest run, less the share of its heartbeats. */
-const startSocketCoreS = (busiest: HollowReport, reportCoreS: number): number =>
+const startCoreSWithNetwork = (busiest: HollowReport, reportCoreS: number): number =>
   (leaderUsage(busiest).coreShare - reportCoreS * busiest.reportsPerSecond) / busiest.startsPerSecond;
 
 const fitCosts = ({ slopes, hollow, rest }: Measurements): FittedCosts => {
@@ -124,22 +124,22 @@
   const pointsBySize = (value: (r: SizeReport) => number): Point[] =>
     sizes.map((r) => ({ x: r.machines, y: value(r) }));
   const largest = sizes.at(-1)!;
-  const reportCoreS = fitLine(
+  const heartbeatCoreS = fitLine(
     rest.map(({ result }) => ({ x: result.reportsPerSecond, y: leaderUsage(result).coreShare })),
   ).slope;
   const busiest = hollow.reduce((x, y) => (y.result.startsPerSecond > x.result.startsPerSecond ? y : x));
   return {
-    restCore: fitLine(pointsBySize((r) => r.rest.coreShare)),
+    idleCore: fitLine(pointsBySize((r) => r.rest.coreShare)),
     startCoreS: largest.burst.coreMsPerStart / 1_000,
-    reportSocketCoreS: reportCoreS,
-    startSocketCoreS: startSocketCoreS(busiest.result, reportCoreS),
+    heartbeatCoreSWithNetwork: heartbeatCoreS,
+    startCoreSWithNetwork: startCoreSWithNetwork(busiest.result, heartbeatCoreS),
     memoryMb: fitLine(
       hollow.map(({ result }) => ({ x: result.options.workers, y: leaderUsage(result).memoryMb })),
     ),
     putsPerStart: largest.burst.putsPerStart,
     bytesPerStart: largest.burst.bytesPerStart,
     takeoverS: fitLine(pointsBySize((r) => r.takeover.readyAfterS ?? Infinity)),
-    orderCallsPerStart: largest.burst.orderCalls / Math.max(1, largest.burst.starts),
+    commandRequestsPerStart: largest.burst.orderCalls / Math.max(1, largest.burst.starts),
   };
 };
 
@@ -153,13 +153,14 @@
   ).result;
   const largestSlope = measurements.slopes.result.sizes.at(-1)!;
   const memoryEvidence = largestHollow.options.workers >= workers ? 'measured' : 'extrapolated';
-  const idleReportsPerWorker = 1 / ASSUMED.reportEveryS;
+  const idleHeartbeatsPerWorker = 1 / ASSUMED.heartbeatIntervalS;
   // Each task start and end causes a heartbeat, up to the limit of two per second and worker.
-  const peakReportsPerWorker = Math.min(
-    ASSUMED.mostReportsPerWorkerPerSecond,
-    idleReportsPerWorker + 2 * startsPerWorker,
+  const peakHeartbeatsPerWorker = Math.min(
+    ASSUMED.maxHeartbeatsPerWorkerPerSecond,
+    idleHeartbeatsPerWorker + 2 * startsPerWorker,
   );
-  const peakJobPuts = (ASSUMED.putsPerJob * ASSUMED.jobPeak * TARGET.jobsPerDay) / ASSUMED.secondsPerDay;
+  const peakJobPuts =
+    (ASSUMED.putsPerJob * ASSUMED.peakJobRateFactor * TARGET.jobsPerDay) / ASSUMED.secondsPerDay;
   const pages = workers / ASSUMED.cloudListPage;
   const workerProcesses = workerUsages(largestHollow);
   const hollowWorkers = largestHollow.options.workers;
@@ -186,7 +187,7 @@
       'leader',
       'processor at rest, decisions alone',
       'cores',
-      costs.restCore,
+      costs.idleCore,
       ASSUMED.leaderCores,
       'measured',
       'one leader',
@@ -204,7 +205,7 @@
       'leader',
       'processor for starts at the peak, with sockets and without reports',
       'cores',
-      proportionalLine(costs.startSocketCoreS * startsPerWorker),
+      proportionalLine(costs.startCoreSWithNetwork * startsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'one call a machine and step; missing: orders through the other controllers',
@@ -213,7 +214,7 @@
       'leader',
       'processor for reports at rest, with sockets',
       'cores',
-      proportionalLine(costs.reportSocketCoreS * idleReportsPerWorker),
+      proportionalLine(costs.heartbeatCoreSWithNetwork * idleHeartbeatsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'missing: reports through the other controllers',
@@ -222,7 +223,7 @@
       'leader',
       'processor for reports at the peak, with sockets',
       'cores',
-      proportionalLine(costs.reportSocketCoreS * peakReportsPerWorker),
+      proportionalLine(costs.heartbeatCoreSWithNetwork * peakHeartbeatsPerWorker),
       ASSUMED.leaderCores,
       'extrapolated',
       'missing: reports through the other controllers',
@@ -241,7 +242,7 @@
       'leader',
       'calls to /orders at the peak',
       'calls/s',
-      proportionalLine(costs.orderCallsPerStart * startsPerWorker),
+      proportionalLine(costs.commandRequestsPerStart * startsPerWorker),
       Infinity,
       'extrapolated',
       'one call a machine and step; missing: starts in answers to reports',
@@ -260,7 +261,7 @@
       'puts for starts at the peak',
       'puts/s',
       proportionalLine(costs.putsPerStart * startsPerWorker),
-      ASSUMED.statePutsPerSecond,
+      ASSUMED.storePutsPerSecond,
       'extrapolated',
       'pages; missing: places by plan, not by job',
     ),
@@ -269,16 +270,16 @@
       'bytes for starts at the peak',
       'bytes/s',
       proportionalLine(costs.bytesPerStart * startsPerWorker),
-      ASSUMED.stateBytesPerSecond,
+      ASSUMED.storeBytesPerSecond,
       'extrapolated',
       'pages; missing: places by plan, not by job',
     ),
     row(
       'state service',
-      `puts of jobs at ${ASSUMED.jobPeak} times the day's mean`,
+      `puts of jobs at ${ASSUMED.peakJobRateFactor} times the day's mean`,
       'puts/s',
       proportionalLine(peakJobPuts / workers),
-      ASSUMED.statePutsPerSecond,
+      ASSUMED.storePutsPerSecond,
       'estimated',
       'missing: acceptances of a moment in one transaction',
     ),
@@ -365,16 +366,16 @@
     'how known',
     'mechanism',
   ];
-  const cells = rows.map((r) => [
-    r.role,
-    r.requirement,
-    formatFigure(r.demand),
-    formatFigure(r.budget),
-    r.unit,
-    Number.isFinite(r.budget) ? formatFigure(r.demand / r.budget) : '',
-    Number.isFinite(r.exceededAtWorkers) ? formatFigure(r.exceededAtWorkers) : 'not',
-    r.evidence,
-    r.mechanism,
+  const cells = rows.map((row) => [
+    row.role,
+    row.requirement,
+    formatFigure(row.demand),
+    formatFigure(row.budget),
+    row.unit,
+    Number.isFinite(row.budget) ? formatFigure(row.demand / row.budget) : '',
+    Number.isFinite(row.exceededAtWorkers) ? formatFigure(row.exceededAtWorkers) : 'not',
+    row.evidence,
+    row.mechanism,
   ]);
   return [head, head.map(() => '---'), ...cells].map((row) => `| ${row.join(' | ')} |`).join('\n');
 };
--- a/packages/emulator/tools/scale.ts
+++ b/packages/emulator/tools/scale.ts
@@ -179,8 +179,8 @@
   if (report.endedByThemselves.length > 0 || report.settledS === null) process.exitCode = 1;
 };
 
-const program = new Command('scale').exitOverride((e) => {
-  process.exit(e.exitCode === 0 ? 0 : EXIT_USAGE);
+const program = new Command('scale').exitOverride((error) => {
+  process.exit(error.exitCode === 0 ? 0 : EXIT_USAGE);
 });
 program
   .command('slopes')
@@ -246,8 +246,8 @@
     try {
       const table = capacityTable(capacityRows(readMeasurements(folder)));
       writeFileSync(page, replaceTable(readFileSync(page, 'utf8'), table));
-    } catch (e) {
-      console.error(`error: ${(e as Error).message}`);
+    } catch (error) {
+      console.error(`error: ${(error as Error).message}`);
       process.exitCode = EXIT_USAGE;
     }
   });
