--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,10 +7,9 @@
 const NOT_YET_READABLE = [
   'packages/budgets/src/{books,commands,explain,feature,packing,reader,store}.ts',
   'packages/demo/src/**',
-  // Of the emulator all but the soak.
   'packages/emulator/src/*.ts',
-  'packages/emulator/src/digest/**',
-  'packages/emulator/src/scale/**',
+  'packages/emulator/src/scale/capacity.ts',
+  'packages/emulator/src/scale/hollow.ts',
   'packages/kubernetes/src/**',
 ];
 
