--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Whole services in simulated time: any number of controllers, and state service, cloud, workers and users as models,
- * joined by a network. They keep the rules as invariants: whatever breaks one is collected in `broken`.
+ * Simulation of a whole deployment in virtual time: real controller cores, connected by a simulated network to models of the
+ * state service, the cloud, the workers and the users. The models check the protocol's invariants and collect each
+ * violation in `broken`.
  */
 import { decodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { activeJobKey } from '@shaleyoke/core/codecs/keys';
@@ -25,231 +26,252 @@
 import type { StepMeter } from './step-meter.js';
 import { Timeline } from './timeline.js';
 import { UsersModel } from './users-model.js';
-import { Work } from './work.js';
+import { Workload } from './work.js';
 import { type Worker, WorkersModel } from './workers-model.js';
 
 type StoreRequestEffect = CoreEffect & { readonly kind: 'storeRequest' };
 
-interface SimNode {
+/** A controller process. */
+interface SimulatedNode {
   name: string;
+  /** Null while the process is down. */
   core: Core | null;
-  life: number;
-  wake: Micros | null;
-  startAt: Micros;
-  /** Stands still until then, while its clocks run on. */
+  /** Increases at each start and crash, so that callbacks of an earlier process are discarded. */
+  incarnation: number;
+  /** When the core asked for its next timer, in simulation time; null: no timer is set. */
+  wakeAt: Micros | null;
+  startedAt: Micros;
+  /** The process is paused until then, while its clock keeps running. */
   frozenUntil: Micros;
-  /** Of its steady clock: more than 1 is too fast. */
+  /** Rate of its monotonic clock relative to simulation time: above 1 it runs fast. */
   rate: number;
-  /** Inputs that wait for the end of the step under way; used only while a meter is attached. */
+  /** Inputs queued while a step is in progress; used only with a meter. */
   inbox: Input[];
   stepping: boolean;
-  /** The process's rate limiter; null: its requests to the store are not limited. */
+  /** The process's client-side rate limiter; null: its requests to the store are not limited. */
   storeAccess: LimitedStoreAccess | null;
 }
 
-/** Whoever calls gives the call up after that. */
-const CALL_PATIENCE: Micros = 1200 * MILLI;
-/** Users wait for so long for the answer to a poll, and to another request. */
-const POLL_PATIENCE: Micros = 2 * SECOND;
-const REQUEST_PATIENCE: Micros = 5 * SECOND;
-/** Orders whose way to the worker is cut or late are waited for a little longer. */
-const ORDERS_PATIENCE: Micros = 2500 * MILLI;
-const LOST: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
-const REFUSED = { kind: 'failed', executed: false, cause: 'refused', reason: '503' } as const;
-
+/** Timeout of a controller's call to the state service or the cloud. */
+const CALL_TIMEOUT: Micros = 1200 * MILLI;
+/** Timeouts of users: for a poll, and for any other request. */
+const POLL_TIMEOUT: Micros = 2 * SECOND;
+const REQUEST_TIMEOUT: Micros = 5 * SECOND;
+/** Timeout of commands to a worker that is unreachable or slow to receive them. */
+const COMMAND_TIMEOUT: Micros = 2500 * MILLI;
+const REPLY_LOST: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
+const REPLY_REFUSED = { kind: 'failed', executed: false, cause: 'refused', reason: '503' } as const;
+
+/** How the simulation sets up and observes the controllers' cores. */
 export interface CoreOptions {
-  /** The operators' own settings (YAML). */
+  /** The operators' settings file (YAML). */
   readonly operators?: string;
-  /** What bounds the time of a plan; else that of the meter, or one that stands still. */
+  /** Measures the time that a planning run may take. Default: the meter's stopwatch, or one that always reads 0. */
   readonly stopwatch?: () => Micros;
-  /** Told of each effect of each controller, with the present time, before it is carried out. */
+  /** Called with each effect of each controller, and the current time, before it is executed. */
   readonly onEffect?: (node: string, effect: CoreEffect, now: Micros) => void;
-  /** Whether the store keeps to the announced limits, and each process to its share of them. */
+  /** Whether the store enforces the limits in the settings, and each process limits itself to its share of them. */
   readonly limitStoreRequests?: boolean;
 }
 
+/** A simulated deployment with fault injection. Unless a real stopwatch is used, equal seeds and calls give equal runs. */
 export class ClusterSimulation {
+  /** Violations of invariants, and errors that controllers logged. */
   readonly broken: string[] = [];
-  readonly nodes: SimNode[];
-  readonly work = new Work();
+  /** Controller processes; methods refer to them by index. */
+  readonly nodes: SimulatedNode[];
+  /** Submitted jobs, and the tasks that workers have completed. */
+  readonly work = new Workload();
+  /** The machines and the workers on them. */
   readonly machines: WorkersModel;
+  /** Rents the machines, and can run out of them or be down. */
   readonly cloud: CloudModel;
+  /** Submit, poll and cancel jobs, and check what they are told. */
   readonly users: UsersModel;
-  /** Chance that a call's answer is lost, and that the call is only carried out later. */
+  /**
+   * Probability that a call's request or reply is lost; a lost request may still be executed up to 30 s later. One-way
+   * messages are lost half as often.
+   */
   loss = 0;
-  /** Chance that what was carried out is carried out once more, up to half a minute later. */
+  /** Probability that a delivered message or an executed call is repeated, up to 30 s later. */
   repeats = 0;
-  /** Nodes that get to their work only so often, by name: all that came since is done then. */
+  /** Nodes that process input only at this interval, by name: inputs that arrive in between are processed together. */
   readonly stutter = new Map<string, Micros>();
-  /** Chance that the state service takes up to so long for an operation; who has given it up hears nothing. */
+  /** Share of the state service's operations that are delayed by up to `most`; replies after the caller's timeout are dropped. */
   stateSlow: { share: number; most: Micros } | null = null;
-  /** What is asked of the state service is carried out at once, and answered up to so long later. */
+  /** The state service executes requests at once and delays its replies by up to this. */
   answersSlow: Micros = 0;
-  /** Answers to watches reach nobody until then, whatever else is answered. */
+  /** Replies to watches are held back until then; other replies aren't affected. */
   watchesHangUntil: Micros = 0;
-  /** Chance that a command to a worker is held up for up to so long: it is executed then, and nobody hears the answer. */
+  /** Share of commands to workers that are executed after the caller's timeout, by up to `most`; their replies are lost. */
   ordersLate: { share: number; most: Micros } | null = null;
-  /** Commands that were held up and executed, or refused, after the caller had given up. */
+  /** Commands that reached their worker after the caller's timeout. */
   lateOrders = 0;
-  /** Chance that a transaction gets no answer and is carried out 2 to 12 s later, after newer ones. */
+  /** Probability that a transaction gets no reply and is applied 2 to 12 s later, possibly after newer ones. */
   lateWrites = 0;
-  /** Chance that a transaction is carried out at once and only its answer is lost. */
+  /** Probability that a transaction is applied at once and only its reply is lost. */
   answersLost = 0;
-  /** Transactions whose answers alone were lost, by the keys that they wrote. */
+  /** Number of writes in transactions of which only the reply was lost, by key prefix, or `delete`. */
   readonly unanswered = new Map<string, number>();
-  /** Chance that a copy of a report is kept, and reaches every controller as the next leader begins. */
+  /** Probability that a copy of a heartbeat is kept, and delivered to every controller after the next leader election. */
   keepReports = 0;
-  private kept: Heartbeat[] = [];
-  /** Copies of kept reports that reached a controller. */
+  private keptHeartbeats: Heartbeat[] = [];
+  /** Copies of kept heartbeats that were delivered. */
   keptArrived = 0;
-  /** Transactions that were carried out so late, and those among them whose conditions still held. */
+  /** Transactions that `lateWrites` delayed, and those of them whose conditions still held. */
   readonly lateWritten = { all: 0, applied: 0 };
-  /** The only node that watches hang and lists are late for; null: all. */
+  /** The only node whose watches hang and whose lists are delayed; null: all nodes. */
   lateFor: string | null = null;
-  /** Nodes that the state service refuses alone, and until when. */
-  private readonly refused = new Map<string, Micros>();
-  /** How much later than others the answers to lists come. */
+  /** Nodes that the state service answers with 503, and until when. */
+  private readonly refusedUntil = new Map<string, Micros>();
+  /** Additional delay of the replies to lists. */
   listDelay: Micros = 0;
+  /** The store that the controllers share. */
   readonly state = new StateModel(
     () => this.now,
     (run) => {
-      this.plan(2 * MILLI, run);
+      this.schedule(2 * MILLI, run);
     },
   );
-  /** Links of nodes: by their names, `state`, `cloud`, and the names of workers. */
+  /** Network links; the endpoints are the names of nodes and workers, `state` and `cloud`. */
   readonly network = new Network(() => this.now);
-  /** Told of each transaction that a node sends, with its writes. */
+  /** Called with the written keys of each transaction that a node sends. */
   onWrite: (node: string, keys: readonly string[]) => void = () => undefined;
-  /** Measures the steps of nodes, whose processor time then passes on their clocks; null: steps take no time. */
+  /** Measures the processor time of steps, which then delays their effects; null: steps take no simulated time. */
   meter: StepMeter | null = null;
-  /** What nodes log, for those who look at it. */
+  /** Called with each log event of a node. */
   onLog: (node: string, event: string, fields: LogFields) => void = () => undefined;
-  private readonly time = new Timeline();
+  private readonly timeline = new Timeline();
   private nextRequest = 1;
-  private readonly asking = new Map<string, (a: ClientResponse) => void>();
-  private readonly askingFeatures = new Map<string, (answer: unknown, last: boolean) => void>();
-  private readonly reporting = new Map<string, (a: HeartbeatResponse) => void>();
+  private readonly pendingClientRequests = new Map<string, (answer: ClientResponse) => void>();
+  private readonly pendingFeatureRequests = new Map<string, (answer: unknown, last: boolean) => void>();
+  private readonly pendingHeartbeats = new Map<string, (answer: HeartbeatResponse) => void>();
 
   constructor(
+    /** Decides all that is random in the simulation. */
     readonly random: Random,
-    count = 3,
+    nodeCount = 3,
+    /** The teams in the settings, as TOML. */
     public teams = '[[cluster.teams]]\nname = "t"\ncpus_max = 10.0\n',
-    readonly limitCores = 10,
-    /** Machines that the cloud has in each zone. */
-    readonly perZone = 4,
-    /** Limits that the settings announce. */
-    readonly next = '',
-    /** What is switched on in each process; made anew for each. */
+    /** Cores that a team may use at a time; more is a violation. */
+    readonly teamCores = 10,
+    /** Machines that the cloud can provide in each zone. */
+    readonly machinesPerZone = 4,
+    /** Future limits of the state service that the settings announce, as TOML. */
+    readonly announcedLimits = '',
+    /** Creates the optional features of a process; called at each start. */
     readonly features: () => readonly Feature[] = () => [],
-    /** Time of day at the world's beginning; may be set back between starts of processes. */
+    /** Wall-clock time at the start of the simulation; may be set back between starts of processes. */
     public wallStart: Micros = 0,
-    /** Whether controllers send beats; read at each start of a process. */
+    /** Settings of heartbeats between controllers, null: none are sent. Read at each start of a process. */
     public membership: MembershipSettings | null = null,
-    /** How the controllers' core is set up; read at each start of a process. */
+    /** How cores are set up; read at each start of a process. */
     readonly coreOptions: CoreOptions = {},
   ) {
-    const { time } = this;
-    const broke = (what: string): void => {
-      this.broken.push(what);
+    const { timeline } = this;
+    const reportViolation = (violation: string): void => {
+      this.broken.push(violation);
     };
     this.machines = new WorkersModel(
       {
         get now(): Micros {
-          return time.now;
+          return timeline.now;
         },
-        nodes: count,
-        describe: (id) => this.describe(id),
+        nodes: nodeCount,
+        findSpec: (id) => this.findSpec(id),
         cancelledAt: (id) => this.users.cancelledAt.get(id),
-        broke,
-        report: (w) => {
-          this.report(w);
+        reportViolation,
+        sendHeartbeat: (worker) => {
+          this.sendHeartbeat(worker);
         },
-        ended: (name) => {
-          this.cloud.ended(name);
+        machineTerminated: (name) => {
+          this.cloud.closeBill(name);
         },
       },
       this.work,
       random,
-      limitCores,
+      teamCores,
     );
-    this.cloud = new CloudModel(() => this.now, this.machines, perZone);
+    this.cloud = new CloudModel(() => this.now, this.machines, machinesPerZone);
     this.users = new UsersModel(
       {
         get now(): Micros {
-          return time.now;
+          return timeline.now;
         },
-        nodes: count,
-        ask: (node, body, then) => {
-          this.ask(node, body, then);
+        nodes: nodeCount,
+        ask: (nodeIndex, body, onResponse) => {
+          this.sendClientRequest(nodeIndex, body, onResponse);
         },
-        later: (delay, run) => {
-          this.plan(delay, run);
+        schedule: (delay, run) => {
+          this.schedule(delay, run);
         },
-        broke,
+        reportViolation,
       },
       this.work,
       random,
     );
-    const names = Array.from({ length: count }, (_, i) => `n${i}`);
+    const names = Array.from({ length: nodeCount }, (_, i) => `n${i}`);
     this.nodes = names.map((name) => ({
       name,
       core: null,
-      life: 0,
-      wake: null,
-      startAt: 0,
+      incarnation: 0,
+      wakeAt: null,
+      startedAt: 0,
       frozenUntil: 0,
       rate: 1,
       inbox: [],
       stepping: false,
       storeAccess: null,
     }));
-    for (const n of this.nodes) this.boot(n);
+    for (const node of this.nodes) this.boot(node);
   }
 
+  /** Simulation time. */
   get now(): Micros {
-    return this.time.now;
+    return this.timeline.now;
   }
 
+  /** The wall-clock time of all nodes. */
   get wall(): Micros {
     return this.wallStart + this.now;
   }
 
-  private plan(delay: Micros, run: () => void): void {
-    this.time.plan(delay, run);
+  private schedule(delay: Micros, run: () => void): void {
+    this.timeline.schedule(delay, run);
   }
 
-  /** A late copy, now and then: at once, or when much else has happened. */
-  private again(run: () => void): void {
+  /** With the probability `repeats`, runs the delivery again: within half a second, or within 30 s. */
+  private maybeRepeat(run: () => void): void {
     if (this.repeats > 0 && this.random.chance(this.repeats))
-      this.plan(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLI, run);
+      this.schedule(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLI, run);
   }
 
   // ---- nodes -------------------------------------------------------------------------------------
 
-  private boot(n: SimNode): void {
-    n.life++;
-    n.inbox = [];
-    n.stepping = false;
-    n.startAt = this.now;
+  private boot(node: SimulatedNode): void {
+    node.incarnation++;
+    node.inbox = [];
+    node.stepping = false;
+    node.startedAt = this.now;
     const settings = settingsFor(
-      n.name,
+      node.name,
       this.nodes.map((x) => x.name),
       this.teams,
-      this.next,
+      this.announcedLimits,
       this.membership,
       this.coreOptions.operators ?? null,
     );
-    n.storeAccess = this.coreOptions.limitStoreRequests === true ? this.limitedAccess(settings) : null;
-    n.core = new Core(
+    node.storeAccess = this.coreOptions.limitStoreRequests === true ? this.limitedAccess(settings) : null;
+    node.core = new Core(
       settings,
       this.coreOptions.stopwatch ?? (() => this.meter?.stopwatch() ?? 0),
       true,
       this.features(),
     );
-    this.feed(n, { kind: 'start', wallUs: this.wall });
+    this.step(node, { kind: 'start', wallUs: this.wall });
   }
 
-  /** The store and the process keep to the limits that the settings announce. */
+  /** Makes the store enforce the limits in the settings, and limits the process to its share of them. */
   private limitedAccess(settings: Settings): LimitedStoreAccess {
     this.state.requestsPerSecond = settings.storeRequestsPerS;
     this.state.writesPerSecond = settings.storeWritesPerS;
@@ -257,429 +279,453 @@
       settings,
       () => this.now,
       (delay, run) => {
-        this.plan(delay, run);
+        this.schedule(delay, run);
       },
     );
   }
 
-  crash(i: number, downFor: Micros): void {
-    const n = this.nodes[i]!;
-    if (n.core === null) return;
-    n.core = null;
-    n.life++;
-    n.wake = null;
-    this.plan(downFor, () => {
-      this.boot(n);
+  /** Ends the process without notice, and starts it again after `downFor`. */
+  crash(nodeIndex: number, downFor: Micros): void {
+    const node = this.nodes[nodeIndex]!;
+    if (node.core === null) return;
+    node.core = null;
+    node.incarnation++;
+    node.wakeAt = null;
+    this.schedule(downFor, () => {
+      this.boot(node);
     });
   }
 
-  /** How long a node that stutters still rests. */
-  private restOf(n: SimNode): Micros {
-    if (n.frozenUntil > this.now) return n.frozenUntil - this.now;
-    const every = this.stutter.get(n.name);
-    return every === undefined ? 0 : (every - (this.now % every)) % every;
+  /** For how long the node still processes no input, because it is frozen or stutters. */
+  private remainingPause(node: SimulatedNode): Micros {
+    if (node.frozenUntil > this.now) return node.frozenUntil - this.now;
+    const interval = this.stutter.get(node.name);
+    return interval === undefined ? 0 : (interval - (this.now % interval)) % interval;
   }
 
-  /** The node stands still for so long, while its clock runs on. */
-  freeze(i: number, length: Micros): void {
-    this.nodes[i]!.frozenUntil = this.now + length;
+  /** Pauses the process, as a garbage collection or a suspended machine would; its clock keeps running. */
+  freeze(nodeIndex: number, length: Micros): void {
+    this.nodes[nodeIndex]!.frozenUntil = this.now + length;
   }
 
-  /** The state service answers this node with 503 for so long, and others as ever; its open watches wait. */
+  /** Makes the state service answer 503 to this node alone; its open watches are answered afterwards. */
   refuse(name: string, length: Micros): void {
-    this.refused.set(name, this.now + length);
+    this.refusedUntil.set(name, this.now + length);
   }
 
-  private isLate(name: string): boolean {
+  private isDelayed(name: string): boolean {
     return this.lateFor === null || this.lateFor === name;
   }
 
-  private refusedFor(name: string): Micros {
-    return Math.max(0, (this.refused.get(name) ?? 0) - this.now);
+  private remainingRefusal(name: string): Micros {
+    return Math.max(0, (this.refusedUntil.get(name) ?? 0) - this.now);
   }
 
-  private feed(n: SimNode, input: Input): void {
-    if (n.core === null) return;
-    const { life } = n;
-    const rest = this.restOf(n);
-    if (rest > 0) {
-      this.plan(rest, () => {
-        if (n.life === life) this.feed(n, input);
+  /** Passes an input to the node's core and executes the effects, after the node's pause if it has one. */
+  private step(node: SimulatedNode, input: Input): void {
+    if (node.core === null) return;
+    const { incarnation } = node;
+    const pause = this.remainingPause(node);
+    if (pause > 0) {
+      this.schedule(pause, () => {
+        if (node.incarnation === incarnation) this.step(node, input);
       });
       return;
     }
-    if (this.meter === null) for (const e of n.core.step(this.localTime(n), input)) this.perform(n, life, e);
+    if (this.meter === null)
+      for (const effect of node.core.step(this.localTime(node), input))
+        this.performEffect(node, incarnation, effect);
     else {
-      n.inbox.push(input);
-      this.stepMetered(n, this.meter);
+      node.inbox.push(input);
+      this.stepMetered(node, this.meter);
     }
   }
 
-  private localTime(n: SimNode): Micros {
-    return Math.floor((this.now - n.startAt) * n.rate) + 1;
+  private localTime(node: SimulatedNode): Micros {
+    return Math.floor((this.now - node.startedAt) * node.rate) + 1;
   }
 
-  /** Takes the node's next input. Its effects leave, and the input after it is taken, once the step's time has passed. */
-  private stepMetered(n: SimNode, meter: StepMeter): void {
-    if (n.stepping || n.core === null) return;
-    const input = n.inbox.shift();
+  /** Processes the node's next input. Its effects and the next input follow once the measured time has passed. */
+  private stepMetered(node: SimulatedNode, meter: StepMeter): void {
+    if (node.stepping || node.core === null) return;
+    const input = node.inbox.shift();
     if (input === undefined) return;
-    const { life } = n;
-    n.stepping = true;
-    const began = meter.stopwatch();
-    const effects = n.core.step(this.localTime(n), input);
-    const elapsedUs = meter.stopwatch() - began;
-    meter.stepped(n.name, input, elapsedUs, effects);
-    this.plan(elapsedUs, () => {
-      if (n.life !== life) return;
-      for (const effect of effects) this.perform(n, life, effect);
-      n.stepping = false;
-      this.stepMetered(n, meter);
+    const { incarnation } = node;
+    node.stepping = true;
+    const startedAt = meter.stopwatch();
+    const effects = node.core.step(this.localTime(node), input);
+    const elapsedUs = meter.stopwatch() - startedAt;
+    meter.stepped(node.name, input, elapsedUs, effects);
+    this.schedule(elapsedUs, () => {
+      if (node.incarnation !== incarnation) return;
+      for (const effect of effects) this.performEffect(node, incarnation, effect);
+      node.stepping = false;
+      this.stepMetered(node, meter);
     });
   }
 
-  private perform(n: SimNode, life: number, e: CoreEffect): void {
-    this.coreOptions.onEffect?.(n.name, e, this.now);
-    const back = (input: Input): void => {
-      if (n.life === life) this.feed(n, input);
+  private performEffect(node: SimulatedNode, incarnation: number, effect: CoreEffect): void {
+    this.coreOptions.onEffect?.(node.name, effect, this.now);
+    const deliverInput = (input: Input): void => {
+      if (node.incarnation === incarnation) this.step(node, input);
     };
-    switch (e.kind) {
+    switch (effect.kind) {
       case 'storeRequest':
-        this.requestStore(n, e, (reply) => {
-          back({ kind: 'storeReply', call: e.call, reply });
+        this.requestStore(node, effect, (reply) => {
+          deliverInput({ kind: 'storeReply', call: effect.call, reply });
         });
         return;
       case 'cloudRequest':
-        this.carry<CloudReply>(
-          () => this.cloud.apply(e.op),
-          (r) => {
-            back({ kind: 'cloudReply', call: e.call, reply: r });
+        this.call<CloudReply>(
+          () => this.cloud.apply(effect.op),
+          (reply) => {
+            deliverInput({ kind: 'cloudReply', call: effect.call, reply });
           },
           { kind: 'failed', reason: 'lost' },
           null,
-          n.name,
+          node.name,
           'cloud',
         );
         return;
       case 'workerCommands':
-        this.carryOrders(n, e, (r) => {
-          back({ kind: 'commandReply', call: e.call, reply: r });
+        this.sendCommands(node, effect, (reply) => {
+          deliverInput({ kind: 'commandReply', call: effect.call, reply });
         });
         return;
       case 'clientResponse':
-        this.asking.get(`${n.name}/${life}/${e.request}`)?.(e.answer);
+        this.pendingClientRequests.get(`${node.name}/${incarnation}/${effect.request}`)?.(effect.answer);
         return;
       case 'heartbeatResponse': {
-        const reply = this.reporting.get(`${n.name}/${life}/${e.request}`);
-        reply?.(e.answer);
+        const respond = this.pendingHeartbeats.get(`${node.name}/${incarnation}/${effect.request}`);
+        respond?.(effect.answer);
         return;
       }
       case 'featureResponse':
-        this.askingFeatures.get(`${n.name}/${life}/${e.request}`)?.(e.answer, e.last);
+        this.pendingFeatureRequests.get(`${node.name}/${incarnation}/${effect.request}`)?.(
+          effect.answer,
+          effect.last,
+        );
         return;
       case 'wake':
-        n.wake = Math.ceil((e.at - 1) / n.rate) + n.startAt;
+        node.wakeAt = Math.ceil((effect.at - 1) / node.rate) + node.startedAt;
         return;
       case 'log':
-        if (e.event === 'leader.elected') this.deliverKept();
-        this.onLog(n.name, e.event, e.fields);
-        if (e.level === 'error') this.broken.push(`error logged: ${e.event} ${JSON.stringify(e.fields)}`);
+        if (effect.event === 'leader.elected') this.deliverKeptHeartbeats();
+        this.onLog(node.name, effect.event, effect.fields);
+        if (effect.level === 'error')
+          this.broken.push(`error logged: ${effect.event} ${JSON.stringify(effect.fields)}`);
         return;
       case 'peerMessage': {
-        const to = this.nodes.find((x) => x.name === e.member)!;
+        const receiver = this.nodes.find((x) => x.name === effect.member)!;
         if (this.random.chance(this.loss / 2)) return;
         const deliver = (): void => {
-          this.feed(to, { kind: 'peerMessage', message: e.message });
+          this.step(receiver, { kind: 'peerMessage', message: effect.message });
         };
-        this.plan(this.network.delay(n.name, to.name) + 2 * MILLI, deliver);
-        this.again(deliver);
+        this.schedule(this.network.delay(node.name, receiver.name) + 2 * MILLI, deliver);
+        this.maybeRepeat(deliver);
         return;
       }
       case 'role':
-        n.storeAccess?.setRole(e.leader);
+        node.storeAccess?.setRole(effect.leader);
         return;
     }
   }
 
-  /** Every controller gets them, some at once, some while the new leader reads, some when it has acted. */
-  private deliverKept(): void {
-    const kept = this.kept;
-    this.kept = [];
-    for (const report of kept)
-      for (const n of this.nodes)
-        this.plan(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLI, () => {
+  /** Delivers kept heartbeats to every controller: at once, while the new leader loads its state, or after it has acted. */
+  private deliverKeptHeartbeats(): void {
+    const kept = this.keptHeartbeats;
+    this.keptHeartbeats = [];
+    for (const heartbeat of kept)
+      for (const node of this.nodes)
+        this.schedule(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLI, () => {
           this.keptArrived++;
-          this.feed(n, { kind: 'heartbeat', request: this.nextRequest++, heartbeat: report });
+          this.step(node, { kind: 'heartbeat', request: this.nextRequest++, heartbeat });
         });
   }
 
   private requestStore(
-    n: SimNode,
+    node: SimulatedNode,
     { op, urgency }: StoreRequestEffect,
     onReply: (reply: StoreReply) => void,
   ): void {
-    if (n.storeAccess === null) {
-      this.sendToStore(n, op, onReply);
+    if (node.storeAccess === null) {
+      this.sendToStore(node, op, onReply);
       return;
     }
-    const { life } = n;
-    const send = (onSent: (reply: StoreReply) => void): void => {
-      // What waited for its turn in a process that has ended is never sent.
-      if (n.life === life) this.sendToStore(n, op, onSent);
+    const { incarnation } = node;
+    const send = (onAttempt: (reply: StoreReply) => void): void => {
+      // A request that was still queued when its process ended is never sent.
+      if (node.incarnation === incarnation) this.sendToStore(node, op, onAttempt);
     };
-    n.storeAccess.request(op, urgency, send, onReply);
+    node.storeAccess.request(op, urgency, send, onReply);
   }
 
-  private sendToStore(n: SimNode, op: StoreOperation, onReply: (reply: StoreReply) => void): void {
+  private sendToStore(node: SimulatedNode, op: StoreOperation, onReply: (reply: StoreReply) => void): void {
     if (op.kind === 'txn' && op.writes.length > 0)
       this.onWrite(
-        n.name,
+        node.name,
         op.writes.map((x) => x.key),
       );
-    if (this.lateWrites > 0 && this.writesLate(n, op, onReply)) return;
-    if (this.answersLost > 0 && this.losesAnswer(n, op, onReply)) return;
-    this.carry(
+    if (this.lateWrites > 0 && this.maybeApplyLate(node, op, onReply)) return;
+    if (this.answersLost > 0 && this.maybeLoseReply(node, op, onReply)) return;
+    this.call(
       () => this.state.apply(op),
       (reply) => {
-        this.plan(op.kind === 'list' && this.isLate(n.name) ? this.listDelay : 0, () => {
+        this.schedule(op.kind === 'list' && this.isDelayed(node.name) ? this.listDelay : 0, () => {
           onReply(reply);
         });
       },
-      LOST,
+      REPLY_LOST,
       op.kind === 'watch' ? op : null,
-      n.name,
+      node.name,
       'state',
     );
   }
 
-  private neverAnswered(onReply: (reply: StoreReply) => void): void {
-    this.plan(CALL_PATIENCE, () => {
-      onReply(LOST);
+  private replyAfterTimeout(onReply: (reply: StoreReply) => void): void {
+    this.schedule(CALL_TIMEOUT, () => {
+      onReply(REPLY_LOST);
     });
   }
 
-  private losesAnswer(n: SimNode, op: StoreOperation, onReply: (reply: StoreReply) => void): boolean {
-    if (op.kind !== 'txn' || op.writes.length === 0 || this.refusedFor(n.name) > 0) return false;
-    if (this.network.delay(n.name, 'state') > 0 || !this.random.chance(this.answersLost)) return false;
-    this.plan(3 * MILLI, () => {
+  private maybeLoseReply(
+    node: SimulatedNode,
+    op: StoreOperation,
+    onReply: (reply: StoreReply) => void,
+  ): boolean {
+    if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
+    if (this.network.delay(node.name, 'state') > 0 || !this.random.chance(this.answersLost)) return false;
+    this.schedule(3 * MILLI, () => {
       if (this.state.apply(op).kind !== 'ok') return;
-      for (const w of op.writes) {
-        const kind = w.kind === 'delete' ? 'delete' : w.key.replace(/\/.*$/, '/');
+      for (const write of op.writes) {
+        const kind = write.kind === 'delete' ? 'delete' : write.key.replace(/\/.*$/, '/');
         this.unanswered.set(kind, (this.unanswered.get(kind) ?? 0) + 1);
       }
     });
-    this.neverAnswered(onReply);
+    this.replyAfterTimeout(onReply);
     return true;
   }
 
-  private writesLate(n: SimNode, op: StoreOperation, onReply: (reply: StoreReply) => void): boolean {
-    if (op.kind !== 'txn' || op.writes.length === 0 || this.refusedFor(n.name) > 0) return false;
+  private maybeApplyLate(
+    node: SimulatedNode,
+    op: StoreOperation,
+    onReply: (reply: StoreReply) => void,
+  ): boolean {
+    if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
     if (!this.random.chance(this.lateWrites)) return false;
-    this.plan((2_000 + this.random.below(10_000)) * MILLI, () => {
+    this.schedule((2_000 + this.random.below(10_000)) * MILLI, () => {
       this.lateWritten.all++;
       if (this.state.apply(op).kind === 'ok') this.lateWritten.applied++;
     });
-    this.neverAnswered(onReply);
+    this.replyAfterTimeout(onReply);
     return true;
   }
 
-  /** A call there and back, either of which may be lost; a lost call may still be carried out much later. */
-  private carry<R>(
+  /** Simulates a remote call: its request or its reply may be lost, and a lost request may still be executed much later. */
+  private call<R>(
     run: () => R,
-    reply: (r: R) => void,
+    onReply: (result: R) => void,
     lost: R,
     watch: (StoreOperation & { kind: 'watch' }) | null,
     from: string,
     to: string,
   ): void {
-    const fate = this.random.next();
-    const there = this.network.delay(from, to);
-    if (there > 0 || this.network.delay(to, from) > 0) {
-      // Held back by the cut: a request is carried out when it ends, and nobody waits for the answer that long.
+    const outcome = this.random.next();
+    const requestDelay = this.network.delay(from, to);
+    if (requestDelay > 0 || this.network.delay(to, from) > 0) {
+      // The request is executed when the partition ends; the caller has timed out by then.
       if (watch === null)
-        this.plan(there + 2 * MILLI, () => {
+        this.schedule(requestDelay + 2 * MILLI, () => {
           run();
         });
-      this.plan(watch === null ? CALL_PATIENCE : watch.waitMs * MILLI + 2 * SECOND, () => {
-        reply(lost);
+      this.schedule(watch === null ? CALL_TIMEOUT : watch.waitMs * MILLI + 2 * SECOND, () => {
+        onReply(lost);
       });
       return;
     }
-    if (to === 'state' && this.refusedFor(from) > 0) {
-      this.plan(3 * MILLI, () => {
-        reply(REFUSED as R);
+    if (to === 'state' && this.remainingRefusal(from) > 0) {
+      this.schedule(3 * MILLI, () => {
+        onReply(REPLY_REFUSED as R);
       });
       return;
     }
     if (watch !== null) {
-      // A watch that was opened before a cut is answered, or given up, on the far side of it.
-      let open = true;
-      const answer = (r: R): void => {
-        if (open) reply(r);
-        open = false;
+      // A watch that was opened before a partition is answered after it, unless it has timed out.
+      let isPending = true;
+      const answerOnce = (result: R): void => {
+        if (isPending) onReply(result);
+        isPending = false;
       };
-      this.plan(3 * MILLI, () => {
-        this.state.watch(watch, (r) => {
-          const slow = this.stateSlow !== null && this.random.chance(this.stateSlow.share);
-          const late = slow ? this.random.below(this.stateSlow!.most) : 0;
-          const hung = this.isLate(from) ? this.watchesHangUntil - this.now : 0;
-          const hangs = Math.max(late, hung);
-          this.plan(Math.max(hangs, this.network.delay(to, from), this.refusedFor(from)), () => {
-            answer(r as R);
-          });
+      this.schedule(3 * MILLI, () => {
+        this.state.watch(watch, (reply) => {
+          const isSlow = this.stateSlow !== null && this.random.chance(this.stateSlow.share);
+          const delay = isSlow ? this.random.below(this.stateSlow!.most) : 0;
+          const watchDelay = this.isDelayed(from) ? this.watchesHangUntil - this.now : 0;
+          const longestDelay = Math.max(delay, watchDelay);
+          this.schedule(
+            Math.max(longestDelay, this.network.delay(to, from), this.remainingRefusal(from)),
+            () => {
+              answerOnce(reply as R);
+            },
+          );
         });
       });
-      this.plan(watch.waitMs * MILLI + 2 * SECOND, () => {
-        answer(lost);
+      this.schedule(watch.waitMs * MILLI + 2 * SECOND, () => {
+        answerOnce(lost);
       });
       return;
     }
     const slow = to === 'state' ? this.stateSlow : null;
     if (slow !== null && this.random.chance(slow.share)) {
-      const takes = this.random.below(slow.most);
-      let open = true;
-      this.plan(takes, () => {
-        const r = run();
-        if (open) reply(r);
-        open = false;
+      const duration = this.random.below(slow.most);
+      let isPending = true;
+      this.schedule(duration, () => {
+        const result = run();
+        if (isPending) onReply(result);
+        isPending = false;
       });
-      this.plan(CALL_PATIENCE, () => {
-        if (open) reply(lost);
-        open = false;
+      this.schedule(CALL_TIMEOUT, () => {
+        if (isPending) onReply(lost);
+        isPending = false;
       });
       return;
     }
     if (to === 'state' && this.answersSlow > 0) {
-      const takes = this.random.below(this.answersSlow);
-      this.plan(3 * MILLI, () => {
-        const r = run();
-        this.plan(Math.min(takes, CALL_PATIENCE), () => {
-          reply(takes < CALL_PATIENCE ? r : lost);
+      const duration = this.random.below(this.answersSlow);
+      this.schedule(3 * MILLI, () => {
+        const result = run();
+        this.schedule(Math.min(duration, CALL_TIMEOUT), () => {
+          onReply(duration < CALL_TIMEOUT ? result : lost);
         });
       });
       return;
     }
-    if (fate < this.loss / 3) {
-      this.plan(this.random.below(30) * SECOND, () => {
+    if (outcome < this.loss / 3) {
+      this.schedule(this.random.below(30) * SECOND, () => {
         run();
       });
-      this.plan(CALL_PATIENCE, () => {
-        reply(lost);
+      this.schedule(CALL_TIMEOUT, () => {
+        onReply(lost);
       });
-    } else if (fate < (this.loss * 2) / 3) {
-      this.plan(3 * MILLI, () => {
+    } else if (outcome < (this.loss * 2) / 3) {
+      this.schedule(3 * MILLI, () => {
         run();
       });
-      this.plan(CALL_PATIENCE, () => {
-        reply(lost);
+      this.schedule(CALL_TIMEOUT, () => {
+        onReply(lost);
       });
-    } else if (fate < this.loss)
-      this.plan(CALL_PATIENCE, () => {
-        reply(lost);
+    } else if (outcome < this.loss)
+      this.schedule(CALL_TIMEOUT, () => {
+        onReply(lost);
       });
     else
-      this.plan((2 + this.random.below(6)) * MILLI, () => {
-        const r = run();
-        this.again(run);
-        this.plan(2 * MILLI, () => {
-          reply(r);
+      this.schedule((2 + this.random.below(6)) * MILLI, () => {
+        const result = run();
+        this.maybeRepeat(run);
+        this.schedule(2 * MILLI, () => {
+          onReply(result);
         });
       });
   }
 
   // ---- workers -----------------------------------------------------------------------------------
 
-  private report(w: Worker): void {
-    const sent = this.now;
-    const n = this.nodes[w.node]!;
-    if (n.core === null) {
-      this.machines.nextNode(w);
+  private sendHeartbeat(worker: Worker): void {
+    const sentAt = this.now;
+    const node = this.nodes[worker.node]!;
+    if (node.core === null) {
+      this.machines.switchNode(worker);
       return;
     }
-    if (this.now < w.muteUntil) {
-      this.machines.nextNode(w);
+    if (this.now < worker.muteUntil) {
+      this.machines.switchNode(worker);
       return;
     }
-    const report = this.machines.reportOf(w);
-    if (this.keepReports > 0 && this.random.chance(this.keepReports)) this.kept.push(report);
-    const there = this.network.delay(w.name, n.name);
-    if (there > 0 || this.network.delay(n.name, w.name) > 0) {
-      this.machines.unanswered(w);
-      const late = this.nextRequest++;
-      this.plan(there + 2 * MILLI, () => {
-        this.feed(n, { kind: 'heartbeat', request: late, heartbeat: report });
+    const heartbeat = this.machines.reportOf(worker);
+    if (this.keepReports > 0 && this.random.chance(this.keepReports)) this.keptHeartbeats.push(heartbeat);
+    const requestDelay = this.network.delay(worker.name, node.name);
+    if (requestDelay > 0 || this.network.delay(node.name, worker.name) > 0) {
+      this.machines.recordTimeout(worker);
+      const lateRequest = this.nextRequest++;
+      this.schedule(requestDelay + 2 * MILLI, () => {
+        this.step(node, { kind: 'heartbeat', request: lateRequest, heartbeat });
       });
       return;
     }
-    const { session } = w;
+    const { session } = worker;
     const request = this.nextRequest++;
-    const life = n.life;
-    const lostThere = this.random.chance(this.loss / 2);
-    const lostBack = this.random.chance(this.loss / 2);
+    const incarnation = node.incarnation;
+    const isRequestLost = this.random.chance(this.loss / 2);
+    const isResponseLost = this.random.chance(this.loss / 2);
     const deliver = (): void => {
-      if (n.life === life) this.feed(n, { kind: 'heartbeat', request, heartbeat: report });
+      if (node.incarnation === incarnation) this.step(node, { kind: 'heartbeat', request, heartbeat });
     };
-    this.reporting.set(`${n.name}/${life}/${request}`, (a) => {
-      this.reporting.delete(`${n.name}/${life}/${request}`);
-      if (lostThere || lostBack || this.now < w.cutUntil || this.now < w.deafUntil) return;
-      const to = a.kind === 'redirect' ? this.nodes.findIndex((x) => x.name === a.leader) : -1;
-      this.plan(2 * MILLI, () => {
-        this.machines.answered(w, session, sent, a, to);
+    this.pendingHeartbeats.set(`${node.name}/${incarnation}/${request}`, (answer) => {
+      this.pendingHeartbeats.delete(`${node.name}/${incarnation}/${request}`);
+      if (isRequestLost || isResponseLost || this.now < worker.cutUntil || this.now < worker.deafUntil)
+        return;
+      const leader = answer.kind === 'redirect' ? this.nodes.findIndex((x) => x.name === answer.leader) : -1;
+      this.schedule(2 * MILLI, () => {
+        this.machines.handleResponse(worker, session, sentAt, answer, leader);
       });
     });
-    // A report that is held back arrives late, as old as it is.
-    this.plan(lostThere ? this.random.below(20) * SECOND : 2 * MILLI, deliver);
-    this.again(() => {
-      this.feed(this.nodes[this.random.below(this.nodes.length)]!, {
+    // A heartbeat whose request is lost still arrives, up to 20 s late and with its old content.
+    this.schedule(isRequestLost ? this.random.below(20) * SECOND : 2 * MILLI, deliver);
+    this.maybeRepeat(() => {
+      this.step(this.nodes[this.random.below(this.nodes.length)]!, {
         kind: 'heartbeat',
         request: this.nextRequest++,
-        heartbeat: report,
+        heartbeat,
       });
     });
-    if (lostThere || lostBack) this.machines.nextNode(w);
-    else if (sent < w.deafUntil) this.machines.unanswered(w);
+    if (isRequestLost || isResponseLost) this.machines.switchNode(worker);
+    else if (sentAt < worker.deafUntil) this.machines.recordTimeout(worker);
   }
 
-  private carryOrders(
-    n: SimNode,
-    e: CoreEffect & { kind: 'workerCommands' },
-    reply: (r: CommandReply) => void,
+  private sendCommands(
+    node: SimulatedNode,
+    effect: CoreEffect & { kind: 'workerCommands' },
+    onReply: (reply: CommandReply) => void,
   ): void {
-    const w = this.workers.get(e.address);
-    const held = Math.max(w === undefined ? 0 : w.cutUntil - this.now, this.network.delay(n.name, e.address));
-    if (w !== undefined && w.deafUntil > this.now) {
-      this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', heartbeat: null });
+    const worker = this.workers.get(effect.address);
+    const heldFor = Math.max(
+      worker === undefined ? 0 : worker.cutUntil - this.now,
+      this.network.delay(node.name, effect.address),
+    );
+    if (worker !== undefined && worker.deafUntil > this.now) {
+      this.schedule(COMMAND_TIMEOUT, () => {
+        onReply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
-    const run = (): CommandReply => this.machines.orders(e.address, e.fencingToken, e.agentEpoch, e.commands);
-    const late = this.ordersLate !== null && this.random.chance(this.ordersLate.share);
-    if (late) {
-      this.plan(ORDERS_PATIENCE + this.random.below(this.ordersLate!.most), () => {
+    const run = (): CommandReply =>
+      this.machines.orders(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands);
+    const isLate = this.ordersLate !== null && this.random.chance(this.ordersLate.share);
+    if (isLate) {
+      this.schedule(COMMAND_TIMEOUT + this.random.below(this.ordersLate!.most), () => {
         this.lateOrders++;
         run();
       });
-      this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', heartbeat: null });
+      this.schedule(COMMAND_TIMEOUT, () => {
+        onReply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
-    if (held > 0 || this.network.delay(e.address, n.name) > 0) {
-      // Held back by the cut, and delivered when it ends.
-      this.plan(held, () => {
+    if (heldFor > 0 || this.network.delay(effect.address, node.name) > 0) {
+      // The commands are delivered when the partition ends.
+      this.schedule(heldFor, () => {
         run();
       });
-      this.plan(ORDERS_PATIENCE, () => {
-        reply({ kind: 'lost', heartbeat: null });
+      this.schedule(COMMAND_TIMEOUT, () => {
+        onReply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
-    this.carry(run, reply, { kind: 'lost', heartbeat: null }, null, n.name, e.address);
+    this.call(run, onReply, { kind: 'lost', heartbeat: null }, null, node.name, effect.address);
   }
 
-  /** A job's description as its worker fetches it, whoever submitted the job. */
-  private describe(id: string): JobSpec | undefined {
+  /** The specification that a worker fetches, also of jobs that weren't submitted by the simulated users. */
+  private findSpec(id: string): JobSpec | undefined {
     const known = this.work.specs.get(id);
     if (known !== undefined) return known;
     const spec = decodeActiveJob(this.state.value(activeJobKey(id)))?.spec;
@@ -689,173 +735,187 @@
 
   // ---- users -------------------------------------------------------------------------------------
 
-  private ask(i: number, body: ClientRequest, then: (a: ClientResponse | null) => void): void {
-    const n = this.nodes[i]!;
+  private sendClientRequest(
+    nodeIndex: number,
+    body: ClientRequest,
+    onResponse: (answer: ClientResponse | null) => void,
+  ): void {
+    const node = this.nodes[nodeIndex]!;
     const request = this.nextRequest++;
-    if (n.core === null) {
-      then(null);
+    if (node.core === null) {
+      onResponse(null);
       return;
     }
-    const key = `${n.name}/${n.life}/${request}`;
-    let open = true;
-    const finish = (a: ClientResponse | null): void => {
-      if (!open) return;
-      open = false;
-      this.asking.delete(key);
-      then(a);
+    const key = `${node.name}/${node.incarnation}/${request}`;
+    let isPending = true;
+    const finish = (answer: ClientResponse | null): void => {
+      if (!isPending) return;
+      isPending = false;
+      this.pendingClientRequests.delete(key);
+      onResponse(answer);
     };
-    this.asking.set(key, finish);
-    this.plan(body.kind === 'poll' ? POLL_PATIENCE : REQUEST_PATIENCE, () => {
+    this.pendingClientRequests.set(key, finish);
+    this.schedule(body.kind === 'poll' ? POLL_TIMEOUT : REQUEST_TIMEOUT, () => {
       finish(null);
     });
-    this.feed(n, { kind: 'clientRequest', request, body, wallUs: this.wall });
+    this.step(node, { kind: 'clientRequest', request, body, wallUs: this.wall });
   }
 
   /**
-   * A feature's client asks a node; `told` is called for each answer, and with null where the connection ends before
-   * the last: nobody is there, or the node goes.
+   * Sends a request of a feature's client to a node. Calls `onAnswer` with each answer, and with null if the connection is
+   * lost before the last one because the node is or goes down.
    */
   askFeature(
-    node: number,
+    nodeIndex: number,
     feature: string,
     body: unknown,
-    told: (answer: unknown, last: boolean) => void,
+    onAnswer: (answer: unknown, last: boolean) => void,
   ): void {
-    const n = this.nodes[node]!;
-    const { life } = n;
+    const node = this.nodes[nodeIndex]!;
+    const { incarnation } = node;
     const request = this.nextRequest++;
-    let open = true;
-    const tell = (answer: unknown, last: boolean): void => {
-      if (!open) return;
-      open = !last;
-      told(answer, last);
+    let isPending = true;
+    const notify = (answer: unknown, last: boolean): void => {
+      if (!isPending) return;
+      isPending = !last;
+      onAnswer(answer, last);
     };
-    this.askingFeatures.set(`${n.name}/${life}/${request}`, tell);
-    this.plan(2 * MILLI, () => {
-      if (n.core !== null && n.life === life)
-        this.feed(n, { kind: 'featureRequest', feature, request, body, wallUs: this.wall });
+    this.pendingFeatureRequests.set(`${node.name}/${incarnation}/${request}`, notify);
+    this.schedule(2 * MILLI, () => {
+      if (node.core !== null && node.incarnation === incarnation)
+        this.step(node, { kind: 'featureRequest', feature, request, body, wallUs: this.wall });
     });
-    const look = (): void => {
-      if (open && (n.core === null || n.life !== life)) tell(null, true);
-      else if (open) this.plan(200 * MILLI, look);
+    const checkConnection = (): void => {
+      if (isPending && (node.core === null || node.incarnation !== incarnation)) notify(null, true);
+      else if (isPending) this.schedule(200 * MILLI, checkConnection);
     };
-    look();
+    checkConnection();
   }
 
   // ---- time --------------------------------------------------------------------------------------
 
-  /** Plays on in steps of 25 ms, within which planned events keep their order. */
+  /** Advances the simulation in steps of 25 ms; scheduled events run in order, timers and workers once per step. */
   runFor(length: Micros): void {
     const end = this.now + length;
     while (this.now < end) {
-      this.time.playTo(Math.min(end, this.now + 25 * MILLI));
+      this.timeline.advanceTo(Math.min(end, this.now + 25 * MILLI));
       this.state.expire();
-      for (const n of this.nodes)
-        if (n.wake !== null && n.wake <= this.now && this.restOf(n) === 0) {
-          n.wake = null;
-          this.feed(n, { kind: 'timer' });
+      for (const node of this.nodes)
+        if (node.wakeAt !== null && node.wakeAt <= this.now && this.remainingPause(node) === 0) {
+          node.wakeAt = null;
+          this.step(node, { kind: 'timer' });
         }
-      this.checkRights();
-      this.machines.run();
+      this.checkSingleLeader();
+      this.machines.advance();
       this.machines.checkCancelled(this.users.cancelledAt);
     }
   }
 
-  /** At most one may act at any moment. A node knows the time of its last input only: whoever seems to is told first. */
-  private checkRights(): void {
-    // Who stands still does nothing; with its next input it knows what time it is.
-    const entitled = (): SimNode[] =>
-      this.nodes.filter((n) => n.frozenUntil <= this.now && n.core?.leads() === true);
-    if (entitled().length < 2) return;
-    for (const n of entitled()) this.feed(n, { kind: 'timer' });
-    if (entitled().length > 1)
+  /** Checks that at most one node may act as the leader. A core knows only the time of its last input, so it gets a timer first. */
+  private checkSingleLeader(): void {
+    // A frozen node can't act, and learns the time with its next input.
+    const leaders = (): SimulatedNode[] =>
+      this.nodes.filter((node) => node.frozenUntil <= this.now && node.core?.leads() === true);
+    if (leaders().length < 2) return;
+    for (const node of leaders()) this.step(node, { kind: 'timer' });
+    if (leaders().length > 1)
       this.broken.push(
-        `two rights: ${entitled()
-          .map((n) => n.name)
+        `two leaders at once: ${leaders()
+          .map((node) => node.name)
           .join()}`,
       );
   }
 
-  // ---- shorthand for those who play ----------------------------------------------------------------
+  // ---- shorthands for tests ------------------------------------------------------------------------
 
+  /** All workers that ever existed, by machine name. */
   get workers(): ReadonlyMap<string, Worker> {
-    return this.machines.all;
+    return this.machines.workers;
   }
 
+  /** Tasks that workers were told to start. */
   get starts(): number {
     return this.machines.starts;
   }
 
-  /** Machines that are up before any controller, as nobody rented them. */
+  /** Adds running machines that no controller has rented. */
   stand(count: number): void {
     for (let i = 0; i < count; i++) this.machines.boot(TYPE.zones[i % TYPE.zones.length]!, false, 0);
   }
 
-  killWorker(w: Worker): void {
-    this.machines.kill(w);
+  /** The machine loses power. */
+  killWorker(worker: Worker): void {
+    this.machines.kill(worker);
   }
 
-  /** The node that is entitled to act now; -1: none. */
+  /** The index of the node that is entitled to act as the leader now; -1: none. */
   leader(): number {
-    return this.nodes.findIndex((n) => n.core?.leads() === true);
+    return this.nodes.findIndex((node) => node.core?.leads() === true);
   }
 
+  /** A random running machine, if there is one. */
   anyWorker(): Worker | undefined {
-    const up = [...this.workers.values()].filter((w) => w.alive && this.now >= w.upAt);
-    return up[this.random.below(Math.max(1, up.length))];
+    const running = [...this.workers.values()].filter((worker) => worker.alive && this.now >= worker.readyAt);
+    return running[this.random.below(Math.max(1, running.length))];
   }
 
-  /** Does something so much later, in the middle of what is played then. */
+  /** Runs a function after a delay, between the other events of that time. */
   later(delay: Micros, run: () => void): void {
-    this.plan(delay, run);
+    this.schedule(delay, run);
   }
 
+  /** The state service answers all requests with 503 for this time. */
   stateOutage(length: Micros): void {
     this.state.outage(length);
   }
 
+  /** A user submits a job, and tries again until it is answered. */
   submit(spec: JobSpec): void {
     this.users.submit(spec);
   }
 
+  /** A user polls the job once at a random node. */
   poll(id: string): void {
     this.users.poll(id);
   }
 
+  /** A user cancels the job, and tries again until it is answered. */
   cancel(id: string): void {
     this.users.cancel(id);
   }
 
+  /** The stage that users were last told. */
   stageOf(id: string): string | undefined {
     return this.users.told.get(id)?.stage;
   }
 
-  /** The value of a key as it is now. */
+  /** The current value of a key in the state service. */
   value(key: string): unknown {
     return this.state.value(key);
   }
 
-  /** Writes a value as an operator's tool would. */
+  /** Writes a key without conditions, as an operator's tool would. */
   put(key: string, value: unknown): void {
     this.state.put(key, value);
   }
 
-  /** Removes a key as an operator's tool would. */
+  /** Deletes a key without conditions, as an operator's tool would. */
   remove(key: string): void {
     this.state.apply({ kind: 'txn', conditions: [], writes: [{ kind: 'delete', key }] });
   }
 
-  /** Keys under a prefix. */
+  /** Keys in the state service with this prefix. */
   keys(prefix: string): string[] {
     return this.state.keys(prefix);
   }
 
+  /** Transactions that the state service rejected for exceeding its limits. */
   get refusals(): number {
-    return this.state.refusals;
+    return this.state.oversizedTransactions;
   }
 
-  /** What the state service takes. */
-  set limits(l: { valueBytes: number; ops: number }) {
-    this.state.limits = l;
+  /** Size limits of the state service's transactions. */
+  set limits(limits: { valueBytes: number; ops: number }) {
+    this.state.limits = limits;
   }
 }
--- a/packages/emulator/src/state-model.ts
+++ b/packages/emulator/src/state-model.ts
@@ -1,4 +1,4 @@
-/** The state service as a model: told the time, it answers; nobody waits in it. */
+/** Model of the state service: a key-value store with versions, leases and watches, in the time that it is given. */
 import type {
   StoredItem,
   StoreEvent,
@@ -8,139 +8,148 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
-/** What the service keeps of past changes for watches. */
-const HISTORY = 10_000;
+/** Minimum number of past changes that are kept for watches, once there are as many. */
+const HISTORY_LENGTH = 10_000;
 
-type WatchOp = StoreOperation & { readonly kind: 'watch' };
+type WatchOperation = StoreOperation & { readonly kind: 'watch' };
 
-/** What was spent of a budget that is refilled as time passes. */
+/** A token bucket: the amount spent and not yet refilled at a point in time. */
 interface SpentBudget {
-  at: Micros;
+  updatedAt: Micros;
   amount: number;
 }
 
 const TOO_MANY_REQUESTS: StoreReply = { kind: 'failed', executed: false, cause: 'busy', reason: '429' };
 
-interface Watch {
-  readonly op: WatchOp;
-  readonly until: Micros;
-  readonly reply: (r: StoreReply) => void;
+/** A watch that waits for changes. */
+interface OpenWatch {
+  readonly operation: WatchOperation;
+  readonly expiresAt: Micros;
+  readonly onReply: (reply: StoreReply) => void;
 }
 
+/** The state service of a simulated or loopback deployment, with outages and limits. */
 export class StateModel {
-  /** What a transaction may hold. */
+  /** Maximum size of a value, and maximum number of writes in a transaction; four times as many conditions are allowed. */
   limits = { valueBytes: 16 * 1024, ops: 16 };
-  /** Puts and deletes that it takes in a second, with bursts of one second's worth; those of failing transactions count. */
+  /** Limit of puts and deletes, with bursts of one second's worth; those of conflicting transactions count as well. */
   writesPerSecond = Infinity;
-  /** Requests that it takes in a second, with bursts of one second's worth; renewals and opened watches count. */
+  /** Limit of requests, with bursts of one second's worth; renewals and opened watches count as well. */
   requestsPerSecond = Infinity;
   /** Requests that were answered with 429. */
-  overLimit = 0;
-  private readonly spentRequests: SpentBudget = { at: 0, amount: 0 };
-  private readonly spentWrites: SpentBudget = { at: 0, amount: 0 };
-  /** Requests with more than that, refused. */
-  refusals = 0;
+  rateLimited = 0;
+  private readonly spentRequests: SpentBudget = { updatedAt: 0, amount: 0 };
+  private readonly spentWrites: SpentBudget = { updatedAt: 0, amount: 0 };
+  /** Transactions that were rejected for exceeding `limits`. */
+  oversizedTransactions = 0;
+  /** End of the current or last outage. */
   downUntil: Micros = 0;
-  /** Keys that nothing is told of: whoever asks about one gets no answer, and nothing is carried out. */
+  /** Keys whose reads and transactions get no reply and aren't executed. */
   readonly mute = new Set<string>();
-  /** Puts and deletes of transactions whose conditions failed: they count against the limit all the same. */
+  /** Puts and deletes of conflicting transactions, which count against the limit although they have no effect. */
   wasted = 0;
-  /** Puts and deletes carried out. */
+  /** Puts and deletes of successful transactions. */
   changes = 0;
+  /** Increases with each change; a key's version is the revision of its last change. */
   revision = 1;
-  private readonly kv = new Map<string, StoredItem>();
-  private readonly leases = new Map<number, { ttl: Micros; ends: Micros }>();
+  private readonly items = new Map<string, StoredItem>();
+  private readonly leases = new Map<number, { duration: Micros; expiresAt: Micros }>();
   private readonly history: StoreEvent[] = [];
-  private watches: Watch[] = [];
+  private watches: OpenWatch[] = [];
   private nextLease = 1;
 
   constructor(
     private readonly now: () => Micros,
-    /** Carries a watch's answer out a little later, so that it never comes in the middle of a change. */
-    private readonly later: (run: () => void) => void,
+    /** Sends a watch's reply a little later, so that it is never sent in the middle of a change. */
+    private readonly defer: (run: () => void) => void,
   ) {}
 
+  /** Whether there is an outage. */
   get down(): boolean {
     return this.now() < this.downUntil;
   }
 
-  /** Nothing is answered for so long; then every lease has its full time again. */
+  /** All requests are refused for this time; afterwards each lease has its full duration again. */
   outage(length: Micros): void {
     this.downUntil = this.now() + length;
-    for (const l of this.leases.values()) l.ends = this.downUntil + l.ttl;
+    for (const lease of this.leases.values()) lease.expiresAt = this.downUntil + lease.duration;
   }
 
-  /** To be called as time passes: ends leases and watches. */
+  /** Ends leases and watches that are due; to be called regularly. */
   expire(): void {
     const now = this.now();
     if (!this.down)
-      for (const [id, l] of this.leases)
-        if (l.ends <= now) {
+      for (const [id, lease] of this.leases)
+        if (lease.expiresAt <= now) {
           this.leases.delete(id);
-          this.dropLease(id);
+          this.deleteLeasedKeys(id);
         }
-    // Open watches wait in an outage.
+    // Open watches don't expire during an outage.
     if (this.down) return;
-    const due = this.watches.filter((w) => w.until <= now);
-    this.watches = this.watches.filter((w) => w.until > now);
-    for (const w of due) w.reply({ kind: 'events', events: [], revision: this.revision });
+    const due = this.watches.filter((watch) => watch.expiresAt <= now);
+    this.watches = this.watches.filter((watch) => watch.expiresAt > now);
+    for (const watch of due) watch.onReply({ kind: 'events', events: [], revision: this.revision });
   }
 
-  private dropLease(id: number): void {
-    for (const [key, it] of this.kv)
-      if (it.lease === id) {
+  /** Deletes the keys that are attached to a lease. */
+  private deleteLeasedKeys(id: number): void {
+    for (const [key, item] of this.items)
+      if (item.lease === id) {
         this.revision++;
-        this.kv.delete(key);
-        this.note({ kind: 'delete', key, version: this.revision });
+        this.items.delete(key);
+        this.publish({ kind: 'delete', key, version: this.revision });
       }
   }
 
-  private note(e: StoreEvent): void {
-    this.history.push(e);
-    if (this.history.length > 2 * HISTORY) this.history.splice(0, HISTORY);
-    this.watches = this.watches.filter((w) => {
-      if (!e.key.startsWith(w.op.prefix)) return true;
-      this.later(() => {
-        w.reply(this.eventsFor(w.op));
+  /** Adds a change to the history and answers the watches on its key. */
+  private publish(event: StoreEvent): void {
+    this.history.push(event);
+    if (this.history.length > 2 * HISTORY_LENGTH) this.history.splice(0, HISTORY_LENGTH);
+    this.watches = this.watches.filter((watch) => {
+      if (!event.key.startsWith(watch.operation.prefix)) return true;
+      this.defer(() => {
+        watch.onReply(this.eventsFor(watch.operation));
       });
       return false;
     });
   }
 
-  private eventsFor(op: WatchOp): StoreReply {
+  private eventsFor(op: WatchOperation): StoreReply {
     const first = this.history[0];
-    if (this.history.length >= HISTORY && first !== undefined && op.after < first.version)
+    if (this.history.length >= HISTORY_LENGTH && first !== undefined && op.after < first.version)
       return { kind: 'tooOld' };
     return {
       kind: 'events',
-      events: this.history.filter((h) => h.version > op.after && h.key.startsWith(op.prefix)),
+      events: this.history.filter((event) => event.version > op.after && event.key.startsWith(op.prefix)),
       revision: this.revision,
     };
   }
 
-  watch(op: WatchOp, reply: (r: StoreReply) => void): void {
+  /** Replies with the changes after a revision: at once if there are any, otherwise with the next one or at the timeout. */
+  watch(op: WatchOperation, onReply: (reply: StoreReply) => void): void {
     if (this.down) {
-      reply({ kind: 'failed', executed: false, cause: 'refused', reason: '503' });
+      onReply({ kind: 'failed', executed: false, cause: 'refused', reason: '503' });
       return;
     }
-    if (!this.spend(this.spentRequests, this.requestsPerSecond, 1)) {
-      reply(TOO_MANY_REQUESTS);
+    if (!this.trySpend(this.spentRequests, this.requestsPerSecond, 1)) {
+      onReply(TOO_MANY_REQUESTS);
       return;
     }
-    const r = this.eventsFor(op);
-    if (r.kind !== 'events' || r.events.length > 0) reply(r);
-    else this.watches.push({ op, until: this.now() + op.waitMs * MILLI, reply });
+    const reply = this.eventsFor(op);
+    if (reply.kind !== 'events' || reply.events.length > 0) onReply(reply);
+    else this.watches.push({ operation: op, expiresAt: this.now() + op.waitMs * MILLI, onReply });
   }
 
+  /** Executes any operation except watches. */
   apply(op: StoreOperation): StoreReply {
     if (this.down) return { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
     this.expire();
-    if (!this.spend(this.spentRequests, this.requestsPerSecond, 1)) return TOO_MANY_REQUESTS;
-    if (this.mute.size > 0 && this.asksMute(op))
+    if (!this.trySpend(this.spentRequests, this.requestsPerSecond, 1)) return TOO_MANY_REQUESTS;
+    if (this.mute.size > 0 && this.touchesMuteKey(op))
       return { kind: 'failed', executed: null, cause: 'silent', reason: 'mute key' };
     switch (op.kind) {
       case 'get': {
-        const item = this.kv.get(op.key);
+        const item = this.items.get(op.key);
         return item === undefined ? { kind: 'missing', revision: this.revision } : { kind: 'item', item };
       }
       case 'list':
@@ -149,18 +158,18 @@
         return this.transact(op);
       case 'grant': {
         const lease = this.nextLease++;
-        this.leases.set(lease, { ttl: op.ttlMs * MILLI, ends: this.now() + op.ttlMs * MILLI });
+        this.leases.set(lease, { duration: op.ttlMs * MILLI, expiresAt: this.now() + op.ttlMs * MILLI });
         return { kind: 'granted', lease };
       }
       case 'renew': {
-        const l = this.leases.get(op.lease);
-        if (l === undefined) return { kind: 'noLease' };
-        l.ends = this.now() + l.ttl;
+        const lease = this.leases.get(op.lease);
+        if (lease === undefined) return { kind: 'noLease' };
+        lease.expiresAt = this.now() + lease.duration;
         return { kind: 'ok', revision: 0 };
       }
       case 'revoke':
         if (!this.leases.delete(op.lease)) return { kind: 'noLease' };
-        this.dropLease(op.lease);
+        this.deleteLeasedKeys(op.lease);
         return { kind: 'ok', revision: 0 };
       case 'watch':
         return { kind: 'tooOld' };
@@ -168,7 +177,7 @@
   }
 
   private list(op: StoreOperation & { kind: 'list' }): StoreReply {
-    const items = [...this.kv.values()]
+    const items = [...this.items.values()]
       .filter((i) => i.key.startsWith(op.prefix) && (op.after === undefined || i.key > op.after))
       .sort((a, b) => (a.key < b.key ? -1 : 1));
     return {
@@ -181,17 +190,19 @@
 
   private transact(op: StoreOperation & { kind: 'txn' }): StoreReply {
     const tooLarge = op.writes.some(
-      (w) => w.kind === 'put' && Buffer.byteLength(JSON.stringify(w.value)) > this.limits.valueBytes,
+      (write) =>
+        write.kind === 'put' && Buffer.byteLength(JSON.stringify(write.value)) > this.limits.valueBytes,
     );
     if (tooLarge || op.writes.length > this.limits.ops || op.conditions.length > this.limits.ops * 4) {
-      this.refusals++;
+      this.oversizedTransactions++;
       return { kind: 'refused', reason: '400' };
     }
-    if (!this.spend(this.spentWrites, this.writesPerSecond, op.writes.length)) return TOO_MANY_REQUESTS;
-    for (const w of op.writes)
-      if (w.kind === 'put' && w.lease !== undefined && !this.leases.has(w.lease)) return { kind: 'noLease' };
+    if (!this.trySpend(this.spentWrites, this.writesPerSecond, op.writes.length)) return TOO_MANY_REQUESTS;
+    for (const write of op.writes)
+      if (write.kind === 'put' && write.lease !== undefined && !this.leases.has(write.lease))
+        return { kind: 'noLease' };
     const failed = op.conditions
-      .filter((c) => (this.kv.get(c.key)?.version ?? 0) !== c.version)
+      .filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
     if (failed.length > 0) {
       this.wasted += op.writes.length;
@@ -200,52 +211,55 @@
     if (op.writes.length === 0) return { kind: 'ok', revision: this.revision };
     this.revision++;
     this.changes += op.writes.length;
-    for (const w of op.writes) {
-      if (w.kind === 'put') this.set(w.key, structuredClone(w.value), w.lease ?? null);
-      else if (this.kv.delete(w.key)) this.note({ kind: 'delete', key: w.key, version: this.revision });
+    for (const write of op.writes) {
+      if (write.kind === 'put') this.store(write.key, structuredClone(write.value), write.lease ?? null);
+      else if (this.items.delete(write.key))
+        this.publish({ kind: 'delete', key: write.key, version: this.revision });
     }
     return { kind: 'ok', revision: this.revision };
   }
 
-  private asksMute(op: StoreOperation): boolean {
+  private touchesMuteKey(op: StoreOperation): boolean {
     if (op.kind === 'get') return this.mute.has(op.key);
     return (
       op.kind === 'txn' &&
-      (op.conditions.some((c) => this.mute.has(c.key)) || op.writes.some((w) => this.mute.has(w.key)))
+      (op.conditions.some((c) => this.mute.has(c.key)) || op.writes.some((write) => this.mute.has(write.key)))
     );
   }
 
-  /** Takes an amount from a budget, with bursts of one second's worth; false: the limit is reached. */
-  private spend(spent: SpentBudget, perSecond: number, amount: number): boolean {
+  /** Takes an amount from a token bucket that holds one second's worth; false: the limit is reached. */
+  private trySpend(spent: SpentBudget, perSecond: number, amount: number): boolean {
     if (amount === 0 || perSecond === Infinity) return true;
     const now = this.now();
-    const refilled = ((now - spent.at) / SECOND) * perSecond;
-    const before = Math.max(0, spent.amount - refilled);
-    if (before + amount > Math.max(perSecond, amount)) {
-      this.overLimit++;
+    const refilled = ((now - spent.updatedAt) / SECOND) * perSecond;
+    const stillSpent = Math.max(0, spent.amount - refilled);
+    if (stillSpent + amount > Math.max(perSecond, amount)) {
+      this.rateLimited++;
       return false;
     }
-    spent.at = now;
-    spent.amount = before + amount;
+    spent.updatedAt = now;
+    spent.amount = stillSpent + amount;
     return true;
   }
 
-  private set(key: string, value: unknown, lease: number | null): void {
-    this.kv.set(key, { key, value, version: this.revision, lease });
-    this.note({ kind: 'put', key, value, version: this.revision });
+  private store(key: string, value: unknown, lease: number | null): void {
+    this.items.set(key, { key, value, version: this.revision, lease });
+    this.publish({ kind: 'put', key, value, version: this.revision });
   }
 
-  /** Writes a value as an operator's tool would. */
+  /** Writes a key without conditions, limits or outages, as an operator's tool would. */
   put(key: string, value: unknown): void {
     this.revision++;
-    this.set(key, value, null);
+    this.store(key, value, null);
   }
 
+  /** All keys with this prefix. */
   keys(prefix: string): string[] {
-    return [...this.kv.keys()].filter((k) => k.startsWith(prefix));
+    return [...this.items.keys()].filter((k) => k.startsWith(prefix));
   }
 
+  /** The current value of a key, also during an outage; undefined: there is none. */
   value(key: string): unknown {
-    return this.kv.get(key)?.value;
+    return this.items.get(key)?.value;
   }
 }
--- a/packages/emulator/src/timeline.ts
+++ b/packages/emulator/src/timeline.ts
@@ -1,55 +1,59 @@
-/** Simulated time: what is planned happens in the order of its moments, and of its planning. */
+/** Discrete-event simulation: events run in the order of their times, and at equal times in the order of scheduling. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-interface Planned {
+interface ScheduledEvent {
   readonly at: Micros;
   readonly order: number;
   readonly run: () => void;
 }
 
-const before = (a: Planned, b: Planned): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+const isBefore = (left: ScheduledEvent, right: ScheduledEvent): boolean =>
+  left.at < right.at || (left.at === right.at && left.order < right.order);
 
+/** Virtual time and the queue of events to come. */
 export class Timeline {
+  /** The current time, in microseconds since the start of the simulation. */
   now: Micros = 0;
-  /** A binary heap, the next first: hundreds of workers plan thousands of moments. */
-  private readonly queue: Planned[] = [];
-  private order = 0;
+  /** A binary min-heap, as hundreds of workers schedule thousands of events. */
+  private readonly queue: ScheduledEvent[] = [];
+  private nextOrder = 0;
 
-  plan(delay: Micros, run: () => void): void {
+  /** Adds an event that runs after `delay`, at least 1 µs from now. */
+  schedule(delay: Micros, run: () => void): void {
     const { queue } = this;
-    const p = { at: this.now + Math.max(1, Math.round(delay)), order: this.order++, run };
-    let i = queue.push(p) - 1;
+    const event = { at: this.now + Math.max(1, Math.round(delay)), order: this.nextOrder++, run };
+    let index = queue.push(event) - 1;
     for (;;) {
-      const up = (i - 1) >> 1;
-      if (i === 0 || !before(p, queue[up]!)) break;
-      queue[i] = queue[up]!;
-      i = up;
+      const parent = (index - 1) >> 1;
+      if (index === 0 || !isBefore(event, queue[parent]!)) break;
+      queue[index] = queue[parent]!;
+      index = parent;
     }
-    queue[i] = p;
+    queue[index] = event;
   }
 
-  private take(): Planned {
+  private takeFirst(): ScheduledEvent {
     const { queue } = this;
     const first = queue[0]!;
     const last = queue.pop()!;
     if (queue.length === 0) return first;
-    let i = 0;
+    let index = 0;
     for (;;) {
-      let least = 2 * i + 1;
-      if (least >= queue.length) break;
-      if (least + 1 < queue.length && before(queue[least + 1]!, queue[least]!)) least++;
-      if (!before(queue[least]!, last)) break;
-      queue[i] = queue[least]!;
-      i = least;
+      let child = 2 * index + 1;
+      if (child >= queue.length) break;
+      if (child + 1 < queue.length && isBefore(queue[child + 1]!, queue[child]!)) child++;
+      if (!isBefore(queue[child]!, last)) break;
+      queue[index] = queue[child]!;
+      index = child;
     }
-    queue[i] = last;
+    queue[index] = last;
     return first;
   }
 
-  /** Plays what is planned until then. */
-  playTo(target: Micros): void {
+  /** Runs all events up to and including `target`, also those scheduled by these events, and sets the clock to it. */
+  advanceTo(target: Micros): void {
     while (this.queue.length > 0 && this.queue[0]!.at <= target) {
-      const next = this.take();
+      const next = this.takeFirst();
       this.now = Math.max(this.now, next.at);
       next.run();
     }
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -1,46 +1,58 @@
-/** Users as a model: they submit, poll and cancel, try again, and remember what they were told. */
+/** Model of the users: they submit, poll and cancel jobs, retry, and check that answers don't contradict earlier ones. */
 import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { Random } from './random.js';
-import type { Work } from './work.js';
-import { CANCEL } from './workers-model.js';
+import type { Workload } from './work.js';
+import { CANCELLATION_LIMIT } from './workers-model.js';
 
-const TRIES = 90;
+/** Submissions and cancellations are retried this often, a second apart. */
+const MAX_RETRIES = 90;
 
-export interface Told {
+/** The stage of a job that users were told, and when. */
+export interface KnownStage {
+  /** The stage in the answer's view of the job. */
   stage: string;
+  /** When users were told. */
   at: Micros;
 }
 
+/** What the users need from the simulation. */
 export interface UsersHost {
+  /** Simulation time. */
   readonly now: Micros;
+  /** Number of controllers. */
   readonly nodes: number;
-  /** Asks a node; null: no answer within the user's patience. */
-  ask(node: number, body: ClientRequest, then: (a: ClientResponse | null) => void): void;
-  later(delay: Micros, run: () => void): void;
-  broke(what: string): void;
+  /** Sends a request to a node; null: there was no answer before the user's timeout. */
+  ask(node: number, body: ClientRequest, onAnswer: (answer: ClientResponse | null) => void): void;
+  /** Runs a function after a delay. */
+  schedule(delay: Micros, run: () => void): void;
+  /** Records that an invariant is violated. */
+  reportViolation(violation: string): void;
 }
 
+/** All users of a simulation. */
 export class UsersModel {
-  readonly told = new Map<string, Told>();
-  /** The moment at which the user was told that the job is cancelled. */
+  /** What users were last told, by job; the first final stage is kept. */
+  readonly told = new Map<string, KnownStage>();
+  /** When a user was first told that the job is cancelled, by job. */
   readonly cancelledAt = new Map<string, Micros>();
-  /** When a question about the job was last answered. */
+  /** When a request about the job was last answered with its state, by job. */
   readonly answeredAt = new Map<string, Micros>();
-  /** Jobs whose users asked to cancel them. */
+  /** Jobs that users asked to cancel. */
   readonly asked = new Set<string>();
 
-  /** Chance that users look closely at a job that was just accepted, done or cancelled: see `lookClosely`. */
-  closeLooks = 0;
-  /** Questions of close looks, by the word that led to them. */
+  /** Probability of a burst of queries about a job that was just accepted, done or cancelled: see `sendQueryBurst`. */
+  queryBurstChance = 0;
+  /** Number of queries in bursts, by the stage that led to them. */
   readonly looks = new Map<string, number>();
 
   constructor(
+    /** Tests use its `ask` to send single requests. */
     readonly host: UsersHost,
-    private readonly work: Work,
+    private readonly work: Workload,
     private readonly random: Random,
   ) {}
 
@@ -48,94 +60,99 @@
     return this.host.now;
   }
 
-  private ask(
+  private send(
     id: string,
     body: ClientRequest,
-    then: (a: ClientResponse | null) => void,
+    onAnswer: (answer: ClientResponse | null) => void,
     node = this.random.below(this.host.nodes),
   ): void {
     const known = this.told.get(id);
-    this.host.ask(node, body, (a) => {
-      this.hear(id, a, known);
-      then(a);
+    this.host.ask(node, body, (answer) => {
+      this.checkAnswer(id, answer, known);
+      onAnswer(answer);
     });
   }
 
-  /** All nodes are asked within milliseconds, again and again, and the submission is repeated; now and then they cancel. */
-  private lookClosely(id: string, word: string): void {
+  /** Polls every node three times within milliseconds and repeats the submission; sometimes cancels an accepted job. */
+  private sendQueryBurst(id: string, stage: string): void {
     const spec = this.work.specs.get(id);
     if (spec === undefined) return;
     for (let node = 0; node < this.host.nodes; node++)
       for (const round of [0, 1, 2]) {
-        this.looks.set(word, (this.looks.get(word) ?? 0) + 1);
+        this.looks.set(stage, (this.looks.get(stage) ?? 0) + 1);
         const body: ClientRequest =
-          this.random.chance(0.3) || (round === 0 && word === 'accepted')
+          this.random.chance(0.3) || (round === 0 && stage === 'accepted')
             ? { kind: 'submit', id, spec, problem: null }
             : { kind: 'poll', id };
-        this.host.later((round * 15 + this.random.below(15)) * MILLI, () => {
-          this.ask(id, body, () => undefined, node);
+        this.host.schedule((round * 15 + this.random.below(15)) * MILLI, () => {
+          this.send(id, body, () => undefined, node);
         });
       }
-    if (word === 'accepted' && this.random.chance(0.15))
-      this.host.later(this.random.below(40) * MILLI, () => {
+    if (stage === 'accepted' && this.random.chance(0.15))
+      this.host.schedule(this.random.below(40) * MILLI, () => {
         this.cancel(id);
       });
   }
 
+  /** Submits a job, and retries until the answer is its state. */
   submit(spec: JobSpec, tries = 0): void {
     this.work.specs.set(spec.id, spec);
-    this.ask(spec.id, { kind: 'submit', id: spec.id, spec, problem: null }, (a) => {
-      if (a?.kind !== 'view' && tries < TRIES)
-        this.host.later(SECOND, () => {
+    this.send(spec.id, { kind: 'submit', id: spec.id, spec, problem: null }, (answer) => {
+      if (answer?.kind !== 'view' && tries < MAX_RETRIES)
+        this.host.schedule(SECOND, () => {
           this.submit(spec, tries + 1);
         });
     });
   }
 
-  /** Polls a node, any one if none is given; `then` gets the answer, null if there was none in time. */
+  /** Polls a node, by default a random one; `onAnswer` gets the answer, or null if there was none in time. */
   poll(
     id: string,
     node = this.random.below(this.host.nodes),
-    then: (answer: ClientResponse | null) => void = () => undefined,
+    onAnswer: (answer: ClientResponse | null) => void = () => undefined,
   ): void {
-    this.ask(id, { kind: 'poll', id }, then, node);
+    this.send(id, { kind: 'poll', id }, onAnswer, node);
   }
 
+  /** Cancels a job, and retries until the answer is its state. */
   cancel(id: string, tries = 0): void {
     this.asked.add(id);
-    this.ask(id, { kind: 'cancel', id }, (a) => {
-      if (a?.kind !== 'view' && tries < TRIES)
-        this.host.later(SECOND, () => {
+    this.send(id, { kind: 'cancel', id }, (answer) => {
+      if (answer?.kind !== 'view' && tries < MAX_RETRIES)
+        this.host.schedule(SECOND, () => {
           this.cancel(id, tries + 1);
         });
     });
   }
 
-  /** What any node had told when the question was asked must never be taken back. */
-  private hear(id: string, a: ClientResponse | null, known: Told | undefined): void {
-    if (a?.kind === 'view') this.answeredAt.set(id, this.now);
-    if (known !== undefined && (a?.kind === 'absent' || a?.kind === 'malformed' || a?.kind === 'impossible'))
-      this.host.broke(`forgotten ${id}: ${a.kind}`);
-    if (a?.kind !== 'view') return;
-    const before = known?.stage;
-    const { stage } = a.view;
-    if ((before === 'done' || before === 'cancelled') && stage !== before)
-      this.host.broke(`went_back ${id}: ${before} -> ${stage}`);
-    if (stage === 'done' && !this.work.isDone(id)) this.host.broke(`not_done ${id}`);
-    const line = this.work.lineOf(id);
-    if (stage === 'cancelled' && ![...line].some((x) => this.asked.has(x)))
-      this.host.broke(`went_back ${id}: nobody cancelled it`);
-    line.delete(id);
+  /** Checks that an answer doesn't contradict what any node had answered before the request was sent. */
+  private checkAnswer(id: string, answer: ClientResponse | null, known: KnownStage | undefined): void {
+    if (answer?.kind === 'view') this.answeredAt.set(id, this.now);
+    if (
+      known !== undefined &&
+      (answer?.kind === 'absent' || answer?.kind === 'malformed' || answer?.kind === 'impossible')
+    )
+      this.host.reportViolation(`forgotten ${id}: ${answer.kind}`);
+    if (answer?.kind !== 'view') return;
+    const stageBefore = known?.stage;
+    const { stage } = answer.view;
+    if ((stageBefore === 'done' || stageBefore === 'cancelled') && stage !== stageBefore)
+      this.host.reportViolation(`went_back ${id}: ${stageBefore} -> ${stage}`);
+    if (stage === 'done' && !this.work.isDone(id)) this.host.reportViolation(`not_done ${id}`);
+    const related = this.work.withDependencies(id);
+    if (stage === 'cancelled' && ![...related].some((other) => this.asked.has(other)))
+      this.host.reportViolation(`went_back ${id}: nobody cancelled it`);
+    related.delete(id);
     if (stage === 'queued' || stage === 'running')
-      for (const x of line)
-        if ((this.cancelledAt.get(x) ?? Infinity) + CANCEL < this.now)
-          this.host.broke(`orphaned ${id}: ${x} is cancelled`);
+      for (const other of related)
+        if ((this.cancelledAt.get(other) ?? Infinity) + CANCELLATION_LIMIT < this.now)
+          this.host.reportViolation(`orphaned ${id}: ${other} is cancelled`);
     if (stage === 'cancelled' && !this.cancelledAt.has(id)) this.cancelledAt.set(id, this.now);
-    const last = this.told.get(id)?.stage;
-    if (last !== 'done' && last !== 'cancelled') this.told.set(id, { stage, at: this.now });
-    const final = stage === 'done' || stage === 'cancelled';
-    const news = final ? last !== stage : last === undefined;
-    if (news && this.closeLooks > 0 && this.random.chance(this.closeLooks))
-      this.lookClosely(id, final ? stage : 'accepted');
+    const lastStage = this.told.get(id)?.stage;
+    if (lastStage !== 'done' && lastStage !== 'cancelled') this.told.set(id, { stage, at: this.now });
+    const isFinal = stage === 'done' || stage === 'cancelled';
+    const isNews = isFinal ? lastStage !== stage : lastStage === undefined;
+    if (isNews && this.queryBurstChance > 0 && this.random.chance(this.queryBurstChance))
+      this.sendQueryBurst(id, isFinal ? stage : 'accepted');
   }
 }
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs left waiting beside free room, judged from the world's own truth: a task that has not completed and is nowhere, while a
- * machine that fits is well and has room, and the team is under its limit.
+ * Detects jobs that wait although they could run, from the state of the simulation rather than the controllers': a task is
+ * neither completed nor on a machine, while a healthy machine that fits has room and the team is below its quota.
  */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -9,97 +9,104 @@
 import { TYPE } from './site.js';
 import type { Worker } from './workers-model.js';
 
-export class LeftWaiting {
-  /** Since when each job has waited so without a break. */
-  private readonly since = new Map<string, Micros>();
-  /** The longest that each job waited so. */
-  readonly longest = new Map<string, Micros>();
+/** Measures for how long jobs wait although they could run. */
+export class StarvationMonitor {
+  /** Since when each job has waited without interruption although it could run. */
+  private readonly waitingSince = new Map<string, Micros>();
+  /** The longest such wait of each job. */
+  readonly longestWaits = new Map<string, Micros>();
 
   constructor(
-    private readonly w: ClusterSimulation,
+    private readonly simulation: ClusterSimulation,
     private readonly teamCores: number,
   ) {}
 
-  /** To be called every few seconds once the troubles are over. */
-  look(ids: readonly string[]): void {
-    const { w } = this;
-    const well = [...w.workers.values()].filter((x) => this.isWell(x));
-    const free = new Map(well.map((x) => [x, this.freeOn(x)]));
+  /** Updates the waits of these jobs; to be called every few seconds after the last fault. */
+  observe(ids: readonly string[]): void {
+    const { simulation } = this;
+    const healthy = [...simulation.workers.values()].filter((worker) => this.isHealthy(worker));
+    const free = new Map(healthy.map((worker) => [worker, this.freeCoresOf(worker)]));
     for (const id of ids) {
-      const spec = w.work.specs.get(id);
-      if (spec === undefined || !this.waits(id, spec, free)) {
-        this.since.delete(id);
+      const spec = simulation.work.specs.get(id);
+      if (spec === undefined || !this.isLeftWaiting(id, spec, free)) {
+        this.waitingSince.delete(id);
         continue;
       }
-      const from = this.since.get(id) ?? w.now;
-      this.since.set(id, from);
-      this.longest.set(id, Math.max(this.longest.get(id) ?? 0, w.now - from));
+      const since = this.waitingSince.get(id) ?? simulation.now;
+      this.waitingSince.set(id, since);
+      this.longestWaits.set(id, Math.max(this.longestWaits.get(id) ?? 0, simulation.now - since));
     }
   }
 
-  private isWell(x: Worker): boolean {
-    const { now } = this.w;
+  /** Whether the worker runs, communicates in both directions and isn't about to be taken back. */
+  private isHealthy(worker: Worker): boolean {
+    const { now } = this.simulation;
     return (
-      x.alive &&
-      now >= x.upAt &&
-      now >= x.cutUntil &&
-      now >= x.deafUntil &&
-      now >= x.muteUntil &&
-      x.takenAt === null
+      worker.alive &&
+      now >= worker.readyAt &&
+      now >= worker.cutUntil &&
+      now >= worker.deafUntil &&
+      now >= worker.muteUntil &&
+      worker.takenAt === null
     );
   }
 
-  private freeOn(x: Worker): number {
+  private freeCoresOf(worker: Worker): number {
     let free = TYPE.cores;
-    for (const t of x.tasks) if (t.state !== 'exited') free -= this.w.work.specs.get(t.job)?.cores ?? 0;
+    for (const task of worker.tasks)
+      if (task.state !== 'exited') free -= this.simulation.work.specs.get(task.job)?.cores ?? 0;
     return free;
   }
 
-  private used(team: string): number {
+  private usedCoresOf(team: string): number {
     let cores = 0;
-    for (const x of this.w.workers.values())
-      if (x.alive)
-        for (const t of x.tasks) {
-          const s = this.w.work.specs.get(t.job);
-          if (t.state !== 'exited' && s?.team === team) cores += s.cores;
+    for (const worker of this.simulation.workers.values())
+      if (worker.alive)
+        for (const task of worker.tasks) {
+          const other = this.simulation.work.specs.get(task.job);
+          if (task.state !== 'exited' && other?.team === team) cores += other.cores;
         }
     return cores;
   }
 
-  private waits(id: string, spec: JobSpec, free: ReadonlyMap<Worker, number>): boolean {
-    const { w } = this;
-    const stage = w.stageOf(id);
-    if (stage === undefined || stage === 'done' || stage === 'cancelled' || w.users.asked.has(id))
+  private isLeftWaiting(id: string, spec: JobSpec, free: ReadonlyMap<Worker, number>): boolean {
+    const { simulation } = this;
+    const stage = simulation.stageOf(id);
+    if (stage === undefined || stage === 'done' || stage === 'cancelled' || simulation.users.asked.has(id))
+      return false;
+    if (
+      simulation.work.isDone(id) ||
+      spec.dependsOn.some((dependency) => !simulation.work.isDone(dependency))
+    )
       return false;
-    if (w.work.isDone(id) || spec.dependsOn.some((n) => !w.work.isDone(n))) return false;
     const zones = new Map<string, number>();
-    const there = new Set<number>();
-    for (const x of w.workers.values())
-      if (x.alive)
-        for (const t of x.tasks)
-          if (t.job === id && t.state !== 'exited') {
-            there.add(t.index);
-            zones.set(x.zone, (zones.get(x.zone) ?? 0) + 1);
+    const placed = new Set<number>();
+    for (const worker of simulation.workers.values())
+      if (worker.alive)
+        for (const task of worker.tasks)
+          if (task.job === id && task.state !== 'exited') {
+            placed.add(task.index);
+            zones.set(worker.zone, (zones.get(worker.zone) ?? 0) + 1);
           }
-    const done = w.work.completed.get(id) ?? new Set<number>();
+    const done = simulation.work.completed.get(id) ?? new Set<number>();
     let waiting = 0;
-    for (let i = 0; i < spec.tasks; i++) if (!there.has(i) && !done.has(i)) waiting++;
-    const gang = spec.shape === 'gang';
-    if (waiting === 0 || (gang && there.size > 0)) return false;
-    const need = gang ? spec.tasks : 1;
-    if (this.used(spec.team) + need * spec.cores > this.teamCores) return false;
-    const places = new Map<string, number>();
-    for (const [x, cores] of free) {
-      if ((spec.zone !== null && spec.zone !== x.zone) || (x.spot && !spec.spot)) continue;
-      if (spec.sameZone && [...zones.keys()].some((z) => z !== x.zone)) continue;
-      if (spec.spreadAcrossZones && (zones.get(x.zone) ?? 0) >= Math.ceil(spec.tasks / 2)) continue;
-      places.set(x.zone, (places.get(x.zone) ?? 0) + Math.floor(cores / spec.cores));
+    for (let i = 0; i < spec.tasks; i++) if (!placed.has(i) && !done.has(i)) waiting++;
+    const isGang = spec.shape === 'gang';
+    if (waiting === 0 || (isGang && placed.size > 0)) return false;
+    const needed = isGang ? spec.tasks : 1;
+    if (this.usedCoresOf(spec.team) + needed * spec.cores > this.teamCores) return false;
+    const roomByZone = new Map<string, number>();
+    for (const [worker, cores] of free) {
+      if ((spec.zone !== null && spec.zone !== worker.zone) || (worker.spot && !spec.spot)) continue;
+      if (spec.sameZone && [...zones.keys()].some((z) => z !== worker.zone)) continue;
+      if (spec.spreadAcrossZones && (zones.get(worker.zone) ?? 0) >= Math.ceil(spec.tasks / 2)) continue;
+      roomByZone.set(worker.zone, (roomByZone.get(worker.zone) ?? 0) + Math.floor(cores / spec.cores));
     }
-    if (!gang) return [...places.values()].some((n) => n > 0);
-    // A gang that spreads is not looked for: none is played.
+    if (!isGang) return [...roomByZone.values()].some((n) => n > 0);
+    // Gangs that spread across zones aren't checked: no history has any.
     if (spec.spreadAcrossZones) return false;
     return spec.sameZone
-      ? [...places.values()].some((n) => n >= need)
-      : [...places.values()].reduce((a, b) => a + b, 0) >= need;
+      ? [...roomByZone.values()].some((n) => n >= needed)
+      : [...roomByZone.values()].reduce((a, b) => a + b, 0) >= needed;
   }
 }
--- a/packages/emulator/src/work.ts
+++ b/packages/emulator/src/work.ts
@@ -1,48 +1,53 @@
-/** What there is to do in a simulated world, and what of it workers have done. */
+/** The submitted jobs of a simulation, and the task runs that workers completed. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-export class Work {
+/** Ground truth about the work, independent of what controllers believe. */
+export class Workload {
+  /** Specifications of jobs, by id. */
   readonly specs = new Map<string, JobSpec>();
+  /** Indexes of the completed tasks, by job. */
   readonly completed = new Map<string, Set<number>>();
-  /** Task time that workers count, by task: its longest run. */
+  /** The longest run of each task, as measured by workers; the keys are `job/index`. */
   readonly longestUs = new Map<string, Micros>();
-  /** Task time that workers count, by job: all runs. */
+  /** The total time of all runs of a job's tasks, as measured by workers. */
   readonly ranUs = new Map<string, Micros>();
 
-  /** Told of each job at the moment at which its last task completes. */
+  /** Called when the last task of a job completes. */
   onDone: (id: string) => void = () => undefined;
 
+  /** Whether all tasks have completed; of a gang it takes one, as its members complete together. */
   isDone(id: string): boolean {
     const spec = this.specs.get(id);
     if (spec === undefined) return false;
     return (this.completed.get(id)?.size ?? 0) >= (spec.shape === 'gang' ? 1 : spec.tasks);
   }
 
+  /** Records that a task completed. */
   complete(job: string, index: number): void {
-    const set = this.completed.get(job) ?? new Set<number>();
-    const before = this.isDone(job);
-    set.add(index);
-    this.completed.set(job, set);
-    if (!before && this.isDone(job)) this.onDone(job);
+    const completed = this.completed.get(job) ?? new Set<number>();
+    const wasDone = this.isDone(job);
+    completed.add(index);
+    this.completed.set(job, completed);
+    if (!wasDone && this.isDone(job)) this.onDone(job);
   }
 
-  /** A worker's own books: how long a task ran. */
-  ran(job: string, index: number, length: Micros): void {
+  /** Adds a worker's measurement of how long a task ran. */
+  recordRun(job: string, index: number, length: Micros): void {
     const task = `${job}/${index}`;
     this.ranUs.set(job, (this.ranUs.get(job) ?? 0) + length);
     this.longestUs.set(task, Math.max(this.longestUs.get(task) ?? 0, length));
   }
 
-  /** The job and all that it needs, directly or through others. */
-  lineOf(id: string): Set<string> {
+  /** The job and its direct and transitive dependencies. */
+  withDependencies(id: string): Set<string> {
     const seen = new Set([id]);
-    const next = [id];
-    for (let x = next.pop(); x !== undefined; x = next.pop())
-      for (const n of this.specs.get(x)?.dependsOn ?? [])
-        if (!seen.has(n)) {
-          seen.add(n);
-          next.push(n);
+    const pending = [id];
+    for (let current = pending.pop(); current !== undefined; current = pending.pop())
+      for (const dependency of this.specs.get(current)?.dependsOn ?? [])
+        if (!seen.has(dependency)) {
+          seen.add(dependency);
+          pending.push(dependency);
         }
     return seen;
   }
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -1,4 +1,4 @@
-/** Workers as a model: tasks, gangs, sessions and leases, with the rules checked at each start. */
+/** Model of the workers: tasks, gangs, sessions and leases. Checks the protocol's invariants at each start of a task. */
 import type {
   CommandReply,
   Heartbeat,
@@ -11,114 +11,139 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
-import type { Machines } from './cloud-model.js';
+import type { SimulatedMachines } from './cloud-model.js';
 import type { Random } from './random.js';
 import { TYPE } from './site.js';
-import type { Work } from './work.js';
+import type { Workload } from './work.js';
 
-const REPORT: Micros = 3 * SECOND;
-const LEASE: Micros = 20 * SECOND;
-/** A worker gives a report up after that, and goes on to the next node a second later. */
-const REPORT_PATIENCE: Micros = 4 * SECOND;
-export const CANCEL: Micros = 40 * SECOND;
+/** As in the settings that `settingsFor` makes. */
+const HEARTBEAT_INTERVAL: Micros = 3 * SECOND;
+const LEASE_DURATION: Micros = 20 * SECOND;
+/** A worker tries the next node a second after this. */
+const HEARTBEAT_TIMEOUT: Micros = 4 * SECOND;
+/** Within this time after a user was told that a job is cancelled, all of its tasks must have stopped. */
+export const CANCELLATION_LIMIT: Micros = 40 * SECOND;
 
-interface SimTask {
+/** An attempt of a task on a worker. */
+interface SimulatedTask {
   job: string;
   index: number;
   attempt: number;
   state: ReportedTask['state'];
   cause: ReportedTask['cause'];
   checkpointed: boolean;
-  /** When the state changes by itself. */
-  until: Micros;
-  /** When it began to run. */
-  since: Micros | null;
+  /** When the current state ends by itself: the image is fetched, the task done, or its checkpoint written. */
+  stateEndsAt: Micros;
+  /** When it began to run; null: it isn't running. */
+  runningSince: Micros | null;
 }
 
+/** A machine and the worker on it. */
 export interface Worker {
+  /** Of the machine; it also serves as the worker's address. */
   name: string;
+  /** The zone that the machine is in. */
   zone: string;
+  /** Whether the cloud may take the machine back. */
   spot: boolean;
-  upAt: Micros;
+  /** When the machine has booted. */
+  readyAt: Micros;
+  /** Whether the machine exists. */
   alive: boolean;
+  /** Starts anew when the lease expires. */
   session: number;
-  seq: number;
+  /** Number of the last heartbeat in the session. */
+  sequence: number;
+  /** The highest fencing token seen. */
   token: number;
+  /** When the last accepted heartbeat was sent: the lease counts from then. */
   answered: Micros;
+  /** The controller that it sends heartbeats to, by index. */
   node: number;
+  /** When the next heartbeat is due. */
   nextReport: Micros;
-  tasks: SimTask[];
-  /** Hangs or is cut off until then. */
+  /** Attempts on the worker, including ended ones that it wasn't told to forget. */
+  tasks: SimulatedTask[];
+  /** The worker hangs or is unreachable until then. */
   cutUntil: Micros;
-  /** Until then its reports arrive, and nothing that is sent to it. */
+  /** Until then its heartbeats arrive, but it receives no responses and no commands. */
   deafUntil: Micros;
-  /** Until then it reaches no controller, while direct commands reach it. */
+  /** Until then it reaches no controller, but receives direct commands. */
   muteUntil: Micros;
-  /** When the cloud takes it away, with notice until then; null: it does not. */
+  /** When the cloud takes the machine back, announced in heartbeats until then; null: never. */
   takenAt: Micros | null;
 }
 
+/** What the workers need from the simulation. */
 export interface WorkersHost {
+  /** Simulation time. */
   readonly now: Micros;
+  /** Number of controllers. */
   readonly nodes: number;
-  /** A job's description as its worker fetches it, whoever submitted the job. */
-  describe(id: string): JobSpec | undefined;
-  /** When its user was told that the job is cancelled. */
+  /** The specification that a worker fetches, also of jobs that weren't submitted by the simulated users. */
+  findSpec(id: string): JobSpec | undefined;
+  /** When a user was first told that the job is cancelled. */
   cancelledAt(id: string): Micros | undefined;
-  broke(what: string): void;
-  /** A report is due. */
-  report(w: Worker): void;
-  /** The machine is gone. */
-  ended(name: string): void;
+  /** Records that an invariant is violated. */
+  reportViolation(violation: string): void;
+  /** Sends a heartbeat to the worker's controller. */
+  sendHeartbeat(worker: Worker): void;
+  /** Called when a machine ceases to exist. */
+  machineTerminated(name: string): void;
 }
 
-export class WorkersModel implements Machines {
-  readonly all = new Map<string, Worker>();
+/** All workers of a simulation. */
+export class WorkersModel implements SimulatedMachines {
+  /** All that ever existed, by machine name. */
+  readonly workers = new Map<string, Worker>();
+  /** Start commands that were executed. */
   starts = 0;
-  /** Tasks that an order stopped while they ran and their job was neither cancelled nor done: work lost by decision. */
+  /** Running tasks that were stopped by a command although their job was neither cancelled nor done. */
   readonly stoppedRunning: { readonly at: Micros; readonly task: string; readonly machine: string }[] = [];
-  /** How long after its user was told of the cancellation a task of a job was started all the same. */
+  /** Delays between telling a user that a job is cancelled and a start of one of its tasks. */
   readonly startedAfter: Micros[] = [];
-  /** Orders to stop that found a task saving, and saves that ended well. */
+  /** Checkpoints on stop: begun, cut short by a stop without grace, and completed. */
   readonly saves = { begun: 0, cut: 0, ended: 0 };
-  /** How much slower workers' clocks are than true ones: their leases last longer by that. */
+  /** Fraction by which workers' clocks are slow: their leases last longer by it. */
   slowClocks = 0;
-  /** When a task of a job was last on a machine after its user had been told that it is cancelled. */
+  /** When a task of a job was last on a machine after a user was told that the job is cancelled, by job. */
   readonly lastSeen = new Map<string, Micros>();
   private nextMachine = 1;
 
   constructor(
     private readonly host: WorkersHost,
-    private readonly work: Work,
+    private readonly work: Workload,
     private readonly random: Random,
-    private readonly limitCores: number,
+    private readonly teamCores: number,
   ) {}
 
   private get now(): Micros {
     return this.host.now;
   }
 
-  // ---- machines, as the cloud sees them ----------------------------------------------------------
+  // ---- machines for the cloud --------------------------------------------------------------------
 
-  inZone(zone: string): number {
-    return [...this.all.values()].filter((w) => w.alive && w.zone === zone).length;
+  /** Machines that exist in a zone, booting ones included. */
+  countInZone(zone: string): number {
+    return [...this.workers.values()].filter((worker) => worker.alive && worker.zone === zone).length;
   }
 
+  /** Adds a machine that becomes ready after `bootUs`; returns its name. */
   boot(zone: string, spot: boolean, bootUs = TYPE.bootUs * (0.6 + 0.9 * this.random.next())): string {
     const name = `m-${String(this.nextMachine++).padStart(6, '0')}`;
-    const upAt = this.now + bootUs;
-    this.all.set(name, {
+    const readyAt = this.now + bootUs;
+    this.workers.set(name, {
       name,
       zone,
       spot,
-      upAt,
+      readyAt,
       alive: true,
       session: 1,
-      seq: 0,
+      sequence: 0,
       token: 0,
-      answered: upAt,
+      answered: readyAt,
       node: this.random.below(this.host.nodes),
-      nextReport: upAt,
+      nextReport: readyAt,
       tasks: [],
       cutUntil: 0,
       deafUntil: 0,
@@ -128,46 +153,50 @@
     return name;
   }
 
-  end(name: string): void {
-    const w = this.all.get(name);
-    if (w !== undefined) this.kill(w);
+  /** Deletes a machine at the request of the cloud's customer. */
+  terminate(name: string): void {
+    const worker = this.workers.get(name);
+    if (worker !== undefined) this.kill(worker);
   }
 
+  /** The cloud's listing of all machines that exist. */
   list(): ListedMachine[] {
-    return [...this.all.values()]
-      .filter((w) => w.alive)
-      .map((w) => ({
-        name: w.name,
-        address: w.name,
+    return [...this.workers.values()]
+      .filter((worker) => worker.alive)
+      .map((worker) => ({
+        name: worker.name,
+        address: worker.name,
         type: TYPE.name,
-        zone: w.zone,
-        spot: w.spot,
-        state: this.now >= w.upAt ? ('running' as const) : ('booting' as const),
+        zone: worker.zone,
+        spot: worker.spot,
+        state: this.now >= worker.readyAt ? ('running' as const) : ('booting' as const),
         ageUs: 0,
       }));
   }
 
-  kill(w: Worker): void {
-    this.host.ended(w.name);
-    for (const t of w.tasks) this.noteRun(t);
-    w.alive = false;
-    w.tasks = [];
+  /** The machine ceases to exist, and all tasks on it end. */
+  kill(worker: Worker): void {
+    this.host.machineTerminated(worker.name);
+    for (const task of worker.tasks) this.recordRun(task);
+    worker.alive = false;
+    worker.tasks = [];
   }
 
-  // ---- reports -----------------------------------------------------------------------------------
+  // ---- heartbeats --------------------------------------------------------------------------------
 
-  reportOf(w: Worker): Heartbeat {
+  /** The worker's next heartbeat. */
+  reportOf(worker: Worker): Heartbeat {
     return {
-      machine: w.name,
-      address: w.name,
+      machine: worker.name,
+      address: worker.name,
       type: TYPE.name,
-      zone: w.zone,
-      spot: w.spot,
-      agentEpoch: w.session,
-      sequence: ++w.seq,
-      fencingToken: w.token,
-      terminationNoticeUs: w.takenAt === null ? null : Math.max(0, w.takenAt - this.now),
-      tasks: w.tasks.map(({ job, index, attempt, state, cause, checkpointed }) => ({
+      zone: worker.zone,
+      spot: worker.spot,
+      agentEpoch: worker.session,
+      sequence: ++worker.sequence,
+      fencingToken: worker.token,
+      terminationNoticeUs: worker.takenAt === null ? null : Math.max(0, worker.takenAt - this.now),
+      tasks: worker.tasks.map(({ job, index, attempt, state, cause, checkpointed }) => ({
         job,
         index,
         attempt,
@@ -178,223 +207,250 @@
     };
   }
 
-  /** The answer to a report that was sent in this session, at that time. `to`: the node that an answer names, if known. */
-  answered(w: Worker, session: number, sent: Micros, a: HeartbeatResponse, to: number): void {
-    if (!w.alive || w.session !== session || this.now < w.cutUntil) return;
-    if (a.kind === 'accepted') {
-      if (a.fencingToken < w.token) return;
-      w.token = a.fencingToken;
-      w.answered = sent;
-      for (const o of a.commands) this.execute(w, o);
-    } else if (to >= 0 && to !== w.node) {
-      w.node = to;
-      w.nextReport = this.now + 100 * MILLI;
-    } else this.nextNode(w);
+  /** Processes the response to a heartbeat. `leader`: the index of the node that a redirect names; -1: none. */
+  handleResponse(
+    worker: Worker,
+    session: number,
+    sentAt: Micros,
+    response: HeartbeatResponse,
+    leader: number,
+  ): void {
+    if (!worker.alive || worker.session !== session || this.now < worker.cutUntil) return;
+    if (response.kind === 'accepted') {
+      if (response.fencingToken < worker.token) return;
+      worker.token = response.fencingToken;
+      worker.answered = sentAt;
+      for (const command of response.commands) this.executeCommand(worker, command);
+    } else if (leader >= 0 && leader !== worker.node) {
+      worker.node = leader;
+      worker.nextReport = this.now + 100 * MILLI;
+    } else this.switchNode(worker);
   }
 
-  nextNode(w: Worker): void {
-    w.node = (w.node + 1) % this.host.nodes;
-    w.nextReport = this.now + SECOND;
+  /** Tries the next controller in a second. */
+  switchNode(worker: Worker): void {
+    worker.node = (worker.node + 1) % this.host.nodes;
+    worker.nextReport = this.now + SECOND;
   }
 
-  /** Nobody answers within the worker's patience. */
-  unanswered(w: Worker): void {
-    this.nextNode(w);
-    w.nextReport += REPORT_PATIENCE;
+  /** The heartbeat times out: tries the next controller after the timeout. */
+  recordTimeout(worker: Worker): void {
+    this.switchNode(worker);
+    worker.nextReport += HEARTBEAT_TIMEOUT;
   }
 
-  // ---- orders ------------------------------------------------------------------------------------
+  // ---- commands ----------------------------------------------------------------------------------
 
-  /** Direct commands: executed if token and session still match. */
-  orders(name: string, token: number, session: number, orders: readonly WorkerCommand[]): CommandReply {
-    const w = this.all.get(name);
-    if (w === undefined || !w.alive || this.now < w.upAt) return { kind: 'lost', heartbeat: null };
-    if (token < w.token || session !== w.session) return { kind: 'refused', heartbeat: this.reportOf(w) };
-    w.token = token;
-    for (const o of orders) this.execute(w, o);
-    return { kind: 'executed', heartbeat: this.reportOf(w) };
+  /** Executes direct commands, unless their token is outdated or they are for another session. */
+  orders(name: string, token: number, session: number, commands: readonly WorkerCommand[]): CommandReply {
+    const worker = this.workers.get(name);
+    if (worker === undefined || !worker.alive || this.now < worker.readyAt)
+      return { kind: 'lost', heartbeat: null };
+    if (token < worker.token || session !== worker.session)
+      return { kind: 'refused', heartbeat: this.reportOf(worker) };
+    worker.token = token;
+    for (const command of commands) this.executeCommand(worker, command);
+    return { kind: 'executed', heartbeat: this.reportOf(worker) };
   }
 
-  private execute(w: Worker, o: WorkerCommand): void {
-    const t = w.tasks.find((x) => x.job === o.job && x.index === o.index);
-    if (o.op === 'forget') {
-      w.tasks = w.tasks.filter((x) => x !== t || x.attempt !== o.attempt || x.state !== 'exited');
+  private executeCommand(worker: Worker, command: WorkerCommand): void {
+    const task = worker.tasks.find((x) => x.job === command.job && x.index === command.index);
+    if (command.op === 'forget') {
+      worker.tasks = worker.tasks.filter(
+        (x) => x !== task || x.attempt !== command.attempt || x.state !== 'exited',
+      );
       return;
     }
-    if (o.op === 'stop') {
-      if (t?.attempt === o.attempt && t.state !== 'exited') this.stop(w, t, o.graceUs);
+    if (command.op === 'stop') {
+      if (task?.attempt === command.attempt && task.state !== 'exited')
+        this.stopTask(worker, task, command.graceUs);
       return;
     }
-    if (t?.attempt === o.attempt) return;
-    if (t !== undefined && t.state !== 'exited') {
-      w.tasks.push({ ...o, state: 'exited', cause: 'busy', checkpointed: false, until: 0, since: null });
+    if (task?.attempt === command.attempt) return;
+    if (task !== undefined && task.state !== 'exited') {
+      worker.tasks.push({
+        ...command,
+        state: 'exited',
+        cause: 'busy',
+        checkpointed: false,
+        stateEndsAt: 0,
+        runningSince: null,
+      });
       return;
     }
-    w.tasks = w.tasks.filter((x) => x !== t);
-    this.checkStart(w, o);
-    w.tasks.push({
-      job: o.job,
-      index: o.index,
-      attempt: o.attempt,
+    worker.tasks = worker.tasks.filter((x) => x !== task);
+    this.checkStart(worker, command);
+    worker.tasks.push({
+      job: command.job,
+      index: command.index,
+      attempt: command.attempt,
       state: 'fetching',
       cause: null,
       checkpointed: false,
-      until: this.now + 500 * MILLI,
-      since: null,
+      stateEndsAt: this.now + 500 * MILLI,
+      runningSince: null,
     });
   }
 
-  /** A task that can save does so if there is time; the second order without any ends the saving. */
-  private stop(w: Worker, t: SimTask, graceUs: Micros): void {
-    const spec = this.work.specs.get(t.job);
-    if (t.state === 'running' && spec !== undefined) {
-      if (this.host.cancelledAt(t.job) === undefined && !this.work.isDone(t.job))
-        this.stoppedRunning.push({ at: this.now, task: `${t.job}/${t.index}`, machine: w.name });
+  /** Stops a task, after a checkpoint if the grace period allows one; a stop without grace cuts a checkpoint short. */
+  private stopTask(worker: Worker, task: SimulatedTask, graceUs: Micros): void {
+    const spec = this.work.specs.get(task.job);
+    if (task.state === 'running' && spec !== undefined) {
+      if (this.host.cancelledAt(task.job) === undefined && !this.work.isDone(task.job))
+        this.stoppedRunning.push({ at: this.now, task: `${task.job}/${task.index}`, machine: worker.name });
       if (spec.checkpointIntervalUs > 0 && graceUs >= spec.checkpointDurationUs) {
-        this.noteRun(t);
-        t.since = null;
-        t.state = 'saving';
-        t.until = this.now + spec.checkpointDurationUs;
+        this.recordRun(task);
+        task.runningSince = null;
+        task.state = 'saving';
+        task.stateEndsAt = this.now + spec.checkpointDurationUs;
         this.saves.begun++;
         return;
       }
     }
-    if (t.state === 'saving') {
+    if (task.state === 'saving') {
       if (graceUs > 0) return;
       this.saves.cut++;
     }
-    this.noteRun(t);
-    t.state = 'exited';
-    t.cause = 'stopped';
+    this.recordRun(task);
+    task.state = 'exited';
+    task.cause = 'stopped';
   }
 
-  /** The rules, checked at the moment of a start. */
-  private checkStart(w: Worker, o: WorkerCommand & { op: 'start' }): void {
+  /** Checks dependencies, cancellation, uniqueness, quota, placement and room when a task is started. */
+  private checkStart(worker: Worker, command: WorkerCommand & { op: 'start' }): void {
     this.starts++;
-    const spec = this.host.describe(o.job);
+    const spec = this.host.findSpec(command.job);
     if (spec === undefined) {
-      this.host.broke(`start of unknown ${o.job}`);
+      this.host.reportViolation(`start of unknown job ${command.job}`);
       return;
     }
-    for (const n of spec.dependsOn)
-      if (!this.work.isDone(n)) this.host.broke(`too_early ${o.job}/${o.index}: ${n} is not done`);
-    const told = this.host.cancelledAt(o.job);
-    if (told !== undefined) this.startedAfter.push(this.now - told);
-    if (told !== undefined && this.now > told + CANCEL) this.host.broke(`ran_cancelled ${o.job}`);
+    for (const dependency of spec.dependsOn)
+      if (!this.work.isDone(dependency))
+        this.host.reportViolation(`too_early ${command.job}/${command.index}: ${dependency} is not done`);
+    const cancelledAt = this.host.cancelledAt(command.job);
+    if (cancelledAt !== undefined) this.startedAfter.push(this.now - cancelledAt);
+    if (cancelledAt !== undefined && this.now > cancelledAt + CANCELLATION_LIMIT)
+      this.host.reportViolation(`ran_cancelled ${command.job}`);
     let cores = spec.cores;
-    const zones = new Map<string, number>([[w.zone, 1]]);
-    for (const other of this.all.values()) {
+    const zones = new Map<string, number>([[worker.zone, 1]]);
+    for (const other of this.workers.values()) {
       if (!other.alive) continue;
-      for (const t of other.tasks) {
-        if (t.state === 'exited') continue;
-        const s = this.work.specs.get(t.job);
-        if (s?.team === spec.team) cores += s.cores;
-        if (t.job !== o.job) continue;
-        if (t.index === o.index)
-          this.host.broke(`ran_twice ${o.job}/${o.index} on ${w.name} and ${other.name}`);
+      for (const task of other.tasks) {
+        if (task.state === 'exited') continue;
+        const otherSpec = this.work.specs.get(task.job);
+        if (otherSpec?.team === spec.team) cores += otherSpec.cores;
+        if (task.job !== command.job) continue;
+        if (task.index === command.index)
+          this.host.reportViolation(
+            `ran_twice ${command.job}/${command.index} on ${worker.name} and ${other.name}`,
+          );
         zones.set(other.zone, (zones.get(other.zone) ?? 0) + 1);
       }
     }
-    if (cores > this.limitCores) this.host.broke(`quota ${o.job}: ${cores}`);
-    if (spec.sameZone && zones.size > 1) this.host.broke(`wrong_place ${o.job}: zones`);
-    if (spec.spreadAcrossZones && (zones.get(w.zone) ?? 0) > Math.ceil(spec.tasks / 2))
-      this.host.broke(`wrong_place ${o.job}: spread`);
-    if ((spec.zone !== null && spec.zone !== w.zone) || (w.spot && !spec.spot))
-      this.host.broke(`wrong_place ${o.job}: ${w.zone}`);
-    const used = w.tasks
-      .filter((t) => t.state !== 'exited')
-      .reduce((n, t) => n + (this.work.specs.get(t.job)?.cores ?? 0), 0);
-    if (used + spec.cores > TYPE.cores) this.host.broke(`no room on ${w.name}`);
+    if (cores > this.teamCores) this.host.reportViolation(`quota ${command.job}: ${cores}`);
+    if (spec.sameZone && zones.size > 1) this.host.reportViolation(`wrong_place ${command.job}: zones`);
+    if (spec.spreadAcrossZones && (zones.get(worker.zone) ?? 0) > Math.ceil(spec.tasks / 2))
+      this.host.reportViolation(`wrong_place ${command.job}: spread`);
+    if ((spec.zone !== null && spec.zone !== worker.zone) || (worker.spot && !spec.spot))
+      this.host.reportViolation(`wrong_place ${command.job}: ${worker.zone}`);
+    const used = worker.tasks
+      .filter((task) => task.state !== 'exited')
+      .reduce((n, task) => n + (this.work.specs.get(task.job)?.cores ?? 0), 0);
+    if (used + spec.cores > TYPE.cores) this.host.reportViolation(`no room on ${worker.name}`);
   }
 
   // ---- time --------------------------------------------------------------------------------------
 
-  run(): void {
-    for (const w of this.all.values()) {
-      if (!w.alive || this.now < w.upAt) continue;
-      if (w.takenAt !== null && this.now >= w.takenAt) {
-        this.kill(w);
+  /** Processes all that is due: terminations, lease expiries, task state changes, heartbeats. */
+  advance(): void {
+    for (const worker of this.workers.values()) {
+      if (!worker.alive || this.now < worker.readyAt) continue;
+      if (worker.takenAt !== null && this.now >= worker.takenAt) {
+        this.kill(worker);
         continue;
       }
-      if (this.now > w.answered + LEASE * (1 + this.slowClocks)) {
-        for (const t of w.tasks) this.noteRun(t);
-        w.tasks = [];
-        w.session++;
-        w.seq = 0;
-        w.answered = this.now;
+      if (this.now > worker.answered + LEASE_DURATION * (1 + this.slowClocks)) {
+        for (const task of worker.tasks) this.recordRun(task);
+        worker.tasks = [];
+        worker.session++;
+        worker.sequence = 0;
+        worker.answered = this.now;
       }
-      if (this.now < w.cutUntil) continue;
+      if (this.now < worker.cutUntil) continue;
       let changed = false;
-      for (const t of w.tasks) {
-        if (t.state === 'exited' || this.now < t.until) continue;
-        const spec = this.work.specs.get(t.job)!;
-        if (t.state === 'fetching') {
-          t.state = spec.shape === 'gang' ? 'waiting' : 'running';
-          if (t.state === 'running') t.since = this.now;
-          t.until = this.now + spec.estimatedRunUs;
-        } else if (t.state === 'running') {
-          this.noteRun(t);
-          t.state = 'exited';
-          t.cause = 'done';
-          this.work.complete(t.job, t.index);
-        } else if (t.state === 'saving') {
-          t.state = 'exited';
-          t.cause = 'stopped';
-          t.checkpointed = true;
+      for (const task of worker.tasks) {
+        if (task.state === 'exited' || this.now < task.stateEndsAt) continue;
+        const spec = this.work.specs.get(task.job)!;
+        if (task.state === 'fetching') {
+          task.state = spec.shape === 'gang' ? 'waiting' : 'running';
+          if (task.state === 'running') task.runningSince = this.now;
+          task.stateEndsAt = this.now + spec.estimatedRunUs;
+        } else if (task.state === 'running') {
+          this.recordRun(task);
+          task.state = 'exited';
+          task.cause = 'done';
+          this.work.complete(task.job, task.index);
+        } else if (task.state === 'saving') {
+          task.state = 'exited';
+          task.cause = 'stopped';
+          task.checkpointed = true;
           this.saves.ended++;
         } else continue;
         changed = true;
       }
-      if (changed) w.nextReport = Math.min(w.nextReport, this.now + 50 * MILLI);
-      if (this.now < w.nextReport) continue;
-      w.nextReport = this.now + REPORT;
-      this.host.report(w);
+      if (changed) worker.nextReport = Math.min(worker.nextReport, this.now + 50 * MILLI);
+      if (this.now < worker.nextReport) continue;
+      worker.nextReport = this.now + HEARTBEAT_INTERVAL;
+      this.host.sendHeartbeat(worker);
     }
-    this.runGangs();
+    this.advanceGangs();
   }
 
-  private noteRun(t: SimTask): void {
-    if (t.since === null || t.state === 'exited') return;
-    this.work.ran(t.job, t.index, this.now - t.since);
+  /** Records how long the task has run, if it is running. */
+  private recordRun(task: SimulatedTask): void {
+    if (task.runningSince === null || task.state === 'exited') return;
+    this.work.recordRun(task.job, task.index, this.now - task.runningSince);
   }
 
-  private runGangs(): void {
-    const gangs = new Map<string, SimTask[]>();
-    for (const w of this.all.values())
-      if (w.alive)
-        for (const t of w.tasks)
-          if (t.state !== 'exited' && this.work.specs.get(t.job)?.shape === 'gang') {
-            const key = `${t.job}|${t.attempt}`;
-            gangs.set(key, [...(gangs.get(key) ?? []), t]);
+  /** Starts gangs whose members are all ready, and ends the members of incomplete gangs. */
+  private advanceGangs(): void {
+    const gangs = new Map<string, SimulatedTask[]>();
+    for (const worker of this.workers.values())
+      if (worker.alive)
+        for (const task of worker.tasks)
+          if (task.state !== 'exited' && this.work.specs.get(task.job)?.shape === 'gang') {
+            const key = `${task.job}|${task.attempt}`;
+            gangs.set(key, [...(gangs.get(key) ?? []), task]);
           }
     for (const members of gangs.values()) {
       const spec = this.work.specs.get(members[0]!.job)!;
-      if (members.length === spec.tasks && members.every((t) => t.state === 'waiting'))
-        for (const t of members) {
-          t.state = 'running';
-          t.since = this.now;
-          t.until = this.now + spec.estimatedRunUs;
+      if (members.length === spec.tasks && members.every((task) => task.state === 'waiting'))
+        for (const task of members) {
+          task.state = 'running';
+          task.runningSince = this.now;
+          task.stateEndsAt = this.now + spec.estimatedRunUs;
         }
       else if (members.length < spec.tasks && !this.work.completed.has(spec.id))
-        for (const t of members)
-          if (t.state === 'running') {
-            this.noteRun(t);
-            t.state = 'exited';
-            t.cause = 'peers';
+        for (const task of members)
+          if (task.state === 'running') {
+            this.recordRun(task);
+            task.state = 'exited';
+            task.cause = 'peers';
           }
     }
   }
 
-  /** Tasks of a cancelled job are gone within the time that the protocol gives. */
+  /** Checks that tasks of cancelled jobs stop in time. */
   checkCancelled(cancelled: ReadonlyMap<string, Micros>): void {
     if (cancelled.size === 0) return;
-    for (const w of this.all.values()) {
-      if (!w.alive) continue;
-      for (const t of w.tasks) {
-        const at = t.state === 'exited' ? undefined : cancelled.get(t.job);
+    for (const worker of this.workers.values()) {
+      if (!worker.alive) continue;
+      for (const task of worker.tasks) {
+        const at = task.state === 'exited' ? undefined : cancelled.get(task.job);
         if (at === undefined) continue;
-        this.lastSeen.set(t.job, this.now);
-        if (this.now > at + CANCEL) this.host.broke(`ran_cancelled ${t.job} on ${w.name}`);
+        this.lastSeen.set(task.job, this.now);
+        if (this.now > at + CANCELLATION_LIMIT)
+          this.host.reportViolation(`ran_cancelled ${task.job} on ${worker.name}`);
       }
     }
   }
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -7,7 +7,7 @@
 import { ClusterSimulation } from '../src/cluster-simulation.js';
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
-import { LeftWaiting } from '../src/waiting.js';
+import { StarvationMonitor } from '../src/waiting.js';
 
 const longest = (coresMax: number, before: (w: ClusterSimulation) => void): number => {
   const w = new ClusterSimulation(
@@ -22,12 +22,12 @@
   for (let i = 0; i < 5; i++) w.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
   w.runFor(20 * SECOND);
   before(w);
-  const waiting = new LeftWaiting(w, coresMax);
+  const waiting = new StarvationMonitor(w, coresMax);
   for (let t = 0; t < 150; t += 5) {
     w.runFor(5 * SECOND);
-    waiting.look(['run-0', 'run-1', 'run-2', 'run-3', 'run-4']);
+    waiting.observe(['run-0', 'run-1', 'run-2', 'run-3', 'run-4']);
   }
-  return Math.max(0, ...waiting.longest.values()) / SECOND;
+  return Math.max(0, ...waiting.longestWaits.values()) / SECOND;
 };
 
 test('work that nobody places beside free machines is found', () => {
