--- a/packages/emulator/src/loopback-cloud.ts
+++ b/packages/emulator/src/loopback-cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud of a deployment on loopback: rents workers of this process, lists them, and takes them away. */
+/** Emulated cloud of a deployment on loopback: rents, lists and deletes machines whose workers run in this process. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -6,34 +6,44 @@
 
 import type { LoopWorker } from './loopback-workers.js';
 
-/** What the cloud charges for. */
+/** Billed time of a machine. */
 export interface Bill {
+  /** Name of the machine. */
   readonly machine: string;
+  /** Name of its machine type. */
   readonly type: string;
+  /** When it was rented; booting is billed as well. */
   readonly from: Micros;
+  /** When it ended; null: it exists. */
   to: Micros | null;
 }
 
-/** What the cloud needs to know and do. */
+/** What the cloud needs from its deployment. */
 export interface LoopbackCloudHost {
+  /** The deployment's clock. */
   now(): Micros;
+  /** Whether the deployment shuts down, so that no machine may boot any more. */
   isStopping(): boolean;
+  /** Machine types that it offers. */
   readonly types: readonly MachineType[];
-  /** Machines of a type that the cloud has in a zone. */
+  /** Capacity per machine type and zone. */
   readonly perZone: number;
+  /** Creates the worker of a new machine, which isn't booted yet. */
   makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker;
 }
 
-/** Rents and returns workers. */
+/** Rents machines within its capacity and bills them. */
 export class LoopbackCloud {
+  /** All that were ever rented, by machine name. */
   readonly workers = new Map<string, LoopWorker>();
+  /** One for each rented machine. */
   readonly bills: Bill[] = [];
-  private readonly bookings = new Map<string, string[]>();
+  private readonly machinesByRequest = new Map<string, string[]>();
   private nextMachine = 1;
 
   constructor(private readonly host: LoopbackCloudHost) {}
 
-  /** Carries out a request. */
+  /** Executes a request. A repeated rent request returns the machines of the first. */
   apply(operation: CloudOperation): CloudReply {
     switch (operation.kind) {
       case 'types':
@@ -48,7 +58,7 @@
     }
   }
 
-  /** Power is lost, or the cloud took the machine back. */
+  /** Ends a machine and its billing; machines that are gone or unknown are ignored. */
   kill(name: string): void {
     const worker = this.workers.get(name);
     if (worker?.alive !== true) return;
@@ -57,7 +67,7 @@
   }
 
   private rent(operation: CloudOperation & { kind: 'rent' }): CloudReply {
-    const earlier = this.bookings.get(operation.request);
+    const earlier = this.machinesByRequest.get(operation.request);
     if (earlier !== undefined) return { kind: 'rented', machines: earlier };
     const type = this.host.types.find(({ name }) => name === operation.type);
     const present = [...this.workers.values()].filter(
@@ -66,7 +76,7 @@
     const count = Math.min(operation.count, this.host.perZone - present);
     if (type === undefined || count <= 0) return { kind: 'noCapacity' };
     const machines = Array.from({ length: count }, () => this.add(type, operation.zone, operation.spot));
-    this.bookings.set(operation.request, machines);
+    this.machinesByRequest.set(operation.request, machines);
     return { kind: 'rented', machines };
   }
 
--- a/packages/emulator/src/loopback-http.ts
+++ b/packages/emulator/src/loopback-http.ts
@@ -1,50 +1,60 @@
-/** Plain HTTP on loopback, for stand-ins: a server and a call, each with nothing more than they need. */
+/** A minimal HTTP server and client on loopback, for emulated services and their clients. */
 import * as http from 'node:http';
 
 import { MalformedMessageError } from '@shaleyoke/protocol/body';
 
-import { type Answer, answer } from './wire.js';
+import { type Answer, encodeAnswer } from './wire.js';
 
+/** A request as received by a server. */
 export interface Asked {
+  /** HTTP method, in capitals. */
   readonly method: string;
+  /** Path and query. */
   readonly url: string;
+  /** Empty if there is none. */
   readonly body: Buffer;
 }
+/** A running server. */
 export interface Served {
+  /** IP:PORT. */
   readonly address: string;
+  /** Stops listening and closes all connections. */
   close(): void;
 }
 
-/** `address`: IP:PORT; port 0 takes any that is free. */
+/** Starts a server. `address`: IP:PORT; port 0 picks any free port. Malformed messages are answered with 400. */
 export const serve = (
   address: string,
-  handle: (r: Asked, reply: (a: Answer) => void) => void,
+  handle: (request: Asked, respond: (answer: Answer) => void) => void,
 ): Promise<Served> =>
   new Promise((resolve, reject) => {
     const server = http.createServer((req, res) => {
       const chunks: Buffer[] = [];
-      req.on('data', (c: Buffer) => chunks.push(c));
+      req.on('data', (chunk: Buffer) => chunks.push(chunk));
       req.on('error', () => undefined);
       req.on('end', () => {
-        const reply = (a: Answer): void => {
+        const respond = (answer: Answer): void => {
           if (res.destroyed) return;
-          res.writeHead(a.status, { 'Content-Type': 'application/msgpack', 'Content-Length': a.body.length });
-          res.end(a.body);
+          res.writeHead(answer.status, {
+            'Content-Type': 'application/msgpack',
+            'Content-Length': answer.body.length,
+          });
+          res.end(answer.body);
         };
         try {
-          handle({ method: req.method ?? 'GET', url: req.url ?? '/', body: Buffer.concat(chunks) }, reply);
-        } catch (e) {
-          if (!(e instanceof MalformedMessageError)) throw e;
-          reply(answer(400, { error: e.message }));
+          handle({ method: req.method ?? 'GET', url: req.url ?? '/', body: Buffer.concat(chunks) }, respond);
+        } catch (error) {
+          if (!(error instanceof MalformedMessageError)) throw error;
+          respond(encodeAnswer(400, { error: error.message }));
         }
       });
     });
-    const cut = address.lastIndexOf(':');
+    const colon = address.lastIndexOf(':');
     server.once('error', reject);
-    server.listen(Number(address.slice(cut + 1)), address.slice(0, cut), () => {
-      const at = server.address();
+    server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => {
+      const bound = server.address();
       resolve({
-        address: typeof at === 'object' && at !== null ? `${at.address}:${at.port}` : address,
+        address: typeof bound === 'object' && bound !== null ? `${bound.address}:${bound.port}` : address,
         close: () => {
           server.close();
           server.closeAllConnections();
@@ -53,14 +63,16 @@
     });
   });
 
-/** Ports of loopback that were free a moment ago. */
+/** Finds free ports on loopback; another process may take them before they are used. */
 export const freePorts = async (count: number): Promise<number[]> => {
-  const held = await Promise.all(Array.from({ length: count }, () => serve('127.0.0.1:0', () => undefined)));
-  for (const server of held) server.close();
-  return held.map((server) => Number(server.address.slice(server.address.lastIndexOf(':') + 1)));
+  const servers = await Promise.all(
+    Array.from({ length: count }, () => serve('127.0.0.1:0', () => undefined)),
+  );
+  for (const server of servers) server.close();
+  return servers.map((server) => Number(server.address.slice(server.address.lastIndexOf(':') + 1)));
 };
 
-/** Whether a port of loopback is free. */
+/** Whether a port on loopback is free. */
 const isFree = async (port: number): Promise<boolean> => {
   try {
     const server = await serve(`127.0.0.1:${port}`, () => undefined);
@@ -72,8 +84,8 @@
 };
 
 /**
- * Ports of loopback that are free, in order from `first`. Below those that the system gives out, so that nothing else takes
- * one while the process that listens there is being started again.
+ * The first free ports on loopback from `first` on. Choose `first` below the system's ephemeral ports, so that no other
+ * process is given a port while the process that listens there restarts.
  */
 export const freePortsFrom = async (first: number, count: number): Promise<number[]> => {
   const ports: number[] = [];
@@ -81,22 +93,22 @@
   return ports;
 };
 
-/** Null: no answer within the time. */
+/** Sends a request; null: the connection failed or there was no answer before the timeout. */
 export const call = (
   address: string,
   method: string,
   path: string,
   body: Buffer | null,
   timeoutMs: number,
-  /** Connections of the caller's own; null: those that the process shares. */
+  /** The caller's connection pool; null: the pool of the process. */
   agent: http.Agent | null = null,
 ): Promise<Answer | null> =>
   new Promise((resolve) => {
-    const cut = address.lastIndexOf(':');
+    const colon = address.lastIndexOf(':');
     const req = http.request(
       {
-        host: address.slice(0, cut),
-        port: Number(address.slice(cut + 1)),
+        host: address.slice(0, colon),
+        port: Number(address.slice(colon + 1)),
         method,
         path,
         timeout: timeoutMs,
@@ -106,7 +118,7 @@
       },
       (res) => {
         const chunks: Buffer[] = [];
-        res.on('data', (c: Buffer) => chunks.push(c));
+        res.on('data', (chunk: Buffer) => chunks.push(chunk));
         res.on('error', () => {
           resolve(null);
         });
--- a/packages/emulator/src/loopback-stand-ins.ts
+++ b/packages/emulator/src/loopback-stand-ins.ts
@@ -1,11 +1,11 @@
-/** State service and cloud of the protocol on loopback, in this process. */
+/** HTTP servers on loopback for the emulated state service and cloud. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 
 import { serve, type Served } from './loopback-http.js';
 import type { StateModel } from './state-model.js';
 import { cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from './wire.js';
 
-/** `asked`: told of each request. */
+/** Serves the state service. `asked` is called for each request. */
 export const serveState = (state: StateModel, asked: () => void = () => undefined): Promise<Served> =>
   serve('127.0.0.1:0', (request, reply) => {
     asked();
@@ -17,6 +17,7 @@
     else reply(encodeStateReply(op, state.apply(op)));
   });
 
+/** Serves the cloud; `answer` executes its requests. */
 export const serveCloud = (answer: (op: CloudOperation) => CloudReply): Promise<Served> =>
   serve('127.0.0.1:0', (request, reply) => {
     reply(encodeCloudReply(answer(cloudOpOf(request.method, request.url, request.body))));
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -1,97 +1,118 @@
-/** Workers on loopback: each with an address, a lease and tasks, in wall time. */
+/** Emulated workers on loopback, in real time: each has an address, a lease and tasks. */
 import type { Heartbeat, ReportedTask, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
 
 import { type Asked, serve, type Served } from './loopback-http.js';
-import { type Answer, encodeReport, ordersOf, workerAnswerOf } from './wire.js';
+import { type Answer, decodeCommands, decodeHeartbeatResponse, encodeHeartbeat } from './wire.js';
 
-const LEAST_GAP: Micros = 500 * MILLI;
+/** Minimum time between heartbeats, however many tasks change. */
+const MIN_HEARTBEAT_INTERVAL: Micros = 500 * MILLI;
 const STEP_MS = 50;
 
-interface LoopTask {
+/** An attempt of a task on a worker. */
+interface LoopbackTask {
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
   state: ReportedTask['state'];
   cause: ReportedTask['cause'];
-  since: Micros | null;
-  until: Micros;
+  /** Null: it isn't running. */
+  runningSince: Micros | null;
+  /** When the current state ends by itself. */
+  stateEndsAt: Micros;
 }
 
+/** What workers need from their deployment, and what they tell it. */
 export interface WorkerWorld {
+  /** The deployment's clock. */
   now(): Micros;
+  /** The specification that a worker fetches; undefined: the job is unknown. */
   spec(job: string): JobSpec | undefined;
   /** Addresses of the controllers, in any order. */
   readonly nodes: readonly { readonly member: string; readonly address: string }[];
+  /** Heartbeat interval. */
   readonly reportUs: Micros;
+  /** A worker ends its tasks when no heartbeat was accepted for this time. */
   readonly leaseUs: Micros;
-  /** All workers, for gangs to find each other. */
+  /** All workers, so that the members of a gang can find each other. */
   readonly workers: ReadonlyMap<string, LoopWorker>;
-  /** An order to start a task was executed. */
+  /** Called when a start command is executed. */
   started?(job: string, index: number): void;
-  /** A worker's lease ran out, and all of its tasks with it. */
+  /** Called when a worker's lease expires, which ends all of its tasks. */
   leaseEnded?(machine: string): void;
-  /** A task ran on a machine from its beginning to now. */
-  ran(job: string, index: number, machine: string, us: Micros, done: boolean): void;
+  /** Called when a running task ends, with its duration. */
+  ran(job: string, index: number, machine: string, durationUs: Micros, done: boolean): void;
+  /** Sends a POST request to a controller; null: no answer. */
   call(address: string, path: string, body: Buffer): Promise<{ status: number; body: Buffer } | null>;
-  /** A task's image is there: from now on the task is on the machine. */
+  /** Called when a task's image is fetched: from now on the task counts as placed on the machine. */
   arrived?(task: PlacedTask): void;
-  /** A task that was on the machine is gone; `done`: it has completed. */
+  /** Called when a placed task ends. `done`: it completed. */
   left?(task: PlacedTask, done: boolean): void;
-  /** Carries direct commands and their answers; without it they arrive at once. */
+  /** Transports direct commands and their answers, null: no answer. Without it they arrive at once. */
   carryCommand?(machine: string, execute: () => Answer): Promise<Answer | null>;
 }
 
 /** An attempt of a task on a machine. */
 export interface PlacedTask {
+  /** Id of the job. */
   readonly job: string;
+  /** Index of the task in its job. */
   readonly index: number;
+  /** Number of the attempt, from the start command. */
   readonly attempt: number;
+  /** Name of the machine. */
   readonly machine: string;
 }
 
+/** An emulated machine with its worker. */
 export class LoopWorker {
+  /** False once the machine was killed. */
   alive = true;
   private session = 1;
-  private seq = 0;
+  private sequence = 0;
   private token = 0;
-  private answered: Micros;
+  private leaseRenewedAt: Micros;
   private node = 0;
-  private reportAt: Micros;
-  private reported: Micros = 0;
-  private reporting = false;
-  private hungUntil: Micros = 0;
-  private tasks: LoopTask[] = [];
+  private nextHeartbeatAt: Micros;
+  private lastHeartbeatAt: Micros = 0;
+  private isSendingHeartbeat = false;
+  private hangingUntil: Micros = 0;
+  private tasks: LoopbackTask[] = [];
   private server: Served | null = null;
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
+    /** Unique name of the machine. */
     readonly name: string,
+    /** Name of its machine type. */
     readonly type: string,
+    /** The zone that it was rented in. */
     readonly zone: string,
+    /** Whether the cloud may take it back. */
     readonly spot: boolean,
     private readonly world: WorkerWorld,
   ) {
-    this.answered = world.now();
-    this.reportAt = this.answered;
+    this.leaseRenewedAt = world.now();
+    this.nextHeartbeatAt = this.leaseRenewedAt;
   }
 
+  /** IP:PORT that it listens on; empty before it has booted. */
   get address(): string {
     return this.server?.address ?? '';
   }
 
-  /** Comes up: listens for orders on `listen` (IP:PORT), and begins to report. */
+  /** Starts the worker: listens for commands on `listen` (IP:PORT), and begins to send heartbeats. */
   async boot(listen = '127.0.0.1:0'): Promise<void> {
-    const server = await serve(listen, (request, reply) => {
+    const server = await serve(listen, (request, respond) => {
       const execute = (): Answer => this.answerCommand(request);
       if (this.world.carryCommand === undefined) {
-        reply(execute());
+        respond(execute());
         return;
       }
       void this.world.carryCommand(this.name, execute).then((answer) => {
-        if (answer !== null) reply(answer);
+        if (answer !== null) respond(answer);
       });
     });
     if (!this.alive) {
@@ -99,67 +120,72 @@
       return;
     }
     this.server = server;
-    this.answered = this.world.now();
+    this.leaseRenewedAt = this.world.now();
     this.timer = setInterval(() => {
       this.step();
     }, STEP_MS);
   }
 
   private answerCommand({ url, body }: Asked): Answer {
-    if (url === '/inspect') return { status: 200, body: encodeReport(this.report()) };
-    const { token, session, orders } = ordersOf(body);
+    if (url === '/inspect') return { status: 200, body: encodeHeartbeat(this.heartbeat()) };
+    const { token, session, commands } = decodeCommands(body);
     if (token < this.token || session !== this.session)
-      return { status: 409, body: encodeReport(this.report()) };
+      return { status: 409, body: encodeHeartbeat(this.heartbeat()) };
     this.token = token;
-    for (const o of orders) this.execute(o);
-    return { status: 200, body: encodeReport(this.report()) };
+    for (const command of commands) this.execute(command);
+    return { status: 200, body: encodeHeartbeat(this.heartbeat()) };
   }
 
-  /** Stands still for so long: nothing is executed, reported or answered. */
+  /** Hangs for this time: tasks make no progress and no heartbeats are sentAt. */
   hang(length: Micros): void {
-    this.hungUntil = this.world.now() + length;
+    this.hangingUntil = this.world.now() + length;
   }
 
-  /** How long it still stands still. */
+  /** For how long it still hangs. */
   get hangsFor(): Micros {
-    return Math.max(0, this.hungUntil - this.world.now());
+    return Math.max(0, this.hangingUntil - this.world.now());
   }
 
-  /** Power is lost: it is silent from now on. */
+  /** The machine loses power. */
   kill(): void {
     this.alive = false;
-    for (const t of this.tasks) this.note(t, false);
+    for (const task of this.tasks) this.recordEnd(task, false);
     this.tasks = [];
     if (this.timer !== null) clearInterval(this.timer);
     this.server?.close();
   }
 
+  /** Number of running tasks. */
   get running(): number {
-    return this.tasks.filter((t) => t.state === 'running').length;
+    return this.tasks.filter((task) => task.state === 'running').length;
   }
 
-  private note(t: LoopTask, done: boolean): void {
-    if (t.state !== 'exited' && t.state !== 'fetching') this.world.left?.(this.placed(t), done);
-    if (t.since === null || t.state === 'exited') return;
-    this.world.ran(t.job, t.index, this.name, this.world.now() - t.since, done);
+  /** Tells the deployment that a task leaves the machine, and how long it ran. */
+  private recordEnd(task: LoopbackTask, done: boolean): void {
+    if (task.state !== 'exited' && task.state !== 'fetching') this.world.left?.(this.placementOf(task), done);
+    if (task.runningSince === null || task.state === 'exited') return;
+    this.world.ran(task.job, task.index, this.name, this.world.now() - task.runningSince, done);
   }
 
-  private placed({ job, index, attempt }: LoopTask): PlacedTask {
+  private placementOf({ job, index, attempt }: LoopbackTask): PlacedTask {
     return { job, index, attempt, machine: this.name };
   }
 
-  private exit(t: LoopTask, cause: ReportedTask['cause']): void {
-    this.note(t, cause === 'done');
-    t.state = 'exited';
-    t.cause = cause;
-    this.changed();
+  private exit(task: LoopbackTask, cause: ReportedTask['cause']): void {
+    this.recordEnd(task, cause === 'done');
+    task.state = 'exited';
+    task.cause = cause;
+    this.sendHeartbeatSoon();
   }
 
-  private changed(): void {
-    this.reportAt = Math.min(this.reportAt, Math.max(this.world.now(), this.reported + LEAST_GAP));
+  private sendHeartbeatSoon(): void {
+    this.nextHeartbeatAt = Math.min(
+      this.nextHeartbeatAt,
+      Math.max(this.world.now(), this.lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL),
+    );
   }
 
-  private report(): Heartbeat {
+  private heartbeat(): Heartbeat {
     return {
       machine: this.name,
       address: this.address,
@@ -167,7 +193,7 @@
       zone: this.zone,
       spot: this.spot,
       agentEpoch: this.session,
-      sequence: ++this.seq,
+      sequence: ++this.sequence,
       fencingToken: this.token,
       terminationNoticeUs: null,
       tasks: this.tasks.map(({ job, index, attempt, state, cause }) => ({
@@ -183,122 +209,131 @@
 
   private step(): void {
     const now = this.world.now();
-    if (now < this.hungUntil) return;
-    if (now > this.answered + this.world.leaseUs) {
+    if (now < this.hangingUntil) return;
+    if (now > this.leaseRenewedAt + this.world.leaseUs) {
       this.world.leaseEnded?.(this.name);
-      for (const t of this.tasks) this.note(t, false);
+      for (const task of this.tasks) this.recordEnd(task, false);
       this.tasks = [];
       this.session++;
-      this.seq = 0;
-      this.answered = now;
+      this.sequence = 0;
+      this.leaseRenewedAt = now;
     }
-    for (const t of this.tasks) this.advance(t, now);
-    if (!this.reporting && now >= this.reportAt) void this.send();
+    for (const task of this.tasks) this.advance(task, now);
+    if (!this.isSendingHeartbeat && now >= this.nextHeartbeatAt) void this.sendHeartbeat();
   }
 
-  private advance(t: LoopTask, now: Micros): void {
-    if (t.state === 'exited' || now < t.until) return;
-    const spec = this.world.spec(t.job);
+  private advance(task: LoopbackTask, now: Micros): void {
+    if (task.state === 'exited' || now < task.stateEndsAt) return;
+    const spec = this.world.spec(task.job);
     if (spec === undefined) return;
-    if (t.state === 'fetching') {
-      t.state = spec.shape === 'gang' ? 'waiting' : 'running';
-      this.world.arrived?.(this.placed(t));
-      this.begin(t, spec, now);
-      this.changed();
-    } else if (t.state === 'waiting') {
-      if (this.members(t).length < spec.tasks) return;
-      for (const m of this.members(t)) if (m.task.state === 'fetching') return;
-      t.state = 'running';
-      this.begin(t, spec, now);
-      this.changed();
-    } else if (spec.shape === 'gang' && this.members(t).length < spec.tasks && !this.finished(t))
-      this.exit(t, 'peers');
-    else this.exit(t, 'done');
+    if (task.state === 'fetching') {
+      task.state = spec.shape === 'gang' ? 'waiting' : 'running';
+      this.world.arrived?.(this.placementOf(task));
+      this.begin(task, spec, now);
+      this.sendHeartbeatSoon();
+    } else if (task.state === 'waiting') {
+      if (this.gangMembers(task).length < spec.tasks) return;
+      for (const member of this.gangMembers(task)) if (member.task.state === 'fetching') return;
+      task.state = 'running';
+      this.begin(task, spec, now);
+      this.sendHeartbeatSoon();
+    } else if (
+      spec.shape === 'gang' &&
+      this.gangMembers(task).length < spec.tasks &&
+      !this.hasCompletedMember(task)
+    )
+      this.exit(task, 'peers');
+    else this.exit(task, 'done');
   }
 
-  private begin(t: LoopTask, spec: JobSpec, now: Micros): void {
-    if (t.state !== 'running') return;
-    t.since = now;
-    t.until = spec.shape === 'service' ? Infinity : now + spec.estimatedRunUs;
+  private begin(task: LoopbackTask, spec: JobSpec, now: Micros): void {
+    if (task.state !== 'running') return;
+    task.runningSince = now;
+    task.stateEndsAt = spec.shape === 'service' ? Infinity : now + spec.estimatedRunUs;
   }
 
-  /** Whether a member of the gang has completed: then all of them do. */
-  private finished(t: LoopTask): boolean {
-    for (const w of this.world.workers.values())
-      for (const o of w.tasks)
-        if (o.job === t.job && o.attempt === t.attempt && o.cause === 'done') return true;
+  /** Whether a member of the gang has completed; then the others complete as well. */
+  private hasCompletedMember(task: LoopbackTask): boolean {
+    for (const worker of this.world.workers.values())
+      for (const other of worker.tasks)
+        if (other.job === task.job && other.attempt === task.attempt && other.cause === 'done') return true;
     return false;
   }
 
-  private members(t: LoopTask): { worker: LoopWorker; task: LoopTask }[] {
-    const found: { worker: LoopWorker; task: LoopTask }[] = [];
+  private gangMembers(ofTask: LoopbackTask): { worker: LoopWorker; task: LoopbackTask }[] {
+    const found: { worker: LoopWorker; task: LoopbackTask }[] = [];
     for (const worker of this.world.workers.values())
       if (worker.alive)
         for (const task of worker.tasks)
-          if (task.job === t.job && task.attempt === t.attempt && task.state !== 'exited')
+          if (task.job === ofTask.job && task.attempt === ofTask.attempt && task.state !== 'exited')
             found.push({ worker, task });
     return found;
   }
 
-  private async send(): Promise<void> {
-    this.reporting = true;
-    const sent = this.world.now();
-    this.reported = sent;
-    this.reportAt = sent + this.world.reportUs;
+  private async sendHeartbeat(): Promise<void> {
+    this.isSendingHeartbeat = true;
+    const sentAt = this.world.now();
+    this.lastHeartbeatAt = sentAt;
+    this.nextHeartbeatAt = sentAt + this.world.reportUs;
     const { session } = this;
     const node = this.world.nodes[this.node % this.world.nodes.length]!;
-    const r = await this.world.call(node.address, '/v1/report', encodeReport(this.report()));
-    this.reporting = false;
+    const response = await this.world.call(node.address, '/v1/report', encodeHeartbeat(this.heartbeat()));
+    this.isSendingHeartbeat = false;
     if (!this.alive || this.session !== session) return;
-    const a = r === null ? null : workerAnswerOf(r.status, r.body);
-    if (a?.kind === 'accepted') {
-      if (a.fencingToken < this.token) return;
-      this.token = a.fencingToken;
-      this.answered = sent;
-      for (const o of a.commands) this.execute(o);
+    const answer = response === null ? null : decodeHeartbeatResponse(response.status, response.body);
+    if (answer?.kind === 'accepted') {
+      if (answer.fencingToken < this.token) return;
+      this.token = answer.fencingToken;
+      this.leaseRenewedAt = sentAt;
+      for (const command of answer.commands) this.execute(command);
       return;
     }
-    const leader = a?.kind === 'redirect' ? this.world.nodes.findIndex((n) => n.member === a.leader) : -1;
+    const leader =
+      answer?.kind === 'redirect'
+        ? this.world.nodes.findIndex((other) => other.member === answer.leader)
+        : -1;
     const now = this.world.now();
     if (leader >= 0 && leader !== this.node % this.world.nodes.length) {
       this.node = leader;
-      this.reportAt = now + 100 * MILLI;
+      this.nextHeartbeatAt = now + 100 * MILLI;
     } else {
       this.node++;
-      this.reportAt = now + SECOND;
+      this.nextHeartbeatAt = now + SECOND;
     }
   }
 
-  private execute(o: WorkerCommand): void {
-    const t = this.tasks.find((x) => x.job === o.job && x.index === o.index);
-    if (o.op === 'forget') {
-      this.tasks = this.tasks.filter((x) => x !== t || x.attempt !== o.attempt || x.state !== 'exited');
+  private execute(command: WorkerCommand): void {
+    const task = this.tasks.find((x) => x.job === command.job && x.index === command.index);
+    if (command.op === 'forget') {
+      this.tasks = this.tasks.filter(
+        (x) => x !== task || x.attempt !== command.attempt || x.state !== 'exited',
+      );
       return;
     }
-    if (o.op === 'stop') {
-      if (t?.attempt === o.attempt && t.state !== 'exited') this.exit(t, 'stopped');
+    if (command.op === 'stop') {
+      if (task?.attempt === command.attempt && task.state !== 'exited') this.exit(task, 'stopped');
       return;
     }
-    if (t?.attempt === o.attempt) return;
-    const refused =
-      t !== undefined && t.state !== 'exited'
+    if (task?.attempt === command.attempt) return;
+    const refusal =
+      task !== undefined && task.state !== 'exited'
         ? 'busy'
-        : this.world.spec(o.job) === undefined
+        : this.world.spec(command.job) === undefined
           ? 'unknown'
           : null;
-    if (refused === null) {
-      this.tasks = this.tasks.filter((x) => x !== t);
-      this.world.started?.(o.job, o.index);
+    if (refusal === null) {
+      this.tasks = this.tasks.filter((x) => x !== task);
+      this.world.started?.(command.job, command.index);
     }
     this.tasks.push({
-      job: o.job,
-      index: o.index,
-      attempt: o.attempt,
-      state: refused === null ? 'fetching' : 'exited',
-      cause: refused,
-      since: null,
-      until: this.world.now() + 300 * MILLI,
+      job: command.job,
+      index: command.index,
+      attempt: command.attempt,
+      state: refusal === null ? 'fetching' : 'exited',
+      cause: refusal,
+      runningSince: null,
+      stateEndsAt: this.world.now() + 300 * MILLI,
     });
-    this.changed();
+    this.sendHeartbeatSoon();
   }
 }
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -1,6 +1,6 @@
 /**
- * A whole deployment on loopback: state service, cloud and workers in this process, controllers as real processes
- * of the program. The controllers get what the protocol says, over real sockets, and nothing else.
+ * A whole deployment on loopback: the state service, the cloud and the workers are emulated in this process, the controllers
+ * are real processes of the program. They communicate by the protocol over real sockets only.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -23,37 +23,49 @@
 import { StateModel } from './state-model.js';
 import { encodeSubmission } from './wire.js';
 
+/** What to deploy. */
 export interface LoopbackOptions {
   /** The program and its first arguments, up to `serve`. */
   readonly program: readonly string[];
+  /** Number of controllers. */
   readonly nodes: number;
+  /** Names of teams. */
   readonly teams: readonly string[];
+  /** Machine types that the cloud offers. */
   readonly types: readonly MachineType[];
-  /** Machines of a type that the cloud has in a zone. */
+  /** Capacity of the cloud, per machine type and zone. */
   readonly perZone: number;
-  /** A budgets file to switch on, as text; null: off. */
+  /** Text of the budgets file; null: budgets are off. */
   readonly budgets: string | null;
-  /** A file that switches Kubernetes-shaped clients on, as text, for the port that each node listens on; null: off. */
+  /** Makes the text of the Kubernetes front end's settings, for the port that a node listens on; null: it is off. */
   readonly kube?: ((port: number) => string) | null;
-  /** Where logs of the controllers go; null: nowhere. */
+  /** Called with each line that a controller logs; null: logs are discarded. */
   readonly log: ((member: string, line: string) => void) | null;
 }
 
-/** A run of a task, by the worker's own books. */
-export interface Ran {
+/** A run of a task, as measured by its worker. */
+export interface TaskRun {
+  /** Id of the job. */
   readonly job: string;
+  /** Index of the task in its job. */
   readonly index: number;
+  /** Name of the machine that it ran on. */
   readonly machine: string;
+  /** Duration. */
   readonly us: Micros;
+  /** Whether the task completed. */
   readonly done: boolean;
 }
 
+/** A controller process. */
 interface NodeProcess {
   readonly member: string;
   readonly address: string;
+  /** Path of its settings file. */
   readonly config: string;
-  /** Where Kubernetes-shaped clients come in; empty: nowhere. */
+  /** Address for Kubernetes clients; empty: there is none. */
   readonly kube: string;
+  /** Null while it is down. */
   child: ChildProcess | null;
 }
 
@@ -63,22 +75,27 @@
 const STATE_RPS = 300;
 const STATE_WRITE_RPS = 80;
 const CLOUD_RPS = 6;
-const CALL_MS = 4_000;
-const USER_MS = 5_000;
+/** Timeouts of workers' and users' requests. */
+const WORKER_CALL_TIMEOUT_MS = 4_000;
+const USER_CALL_TIMEOUT_MS = 5_000;
 
+/** A running deployment. */
 export class Loopback {
-  readonly ran: Ran[] = [];
+  /** Ended runs of tasks. */
+  readonly ran: TaskRun[] = [];
+  /** The store behind the emulated state service. */
   readonly state: StateModel;
+  /** The controllers; methods refer to them by index. */
   readonly nodes: NodeProcess[] = [];
   private readonly specs = new Map<string, JobSpec>();
   private readonly servers: Served[] = [];
-  private readonly folder = mkdtempSync(join(tmpdir(), 'shaleyoke-'));
-  private readonly begun = process.hrtime.bigint();
+  private readonly directory = mkdtempSync(join(tmpdir(), 'shaleyoke-'));
+  private readonly startedAt = process.hrtime.bigint();
   private readonly timer: NodeJS.Timeout;
   private readonly cloud: LoopbackCloud;
   private stopping = false;
 
-  constructor(private readonly o: LoopbackOptions) {
+  constructor(private readonly options: LoopbackOptions) {
     this.state = new StateModel(
       () => this.now(),
       (run) => setImmediate(run),
@@ -87,8 +104,8 @@
     this.state.writesPerSecond = STATE_WRITE_RPS;
     this.cloud = new LoopbackCloud({
       now: () => this.now(),
-      types: o.types,
-      perZone: o.perZone,
+      types: options.types,
+      perZone: options.perZone,
       isStopping: () => this.stopping,
       makeWorker: (name, type, zone, spot) => this.makeWorker(name, type, zone, spot),
     });
@@ -97,17 +114,19 @@
     }, 20);
   }
 
+  /** All workers that were ever rented, by machine name. */
   get workers(): ReadonlyMap<string, LoopWorker> {
     return this.cloud.workers;
   }
 
-  /** What the cloud charges for. */
+  /** Billed time of each machine. */
   get bills(): readonly Bill[] {
     return this.cloud.bills;
   }
 
+  /** Time since the deployment was created. */
   now(): Micros {
-    return Number((process.hrtime.bigint() - this.begun) / 1000n);
+    return Number((process.hrtime.bigint() - this.startedAt) / 1000n);
   }
 
   /** Starts the servers, then the controllers. */
@@ -115,24 +134,26 @@
     const state = await serveState(this.state);
     const cloud = await serveCloud((op) => this.cloud.apply(op));
     this.servers.push(state, cloud);
-    const ports = await freePorts(3 * this.o.nodes);
-    const members = Array.from({ length: this.o.nodes }, (_, i) => ({
+    const ports = await freePorts(3 * this.options.nodes);
+    const members = Array.from({ length: this.options.nodes }, (_, i) => ({
       member: `dock-${i}`,
       listen: `127.0.0.1:${ports[3 * i]}`,
       peer: `127.0.0.1:${ports[3 * i + 1]}`,
       kube: ports[3 * i + 2]!,
     }));
-    for (const m of members) {
-      const config = join(this.folder, `${m.member}.toml`);
-      const peers = members.filter((p) => p !== m).map((p) => ({ member: p.member, address: p.peer }));
+    for (const member of members) {
+      const config = join(this.directory, `${member.member}.toml`);
+      const peers = members
+        .filter((peer) => peer !== member)
+        .map((peer) => ({ member: peer.member, address: peer.peer }));
       const settings = controllerSettings({
-        member: m.member,
-        listen: m.listen,
-        peerListen: m.peer,
+        member: member.member,
+        listen: member.listen,
+        peerListen: member.peer,
         peers,
         cloud: cloud.address,
         state: state.address,
-        teams: this.o.teams,
+        teams: this.options.teams,
         reportS: REPORT_S,
         leaseS: LEASE_S,
         cancelS: CANCEL_S,
@@ -141,53 +162,55 @@
         cloudRps: CLOUD_RPS,
       });
       writeFileSync(config, settings);
-      const text = this.o.kube?.(m.kube);
-      if (text !== undefined) writeFileSync(this.kubeFile(m.member), text);
-      const kube = text === undefined ? '' : `127.0.0.1:${m.kube}`;
-      this.nodes.push({ member: m.member, address: m.listen, config, kube, child: null });
+      const kubeSettings = this.options.kube?.(member.kube);
+      if (kubeSettings !== undefined) writeFileSync(this.kubeFile(member.member), kubeSettings);
+      const kube = kubeSettings === undefined ? '' : `127.0.0.1:${member.kube}`;
+      this.nodes.push({ member: member.member, address: member.listen, config, kube, child: null });
     }
-    if (this.o.budgets !== null) writeFileSync(this.budgetsFile, this.o.budgets);
-    for (const n of this.nodes) this.launch(n);
+    if (this.options.budgets !== null) writeFileSync(this.budgetsFile, this.options.budgets);
+    for (const node of this.nodes) this.launch(node);
   }
 
+  /** Path of the budgets file. */
   get budgetsFile(): string {
-    return join(this.folder, 'budgets.yaml');
+    return join(this.directory, 'budgets.yaml');
   }
 
+  /** Path of a controller's Kubernetes settings. */
   kubeFile(member: string): string {
-    return join(this.folder, `${member}-kube.yaml`);
+    return join(this.directory, `${member}-kube.yaml`);
   }
 
-  private launch(n: NodeProcess): void {
-    const [program, ...first] = this.o.program;
-    const args = [...first, 'serve', '--config', n.config];
-    if (this.o.budgets !== null) args.push('--budgets', this.budgetsFile);
-    if (n.kube !== '') args.push('--kube', this.kubeFile(n.member));
+  private launch(node: NodeProcess): void {
+    const [program, ...firstArgs] = this.options.program;
+    const args = [...firstArgs, 'serve', '--config', node.config];
+    if (this.options.budgets !== null) args.push('--budgets', this.budgetsFile);
+    if (node.kube !== '') args.push('--kube', this.kubeFile(node.member));
     const child = spawn(program!, args, { stdio: ['ignore', 'ignore', 'pipe'] });
-    n.child = child;
+    node.child = child;
     let rest = '';
-    child.stderr.on('data', (c: Buffer) => {
-      const lines = (rest + c.toString()).split('\n');
+    child.stderr.on('data', (chunk: Buffer) => {
+      const lines = (rest + chunk.toString()).split('\n');
       rest = lines.pop() ?? '';
-      for (const l of lines) this.o.log?.(n.member, l);
+      for (const line of lines) this.options.log?.(node.member, line);
     });
   }
 
-  /** Kills a controller as a crash would, and starts it again later. */
-  crash(i: number, backAfterMs: number): void {
-    const n = this.nodes[i]!;
-    n.child?.kill('SIGKILL');
-    n.child = null;
+  /** Kills a controller without notice (SIGKILL), and starts it again later. */
+  crash(nodeIndex: number, backAfterMs: number): void {
+    const node = this.nodes[nodeIndex]!;
+    node.child?.kill('SIGKILL');
+    node.child = null;
     setTimeout(() => {
-      if (!this.stopping) this.launch(n);
+      if (!this.stopping) this.launch(node);
     }, backAfterMs);
   }
 
-  /** The controller that leads, as the state service knows it; null if there is none. */
+  /** The index of the leader according to the state service; null: there is none. */
   leader(): number | null {
     const lead = this.state.value('lead') as { member?: string } | undefined;
-    const i = this.nodes.findIndex((n) => n.member === lead?.member);
-    return i < 0 ? null : i;
+    const nodeIndex = this.nodes.findIndex((node) => node.member === lead?.member);
+    return nodeIndex < 0 ? null : nodeIndex;
   }
 
   // ---- machines -----------------------------------------------------------------------------------
@@ -195,63 +218,74 @@
   private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker {
     const world: WorkerWorld = {
       now: () => this.now(),
-      // As its worker fetches it, whoever submitted the job.
+      // Also jobs that were submitted by other clients.
       spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.state.value(activeJobKey(job)))?.spec,
       nodes: this.nodes,
       reportUs: REPORT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
       workers: this.workers,
-      ran: (job, index, machine, us, done) => {
-        this.ran.push({ job, index, machine, us, done });
+      ran: (job, index, machine, durationUs, done) => {
+        this.ran.push({ job, index, machine, us: durationUs, done });
       },
-      call: (address, path, body) => call(address, 'POST', path, body, CALL_MS),
+      call: (address, path, body) => call(address, 'POST', path, body, WORKER_CALL_TIMEOUT_MS),
     };
     return new LoopWorker(name, type, zone, spot, world);
   }
 
-  /** Power is lost, or the cloud took it back. */
+  /** The machine loses power, or the cloud takes it back. */
   killWorker(name: string): void {
     this.cloud.kill(name);
   }
 
   // ---- users -------------------------------------------------------------------------------------
 
-  /** Submits until it is accepted, at one node after the other; null: given up after a minute. */
+  /** Submits a job, trying the controllers in turn until one gives a final answer; null: none did within a minute. */
   async submit(spec: JobSpec): Promise<number | null> {
     this.specs.set(spec.id, spec);
-    return this.ask('POST', '/api/jobs', encodeSubmission(spec));
+    return this.requestUntilAnswered('POST', '/api/jobs', encodeSubmission(spec));
   }
 
-  private async ask(method: string, path: string, body: Buffer | null): Promise<number | null> {
+  private async requestUntilAnswered(
+    method: string,
+    path: string,
+    body: Buffer | null,
+  ): Promise<number | null> {
     const until = this.now() + 60 * SECOND;
-    for (let k = 0; this.now() < until && !this.stopping; k++) {
-      const r = await call(this.nodes[k % this.nodes.length]!.address, method, path, body, USER_MS);
-      if (r !== null && [200, 201, 400, 404, 422].includes(r.status)) return r.status;
+    for (let attempt = 0; this.now() < until && !this.stopping; attempt++) {
+      const response = await call(
+        this.nodes[attempt % this.nodes.length]!.address,
+        method,
+        path,
+        body,
+        USER_CALL_TIMEOUT_MS,
+      );
+      if (response !== null && [200, 201, 400, 404, 422].includes(response.status)) return response.status;
       await new Promise((done) => setTimeout(done, 300));
     }
     return null;
   }
 
+  /** Cancels a job, trying the controllers in turn for up to a minute. */
   async cancel(id: string): Promise<void> {
-    await this.ask('POST', `/api/jobs/${id}/abort`, Buffer.alloc(0));
+    await this.requestUntilAnswered('POST', `/api/jobs/${id}/abort`, Buffer.alloc(0));
   }
 
-  /** What some node says of a job now; null: none answers. */
+  /** The job's stage according to the first controller that answers; null: none does. */
   async stageOf(id: string): Promise<string | null> {
-    for (const n of this.nodes) {
-      const r = await call(n.address, 'GET', `/api/jobs/${id}`, null, 2_000);
-      if (r?.status === 200) return String(asFields(decodeBody(r.body), 'answer')['stage']);
+    for (const node of this.nodes) {
+      const response = await call(node.address, 'GET', `/api/jobs/${id}`, null, 2_000);
+      if (response?.status === 200) return String(asFields(decodeBody(response.body), 'answer')['stage']);
     }
     return null;
   }
 
-  /** Ends everything it started, and removes its files. */
+  /** Stops everything, and removes the files. */
   stop(): void {
     this.stopping = true;
     clearInterval(this.timer);
-    for (const n of this.nodes) n.child?.kill('SIGKILL');
-    for (const w of this.workers.values()) if (w.alive) w.kill();
-    for (const s of this.servers) s.close();
-    rmSync(this.folder, { recursive: true, force: true });
+    for (const node of this.nodes) node.child?.kill('SIGKILL');
+    for (const worker of this.workers.values()) if (worker.alive) worker.kill();
+    for (const server of this.servers) server.close();
+    rmSync(this.directory, { recursive: true, force: true });
   }
 }
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -1,4 +1,4 @@
-/** The other side of the protocol: what state service, cloud, workers and users read and write on the wire. */
+/** The other end of the protocol: codecs of the state service, the cloud, workers and users. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { Heartbeat, HeartbeatResponse, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
@@ -21,207 +21,224 @@
 import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/client-api';
 import { EXIT_CAUSES, splitTask, TASK_STATES, taskName } from '@shaleyoke/protocol/workers';
 
-/** A value's name on the wire, by the protocol's own table. */
+/** The name of a value on the wire, from the protocol's table of names. */
 const nameIn = <T>(table: ReadonlyMap<string, T>, value: T): string =>
-  [...table].find(([, v]) => v === value)![0];
+  [...table].find(([, candidate]) => candidate === value)![0];
 
+/** An HTTP response. */
 export interface Answer {
+  /** HTTP status code. */
   readonly status: number;
+  /** Encoded as MessagePack. */
   readonly body: Buffer;
 }
-export const answer = (status: number, value: unknown = {}): Answer => ({ status, body: encodeBody(value) });
+/** Encodes a response body. */
+export const encodeAnswer = (status: number, value: unknown = {}): Answer => ({
+  status,
+  body: encodeBody(value),
+});
 
-const query = (url: string): { path: string; q: URLSearchParams } => {
-  const u = new URL(url, 'http://x');
-  return { path: decodeURIComponent(u.pathname), q: u.searchParams };
+const parseUrl = (url: string): { path: string; parameters: URLSearchParams } => {
+  const parsed = new URL(url, 'http://x');
+  return { path: decodeURIComponent(parsed.pathname), parameters: parsed.searchParams };
 };
 
 // ---- state service -------------------------------------------------------------------------------
 
+/** Decodes a request to the state service. */
 export const stateOpOf = (method: string, url: string, body: Buffer): StoreOperation => {
-  const { path, q } = query(url);
-  const f = (): Fields => asFields(decodeBody(body), 'request');
+  const { path, parameters } = parseUrl(url);
+  const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path.startsWith('/kv/')) return { kind: 'get', key: path.slice(4) };
   if (method === 'GET' && path === '/kv') {
-    const after = q.get('since');
+    const after = parameters.get('since');
     return {
       kind: 'list',
-      prefix: q.get('under') ?? '',
-      limit: Math.min(1000, Number(q.get('page') ?? 1000)),
+      prefix: parameters.get('under') ?? '',
+      limit: Math.min(1000, Number(parameters.get('page') ?? 1000)),
       ...(after === null ? {} : { after }),
     };
   }
   if (method === 'GET' && path === '/follow')
     return {
       kind: 'watch',
-      prefix: q.get('under') ?? '',
-      after: Number(q.get('since') ?? 0),
-      waitMs: Math.min(60_000, Number(q.get('wait_ms') ?? 0)),
+      prefix: parameters.get('under') ?? '',
+      after: Number(parameters.get('since') ?? 0),
+      waitMs: Math.min(60_000, Number(parameters.get('wait_ms') ?? 0)),
     };
   if (method === 'POST' && path === '/txn') {
-    const t = f();
+    const transaction = bodyFields();
     return {
       kind: 'txn',
-      conditions: list(t['when'] ?? [], 'when').map((c) => {
-        const x = asFields(c, 'when');
-        return { key: text(x, 'key'), version: integer(x, 'stamp') };
+      conditions: list(transaction['when'] ?? [], 'when').map((condition) => {
+        const fields = asFields(condition, 'when');
+        return { key: text(fields, 'key'), version: integer(fields, 'stamp') };
       }),
-      writes: list(t['writes'] ?? [], 'writes').map((w) => {
-        const x = asFields(w, 'writes');
-        if (typeof x['remove'] === 'string') return { kind: 'delete', key: x['remove'] };
-        const lease = x['permit'];
+      writes: list(transaction['writes'] ?? [], 'writes').map((write) => {
+        const fields = asFields(write, 'writes');
+        if (typeof fields['remove'] === 'string') return { kind: 'delete', key: fields['remove'] };
+        const lease = fields['permit'];
         return {
           kind: 'put',
-          key: text(x, 'set'),
-          value: x['data'],
+          key: text(fields, 'set'),
+          value: fields['data'],
           ...(typeof lease === 'number' ? { lease } : {}),
         };
       }),
     };
   }
-  if (method === 'POST' && path === '/grants') return { kind: 'grant', ttlMs: integer(f(), 'life_ms') };
+  if (method === 'POST' && path === '/grants')
+    return { kind: 'grant', ttlMs: integer(bodyFields(), 'life_ms') };
   const grant = /^\/grants\/(\d+)(\/touch)?$/.exec(path);
   if (grant !== null) return { kind: method === 'DELETE' ? 'revoke' : 'renew', lease: Number(grant[1]) };
   throw new MalformedMessageError(`no such request: ${method} ${path}`);
 };
 
-export const encodeStateReply = (op: StoreOperation, r: StoreReply): Answer => {
-  switch (r.kind) {
+/** Encodes a reply of the state service. */
+export const encodeStateReply = (op: StoreOperation, reply: StoreReply): Answer => {
+  switch (reply.kind) {
     case 'item':
-      return answer(200, {
-        key: r.item.key,
-        data: r.item.value,
-        stamp: r.item.version,
-        permit: r.item.lease,
+      return encodeAnswer(200, {
+        key: reply.item.key,
+        data: reply.item.value,
+        stamp: reply.item.version,
+        permit: reply.item.lease,
       });
     case 'missing':
-      return answer(404, { ledger: r.revision });
+      return encodeAnswer(404, { ledger: reply.revision });
     case 'items':
-      return answer(200, {
-        rows: r.items.map((i) => ({ key: i.key, data: i.value, stamp: i.version, permit: i.lease })),
-        more: r.more,
-        ledger: r.revision,
+      return encodeAnswer(200, {
+        rows: reply.items.map((i) => ({ key: i.key, data: i.value, stamp: i.version, permit: i.lease })),
+        more: reply.more,
+        ledger: reply.revision,
       });
     case 'ok':
-      return answer(200, { ledger: r.revision });
+      return encodeAnswer(200, { ledger: reply.revision });
     case 'conflict':
-      return answer(409, { failed: r.failed, ledger: r.revision });
+      return encodeAnswer(409, { failed: reply.failed, ledger: reply.revision });
     case 'noLease':
-      return op.kind === 'txn' ? answer(400, { error: 'no such lease' }) : answer(404);
+      return op.kind === 'txn' ? encodeAnswer(400, { error: 'no such lease' }) : encodeAnswer(404);
     case 'granted':
-      return answer(200, { permit: r.lease });
+      return encodeAnswer(200, { permit: reply.lease });
     case 'events':
-      return answer(200, {
-        ledger: r.revision,
-        events: r.events.map((e) =>
+      return encodeAnswer(200, {
+        ledger: reply.revision,
+        events: reply.events.map((e) =>
           e.kind === 'put'
             ? { set: e.key, data: e.value, stamp: e.version }
             : { remove: e.key, stamp: e.version },
         ),
       });
     case 'tooOld':
-      return answer(410);
+      return encodeAnswer(410);
     case 'refused':
-      return answer(400, { error: r.reason });
+      return encodeAnswer(400, { error: reply.reason });
     case 'failed':
-      return answer(r.cause === 'busy' ? 429 : 503);
+      return encodeAnswer(reply.cause === 'busy' ? 429 : 503);
   }
 };
 
 // ---- cloud ---------------------------------------------------------------------------------------
 
+/** Decodes a request to the cloud. */
 export const cloudOpOf = (method: string, url: string, body: Buffer): CloudOperation => {
-  const { path, q } = query(url);
-  const f = (): Fields => asFields(decodeBody(body), 'request');
+  const { path, parameters } = parseUrl(url);
+  const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path === '/flavors') return { kind: 'types' };
   if (method === 'GET' && path === '/hosts')
-    return { kind: 'list', after: q.get('since') ?? '', limit: Number(q.get('page') ?? 500) };
+    return {
+      kind: 'list',
+      after: parameters.get('since') ?? '',
+      limit: Number(parameters.get('page') ?? 500),
+    };
   if (method === 'POST' && path === '/hosts/delete')
-    return { kind: 'delete', machines: list(f()['berths'], 'berths').map(String) };
+    return { kind: 'delete', machines: list(bodyFields()['berths'], 'berths').map(String) };
   if (method === 'POST' && path === '/hosts') {
-    const x = f();
+    const fields = bodyFields();
     return {
       kind: 'rent',
-      request: text(x, 'booking'),
-      type: text(x, 'model'),
-      zone: text(x, 'hall'),
-      spot: flag(x, 'loaners'),
-      count: integer(x, 'count'),
+      request: text(fields, 'booking'),
+      type: text(fields, 'model'),
+      zone: text(fields, 'hall'),
+      spot: flag(fields, 'loaners'),
+      count: integer(fields, 'count'),
     };
   }
   throw new MalformedMessageError(`no such request: ${method} ${path}`);
 };
 
-const flavor = (t: MachineType): unknown => ({
-  sku: t.name,
-  cores: t.cores,
-  gpus: t.gpus,
-  memory_gb: t.memoryGb,
-  cache_gb: t.imageCacheGb,
-  pull_gb_per_s: t.imagePullGbPerS,
-  rate: t.price,
-  market_price: t.spotPrice,
-  startup_s: microsToSeconds(t.bootUs),
-  halls: t.zones,
+const encodeMachineType = (type: MachineType): unknown => ({
+  sku: type.name,
+  cores: type.cores,
+  gpus: type.gpus,
+  memory_gb: type.memoryGb,
+  cache_gb: type.imageCacheGb,
+  pull_gb_per_s: type.imagePullGbPerS,
+  rate: type.price,
+  market_price: type.spotPrice,
+  startup_s: microsToSeconds(type.bootUs),
+  halls: type.zones,
 });
 
-const host = (m: ListedMachine): unknown => ({
-  ref: m.name,
-  address: m.address,
-  model: m.type,
-  hall: m.zone,
-  loaners: m.spot,
-  stage: m.state,
-  age_s: microsToSeconds(m.ageUs),
+const encodeMachine = (machine: ListedMachine): unknown => ({
+  ref: machine.name,
+  address: machine.address,
+  model: machine.type,
+  hall: machine.zone,
+  loaners: machine.spot,
+  stage: machine.state,
+  age_s: microsToSeconds(machine.ageUs),
 });
 
-export const encodeCloudReply = (r: CloudReply): Answer => {
-  switch (r.kind) {
+/** Encodes a reply of the cloud. */
+export const encodeCloudReply = (reply: CloudReply): Answer => {
+  switch (reply.kind) {
     case 'types':
-      return answer(200, { models: r.types.map(flavor) });
+      return encodeAnswer(200, { models: reply.types.map(encodeMachineType) });
     case 'rented':
-      return answer(200, { berths: r.machines });
+      return encodeAnswer(200, { berths: reply.machines });
     case 'noCapacity':
-      return answer(503, { error: 'no capacity' });
+      return encodeAnswer(503, { error: 'no capacity' });
     case 'deleted':
-      return answer(200);
+      return encodeAnswer(200);
     case 'listed':
-      return answer(200, { berths: r.machines.map(host), more: r.more });
+      return encodeAnswer(200, { berths: reply.machines.map(encodeMachine), more: reply.more });
     case 'failed':
-      return answer(503, { error: 'trouble' });
+      return encodeAnswer(503, { error: 'trouble' });
   }
 };
 
 // ---- workers -------------------------------------------------------------------------------------
 
-export const encodeReport = (r: Heartbeat): Buffer =>
+/** Encodes a worker's heartbeat, which is also its answer to commands. */
+export const encodeHeartbeat = (heartbeat: Heartbeat): Buffer =>
   encodeBody({
-    berth: r.machine,
-    address: r.address,
-    model: r.type,
-    hall: r.zone,
-    loaners: r.spot,
-    shift: r.agentEpoch,
-    tally: r.sequence,
-    baton: r.fencingToken,
-    recall_s: r.terminationNoticeUs === null ? null : microsToSeconds(r.terminationNoticeUs),
-    parts: r.tasks.map((t) => ({
-      part: taskName(t.job, t.index),
-      try: t.attempt,
-      stage: nameIn(TASK_STATES, t.state),
-      ...(t.cause === null ? {} : { cause: nameIn(EXIT_CAUSES, t.cause) }),
-      ...(t.checkpointed ? { saved: true } : {}),
+    berth: heartbeat.machine,
+    address: heartbeat.address,
+    model: heartbeat.type,
+    hall: heartbeat.zone,
+    loaners: heartbeat.spot,
+    shift: heartbeat.agentEpoch,
+    tally: heartbeat.sequence,
+    baton: heartbeat.fencingToken,
+    recall_s: heartbeat.terminationNoticeUs === null ? null : microsToSeconds(heartbeat.terminationNoticeUs),
+    parts: heartbeat.tasks.map((task) => ({
+      part: taskName(task.job, task.index),
+      try: task.attempt,
+      stage: nameIn(TASK_STATES, task.state),
+      ...(task.cause === null ? {} : { cause: nameIn(EXIT_CAUSES, task.cause) }),
+      ...(task.checkpointed ? { saved: true } : {}),
     })),
   });
 
-const orderOf = (value: unknown): WorkerCommand => {
-  const f = asFields(value, 'order');
-  const id = { ...splitTask(text(f, 'part')), attempt: integer(f, 'try') };
-  switch (text(f, 'verb')) {
+const decodeCommand = (value: unknown): WorkerCommand => {
+  const fields = asFields(value, 'order');
+  const id = { ...splitTask(text(fields, 'part')), attempt: integer(fields, 'try') };
+  switch (text(fields, 'verb')) {
     case 'launch':
       return { op: 'start', ...id };
     case 'kill':
-      return { op: 'stop', ...id, graceUs: secondsToMicros(amount(f, 'leeway_s')) };
+      return { op: 'stop', ...id, graceUs: secondsToMicros(amount(fields, 'leeway_s')) };
     case 'clear':
       return { op: 'forget', ...id };
     default:
@@ -229,55 +246,60 @@
   }
 };
 
-export const ordersOf = (body: Buffer): { token: number; session: number; orders: WorkerCommand[] } => {
-  const f = asFields(decodeBody(body), 'request');
+/** Decodes a controller's direct commands to a worker. */
+export const decodeCommands = (
+  body: Buffer,
+): { token: number; session: number; commands: WorkerCommand[] } => {
+  const fields = asFields(decodeBody(body), 'request');
   return {
-    token: integer(f, 'baton'),
-    session: integer(f, 'shift'),
-    orders: list(f['orders'], 'orders').map(orderOf),
+    token: integer(fields, 'baton'),
+    session: integer(fields, 'shift'),
+    commands: list(fields['orders'], 'orders').map(decodeCommand),
   };
 };
 
-export const workerAnswerOf = (status: number, body: Buffer): HeartbeatResponse => {
+/** Decodes the response to a heartbeat; anything unexpected counts as unavailable. */
+export const decodeHeartbeatResponse = (status: number, body: Buffer): HeartbeatResponse => {
   try {
-    const f = asFields(decodeBody(body), 'answer');
+    const fields = asFields(decodeBody(body), 'answer');
     if (status === 200)
       return {
         kind: 'accepted',
-        fencingToken: integer(f, 'baton'),
-        commands: list(f['orders'], 'orders').map(orderOf),
+        fencingToken: integer(fields, 'baton'),
+        commands: list(fields['orders'], 'orders').map(decodeCommand),
       };
-    const leader = f['foreman'];
+    const leader = fields['foreman'];
     if (status === 421) return { kind: 'redirect', leader: typeof leader === 'string' ? leader : null };
-  } catch (e) {
-    if (!(e instanceof MalformedMessageError)) throw e;
+  } catch (error) {
+    if (!(error instanceof MalformedMessageError)) throw error;
   }
   return { kind: 'unavailable' };
 };
 
 // ---- users ---------------------------------------------------------------------------------------
 
-export const encodeSubmission = (s: JobSpec): Buffer =>
+/** Encodes a user's submission of a job. */
+export const encodeSubmission = (spec: JobSpec): Buffer =>
   encodeBody({
-    ref: s.id,
-    bundle: s.class,
-    owner: s.team,
-    shape: nameIn(SHAPES, s.shape),
-    urgency: nameIn(PRIORITIES, s.priority),
-    parts: s.tasks,
-    cores: s.cores,
-    gpus: s.gpus,
-    memory_gb: s.memoryGb,
-    build: s.image,
-    image_gb: s.imageGb,
-    models: s.machineTypes,
-    hall: s.zone,
-    same_place: s.sameZone,
-    scatter: s.spreadAcrossZones,
-    loaners: s.spot,
-    expect_s: microsToSeconds(s.estimatedRunUs),
-    snapshot_s: microsToSeconds(s.checkpointIntervalUs),
-    flush_s: microsToSeconds(s.checkpointDurationUs),
-    due_s: s.deadlineUs === null ? null : microsToSeconds(s.deadlineUs),
-    ...(s.dependsOn.length > 0 ? { awaits: s.dependsOn } : {}),
+    ref: spec.id,
+    bundle: spec.class,
+    owner: spec.team,
+    shape: nameIn(SHAPES, spec.shape),
+    urgency: nameIn(PRIORITIES, spec.priority),
+    parts: spec.tasks,
+    cores: spec.cores,
+    gpus: spec.gpus,
+    memory_gb: spec.memoryGb,
+    build: spec.image,
+    image_gb: spec.imageGb,
+    models: spec.machineTypes,
+    hall: spec.zone,
+    same_place: spec.sameZone,
+    scatter: spec.spreadAcrossZones,
+    loaners: spec.spot,
+    expect_s: microsToSeconds(spec.estimatedRunUs),
+    snapshot_s: microsToSeconds(spec.checkpointIntervalUs),
+    flush_s: microsToSeconds(spec.checkpointDurationUs),
+    due_s: spec.deadlineUs === null ? null : microsToSeconds(spec.deadlineUs),
+    ...(spec.dependsOn.length > 0 ? { awaits: spec.dependsOn } : {}),
   });
