--- a/eslint.config.js
+++ b/eslint.config.js
@@ -8,8 +8,13 @@
   'packages/budgets/src/**',
   'packages/cli/src/**',
   'packages/demo/src/**',
-  // Of the emulator all but the soak.
-  'packages/emulator/src/*.ts',
+  // Of the emulator the files that are too long or complex, and two folders.
+  'packages/emulator/src/cluster-simulation.ts',
+  'packages/emulator/src/fault-scenarios.ts',
+  'packages/emulator/src/users-model.ts',
+  'packages/emulator/src/waiting.ts',
+  'packages/emulator/src/wire.ts',
+  'packages/emulator/src/workers-model.ts',
   'packages/emulator/src/digest/**',
   'packages/emulator/src/scale/**',
   'packages/kubernetes/src/**',
