--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -57,7 +57,7 @@
 /** Timeouts of users: for a poll, and for any other request. */
 const POLL_TIMEOUT: Micros = 2 * SECOND;
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
-/** Timeout of commands to a worker that is unreachable or slow to receive them. */
+/** Timeout of commands to a worker that is unreachable or slow to receive them, longer than that of other calls. */
 const COMMAND_TIMEOUT: Micros = 2500 * MILLI;
 const REPLY_LOST: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
 const REPLY_REFUSED = { kind: 'failed', executed: false, cause: 'refused', reason: '503' } as const;
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -29,7 +29,7 @@
 /** Injects one episode of faults. */
 export type FaultScenario = (context: ScenarioContext) => void;
 
-/** Crashes whoever leads after `delay`, for a time shorter or longer than an election takes. */
+/** Crashes whoever leads after `delay`; the process is back after 50 ms, 700 ms or 5 s. */
 const crashLeader = ({ w: simulation, random, count }: ScenarioContext, delay: Micros = 0): void => {
   simulation.later(delay, () => {
     const leader = simulation.leader();
@@ -89,7 +89,7 @@
   };
 };
 
-/** Single faults of controllers, network, state service and workers. */
+/** Faults of controllers, network, state service and workers. */
 export const BASIC_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   'commands held up': ({ w: simulation, random }) => {
     simulation.ordersLate = { share: 0.5, most: (1 + random.below(12)) * SECOND };
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -136,7 +136,7 @@
     return { status: 200, body: encodeHeartbeat(this.heartbeat()) };
   }
 
-  /** Hangs for this time: tasks make no progress and no heartbeats are sentAt. */
+  /** Hangs for this time: tasks make no progress and no heartbeats are sent. Only `carryCommand` can hold commands back. */
   hang(length: Micros): void {
     this.hangingUntil = this.world.now() + length;
   }
