--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,13 @@
 const NOT_YET_READABLE = [
   'packages/budgets/src/{books,commands,explain,feature,packing,reader,store}.ts',
   'packages/demo/src/**',
-  'packages/emulator/src/*.ts',
+  // Of the emulator the files that are too long or too complex.
+  'packages/emulator/src/cluster-simulation.ts',
+  'packages/emulator/src/fault-scenarios.ts',
+  'packages/emulator/src/users-model.ts',
+  'packages/emulator/src/waiting.ts',
+  'packages/emulator/src/wire.ts',
+  'packages/emulator/src/workers-model.ts',
   'packages/emulator/src/scale/capacity.ts',
   'packages/emulator/src/scale/hollow.ts',
   'packages/kubernetes/src/**',
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -7,7 +7,7 @@
 import { ClusterSimulation } from '../src/cluster-simulation.js';
 import { Random } from '../src/random.js';
 import { specOf } from '../src/specs.js';
-import { LeftWaiting } from '../src/waiting.js';
+import { StarvationMonitor } from '../src/waiting.js';
 
 const longestWaitS = (coresMax: number, before: (world: ClusterSimulation) => void): number => {
   const world = new ClusterSimulation(
@@ -22,12 +22,12 @@
   for (let i = 0; i < 5; i++) world.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
   world.runFor(20 * SECOND);
   before(world);
-  const waiting = new LeftWaiting(world, coresMax);
+  const waiting = new StarvationMonitor(world, coresMax);
   for (let elapsedS = 0; elapsedS < 150; elapsedS += 5) {
     world.runFor(5 * SECOND);
-    waiting.look(['run-0', 'run-1', 'run-2', 'run-3', 'run-4']);
+    waiting.observe(['run-0', 'run-1', 'run-2', 'run-3', 'run-4']);
   }
-  return Math.max(0, ...waiting.longest.values()) / SECOND;
+  return Math.max(0, ...waiting.longestWaits.values()) / SECOND;
 };
 
 test('jobs that wait although machines are free are reported', () => {
