--- a/packages/kubernetes/src/deletion.ts
+++ b/packages/kubernetes/src/deletion.ts
@@ -1,62 +1,63 @@
 /**
- * Deletion in three steps, each on record before the next: the object is marked, its job is withdrawn, object and
- * manifest go. Whoever finds a marked object may go on: on the node that was asked, or in the leader after a crash.
+ * Deletion in three steps, each stored before the next: mark the object, cancel its job, delete object and manifest.
+ * Any node may continue with a marked object: normally the one that got the request, after its crash the leader.
  */
 import type { StoreWrite } from '@shaleyoke/core/domain/key-value-store';
 import type { NodeServices } from '@shaleyoke/core/feature-api';
 
+import type { KubeObject } from './object-cache.js';
 import { manifestKey } from './records.js';
-import type { KubeObject } from './view.js';
 
+/** Deletes objects together with their jobs. */
 export class Deletion {
-  constructor(private readonly links: NodeServices) {}
+  constructor(private readonly services: NodeServices) {}
 
-  /** `changed`: it is not any more as it was; look again. */
-  begin(o: KubeObject, then: (marked: KubeObject | 'changed' | 'failed') => void): void {
-    if (o.record.deleting !== null) {
-      then(o);
+  /** Marks an object as being deleted. `changed`: it was modified concurrently and has to be read again. */
+  begin(object: KubeObject, then: (marked: KubeObject | 'changed' | 'failed') => void): void {
+    if (object.record.deleting !== null) {
+      then(object);
       return;
     }
-    const record = { ...o.record, deleting: this.links.context.wallNow };
-    this.links.context.requestStore(
+    const record = { ...object.record, deleting: this.services.context.wallNow };
+    this.services.context.requestStore(
       {
         kind: 'txn',
-        conditions: [{ key: o.key, version: o.version }],
-        writes: [{ kind: 'put', key: o.key, value: record }],
+        conditions: [{ key: object.key, version: object.version }],
+        writes: [{ kind: 'put', key: object.key, value: record }],
       },
       1,
-      (r) => {
-        if (r.kind === 'ok') then({ ...o, record, version: r.revision });
-        else then(r.kind === 'conflict' ? 'changed' : 'failed');
+      (result) => {
+        if (result.kind === 'ok') then({ ...object, record, version: result.revision });
+        else then(result.kind === 'conflict' ? 'changed' : 'failed');
       },
     );
   }
 
-  /** `then` in any case: what could not be done now is done by the leader. */
-  finish(o: KubeObject, then: () => void): void {
-    this.links.submitRequest({ kind: 'cancel', id: o.record.id }, (a) => {
-      // Only once the job can't begin any more: an object that is gone shows nobody what runs.
-      if (a.kind === 'view' && (a.view.stage === 'cancelled' || a.view.stage === 'done'))
-        this.remove(o, then);
+  /** Cancels the job and deletes the object. Calls `then` in any case: the leader does what could not be done now. */
+  finish(object: KubeObject, then: () => void): void {
+    this.services.submitRequest({ kind: 'cancel', id: object.record.id }, (response) => {
+      // Only once the job can't start any more: otherwise tasks could run that no object shows.
+      if (response.kind === 'view' && (response.view.stage === 'cancelled' || response.view.stage === 'done'))
+        this.remove(object, then);
       else then();
     });
   }
 
-  private remove(o: KubeObject, then: () => void): void {
-    const { context: ctx } = this.links;
-    const pieces = Array.from({ length: o.record.pieces }, (_, n): StoreWrite => ({
+  private remove(object: KubeObject, then: () => void): void {
+    const { context } = this.services;
+    const deletions = Array.from({ length: object.record.pieces }, (_, n): StoreWrite => ({
       kind: 'delete',
-      key: manifestKey(o.record.uid, n),
+      key: manifestKey(object.record.uid, n),
     }));
-    const first = pieces.slice(0, ctx.settings.maxTransactionOperations - 1);
-    ctx.requestStore(
+    const firstDeletions = deletions.slice(0, context.settings.maxTransactionOperations - 1);
+    context.requestStore(
       {
         kind: 'txn',
-        conditions: [{ key: o.key, version: o.version }],
-        writes: [{ kind: 'delete', key: o.key }, ...first],
+        conditions: [{ key: object.key, version: object.version }],
+        writes: [{ kind: 'delete', key: object.key }, ...firstDeletions],
       },
       1,
-      // Pieces beyond one transaction are swept by the leader, as those of creations that were cut short.
+      // The leader collects chunks beyond one transaction, as it does for interrupted creations.
       then,
     );
   }
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -1,30 +1,33 @@
-/** The front as a feature of the core: its part on each node, and its part in the leader's term. */
+/** The Kubernetes API as a feature of the core: an endpoint on each node, and a controller in the leader's term. */
 import type { Feature, FeatureEndpoint, FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { FEATURE, Front } from './front.js';
-import { Keeper } from './keeper.js';
+import { FEATURE, KubeEndpoint } from './front.js';
+import { JobController } from './job-controller.js';
 import type { KubeSettings } from './settings.js';
 
+/** Creates the endpoint of a node and the controller of a leader's term. */
 export class Kube implements Feature {
   readonly name = FEATURE;
-  private front: Front | null = null;
-  private links: NodeServices | null = null;
+  private endpoint: KubeEndpoint | null = null;
+  private services: NodeServices | null = null;
 
-  /** `random`: 16 bytes that nobody can guess, for each call. */
+  /** `random` returns 16 cryptographically random bytes per call. */
   constructor(
     private readonly random: () => Uint8Array,
     private readonly settings: KubeSettings,
   ) {}
 
-  serve(links: NodeServices): FeatureEndpoint {
-    this.links = links;
-    this.front = new Front(links, this.random, this.settings.tenants);
-    return this.front;
+  /** Starts the node's endpoint; the core calls it once, before `begin`. */
+  serve(services: NodeServices): FeatureEndpoint {
+    this.services = services;
+    this.endpoint = new KubeEndpoint(services, this.random, this.settings.tenants);
+    return this.endpoint;
   }
 
+  /** Starts the controller of a leader's term on this node. */
   begin(term: LeaderTerm): FeatureTerm {
-    if (this.front === null || this.links === null) throw new Error('begin comes after serve');
-    return new Keeper(term, this.links, this.front.follow, this.settings.statusChangesPerS);
+    if (this.endpoint === null || this.services === null) throw new Error('begin comes after serve');
+    return new JobController(term, this.services, this.endpoint.cacheSync, this.settings.statusChangesPerS);
   }
 }
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -1,6 +1,6 @@
 /**
- * The front on a node: takes objects, shows them, and tells of their changes. Decides and remembers; its only way out is
- * the core's context, and the desk that native submissions go through as well.
+ * The API endpoint of a node: creates, reads, lists, watches and deletes objects. It does no I/O of its own: everything
+ * goes through the node's context and the request path that native submissions use as well.
  */
 import type { InternalResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
@@ -10,28 +10,36 @@
 
 import { allow, type Credentials, tenantOf } from './access.js';
 import { type KubeAnswer, type KubeRequest, type Refusal, refuse } from './api.js';
+import { CacheSync } from './cache-sync.js';
 import { Deletion } from './deletion.js';
-import { Follow } from './follow.js';
 import { nativeIdOf, uidOf } from './identity.js';
-import { objectRoom } from './limits.js';
+import { maxChunkBytes } from './limits.js';
 import { Lists } from './lists.js';
 import { mapManifest, type MappedJob } from './mapping.js';
+import type { KubeObject } from './object-cache.js';
 import { type Problem, textOf } from './problems.js';
-import { guardKey, manifestKey, newStatus, objectKey, type ObjectRecord, piecesOf } from './records.js';
+import {
+  guardKey,
+  manifestKey,
+  newStatus,
+  objectKey,
+  type ObjectRecord,
+  splitIntoChunks,
+} from './records.js';
 import { jobOf } from './render.js';
 import type { Tenant } from './settings.js';
 import { readText } from './text.js';
-import type { KubeObject } from './view.js';
 import { Watches } from './watches.js';
 
-/** Objects in all: each node holds them. */
-const MOST_OBJECTS = 10_000;
-/** Ids that are drawn before it is given up. */
-const DRAWS = 3;
+/** Maximum number of objects in total: every node caches all of them. */
+const MAX_OBJECTS = 10_000;
+/** How many random ids a creation tries. */
+const MAX_ID_ATTEMPTS = 3;
 
+/** Name under which the core routes requests to this feature. */
 export const FEATURE = 'kube';
 
-/** What a client asks, and what it shows of itself. */
+/** A client's request with its credentials. */
 export interface KubeAsk {
   readonly who: Credentials;
   readonly ask: KubeRequest;
@@ -42,42 +50,45 @@
 const unavailable = (problem: string): Refusal => refuse(503, 'ServiceUnavailable', problem);
 const notFound = (name: string): Refusal => refuse(404, 'NotFound', `jobs.batch "${name}" not found`);
 
-export class Front implements FeatureEndpoint {
-  readonly follow: Follow;
+/** Authorizes and serves the requests of clients. */
+export class KubeEndpoint implements FeatureEndpoint {
+  /** Shared with the leader's controller on this node. */
+  readonly cacheSync: CacheSync;
   private readonly watches: Watches;
   private readonly lists: Lists;
   private readonly deletion: Deletion;
 
-  /** `random`: 16 bytes that nobody can guess, for each call. */
+  /** `random` returns 16 cryptographically random bytes per call. */
   constructor(
-    private readonly links: NodeServices,
+    private readonly services: NodeServices,
     private readonly random: () => Uint8Array,
     private readonly tenants: ReadonlyMap<string, Tenant>,
   ) {
-    this.follow = new Follow(links.context, {
+    this.cacheSync = new CacheSync(services.context, {
       changed: (changes) => {
-        this.watches.tell(changes);
+        this.watches.broadcast(changes);
       },
       lost: () => {
         this.watches.endAll();
       },
     });
-    this.watches = new Watches(links.context, this.follow, (request, answer, last) => {
+    this.watches = new Watches(services.context, this.cacheSync, (request, answer, last) => {
       this.answer(request, answer, last);
     });
-    this.lists = new Lists(this.follow.view, () => links.context.now);
-    this.deletion = new Deletion(links);
+    this.lists = new Lists(this.cacheSync.cache, () => services.context.now);
+    this.deletion = new Deletion(services);
   }
 
   private answer(request: number, answer: KubeAnswer, last = true): void {
-    this.links.context.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
+    this.services.context.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
   }
 
+  /** Serves one request; the answers are emitted as `featureResponse` outputs. */
   handle(request: number, body: unknown): void {
     const { who, ask } = body as KubeAsk;
     if (ask.verb === 'unwatch') {
       this.watches.end(ask.watch);
-      this.links.context.emit({
+      this.services.context.emit({
         kind: 'featureResponse',
         feature: FEATURE,
         request,
@@ -86,36 +97,36 @@
       });
       return;
     }
-    // Tokens are as new as objects: one that is revoked opens nothing on any node from then on.
-    this.follow.sync((ok) => {
+    // Tokens are refreshed together with objects, so a revoked token stops working on every node at once.
+    this.cacheSync.sync((ok) => {
       if (!ok) {
         this.answer(request, unavailable('state service not answering'));
         return;
       }
-      const tenant = tenantOf(who, this.follow.view.tokens, this.tenants);
-      const r = 'kind' in tenant ? tenant : allow(ask, tenant);
-      if ('kind' in r) this.answer(request, r);
-      else this.serve(request, r);
+      const tenant = tenantOf(who, this.cacheSync.cache.tokens, this.tenants);
+      const allowed = 'kind' in tenant ? tenant : allow(ask, tenant);
+      if ('kind' in allowed) this.answer(request, allowed);
+      else this.serve(request, allowed);
     });
   }
 
-  /** The view is no older than the request, and the client may ask for that. */
-  private serve(request: number, r: KubeRequest): void {
-    switch (r.verb) {
+  /** Serves an authorized request; the cache is at least as recent as the request. */
+  private serve(request: number, kubeRequest: KubeRequest): void {
+    switch (kubeRequest.verb) {
       case 'get':
-        this.get(request, r.namespace, r.name);
+        this.get(request, kubeRequest.namespace, kubeRequest.name);
         return;
       case 'list':
-        this.answer(request, this.lists.answer(r));
+        this.answer(request, this.lists.answer(kubeRequest));
         return;
       case 'watch':
-        this.watches.begin(request, r);
+        this.watches.begin(request, kubeRequest);
         return;
       case 'create':
-        this.create(request, r);
+        this.create(request, kubeRequest);
         return;
       case 'delete':
-        this.remove(request, r);
+        this.remove(request, kubeRequest);
         return;
       case 'unwatch':
         return;
@@ -123,49 +134,57 @@
   }
 
   private get(request: number, namespace: string, name: string): void {
-    const o = this.follow.view.get(objectKey(namespace, name));
-    this.answer(request, o === null ? notFound(name) : { kind: 'object', created: false, object: jobOf(o) });
+    const object = this.cacheSync.cache.get(objectKey(namespace, name));
+    this.answer(
+      request,
+      object === null ? notFound(name) : { kind: 'object', created: false, object: jobOf(object) },
+    );
   }
 
   // ---- creation ----------------------------------------------------------------------------------------
 
-  private create(request: number, r: KubeRequest & { verb: 'create' }): void {
-    const parsed = readText(r.text);
+  private create(request: number, kubeRequest: KubeRequest & { verb: 'create' }): void {
+    const parsed = readText(kubeRequest.text);
     if ('problem' in parsed) {
       this.answer(request, refuse(400, 'BadRequest', `the body can't be read: ${parsed.problem}`));
       return;
     }
-    const mapped = mapManifest(parsed.value);
-    if (Either.isLeft(mapped)) {
-      this.answer(request, invalid(nameIn(parsed.value), mapped.left));
+    const mapping = mapManifest(parsed.value);
+    if (Either.isLeft(mapping)) {
+      this.answer(request, invalid(manifestName(parsed.value), mapping.left));
       return;
     }
-    const m = mapped.right;
-    const wrong = notYet(m.kind, m.kind === 'Job' && m.suspend, m.manifest.metadata.namespace, r.namespace);
-    if (wrong !== null || m.kind !== 'Job') {
-      this.answer(request, invalid(m.manifest.metadata.name, wrong === null ? [] : [wrong]));
+    const mapped = mapping.right;
+    const unsupported = unsupportedProblem(
+      mapped.kind,
+      mapped.kind === 'Job' && mapped.suspend,
+      mapped.manifest.metadata.namespace,
+      kubeRequest.namespace,
+    );
+    if (unsupported !== null || mapped.kind !== 'Job') {
+      this.answer(request, invalid(mapped.manifest.metadata.name, unsupported === null ? [] : [unsupported]));
       return;
     }
-    this.admit(request, r, m);
+    this.admit(request, kubeRequest, mapped);
   }
 
-  private admit(request: number, r: KubeRequest & { verb: 'create' }, m: MappedJob): void {
-    const { view } = this.follow;
-    const { name } = m.manifest.metadata;
-    const key = objectKey(r.namespace, name);
-    if (view.get(key) !== null || view.unreadable.has(key)) {
+  private admit(request: number, kubeRequest: KubeRequest & { verb: 'create' }, mapped: MappedJob): void {
+    const { cache } = this.cacheSync;
+    const { name } = mapped.manifest.metadata;
+    const key = objectKey(kubeRequest.namespace, name);
+    if (cache.get(key) !== null || cache.unreadable.has(key)) {
       this.answer(request, refuse(409, 'AlreadyExists', `jobs.batch "${name}" already exists`));
       return;
     }
-    if (view.count >= MOST_OBJECTS) {
-      this.answer(request, refuse(429, 'TooManyRequests', `there are ${MOST_OBJECTS} objects; delete some`));
+    if (cache.count >= MAX_OBJECTS) {
+      this.answer(request, refuse(429, 'TooManyRequests', `there are ${MAX_OBJECTS} objects; delete some`));
       return;
     }
-    const needs: string[] = [];
+    const dependencyIds: string[] = [];
     const causes: Problem[] = [];
-    for (const awaited of m.awaits) {
-      const o = view.get(objectKey(r.namespace, awaited));
-      if (o !== null && o.record.deleting === null) needs.push(o.record.id);
+    for (const awaited of mapped.awaits) {
+      const object = cache.get(objectKey(kubeRequest.namespace, awaited));
+      if (object !== null && object.record.deleting === null) dependencyIds.push(object.record.id);
       else
         causes.push({
           path: ['metadata', 'annotations', 'shaleyoke/awaits'],
@@ -174,122 +193,133 @@
         });
     }
     if (causes.length > 0) this.answer(request, invalid(name, causes));
-    else this.draw(request, r, m, needs, DRAWS);
+    else this.submit(request, kubeRequest, mapped, dependencyIds, MAX_ID_ATTEMPTS);
   }
 
-  /** Draws an identity and puts all of it; `draws`: how often another one may be tried. */
-  private draw(
+  /** Creates the object and its job under a random identity; `attemptsLeft` bounds the retries with another one. */
+  private submit(
     request: number,
-    r: KubeRequest & { verb: 'create' },
-    m: MappedJob,
-    needs: readonly string[],
-    draws: number,
+    kubeRequest: KubeRequest & { verb: 'create' },
+    mapped: MappedJob,
+    dependencyIds: readonly string[],
+    attemptsLeft: number,
   ): void {
-    const { settings, wallNow } = this.links.context;
+    const { settings, wallNow } = this.services.context;
     const uid = uidOf(this.random());
-    const spec: JobSpec = { ...m.work, id: nativeIdOf(uid), team: r.team, dependsOn: needs };
-    const pieces = piecesOf(JSON.stringify(m.manifest), objectRoom(settings.maxValueBytes));
+    const spec: JobSpec = {
+      ...mapped.work,
+      id: nativeIdOf(uid),
+      team: kubeRequest.team,
+      dependsOn: dependencyIds,
+    };
+    const chunks = splitIntoChunks(JSON.stringify(mapped.manifest), maxChunkBytes(settings.maxValueBytes));
     const record: ObjectRecord = {
       v: 1,
       uid,
       id: spec.id,
       at: wallNow,
-      pieces: pieces.length,
+      pieces: chunks.length,
       status: newStatus(),
       deleting: null,
     };
-    const writes = pieces.map((value, n): StoreWrite => ({ kind: 'put', key: manifestKey(uid, n), value }));
-    // The job's record, the object, and as many pieces as there is room for; the others come before, under a guard.
-    const all = writes.length <= settings.maxTransactionOperations - 2;
-    const room = settings.maxTransactionOperations - (all ? 2 : 3);
+    const writes = chunks.map((value, n): StoreWrite => ({ kind: 'put', key: manifestKey(uid, n), value }));
+    // One transaction holds the job, the object and as many chunks as fit; the other chunks are written first, under a guard.
+    const fitsOneTransaction = writes.length <= settings.maxTransactionOperations - 2;
+    const chunksBesideObject = settings.maxTransactionOperations - (fitsOneTransaction ? 2 : 3);
     const guard = guardKey(uid);
-    const early: StoreWrite[] = all
+    const earlyWrites: StoreWrite[] = fitsOneTransaction
       ? []
-      : [{ kind: 'put', key: guard, value: { v: 1, text: '' } }, ...writes.slice(room)];
-    this.putFirst(early, settings.maxTransactionOperations, [], (conditions) => {
+      : [{ kind: 'put', key: guard, value: { v: 1, text: '' } }, ...writes.slice(chunksBesideObject)];
+    this.writeInBatches(earlyWrites, settings.maxTransactionOperations, [], (conditions) => {
       if (conditions === null) {
         this.answer(request, unavailable('state service not answering'));
         return;
       }
-      const key = objectKey(r.namespace, m.manifest.metadata.name);
-      const beside = {
+      const key = objectKey(kubeRequest.namespace, mapped.manifest.metadata.name);
+      const extraWrites = {
         conditions: [{ key, version: 0 }, ...conditions],
         writes: [
           { kind: 'put' as const, key, value: record },
-          ...(all ? [] : [{ kind: 'delete' as const, key: guard }]),
-          ...writes.slice(0, room),
+          ...(fitsOneTransaction ? [] : [{ kind: 'delete' as const, key: guard }]),
+          ...writes.slice(0, chunksBesideObject),
         ],
       };
-      this.links.submitRequest(
-        { kind: 'submit', id: spec.id, spec, problem: null, extraWrites: beside },
-        (a) => {
-          const taken = a.kind === 'view' && !a.created;
-          // Somebody has that id: with a hundred random bits, a native user who was told it, if anybody.
-          if (taken && draws > 1) this.draw(request, r, m, needs, draws - 1);
-          else this.created(request, r.namespace, m, record, a);
+      this.services.submitRequest(
+        { kind: 'submit', id: spec.id, spec, problem: null, extraWrites },
+        (response) => {
+          const idTaken = response.kind === 'view' && !response.created;
+          // With about 100 random bits an id is only taken if a native user submitted it on purpose.
+          if (idTaken && attemptsLeft > 1)
+            this.submit(request, kubeRequest, mapped, dependencyIds, attemptsLeft - 1);
+          else this.answerCreation(request, kubeRequest.namespace, mapped, record, response);
         },
       );
     });
   }
 
-  /** Pieces that have no room beside the object; their versions are conditions of it then. */
-  private putFirst(
+  /** Writes chunks that don't fit beside the object; their versions become conditions of the object's creation. */
+  private writeInBatches(
     writes: readonly StoreWrite[],
-    ops: number,
-    put: readonly VersionCondition[],
+    maxOperations: number,
+    written: readonly VersionCondition[],
     then: (conditions: readonly VersionCondition[] | null) => void,
   ): void {
     if (writes.length === 0) {
-      then(put);
+      then(written);
       return;
     }
-    const some = writes.slice(0, ops);
-    const conditions = some.map((w) => ({ key: w.key, version: 0 }));
-    this.links.context.requestStore({ kind: 'txn', conditions, writes: some }, 1, (r) => {
-      if (r.kind !== 'ok') then(null);
+    const batch = writes.slice(0, maxOperations);
+    const conditions = batch.map((w) => ({ key: w.key, version: 0 }));
+    this.services.context.requestStore({ kind: 'txn', conditions, writes: batch }, 1, (result) => {
+      if (result.kind !== 'ok') then(null);
       else {
-        const now = some.map((w) => ({ key: w.key, version: r.revision }));
-        this.putFirst(writes.slice(ops), ops, [...put, ...now], then);
+        const batchConditions = batch.map((w) => ({ key: w.key, version: result.revision }));
+        this.writeInBatches(
+          writes.slice(maxOperations),
+          maxOperations,
+          [...written, ...batchConditions],
+          then,
+        );
       }
     });
   }
 
-  private created(
+  private answerCreation(
     request: number,
     namespace: string,
-    m: MappedJob,
+    mapped: MappedJob,
     record: ObjectRecord,
-    a: InternalResponse,
+    response: InternalResponse,
   ): void {
-    const { name } = m.manifest.metadata;
-    const cause = (message: string): Refusal =>
+    const { name } = mapped.manifest.metadata;
+    const invalidSpec = (message: string): Refusal =>
       invalid(name, [{ path: ['spec'], reason: 'FieldValueInvalid', message }]);
-    switch (a.kind) {
+    switch (response.kind) {
       case 'view': {
-        if (!a.created || a.revision === undefined) {
+        if (!response.created || response.revision === undefined) {
           this.answer(request, unavailable('no free id was found'));
           return;
         }
         const key = objectKey(namespace, name);
-        const manifest = m.manifest as unknown as KubeObject['manifest'];
-        const object: KubeObject = { key, namespace, name, record, manifest, version: a.revision };
+        const manifest = mapped.manifest as unknown as KubeObject['manifest'];
+        const object: KubeObject = { key, namespace, name, record, manifest, version: response.revision };
         this.answer(request, { kind: 'object', created: true, object: jobOf(object) });
         return;
       }
       case 'taken':
         this.answer(
           request,
-          a.keys.includes(objectKey(namespace, name))
+          response.keys.includes(objectKey(namespace, name))
             ? refuse(409, 'AlreadyExists', `jobs.batch "${name}" already exists`)
             : unavailable('the manifest was swept away meanwhile'),
         );
         return;
       case 'impossible':
       case 'malformed':
-        this.answer(request, cause(`can never run: ${a.problem}`));
+        this.answer(request, invalidSpec(`can never run: ${response.problem}`));
         return;
       case 'unavailable':
-        this.answer(request, unavailable(a.problem));
+        this.answer(request, unavailable(response.problem));
         return;
       default:
         this.answer(request, unavailable('not decided'));
@@ -298,25 +328,31 @@
 
   // ---- deletion ----------------------------------------------------------------------------------------
 
-  private remove(request: number, r: KubeRequest & { verb: 'delete' }): void {
-    const o = this.follow.view.get(objectKey(r.namespace, r.name));
-    if (o === null) {
-      this.answer(request, notFound(r.name));
+  private remove(request: number, kubeRequest: KubeRequest & { verb: 'delete' }): void {
+    const object = this.cacheSync.cache.get(objectKey(kubeRequest.namespace, kubeRequest.name));
+    if (object === null) {
+      this.answer(request, notFound(kubeRequest.name));
       return;
     }
-    if ((r.uid !== null && r.uid !== o.record.uid) || (r.version !== null && r.version !== o.version)) {
-      this.answer(request, refuse(409, 'Conflict', `jobs.batch "${r.name}": preconditions are not met`));
+    if (
+      (kubeRequest.uid !== null && kubeRequest.uid !== object.record.uid) ||
+      (kubeRequest.version !== null && kubeRequest.version !== object.version)
+    ) {
+      this.answer(
+        request,
+        refuse(409, 'Conflict', `jobs.batch "${kubeRequest.name}": preconditions are not met`),
+      );
       return;
     }
-    this.deletion.begin(o, (marked) => {
+    this.deletion.begin(object, (marked) => {
       if (marked === 'changed')
-        this.follow.sync((ok) => {
-          if (ok) this.remove(request, r);
+        this.cacheSync.sync((ok) => {
+          if (ok) this.remove(request, kubeRequest);
           else this.answer(request, unavailable('state service not answering'));
         });
       else if (marked === 'failed') this.answer(request, unavailable('state service not answering'));
       else {
-        // From here on it is sure; a node that dies now leaves the rest to the leader.
+        // The deletion is stored now: if this node dies, the leader completes it.
         this.deletion.finish(marked, () => {
           this.answer(request, { kind: 'deleted', object: jobOf(marked) });
         });
@@ -325,13 +361,13 @@
   }
 }
 
-const nameIn = (manifest: unknown): string => {
-  const m = manifest as { metadata?: { name?: unknown } } | null | undefined;
-  return typeof m?.metadata?.name === 'string' ? m.metadata.name : '';
+const manifestName = (manifest: unknown): string => {
+  const manifestObject = manifest as { metadata?: { name?: unknown } } | null | undefined;
+  return typeof manifestObject?.metadata?.name === 'string' ? manifestObject.metadata.name : '';
 };
 
-/** What is understood and not served yet, or contradicts the request. */
-const notYet = (
+/** The problem of a valid manifest that is not served yet or contradicts the request's namespace. */
+const unsupportedProblem = (
   kind: string,
   suspended: boolean,
   named: string | undefined,
--- a/packages/kubernetes/src/limits.ts
+++ b/packages/kubernetes/src/limits.ts
@@ -1,6 +1,7 @@
-/** Sizes within the state service's limits. */
+/** Sizes within the key-value store's limits. */
 
-/** What the service itself adds to a value. */
-const FRAME = 128;
+/** What the store itself adds to a value. */
+const VALUE_OVERHEAD_BYTES = 128;
 
-export const objectRoom = (valueBytes: number): number => valueBytes - FRAME;
+/** Maximum encoded size of a manifest chunk. */
+export const maxChunkBytes = (maxValueBytes: number): number => maxValueBytes - VALUE_OVERHEAD_BYTES;
--- a/packages/kubernetes/src/lists.ts
+++ b/packages/kubernetes/src/lists.ts
@@ -1,81 +1,85 @@
-/** Lists, whole or in parts: all parts of one list are of the moment of its first. */
+/** Paginated lists: all pages come from the snapshot of the first page. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
 import { type Json, type KubeAnswer, type KubeRequest, refuse, type Selector } from './api.js';
+import { type KubeObject, type ObjectCache,type Objects, objectsAfter } from './object-cache.js';
 import { jobOf, labelsOf } from './render.js';
-import { type KubeObject, type Objects, objectsAfter, type View } from './view.js';
 
-/** Objects in one answer, whatever was asked for. */
-const MOST = 500;
-/** Moments that are kept for lists that go on, and for how long. */
-const MOMENTS = 64;
-const KEPT: Micros = 120 * SECOND;
+/** Maximum number of objects in a page, whatever limit the client sets. */
+const MAX_ITEMS = 500;
+/** Snapshots kept for lists that have further pages. */
+const MAX_SNAPSHOTS = 64;
+/** Lifetime of such a snapshot. */
+const SNAPSHOT_TTL: Micros = 120 * SECOND;
 
-export const selects = (s: Selector, o: KubeObject): boolean => {
-  if (s.name !== null && s.name !== o.name) return false;
-  const labels = labelsOf(o);
-  return Object.entries(s.labels).every(([k, v]) => labels[k] === v);
+/** Whether an object has the name and all the labels of a selector. */
+export const matchesSelector = (selector: Selector, object: KubeObject): boolean => {
+  if (selector.name !== null && selector.name !== object.name) return false;
+  const labels = labelsOf(object);
+  return Object.entries(selector.labels).every(([k, v]) => labels[k] === v);
 };
 
-const tokenOf = (version: number, after: string): string =>
+const encodeContinueToken = (version: number, after: string): string =>
   Buffer.from(JSON.stringify([version, after])).toString('base64url');
-const readToken = (token: string): readonly [number, string] | null => {
+const decodeContinueToken = (token: string): readonly [number, string] | null => {
   try {
-    const v: unknown = JSON.parse(Buffer.from(token, 'base64url').toString());
-    return Array.isArray(v) && Number.isInteger(v[0]) && typeof v[1] === 'string'
-      ? [v[0] as number, v[1]]
+    const parsed: unknown = JSON.parse(Buffer.from(token, 'base64url').toString());
+    return Array.isArray(parsed) && Number.isInteger(parsed[0]) && typeof parsed[1] === 'string'
+      ? [parsed[0] as number, parsed[1]]
       : null;
   } catch {
     return null;
   }
 };
 
+/** Answers list requests and keeps the snapshots that continue tokens refer to. */
 export class Lists {
-  /** By version: the objects of that moment. They share all that did not change. */
-  private readonly moments = new Map<number, { readonly objects: Objects; readonly at: Micros }>();
+  /** Snapshots by version; they share the structure that did not change. */
+  private readonly snapshots = new Map<number, { readonly objects: Objects; readonly at: Micros }>();
 
   constructor(
-    private readonly view: View,
+    private readonly cache: ObjectCache,
     private readonly now: () => Micros,
   ) {}
 
-  answer(r: KubeRequest & { verb: 'list' }): KubeAnswer {
-    let version = this.view.at;
-    let { objects } = this.view;
+  /** One page of a list. The cache has to be at least as recent as the request. */
+  answer(query: KubeRequest & { verb: 'list' }): KubeAnswer {
+    let version = this.cache.revision;
+    let { objects } = this.cache;
     let after = '';
-    if (r.token !== null) {
-      const token = readToken(r.token);
+    if (query.token !== null) {
+      const token = decodeContinueToken(query.token);
       if (token === null) return refuse(400, 'BadRequest', 'continue: is no token of this server');
-      const moment = this.moments.get(token[0]);
-      if (moment === undefined)
+      const snapshot = this.snapshots.get(token[0]);
+      if (snapshot === undefined)
         return refuse(410, 'Expired', 'continue: too old, or of another node; list again from the beginning');
       [version, after] = token;
-      ({ objects } = moment);
+      ({ objects } = snapshot);
     }
     const items: Json[] = [];
-    const most = Math.min(r.limit ?? MOST, MOST);
-    let last = '';
+    const maxItems = Math.min(query.limit ?? MAX_ITEMS, MAX_ITEMS);
+    let lastKey = '';
     let more = false;
-    for (const o of objectsAfter(objects, new Set(r.namespaces), after)) {
-      if (!selects(r.selector, o)) continue;
-      if (items.length >= most) {
+    for (const object of objectsAfter(objects, new Set(query.namespaces), after)) {
+      if (!matchesSelector(query.selector, object)) continue;
+      if (items.length >= maxItems) {
         more = true;
         break;
       }
-      items.push(jobOf(o));
-      last = o.key;
+      items.push(jobOf(object));
+      lastKey = object.key;
     }
-    if (more) this.keep(version, objects);
-    return { kind: 'list', version, items, token: more ? tokenOf(version, last) : null };
+    if (more) this.keepSnapshot(version, objects);
+    return { kind: 'list', version, items, token: more ? encodeContinueToken(version, lastKey) : null };
   }
 
-  private keep(version: number, objects: Objects): void {
+  private keepSnapshot(version: number, objects: Objects): void {
     const now = this.now();
-    this.moments.delete(version);
-    this.moments.set(version, { objects, at: now });
-    for (const [v, m] of this.moments)
-      if (this.moments.size > MOMENTS || m.at < now - KEPT) this.moments.delete(v);
+    this.snapshots.delete(version);
+    this.snapshots.set(version, { objects, at: now });
+    for (const [v, m] of this.snapshots)
+      if (this.snapshots.size > MAX_SNAPSHOTS || m.at < now - SNAPSHOT_TTL) this.snapshots.delete(v);
       else break;
   }
 }
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -1,22 +1,29 @@
-/** What the state service holds of objects (docs/kube.md). What can't be read is null, never nothing. */
+/** Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as null. */
 import { reader } from '@shaleyoke/config/checked';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
 
-export const ROOT = 'k/';
-export const OBJECTS = 'k/o/';
-export const MANIFESTS = 'k/m/';
-export const objectKey = (namespace: string, name: string): string => `${OBJECTS}job/${namespace}/${name}`;
-export const manifestKey = (uid: string, n: number): string => `${MANIFESTS}${uid}/${n}`;
+/** Prefix of all keys of this package. */
+export const KEY_PREFIX = 'k/';
+/** Prefix of the object records, which refer to their manifests by uid. */
+export const OBJECT_PREFIX = 'k/o/';
+/** Prefix of manifest chunks and their guards; the object's uid follows. */
+export const MANIFEST_PREFIX = 'k/m/';
+/** Key of a Job's object record. */
+export const objectKey = (namespace: string, name: string): string =>
+  `${OBJECT_PREFIX}job/${namespace}/${name}`;
+/** Key of one chunk of a manifest. */
+export const manifestKey = (uid: string, index: number): string => `${MANIFEST_PREFIX}${uid}/${index}`;
 
 /**
- * Stands while pieces wait for their object, which takes it away in the transaction that names them. Who sweeps pieces
- * away does so on condition of it: one of the two comes first, and the other one fails.
+ * Key of the guard of manifest chunks that were written before their object. The transaction that creates the object
+ * deletes the guard, and garbage collection of the chunks is conditional on the guard's version: whichever of the two
+ * commits first makes the other fail.
  */
-export const guardKey = (uid: string): string => `${MANIFESTS}${uid}/guard`;
+export const guardKey = (uid: string): string => `${MANIFEST_PREFIX}${uid}/guard`;
 
-/** Namespace and name of an object's key; null for other keys. */
-export const nameOf = (key: string): { namespace: string; name: string } | null => {
+/** Namespace and name from an object's key; null for any other key. */
+export const parseObjectKey = (key: string): { namespace: string; name: string } | null => {
   const [, , kind, namespace, name, ...rest] = key.split('/');
   return kind === 'job' && namespace !== undefined && name !== undefined && rest.length === 0
     ? { namespace, name }
@@ -26,39 +33,44 @@
 const Natural = Schema.NonNegativeInt;
 
 const Status = Schema.Struct({
-  /** Tasks that run, and that are done. */
+  /** Numbers of running and of completed tasks. */
   active: Natural,
   done: Natural,
-  /** Time of day, microseconds; null: not yet. */
+  /** Start and end in wall-clock microseconds; null until then. */
   began: Schema.NullOr(Natural),
   ended: Schema.NullOr(Natural),
-  /** How it ended. */
+  /** Final outcome; null while the job is open. */
   result: Schema.NullOr(Schema.Literal('complete', 'failed')),
-  /** Why it failed, or will have failed: said before it is withdrawn. */
+  /** Reason of the failure. It is recorded before the job is cancelled, so that a new leader reports the same. */
   why: Schema.String,
 });
+/** Status of an object as it is stored. */
 export type Status = typeof Status.Type;
 
 const ObjectRecord = Schema.Struct({
   v: Schema.Literal(1),
   uid: Schema.String,
-  /** The native job. */
+  /** Id of the scheduler's job. */
   id: Schema.String,
-  /** Creation, microseconds of time of day. */
+  /** Creation time, wall-clock microseconds. */
   at: Natural,
-  /** Pieces of the manifest. */
+  /** Number of manifest chunks. */
   pieces: Natural,
   status: Status,
-  /** Since when it is to be deleted. */
+  /** Wall-clock time at which deletion was requested; null if it was not. */
   deleting: Schema.NullOr(Natural),
 });
+/** Stored record of an object, without its manifest. */
 export type ObjectRecord = typeof ObjectRecord.Type;
 
-const Piece = Schema.Struct({ v: Schema.Literal(1), text: Schema.String });
+const ManifestChunk = Schema.Struct({ v: Schema.Literal(1), text: Schema.String });
 
+/** Decodes an object record; null if it is malformed. */
 export const readObject = reader(ObjectRecord);
-export const readPiece = reader(Piece);
+/** Decodes a manifest chunk or a guard; null if it is malformed. */
+export const readManifestChunk = reader(ManifestChunk);
 
+/** Status of an object whose job has not started. */
 export const newStatus = (): Status => ({
   active: 0,
   done: 0,
@@ -68,24 +80,24 @@
   why: '',
 });
 
-/** A text in pieces whose records have `room` bytes at most. */
-export const piecesOf = (text: string, room: number): { v: 1; text: string }[] => {
-  const out: { v: 1; text: string }[] = [];
+/** Splits a text into chunk records of at most `maxBytes` encoded bytes each. */
+export const splitIntoChunks = (text: string, maxBytes: number): { v: 1; text: string }[] => {
+  const chunks: { v: 1; text: string }[] = [];
   let from = 0;
   while (from < text.length) {
-    let n = Math.min(text.length - from, room);
+    let length = Math.min(text.length - from, maxBytes);
     for (;;) {
-      // A pair of surrogates is one character: it isn't cut in the middle.
-      const code = text.charCodeAt(from + n - 1);
-      if (code >= 0xd800 && code <= 0xdbff && n > 1) n--;
-      const piece = { v: 1 as const, text: text.slice(from, from + n) };
-      if (bytesOf(piece) <= room || n === 1) {
-        out.push(piece);
+      // Don't split a surrogate pair.
+      const code = text.charCodeAt(from + length - 1);
+      if (code >= 0xd800 && code <= 0xdbff && length > 1) length--;
+      const chunk = { v: 1 as const, text: text.slice(from, from + length) };
+      if (bytesOf(chunk) <= maxBytes || length === 1) {
+        chunks.push(chunk);
         break;
       }
-      n = Math.max(1, Math.floor(n * 0.8));
+      length = Math.max(1, Math.floor(length * 0.8));
     }
-    from += n;
+    from += length;
   }
-  return out;
+  return chunks;
 };
--- a/packages/kubernetes/src/render.ts
+++ b/packages/kubernetes/src/render.ts
@@ -1,14 +1,14 @@
-/** Objects as clients see them: what was sent, the documented defaults, and what the server knows. */
+/** Renders objects for clients: the manifest as sent, documented defaults, and the fields that the server sets. */
 import type { Json } from './api.js';
-import type { KubeObject } from './view.js';
+import type { KubeObject } from './object-cache.js';
 
-/** RFC 3339, whole seconds, as the API has it. */
-const time = (us: number): string => new Date(us / 1000).toISOString().replace(/\.\d+Z$/, 'Z');
+/** RFC 3339 in whole seconds, as the Kubernetes API uses it. */
+const formatTime = (us: number): string => new Date(us / 1000).toISOString().replace(/\.\d+Z$/, 'Z');
 
-const conditionsOf = (o: KubeObject): Json[] => {
-  const { result, ended, why } = o.record.status;
+const conditionsOf = (object: KubeObject): Json[] => {
+  const { result, ended, why } = object.record.status;
   if (result === null) return [];
-  const at = time(ended ?? o.record.at);
+  const at = formatTime(ended ?? object.record.at);
   const type = result === 'complete' ? 'Complete' : 'Failed';
   return [
     {
@@ -21,9 +21,9 @@
   ];
 };
 
-/** A Job: everything of its manifest, in its form. */
-export const jobOf = (o: KubeObject): Json => {
-  const { record, manifest, namespace, name } = o;
+/** A Job in its API form. */
+export const jobOf = (object: KubeObject): Json => {
+  const { record, manifest, namespace, name } = object;
   const { status } = record;
   const spec = manifest['spec'] as Json;
   const completions = spec['completions'] ?? 1;
@@ -34,12 +34,12 @@
       name,
       namespace,
       uid: record.uid,
-      resourceVersion: String(o.version),
+      resourceVersion: String(object.version),
       generation: 1,
-      creationTimestamp: time(record.at),
+      creationTimestamp: formatTime(record.at),
       ...(record.deleting === null
         ? {}
-        : { deletionTimestamp: time(record.deleting), deletionGracePeriodSeconds: 0 }),
+        : { deletionTimestamp: formatTime(record.deleting), deletionGracePeriodSeconds: 0 }),
     },
     spec: {
       completionMode: 'NonIndexed',
@@ -51,14 +51,15 @@
     status: {
       ...(status.active > 0 ? { active: status.active } : {}),
       ...(status.done > 0 ? { succeeded: status.done } : {}),
-      ...(status.began === null ? {} : { startTime: time(status.began) }),
+      ...(status.began === null ? {} : { startTime: formatTime(status.began) }),
       ...(status.ended === null || status.result !== 'complete'
         ? {}
-        : { completionTime: time(status.ended) }),
-      conditions: conditionsOf(o),
+        : { completionTime: formatTime(status.ended) }),
+      conditions: conditionsOf(object),
     },
   };
 };
 
+/** Labels of an object; empty if the manifest has none. */
 export const labelsOf = (o: KubeObject): Readonly<Record<string, string>> =>
   ((o.manifest['metadata'] as Json)['labels'] ?? {}) as Record<string, string>;
--- a/packages/kubernetes/src/status.ts
+++ b/packages/kubernetes/src/status.ts
@@ -1,69 +1,90 @@
-/** What the leader puts on record of a Job, and what is to be done with it. Decides only. */
+/** Decides a Job's stored status and the leader's next action for it. Pure functions. */
 import type { Micros } from '@shaleyoke/core/domain/time';
 
 import { newStatus, type ObjectRecord, type Status } from './records.js';
 
-/** A job as the leader knows it. */
-export type Seen =
-  /** It has not ended: tasks that run, and that are done. */
+/** A scheduler job as the leader observes it. */
+export type ObservedJob =
+  /** Not ended; with the numbers of running and completed tasks. */
   | { readonly kind: 'open'; readonly running: number; readonly done: number }
   | { readonly kind: 'done'; readonly done: number }
   | { readonly kind: 'withdrawn'; readonly done: number }
-  /** Not heard of by this leader. */
+  /** This leader has no information yet. */
   | { readonly kind: 'unknown' };
 
-export const DEADLINE = 'DeadlineExceeded';
+/** Failure reason of a Job that ran into `activeDeadlineSeconds`. */
+export const DEADLINE_EXCEEDED = 'DeadlineExceeded';
+/** Failure reason of a Job that was cancelled otherwise. */
 export const WITHDRAWN = 'Withdrawn';
 
-export interface Times {
+/** Time limits from the manifest; null where none is set. */
+export interface TimeLimits {
   readonly activeDeadlineUs: Micros | null;
   readonly ttlUs: Micros | null;
 }
 
-/** The status as it is now; the same object if nothing of it changed. `now`: time of day. */
-export const statusNow = (before: Status, seen: Seen, times: Times, now: Micros): Status => {
-  if (before.result !== null || seen.kind === 'unknown') return before;
+/** The status for an observation; returns `before` itself if nothing changed. `now` is wall-clock time. */
+export const updatedStatus = (
+  before: Status,
+  observed: ObservedJob,
+  limits: TimeLimits,
+  now: Micros,
+): Status => {
+  if (before.result !== null || observed.kind === 'unknown') return before;
   const after: Status = { ...before };
-  if (seen.kind === 'open') {
-    // Counts of what is done never go back, whatever a new leader has yet to hear of.
-    const done = Math.max(before.done, seen.done);
-    const began = before.began ?? (seen.running > 0 || seen.done > 0 ? now : null);
-    const late = times.activeDeadlineUs !== null && began !== null && now >= began + times.activeDeadlineUs;
-    Object.assign(after, { active: seen.running, done, began, why: late ? DEADLINE : before.why });
+  if (observed.kind === 'open') {
+    // The completed count never decreases, although a new leader may not know of all completed tasks yet.
+    const done = Math.max(before.done, observed.done);
+    const began = before.began ?? (observed.running > 0 || observed.done > 0 ? now : null);
+    const pastDeadline =
+      limits.activeDeadlineUs !== null && began !== null && now >= began + limits.activeDeadlineUs;
+    Object.assign(after, {
+      active: observed.running,
+      done,
+      began,
+      why: pastDeadline ? DEADLINE_EXCEEDED : before.why,
+    });
   } else {
-    const complete = seen.kind === 'done';
+    const complete = observed.kind === 'done';
     Object.assign(after, {
       ...newStatus(),
-      done: Math.max(before.done, seen.done),
+      done: Math.max(before.done, observed.done),
       began: before.began ?? now,
       ended: now,
       result: complete ? 'complete' : 'failed',
       why: complete ? '' : before.why === '' ? WITHDRAWN : before.why,
     });
   }
-  const same = (Object.keys(after) as (keyof Status)[]).every((k) => after[k] === before[k]);
-  return same ? before : after;
+  const unchanged = (Object.keys(after) as (keyof Status)[]).every((k) => after[k] === before[k]);
+  return unchanged ? before : after;
 };
 
-export type Duty =
-  /** Its status is to be put on record. */
+/** What the leader has to do for an object. */
+export type Action =
+  /** Store the changed status. */
   | { readonly kind: 'record'; readonly status: Status; readonly final: boolean }
-  /** Its deadline is over, and that is on record: its job is to be withdrawn. */
+  /** Cancel the job: its deadline has passed, and the stored status says so. */
   | { readonly kind: 'withdraw' }
-  /** Its time after its end is over. */
+  /** Delete the object: `ttlSecondsAfterFinished` has passed. */
   | { readonly kind: 'expire' }
-  /** Its deletion was begun and not finished. */
+  /** Complete a deletion that was started and not finished. */
   | { readonly kind: 'finish' };
 
-/** How long a node that marked an object has to go on with its deletion by itself. */
-export const OWN_DELETION: Micros = 10_000_000;
+/** How long the leader leaves a deletion to the node that marked the object. */
+export const DELETION_TAKEOVER_DELAY: Micros = 10_000_000;
 
-/** The one next thing to be done with an object, or null. */
-export const dutyOf = (record: ObjectRecord, seen: Seen, times: Times, now: Micros): Duty | null => {
-  if (record.deleting !== null) return now > record.deleting + OWN_DELETION ? { kind: 'finish' } : null;
-  const status = statusNow(record.status, seen, times, now);
+/** The next action for an object; null if there is none. */
+export const nextAction = (
+  record: ObjectRecord,
+  observed: ObservedJob,
+  limits: TimeLimits,
+  now: Micros,
+): Action | null => {
+  if (record.deleting !== null)
+    return now > record.deleting + DELETION_TAKEOVER_DELAY ? { kind: 'finish' } : null;
+  const status = updatedStatus(record.status, observed, limits, now);
   if (status !== record.status) return { kind: 'record', status, final: status.result !== null };
-  if (status.result === null) return status.why === DEADLINE ? { kind: 'withdraw' } : null;
-  const over = times.ttlUs !== null && status.ended !== null && now >= status.ended + times.ttlUs;
-  return over ? { kind: 'expire' } : null;
+  if (status.result === null) return status.why === DEADLINE_EXCEEDED ? { kind: 'withdraw' } : null;
+  const expired = limits.ttlUs !== null && status.ended !== null && now >= status.ended + limits.ttlUs;
+  return expired ? { kind: 'expire' } : null;
 };
--- a/packages/kubernetes/src/watches.ts
+++ b/packages/kubernetes/src/watches.ts
@@ -1,113 +1,128 @@
-/** Watches: each client is told of every change after its version, once and in order, until it is gone or must list again. */
+/**
+ * Watches: each client gets every change after its version exactly once and in order, until it disconnects or has to
+ * list again.
+ */
 import type { NodeContext } from '@shaleyoke/core/node/node-context';
 
 import { type KubeAnswer, type KubeRequest, refuse } from './api.js';
-import { BOOKMARK_EVERY, type Follow } from './follow.js';
-import { selects } from './lists.js';
+import { BOOKMARK_INTERVAL, type CacheSync } from './cache-sync.js';
+import { matchesSelector } from './lists.js';
+import { type Change, type KubeObject, objectsAfter } from './object-cache.js';
 import { jobOf } from './render.js';
-import { type Change, type KubeObject, objectsAfter } from './view.js';
 
-/** Watches on a node at the same time. */
-const MOST = 1_000;
+/** Maximum number of concurrent watches on a node. */
+const MAX_WATCHES = 1_000;
 
 interface Watch {
-  readonly r: KubeRequest & { verb: 'watch' };
+  readonly query: KubeRequest & { verb: 'watch' };
   readonly namespaces: ReadonlySet<string>;
-  /** All changes up to this version have been told. */
-  told: number;
+  /** All changes up to this version were sent. */
+  sentUpTo: number;
 }
 
+/** The open watches of a node's clients. */
 export class Watches {
   private readonly open = new Map<number, Watch>();
-  private ticking = false;
+  private bookmarksScheduled = false;
 
   constructor(
-    private readonly ctx: NodeContext,
-    private readonly follow: Follow,
+    private readonly context: NodeContext,
+    private readonly cacheSync: CacheSync,
     private readonly answer: (request: number, answer: KubeAnswer, last: boolean) => void,
   ) {}
 
-  /** The view is no older than the request. */
-  begin(request: number, r: KubeRequest & { verb: 'watch' }): void {
-    if (this.open.size >= MOST) {
-      this.answer(request, refuse(429, 'TooManyRequests', `${MOST} watches are open here`), true);
+  /** Starts a watch. The cache has to be at least as recent as the request. */
+  begin(request: number, query: KubeRequest & { verb: 'watch' }): void {
+    if (this.open.size >= MAX_WATCHES) {
+      this.answer(request, refuse(429, 'TooManyRequests', `${MAX_WATCHES} watches are open here`), true);
       return;
     }
-    const { view } = this.follow;
-    const w: Watch = { r, namespaces: new Set(r.namespaces), told: r.from ?? view.at };
-    const missed = r.from === null ? [] : view.since(r.from);
-    if (missed === null || (r.from !== null && r.from > view.at)) {
+    const { cache } = this.cacheSync;
+    const watch: Watch = {
+      query,
+      namespaces: new Set(query.namespaces),
+      sentUpTo: query.from ?? cache.revision,
+    };
+    const missed = query.from === null ? [] : cache.changesSince(query.from);
+    if (missed === null || (query.from !== null && query.from > cache.revision)) {
       this.answer(
         request,
-        refuse(410, 'Expired', `resourceVersion ${r.from} is too old, or not of this service; list again`),
+        refuse(
+          410,
+          'Expired',
+          `resourceVersion ${query.from} is too old, or not of this service; list again`,
+        ),
         true,
       );
       return;
     }
-    this.open.set(request, w);
-    this.follow.watch();
-    if (r.from === null)
-      for (const o of objectsAfter(view.objects, w.namespaces, ''))
-        if (selects(r.selector, o)) this.event(request, 'ADDED', o, o.version);
-    this.pass(request, w, missed);
-    w.told = view.at;
-    this.tick();
+    this.open.set(request, watch);
+    this.cacheSync.addWatcher();
+    if (query.from === null)
+      for (const object of objectsAfter(cache.objects, watch.namespaces, ''))
+        if (matchesSelector(query.selector, object)) this.sendEvent(request, 'ADDED', object, object.version);
+    this.sendChanges(request, watch, missed);
+    watch.sentUpTo = cache.revision;
+    this.scheduleBookmarks();
   }
 
-  private event(
+  private sendEvent(
     request: number,
     type: 'ADDED' | 'MODIFIED' | 'DELETED',
-    o: KubeObject,
+    object: KubeObject,
     version: number,
   ): void {
-    this.answer(request, { kind: 'event', type, object: jobOf({ ...o, version }), version }, false);
+    this.answer(request, { kind: 'event', type, object: jobOf({ ...object, version }), version }, false);
   }
 
-  /** What enters or leaves a selection is added or deleted for its client, whatever it is for others. */
-  private pass(request: number, w: Watch, changes: readonly Change[]): void {
-    for (const c of changes) {
-      if (c.version <= w.told) continue;
-      const seen = (o: KubeObject | null): boolean =>
-        o !== null && w.namespaces.has(o.namespace) && selects(w.r.selector, o);
-      const [before, after] = [seen(c.before), seen(c.after)];
-      // Deleted and created again between two looks: the one before has to be taken away first.
-      const another = before && after && c.before!.record.uid !== c.after!.record.uid;
-      if (before && (!after || another)) this.event(request, 'DELETED', c.before!, c.version);
-      if (after) this.event(request, before && !another ? 'MODIFIED' : 'ADDED', c.after!, c.version);
+  /** An object that enters or leaves a watch's selection is ADDED or DELETED for its client. */
+  private sendChanges(request: number, watch: Watch, changes: readonly Change[]): void {
+    for (const change of changes) {
+      if (change.version <= watch.sentUpTo) continue;
+      const isSelected = (o: KubeObject | null): boolean =>
+        o !== null && watch.namespaces.has(o.namespace) && matchesSelector(watch.query.selector, o);
+      const [before, after] = [isSelected(change.before), isSelected(change.after)];
+      // Deleted and created again between two polls: the client needs a DELETED event for the first object.
+      const replaced = before && after && change.before!.record.uid !== change.after!.record.uid;
+      if (before && (!after || replaced)) this.sendEvent(request, 'DELETED', change.before!, change.version);
+      if (after)
+        this.sendEvent(request, before && !replaced ? 'MODIFIED' : 'ADDED', change.after!, change.version);
     }
   }
 
-  tell(changes: readonly Change[]): void {
-    for (const [request, w] of this.open) {
-      this.pass(request, w, changes);
-      w.told = Math.max(w.told, this.follow.view.at);
+  /** Sends changes to all watches that select them. */
+  broadcast(changes: readonly Change[]): void {
+    for (const [request, watch] of this.open) {
+      this.sendChanges(request, watch, changes);
+      watch.sentUpTo = Math.max(watch.sentUpTo, this.cacheSync.cache.revision);
     }
   }
 
-  /** Bookmarks, while there is a watch that wants them. */
-  private tick(): void {
-    if (this.ticking || this.open.size === 0) return;
-    this.ticking = true;
-    this.ctx.after(BOOKMARK_EVERY, () => {
-      this.ticking = false;
-      for (const [request, w] of this.open)
-        if (w.r.bookmarks) {
+  /** Sends bookmarks periodically while there are watches. */
+  private scheduleBookmarks(): void {
+    if (this.bookmarksScheduled || this.open.size === 0) return;
+    this.bookmarksScheduled = true;
+    this.context.after(BOOKMARK_INTERVAL, () => {
+      this.bookmarksScheduled = false;
+      for (const [request, watch] of this.open)
+        if (watch.query.bookmarks) {
           const object = {
             kind: 'Job',
             apiVersion: 'batch/v1',
-            metadata: { resourceVersion: String(w.told), creationTimestamp: null },
+            metadata: { resourceVersion: String(watch.sentUpTo), creationTimestamp: null },
           };
-          this.answer(request, { kind: 'event', type: 'BOOKMARK', object, version: w.told }, false);
+          this.answer(request, { kind: 'event', type: 'BOOKMARK', object, version: watch.sentUpTo }, false);
         }
-      this.tick();
+      this.scheduleBookmarks();
     });
   }
 
+  /** Closes a watch whose client is gone. */
   end(request: number): void {
-    if (this.open.delete(request)) this.follow.unwatch();
+    if (this.open.delete(request)) this.cacheSync.removeWatcher();
   }
 
-  /** Changes may be missing: every client begins anew. */
+  /** Closes all watches after changes may have been lost; their clients have to list again. */
   endAll(): void {
     for (const request of [...this.open.keys()]) {
       this.end(request);
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -13,7 +13,7 @@
 import { Kube } from '@shaleyoke/kubernetes/feature';
 import { FEATURE } from '@shaleyoke/kubernetes/front';
 import { nativeIdOf, uidOf } from '@shaleyoke/kubernetes/identity';
-import { piecesOf, readObject } from '@shaleyoke/kubernetes/records';
+import { readObject,splitIntoChunks } from '@shaleyoke/kubernetes/records';
 import { parseKube } from '@shaleyoke/kubernetes/settings';
 import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
 
@@ -570,7 +570,7 @@
 test('a text in pieces is put together again, each within its room', () => {
   for (const text of ['', 'a', '😀'.repeat(50), '"\\\n'.repeat(90), 'x'.repeat(1_000)])
     for (const room of [60, 61, 64, 200]) {
-      const pieces = piecesOf(text, room);
+      const pieces = splitIntoChunks(text, room);
       assert.equal(pieces.map((p) => p.text).join(''), text);
       for (const p of pieces) assert.ok(Buffer.byteLength(JSON.stringify(p)) <= room, `${room}`);
     }
--- a/packages/kubernetes/test/stored-records.test.ts
+++ b/packages/kubernetes/test/stored-records.test.ts
@@ -6,9 +6,9 @@
   guardKey,
   manifestKey,
   objectKey,
-  piecesOf,
+  readManifestChunk,
   readObject,
-  readPiece,
+  splitIntoChunks,
 } from '@shaleyoke/kubernetes/records';
 import { matches, newToken, readToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
 
@@ -42,8 +42,8 @@
     );
   const status = { ...OBJECT.status, ended: 9, result: 'failed', why: 'DeadlineExceeded' };
   assert.deepEqual(readObject({ ...OBJECT, status, deleting: 10 }), { ...OBJECT, status, deleting: 10 });
-  assert.deepEqual(readPiece({ v: 1, text: '{}' }), { v: 1, text: '{}' });
-  assert.deepEqual(piecesOf('{"kind":"Job"}', 2_000), [{ v: 1, text: '{"kind":"Job"}' }]);
+  assert.deepEqual(readManifestChunk({ v: 1, text: '{}' }), { v: 1, text: '{}' });
+  assert.deepEqual(splitIntoChunks('{"kind":"Job"}', 2_000), [{ v: 1, text: '{"kind":"Job"}' }]);
 });
 
 test('a token is on record with the hash of its secret alone', () => {
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 
 import type { StoredItem, StoreEvent } from '@shaleyoke/core/domain/key-value-store';
+import { ObjectCache } from '@shaleyoke/kubernetes/object-cache';
 import { manifestKey, newStatus, objectKey, type ObjectRecord } from '@shaleyoke/kubernetes/records';
-import { View } from '@shaleyoke/kubernetes/view';
 import fc from 'fast-check';
 
 const NAMES = ['a', 'b', 'c'];
@@ -45,7 +45,7 @@
   return { events, stores };
 };
 
-const shown = (v: View): string[] =>
+const shown = (v: ObjectCache): string[] =>
   NAMES.map((n) => v.get(objectKey('n', n)))
     .filter((o) => o !== null)
     .map((o) => `${o.name} ${o.record.uid} ${o.version}`);
@@ -67,7 +67,7 @@
         const end = stores.length - 1;
         const from = start % stores.length;
         const to = Math.min(end, from + spread);
-        const v = new View();
+        const v = new ObjectCache();
         // Each key is read at a moment of its own between the first page and the last.
         const items: StoredItem[] = [];
         const keys = new Set(events.map((e) => e.key));
@@ -80,19 +80,19 @@
         const between = (a: number, b: number): StoreEvent[] =>
           events.filter((e) => e.version > a && e.version <= b);
         v.apply(between(from, to), to);
-        v.settle();
+        v.resetHistory();
         assert.deepEqual(shown(v), wanted(stores[to]!));
         const told: string[] = [];
-        const lines = (changes: ReturnType<View['apply']>): string[] =>
+        const lines = (changes: ReturnType<ObjectCache['apply']>): string[] =>
           changes.map((c) => `${c.version} ${c.before?.record.uid ?? '-'} ${c.after?.record.uid ?? '-'}`);
         for (const [back, on] of [...batches, [0, end] as const]) {
           // Two polls overlap: what one brought comes again with the other, and older than what is known.
-          const since = Math.max(to, v.at - back);
+          const since = Math.max(to, v.revision - back);
           const until = Math.min(end, since + on);
           told.push(...lines(v.apply(between(since, until), until)));
-          assert.deepEqual(shown(v), wanted(stores[v.at]!), `at ${v.at}`);
+          assert.deepEqual(shown(v), wanted(stores[v.revision]!), `at ${v.revision}`);
         }
-        assert.equal(v.at, end);
+        assert.equal(v.revision, end);
         const all = [];
         for (const e of between(to, end)) {
           if (!e.key.startsWith('k/o/')) continue;
@@ -101,8 +101,8 @@
           all.push(`${e.version} ${uid(e.version - 1)} ${uid(e.version)}`);
         }
         assert.deepEqual(told, all);
-        assert.deepEqual(lines([...(v.since(to) ?? [])]), all);
-        assert.equal(to === 0 ? null : v.since(to - 1), null);
+        assert.deepEqual(lines([...(v.changesSince(to) ?? [])]), all);
+        assert.equal(to === 0 ? null : v.changesSince(to - 1), null);
       },
     ),
     { seed: 8, numRuns: 600 },
