--- a/packages/kubernetes/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -1,6 +1,6 @@
 /**
- * Conformance of the declared subset: real controllers on loopback, driven by the registry's client library and by raw
- * requests. What is compared is what must be the same each time; nothing rests on how fast this machine is.
+ * Conformance of the supported subset: real controllers on loopback, driven by the published client library and by raw
+ * HTTP requests. The assertions don't depend on the speed of the machine.
  */
 import assert from 'node:assert/strict';
 import * as http from 'node:http';
@@ -14,7 +14,7 @@
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
-const BOX: MachineType = {
+const MACHINE_TYPE: MachineType = {
   name: 'box',
   cores: 8,
   gpus: 0,
@@ -27,11 +27,11 @@
   zones: ['zone-a', 'zone-b'],
 };
 
-const l = new Loopback({
+const loopback = new Loopback({
   program: PROGRAM,
   nodes: 3,
   teams: ['t', 'u'],
-  types: [BOX],
+  types: [MACHINE_TYPE],
   perZone: 3,
   budgets: null,
   kube: (port) =>
@@ -43,7 +43,7 @@
 
 const tool = toolOf(PROGRAM);
 const until = async (what: string, holds: () => boolean | Promise<boolean>): Promise<void> => {
-  for (let k = 0; k < 240; k++) {
+  for (let attempt = 0; attempt < 240; attempt++) {
     if (await holds()) return;
     await new Promise((done) => setTimeout(done, 250));
   }
@@ -51,14 +51,14 @@
 };
 
 const configOf = (node: number, token: string): KubeConfig => {
-  const kc = new KubeConfig();
-  kc.loadFromOptions({
-    clusters: [{ name: 'c', server: `http://${l.nodes[node]!.kube}`, skipTLSVerify: true }],
+  const kubeConfig = new KubeConfig();
+  kubeConfig.loadFromOptions({
+    clusters: [{ name: 'c', server: `http://${loopback.nodes[node]!.kube}`, skipTLSVerify: true }],
     users: [{ name: 'u', token }],
     contexts: [{ name: 'x', cluster: 'c', user: 'u' }],
     currentContext: 'x',
   });
-  return kc;
+  return kubeConfig;
 };
 const api = (node: number, token = tokens.maps): BatchV1Api =>
   configOf(node, token).makeApiClient(BatchV1Api);
@@ -93,7 +93,7 @@
   node = 0,
 ): Promise<Reply> =>
   new Promise((resolve, reject) => {
-    const [host, port] = l.nodes[node]!.kube.split(':');
+    const [host, port] = loopback.nodes[node]!.kube.split(':');
     const req = http.request(
       {
         host,
@@ -120,22 +120,22 @@
   try {
     await what;
     return 200;
-  } catch (e) {
-    return (e as { code?: number }).code ?? -1;
+  } catch (error) {
+    return (error as { code?: number }).code ?? -1;
   }
 };
 
 before(async () => {
-  await l.start();
-  await until('somebody leads', () => l.leader() !== null);
+  await loopback.start();
+  await until('somebody leads', () => loopback.leader() !== null);
   const files = (node: number): string[] => [
     '--config',
-    l.nodes[node]!.config,
+    loopback.nodes[node]!.config,
     '--kube',
-    l.kubeFile(l.nodes[node]!.member),
+    loopback.kubeFile(loopback.nodes[node]!.member),
   ];
   for (const tenant of ['maps', 'others'] as const) {
-    const r = await tool(
+    const result = await tool(
       'kube',
       'token',
       'create',
@@ -147,9 +147,9 @@
       '--why',
       'tests',
     );
-    assert.equal(r.code, 0, r.out);
-    assert.match(r.out, /^CREATED token [0-9a-f]{16} for /);
-    tokens[tenant] = r.out.trim().split('\n').at(-1)!;
+    assert.equal(result.code, 0, result.out);
+    assert.match(result.out, /^CREATED token [0-9a-f]{16} for /);
+    tokens[tenant] = result.out.trim().split('\n').at(-1)!;
   }
   const none = await tool(
     'kube',
@@ -165,16 +165,16 @@
   );
   assert.deepEqual([none.code, /--tenant: x is none of .*maps, others/.test(none.out)], [2, true], none.out);
   await until('each node answers', async () => {
-    for (const n of [0, 1, 2])
-      if ((await codeOf(api(n).listNamespacedJob({ namespace: 'maps' }))) !== 200) return false;
+    for (const node of [0, 1, 2])
+      if ((await codeOf(api(node).listNamespacedJob({ namespace: 'maps' }))) !== 200) return false;
     return true;
   });
 });
 after(() => {
-  l.stop();
+  loopback.stop();
 });
 
-test('discovery tells what is served, to anybody', async () => {
+test('discovery lists the served API without authentication', async () => {
   const groups = JSON.parse((await raw('GET', '/apis?timeout=32s', '', { Authorization: '' })).body) as {
     groups: { name: string }[];
   };
@@ -193,7 +193,7 @@
   assert.equal((await raw('GET', '/apis/apps/v1')).status, 404);
 });
 
-test('a Job lives through the client library: created, listed, read, complete, deleted, by any node', async () => {
+test('the client library creates, lists, reads and deletes a Job on any node, and sees it complete', async () => {
   const made = await api(0).createNamespacedJob({ namespace: 'maps', body: jobOf('tiles') });
   assert.equal(made.metadata?.namespace, 'maps');
   assert.equal(made.spec?.completionMode, 'NonIndexed');
@@ -207,8 +207,8 @@
   const none = await api(2).listNamespacedJob({ namespace: 'maps', labelSelector: 'app=none' });
   assert.equal(none.items.length, 0);
   await until('it is complete', async () => {
-    const j = await api(2).readNamespacedJob({ namespace: 'maps', name: 'tiles' });
-    return j.status?.conditions?.some((c) => c.type === 'Complete' && c.status === 'True') === true;
+    const job = await api(2).readNamespacedJob({ namespace: 'maps', name: 'tiles' });
+    return job.status?.conditions?.some((c) => c.type === 'Complete' && c.status === 'True') === true;
   });
   const done = await api(0).readNamespacedJob({ namespace: 'maps', name: 'tiles' });
   assert.equal(done.status?.succeeded, 2);
@@ -217,7 +217,7 @@
   assert.equal(await codeOf(api(2).readNamespacedJob({ namespace: 'maps', name: 'tiles' })), 404);
 });
 
-test('another tenant, a wrong token and another namespace are told apart as published, and learn nothing', async () => {
+test('another tenant, a wrong token and a foreign namespace get the API’s status codes and no information', async () => {
   await api(0).createNamespacedJob({ namespace: 'maps', body: jobOf('mine') });
   for (const name of ['mine', 'nobodys'])
     assert.equal(await codeOf(api(1, tokens.others).readNamespacedJob({ namespace: 'maps', name })), 403);
@@ -231,22 +231,22 @@
   await api(2).deleteNamespacedJob({ namespace: 'maps', name: 'mine', propagationPolicy: 'Background' });
 });
 
-test('what is wrong with a request is said as a Status, each field by its name', async () => {
+test('a wrong request is refused with a Status that names each field', async () => {
   const bad = jobOf('bad', { backoffLimit: 3 });
-  const r = await raw('POST', JOBS, JSON.stringify(bad));
-  const status = JSON.parse(r.body) as {
+  const result = await raw('POST', JOBS, JSON.stringify(bad));
+  const status = JSON.parse(result.body) as {
     kind: string;
     reason: string;
     details: { causes: { field: string; reason: string }[] };
   };
-  assert.deepEqual([r.status, status.kind, status.reason], [422, 'Status', 'Invalid']);
+  assert.deepEqual([result.status, status.kind, status.reason], [422, 'Status', 'Invalid']);
   assert.deepEqual(
     status.details.causes.map((c) => `${c.field} ${c.reason}`),
     ['spec.backoffLimit FieldValueForbidden'],
   );
-  // Asking for leniency does not change what can be honoured.
+  // `fieldValidation=Ignore` doesn't make an unsupported field accepted.
   assert.equal((await raw('POST', `${JOBS}?fieldValidation=Ignore`, JSON.stringify(bad))).status, 422);
-  const code = async (...a: Parameters<typeof raw>): Promise<number> => (await raw(...a)).status;
+  const code = async (...args: Parameters<typeof raw>): Promise<number> => (await raw(...args)).status;
   const good = JSON.stringify(jobOf('good'));
   assert.equal(await code('POST', JOBS, '{'), 400);
   assert.equal(await code('POST', JOBS, good.replace('{', '{"kind":"Job",')), 400);
@@ -271,25 +271,25 @@
   assert.equal(await code('DELETE', `${JOBS}/from-yaml`), 200);
 });
 
-test('an informer of the library runs through a killed controller and a stalled state service', async () => {
+test('an informer of the client library survives a killed controller and a store outage', async () => {
   const seen = new Map<string, string>();
   const log: string[] = [];
   let node = 0;
   let stop = (): void => undefined;
   const begin = (): void => {
-    const kc = configOf(node, tokens.maps);
-    const list = () => kc.makeApiClient(BatchV1Api).listNamespacedJob({ namespace: 'maps' });
-    const informer = makeInformer(kc, JOBS, list);
+    const kubeConfig = configOf(node, tokens.maps);
+    const list = () => kubeConfig.makeApiClient(BatchV1Api).listNamespacedJob({ namespace: 'maps' });
+    const informer = makeInformer(kubeConfig, JOBS, list);
     let over = false;
-    const note = (what: string) => (j: V1Job) => {
-      const name = j.metadata?.name ?? '';
+    const note = (what: string) => (job: V1Job) => {
+      const name = job.metadata?.name ?? '';
       log.push(`${what} ${name}`);
       if (what === 'delete') seen.delete(name);
-      else seen.set(name, j.status?.conditions?.find((c) => c.status === 'True')?.type ?? 'open');
+      else seen.set(name, job.status?.conditions?.find((c) => c.status === 'True')?.type ?? 'open');
     };
     for (const what of ['add', 'update', 'delete'] as const) informer.on(what, note(what));
-    const again = (e?: unknown): void => {
-      log.push(String(e));
+    const again = (error?: unknown): void => {
+      log.push(String(error));
       if (over) return;
       over = true;
       void informer.stop();
@@ -308,13 +308,15 @@
     for (let k = 0; k < 3; k++)
       await api(1).createNamespacedJob({ namespace: 'maps', body: jobOf(`run-${k}`) });
     await until('all three are seen', () => seen.size === 3);
-    l.crash(node, 1_500);
-    l.state.outage(3 * SECOND);
+    loopback.crash(node, 1_500);
+    loopback.state.outage(3 * SECOND);
     const other = (node + 1) % 3;
     await until('one more is taken', async () => {
-      const c = await codeOf(api(other).createNamespacedJob({ namespace: 'maps', body: jobOf('later') }));
-      // A create whose answer was lost has been carried out: 409 says so.
-      return c === 200 || c === 409;
+      const status = await codeOf(
+        api(other).createNamespacedJob({ namespace: 'maps', body: jobOf('later') }),
+      );
+      // 409 says that an earlier create, whose answer was lost, was executed.
+      return status === 200 || status === 409;
     });
     await until('all four are seen complete', () =>
       ['run-0', 'run-1', 'run-2', 'later'].every((n) => seen.get(n) === 'Complete'),
--- a/packages/kubernetes/test/mapping.test.ts
+++ b/packages/kubernetes/test/mapping.test.ts
@@ -1,4 +1,4 @@
-/** Manifests: all of what is accepted is represented, and all of what is outside the subset is refused by name. */
+/** Manifests: every accepted field is mapped, and every field outside the subset is refused by its name. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -17,14 +17,15 @@
 const file = (name: string): string => readFileSync(new URL(name, root), 'utf8');
 
 const accepted = (value: unknown): MappedManifest => {
-  const m = mapManifest(value);
-  if (Either.isLeft(m)) assert.fail(m.left.map((p) => `${formatPath(p.path)}: ${p.message}`).join('\n'));
-  return m.right;
+  const mapped = mapManifest(value);
+  if (Either.isLeft(mapped))
+    assert.fail(mapped.left.map((p) => `${formatPath(p.path)}: ${p.message}`).join('\n'));
+  return mapped.right;
 };
 const refused = (value: unknown): readonly Problem[] => {
-  const m = mapManifest(value);
-  assert.ok(Either.isLeft(m), 'accepted');
-  return m.left;
+  const mapped = mapManifest(value);
+  assert.ok(Either.isLeft(mapped), 'accepted');
+  return mapped.left;
 };
 
 // ---- generated manifests ---------------------------------------------------------------------------------
@@ -33,7 +34,7 @@
 const label = fc.stringMatching(/^[a-z][a-z0-9-]{0,8}[a-z0-9]$/);
 const micros = fc.integer({ min: 1, max: 5_000_000_000 });
 
-/** Work, and a manifest that says it. */
+/** A job specification and a manifest that describes it. */
 const generated = fc
   .record({
     name: label,
@@ -58,110 +59,118 @@
     viaLimits: fc.boolean(),
     suspend: fc.boolean(),
   })
-  .map((g) => {
+  .map((drawn) => {
     const seconds = (us: number): string => `${Math.floor(us / 1e6)}.${String(us % 1e6).padStart(6, '0')}`;
     const amounts = {
-      cpu: `${g.millicores}m`,
-      memory: `${g.megabytes}M`,
-      ...(g.gpus > 0 ? { 'nvidia.com/gpu': g.gpus } : {}),
+      cpu: `${drawn.millicores}m`,
+      memory: `${drawn.megabytes}M`,
+      ...(drawn.gpus > 0 ? { 'nvidia.com/gpu': drawn.gpus } : {}),
     };
     const work: WorkSpec = {
-      class: g.class,
-      shape: g.gang ? 'gang' : 'array',
-      priority: g.priority,
-      tasks: g.tasks,
-      cores: g.millicores / 1000,
-      gpus: g.gpus,
-      memoryGb: g.megabytes / 1000,
-      image: g.image,
-      imageGb: g.imageMb / 1000,
-      machineTypes: g.types,
-      zone: g.zone,
-      sameZone: g.place === 'same',
-      spreadAcrossZones: g.place === 'spread',
-      spot: g.spot,
-      estimatedRunUs: g.estimateUs,
-      checkpointIntervalUs: g.checkpointUs,
-      checkpointDurationUs: g.checkpointUs > 0 ? g.saveUs : 0,
-      deadlineUs: g.deadlineUs,
+      class: drawn.class,
+      shape: drawn.gang ? 'gang' : 'array',
+      priority: drawn.priority,
+      tasks: drawn.tasks,
+      cores: drawn.millicores / 1000,
+      gpus: drawn.gpus,
+      memoryGb: drawn.megabytes / 1000,
+      image: drawn.image,
+      imageGb: drawn.imageMb / 1000,
+      machineTypes: drawn.types,
+      zone: drawn.zone,
+      sameZone: drawn.place === 'same',
+      spreadAcrossZones: drawn.place === 'spread',
+      spot: drawn.spot,
+      estimatedRunUs: drawn.estimateUs,
+      checkpointIntervalUs: drawn.checkpointUs,
+      checkpointDurationUs: drawn.checkpointUs > 0 ? drawn.saveUs : 0,
+      deadlineUs: drawn.deadlineUs,
     };
-    const one = g.types?.length === 1 ? g.types[0]! : null;
+    const one = drawn.types?.length === 1 ? drawn.types[0]! : null;
     const selector = {
-      ...(g.zone === null ? {} : { 'topology.kubernetes.io/zone': g.zone }),
+      ...(drawn.zone === null ? {} : { 'topology.kubernetes.io/zone': drawn.zone }),
       ...(one === null ? {} : { 'node.kubernetes.io/instance-type': one }),
     };
     const manifest = {
       apiVersion: 'batch/v1',
       kind: 'Job',
       metadata: {
-        name: g.name,
+        name: drawn.name,
         annotations: {
-          'shaleyoke/class': g.class,
-          'shaleyoke/gang': String(g.gang),
-          ...(g.place === 'same' ? { 'shaleyoke/same-zone': 'true' } : {}),
-          ...(g.place === 'spread' ? { 'shaleyoke/spread': 'true' } : {}),
-          'shaleyoke/estimate': seconds(g.estimateUs),
-          ...(g.checkpointUs > 0
+          'shaleyoke/class': drawn.class,
+          'shaleyoke/gang': String(drawn.gang),
+          ...(drawn.place === 'same' ? { 'shaleyoke/same-zone': 'true' } : {}),
+          ...(drawn.place === 'spread' ? { 'shaleyoke/spread': 'true' } : {}),
+          'shaleyoke/estimate': seconds(drawn.estimateUs),
+          ...(drawn.checkpointUs > 0
             ? {
-                'shaleyoke/checkpoint-interval': seconds(g.checkpointUs),
-                'shaleyoke/save-time': seconds(g.saveUs),
+                'shaleyoke/checkpoint-interval': seconds(drawn.checkpointUs),
+                'shaleyoke/save-time': seconds(drawn.saveUs),
               }
             : {}),
-          'shaleyoke/image-size': `${g.imageMb}M`,
-          ...(g.deadlineUs === null ? {} : { 'shaleyoke/due': seconds(g.deadlineUs) }),
-          ...(g.awaits.length === 0 ? {} : { 'shaleyoke/awaits': g.awaits.join(', ') }),
-          ...(g.types !== null && one === null ? { 'shaleyoke/instance-types': g.types.join(',') } : {}),
+          'shaleyoke/image-size': `${drawn.imageMb}M`,
+          ...(drawn.deadlineUs === null ? {} : { 'shaleyoke/due': seconds(drawn.deadlineUs) }),
+          ...(drawn.awaits.length === 0 ? {} : { 'shaleyoke/awaits': drawn.awaits.join(', ') }),
+          ...(drawn.types !== null && one === null
+            ? { 'shaleyoke/instance-types': drawn.types.join(',') }
+            : {}),
           'example.org/kept': 'as it is',
         },
       },
       spec: {
-        completions: g.tasks,
-        parallelism: g.tasks,
-        suspend: g.suspend,
+        completions: drawn.tasks,
+        parallelism: drawn.tasks,
+        suspend: drawn.suspend,
         template: {
           spec: {
             restartPolicy: 'Never',
-            priorityClassName: priorities[g.priority],
+            priorityClassName: priorities[drawn.priority],
             ...(Object.keys(selector).length > 0 ? { nodeSelector: selector } : {}),
-            ...(g.spot ? { tolerations: [{ key: 'shaleyoke/spot', operator: 'Exists' }] } : {}),
+            ...(drawn.spot ? { tolerations: [{ key: 'shaleyoke/spot', operator: 'Exists' }] } : {}),
             containers: [
               {
                 name: 'main',
-                image: g.image,
-                resources: g.viaLimits ? { limits: amounts } : { requests: amounts, limits: amounts },
+                image: drawn.image,
+                resources: drawn.viaLimits ? { limits: amounts } : { requests: amounts, limits: amounts },
               },
             ],
           },
         },
       },
     };
-    return { g, work, manifest };
+    return { g: drawn, work, manifest };
   });
 
-test('all of what a manifest says arrives in the core’s terms', () => {
+test('every field of a manifest is mapped to the core’s job specification', () => {
   fc.assert(
-    fc.property(generated, ({ g, work, manifest }) => {
-      const m = accepted(manifest);
-      assert.ok(m.kind === 'Job');
-      assert.deepEqual(m.work, work);
-      assert.deepEqual(m.awaits, g.awaits);
-      assert.equal(m.suspend, g.suspend);
-      assert.deepEqual(m.manifest, manifest);
+    fc.property(generated, ({ g: drawn, work, manifest }) => {
+      const mapped = accepted(manifest);
+      assert.ok(mapped.kind === 'Job');
+      assert.deepEqual(mapped.work, work);
+      assert.deepEqual(mapped.awaits, drawn.awaits);
+      assert.equal(mapped.suspend, drawn.suspend);
+      assert.deepEqual(mapped.manifest, manifest);
     }),
     { seed: 14, numRuns: 500 },
   );
 });
 
 /** Every object within a tree, with its path. */
-const objectsIn = (v: unknown, path: (string | number)[] = []): { at: Tree; path: (string | number)[] }[] => {
-  if (Array.isArray(v)) return v.flatMap((x, i) => objectsIn(x, [...path, i]));
-  if (typeof v !== 'object' || v === null) return [];
-  return [{ at: v as Tree, path }, ...Object.entries(v).flatMap(([k, x]) => objectsIn(x, [...path, k]))];
+const objectsIn = (
+  value: unknown,
+  path: (string | number)[] = [],
+): { at: Tree; path: (string | number)[] }[] => {
+  if (Array.isArray(value)) return value.flatMap((x, i) => objectsIn(x, [...path, i]));
+  if (typeof value !== 'object' || value === null) return [];
+  return [
+    { at: value as Tree, path },
+    ...Object.entries(value).flatMap(([k, x]) => objectsIn(x, [...path, k])),
+  ];
 };
-/** Maps whose keys are the users' own. */
-const FREE = /(labels|annotations|matchLabels)$/;
+/** Paths of maps with arbitrary keys. */
+const FREE_KEYED_MAPS = /(labels|annotations|matchLabels)$/;
 
-test('a field that is not in the subset is refused by its name, wherever it stands', () => {
+test('a field outside the subset is refused by its name at every level', () => {
   fc.assert(
     fc.property(
       generated,
@@ -170,7 +179,7 @@
       fc.anything({ maxDepth: 1 }),
       ({ manifest }, where, name, value) => {
         const copy = structuredClone(manifest) as Tree;
-        const places = objectsIn(copy).filter((o) => !FREE.test(formatPath(o.path)));
+        const places = objectsIn(copy).filter((o) => !FREE_KEYED_MAPS.test(formatPath(o.path)));
         const { at, path } = places[where % places.length]!;
         fc.pre(
           value !== undefined && !(name in at) && !['status', 'limits', 'labels', 'effect'].includes(name),
@@ -185,7 +194,7 @@
   );
 });
 
-test('whatever is sent is accepted whole or refused with a field, and nothing is thrown', () => {
+test('any input is either accepted or refused with a field, and nothing is thrown', () => {
   fc.assert(
     fc.property(generated, fc.nat(), fc.anything({ maxDepth: 3 }), ({ manifest }, where, value) => {
       const copy = structuredClone(manifest) as Tree;
@@ -194,12 +203,12 @@
       const keys = Object.keys(at);
       const key = keys[where % Math.max(1, keys.length)];
       if (key !== undefined) at[key] = value;
-      const m = mapManifest(copy);
-      if (Either.isLeft(m))
-        for (const p of m.left) {
-          assert.ok(p.message.length > 3);
-          // In words for people, not in the schema library's.
-          assert.doesNotMatch(p.message, /^Expected|readonly|undefined/, formatPath(p.path));
+      const mapped = mapManifest(copy);
+      if (Either.isLeft(mapped))
+        for (const problem of mapped.left) {
+          assert.ok(problem.message.length > 3);
+          // The message is not the schema library's own.
+          assert.doesNotMatch(problem.message, /^Expected|readonly|undefined/, formatPath(problem.path));
         }
     }),
     { seed: 16, numRuns: 1_000 },
@@ -226,55 +235,55 @@
 const changed = (path: (string | number)[], value: unknown): Tree => {
   const all = base();
   let at: Tree = all;
-  for (const p of path.slice(0, -1)) at = (at[p] ??= {}) as Tree;
+  for (const segment of path.slice(0, -1)) at = (at[segment] ??= {}) as Tree;
   at[String(path.at(-1))] = value;
   return all;
 };
-const says = (path: (string | number)[], value: unknown): string =>
+const messagesFor = (path: (string | number)[], value: unknown): string =>
   refused(changed(path, value))
     .map((p) => `${formatPath(p.path)}: ${p.message}`)
     .join('\n');
 
-test('each refusal says the field and what to do', () => {
+test('each refusal names the field and what to do', () => {
   accepted(base());
   const pod = ['spec', 'template', 'spec'];
-  assert.match(says(['spec', 'completions'], 5), /^spec\.parallelism: must be 5.*1 if it is missing/);
-  assert.match(says(['spec', 'parallelism'], 5), /^spec\.completions: is required/);
-  assert.match(says(['spec', 'completions'], 0), /^spec\.completions: must be a whole number from 1/);
-  assert.match(says(['spec', 'completions'], '5'), /^spec\.completions: must be a (whole )?number/);
-  assert.match(says([...pod, 'restartPolicy'], 'OnFailure'), /restartPolicy: must be Never/);
+  assert.match(messagesFor(['spec', 'completions'], 5), /^spec\.parallelism: must be 5.*1 if it is missing/);
+  assert.match(messagesFor(['spec', 'parallelism'], 5), /^spec\.completions: is required/);
+  assert.match(messagesFor(['spec', 'completions'], 0), /^spec\.completions: must be a whole number from 1/);
+  assert.match(messagesFor(['spec', 'completions'], '5'), /^spec\.completions: must be a (whole )?number/);
+  assert.match(messagesFor([...pod, 'restartPolicy'], 'OnFailure'), /restartPolicy: must be Never/);
   assert.match(
-    says([...pod, 'containers', 0, 'command'], ['sh']),
+    messagesFor([...pod, 'containers', 0, 'command'], ['sh']),
     /command: is not in the subset: what runs/,
   );
-  assert.match(says([...pod, 'containers'], []), /containers\[0\]: is required/);
+  assert.match(messagesFor([...pod, 'containers'], []), /containers\[0\]: is required/);
   const one = (base()['spec'] as { template: { spec: { containers: Tree[] } } }).template.spec.containers[0];
-  assert.match(says([...pod, 'containers'], [one, one]), /containers\[1\]: .*a pod is one container/);
+  assert.match(messagesFor([...pod, 'containers'], [one, one]), /containers\[1\]: .*a pod is one container/);
   assert.match(
-    says([...pod, 'containers', 0, 'resources', 'requests', 'cpu'], '1x'),
+    messagesFor([...pod, 'containers', 0, 'resources', 'requests', 'cpu'], '1x'),
     /cpu: must be a quantity/,
   );
   assert.match(
-    says([...pod, 'containers', 0, 'resources', 'requests'], { cpu: 1 }),
+    messagesFor([...pod, 'containers', 0, 'resources', 'requests'], { cpu: 1 }),
     /requests\.memory: is req/,
   );
   assert.match(
-    says([...pod, 'containers', 0, 'resources', 'limits'], { cpu: '1500m' }),
+    messagesFor([...pod, 'containers', 0, 'resources', 'limits'], { cpu: '1500m' }),
     /limits\.cpu: must equal the request, 1:/,
   );
   assert.match(
-    says(['metadata', 'annotations'], { 'shaleyoke/gnag': 'true' }),
+    messagesFor(['metadata', 'annotations'], { 'shaleyoke/gnag': 'true' }),
     /\[shaleyoke\/gnag\]: is none/,
   );
   assert.match(
-    says(['metadata', 'annotations'], { 'shaleyoke/gang': true }),
+    messagesFor(['metadata', 'annotations'], { 'shaleyoke/gang': true }),
     /gang\]: must be true or false/,
   );
-  assert.match(says(['metadata', 'annotations'], { 'shaleyoke/awaits': 'a' }), /names the Job itself/);
-  assert.match(says(['metadata', 'name'], 'A_b'), /^metadata\.name: must be 1 to 63/);
-  assert.match(says(['spec'], null), /^spec: must be an object/);
-  assert.match(says(['kind'], 'CronJob'), /^kind: .*"CronJob" is not served here/);
-  // Each known refusal is one: none of them is accepted after all.
+  assert.match(messagesFor(['metadata', 'annotations'], { 'shaleyoke/awaits': 'a' }), /names the Job itself/);
+  assert.match(messagesFor(['metadata', 'name'], 'A_b'), /^metadata\.name: must be 1 to 63/);
+  assert.match(messagesFor(['spec'], null), /^spec: must be an object/);
+  assert.match(messagesFor(['kind'], 'CronJob'), /^kind: .*"CronJob" is not served here/);
+  // Every field with a listed reason is refused.
   for (const pattern of UNSUPPORTED_FIELDS.keys()) {
     const path = pattern.split('.').flatMap((p) => (p.endsWith('[]') ? [p.slice(0, -2), 0] : [p]));
     if (path.at(-1) === 0 || pattern.includes('resources.') || pattern.includes('minReady')) continue;
@@ -282,10 +291,10 @@
   }
 });
 
-test('a Deployment’s shares are rounded as published, and what could never move is refused', () => {
+test('a Deployment’s percentages are rounded as in the API, and a rollout that could never proceed is refused', () => {
   const [, doc] = file('examples/borders-gang.yaml').split('---\n');
   assert.ok(doc !== undefined);
-  const of = (replicas: number, rollingUpdate: Tree): MappedManifest =>
+  const deploymentOf = (replicas: number, rollingUpdate: Tree): MappedManifest =>
     accepted({
       apiVersion: 'apps/v1',
       kind: 'Deployment',
@@ -303,16 +312,28 @@
       },
     });
   const rolling = (m: MappedManifest): unknown => (m.kind === 'Deployment' ? m.rolling : null);
-  assert.deepEqual(rolling(of(10, {})), { surge: 3, unavailable: 2 });
-  assert.deepEqual(rolling(of(3, { maxSurge: 0, maxUnavailable: '10%' })), { surge: 0, unavailable: 1 });
-  assert.deepEqual(rolling(of(7, { maxSurge: '100%', maxUnavailable: 0 })), { surge: 7, unavailable: 0 });
-  assert.throws(() => of(3, { maxSurge: 0, maxUnavailable: '0%' }), /maxUnavailable: must not be 0/);
-  assert.throws(() => of(3, { maxSurge: '101%' }), /maxSurge: must be a whole number or a percentage/);
+  assert.deepEqual(rolling(deploymentOf(10, {})), { surge: 3, unavailable: 2 });
+  assert.deepEqual(rolling(deploymentOf(3, { maxSurge: 0, maxUnavailable: '10%' })), {
+    surge: 0,
+    unavailable: 1,
+  });
+  assert.deepEqual(rolling(deploymentOf(7, { maxSurge: '100%', maxUnavailable: 0 })), {
+    surge: 7,
+    unavailable: 0,
+  });
+  assert.throws(
+    () => deploymentOf(3, { maxSurge: 0, maxUnavailable: '0%' }),
+    /maxUnavailable: must not be 0/,
+  );
+  assert.throws(
+    () => deploymentOf(3, { maxSurge: '101%' }),
+    /maxSurge: must be a whole number or a percentage/,
+  );
 });
 
 // ---- files -----------------------------------------------------------------------------------------------
 
-test('every example is what it says, line by line', () => {
+test('the examples are mapped or refused as they describe, by line', () => {
   const lines = (name: string): string[] =>
     checkText(file(`examples/${name}`)).map((f) => `${f.line}${f.bad ? '!' : ''} ${f.text}`);
   assert.equal(lines('tiles-job.yaml')[0], '2 Job tiles-warszawa: an array of 40 tasks');
@@ -333,7 +354,7 @@
     );
 });
 
-test('files that are no manifests are told apart, and none of them takes long or much', () => {
+test('files without valid manifests get specific messages, within bounds on time and memory', () => {
   const first = (text: string): string => checkText(text)[0]?.text ?? 'nothing';
   assert.match(first('a: ['), /is not YAML/);
   assert.match(first('kind: Job\nkind: Job\n'), /is not YAML: Map keys must be unique/);
@@ -342,9 +363,9 @@
   assert.match(first(`a: ${'x'.repeat(70_000)}`), /bytes as JSON; 65536 at most/);
   const bomb = [
     'a: &a [x,x,x,x,x,x,x,x,x]',
-    ...'bcdefghij'.split('').map((c, i) => {
+    ...'bcdefghij'.split('').map((letter, i) => {
       const before = 'abcdefghi'[i];
-      return `${c}: &${c} [${Array.from({ length: 9 }, () => `*${before}`).join(',')}]`;
+      return `${letter}: &${letter} [${Array.from({ length: 9 }, () => `*${before}`).join(',')}]`;
     }),
   ].join('\n');
   assert.match(first(bomb), /can't be read/);
--- a/packages/kubernetes/test/quantity.test.ts
+++ b/packages/kubernetes/test/quantity.test.ts
@@ -6,7 +6,7 @@
 
 const UNIT = 1_000_000_000n;
 
-test('quantities are read exactly, in every published form', () => {
+test('quantities of every form of the API are parsed exactly', () => {
   const same: [string, bigint][] = [
     ['0', 0n],
     ['500m', UNIT / 2n],
@@ -23,21 +23,21 @@
     ['+3', 3n * UNIT],
     ['-1', -UNIT],
     ['100n', 100n],
-    // Finer than the finest unit: up, as the API has it.
+    // Finer than the smallest unit: rounded up, as in the API.
     ['0.1n', 1n],
   ];
-  for (const [text, n] of same) assert.equal(parseQuantity(text), n, text);
+  for (const [text, amount] of same) assert.equal(parseQuantity(text), amount, text);
   for (const text of ['', '.', 'm', '1 G', '1g', '1KI', '1e', '0x10', '1,5', '1e999', '1Gi1', 'NaN', '--1'])
     assert.equal(parseQuantity(text), null, text);
 });
 
-test('what is formatted is read again as the same, and the core has the number that its decimal text says', () => {
+test('a formatted quantity parses to the same amount, and the core’s number equals its decimal text', () => {
   fc.assert(
-    fc.property(fc.bigInt(0n, 2n ** 62n), (n) => {
-      assert.equal(parseQuantity(formatQuantity(n)), n);
-      assert.equal(parseQuantity(`${n}n`), n);
-      // The same memory, said natively in units of 10^9 bytes, and said in megabytes.
-      const megabytes = n % 10n ** 9n;
+    fc.property(fc.bigInt(0n, 2n ** 62n), (amount) => {
+      assert.equal(parseQuantity(formatQuantity(amount)), amount);
+      assert.equal(parseQuantity(`${amount}n`), amount);
+      // The same memory in native units of 10^9 bytes and in megabytes.
+      const megabytes = amount % 10n ** 9n;
       assert.equal(toNumber(parseQuantity(`${megabytes}M`)!, UNIT), Number(megabytes) / 1000);
     }),
     { seed: 3, numRuns: 2_000 },
--- a/packages/kubernetes/test/stored-records.test.ts
+++ b/packages/kubernetes/test/stored-records.test.ts
@@ -32,7 +32,7 @@
   hash: '89b53308396b17b8a20462ec11df817532cb5d2f81c7d2a9bffc978f9fb9878a',
 };
 
-test('objects and pieces of manifests are read as they stand', () => {
+test('objects and manifest chunks are decoded unchanged', () => {
   assert.deepEqual(readObject(OBJECT), OBJECT);
   for (const name of Object.keys(OBJECT))
     assert.equal(
@@ -46,7 +46,7 @@
   assert.deepEqual(splitIntoChunks('{"kind":"Job"}', 2_000), [{ v: 1, text: '{"kind":"Job"}' }]);
 });
 
-test('a token is on record with the hash of its secret alone', () => {
+test('a token is stored with only the hash of its secret', () => {
   const token = newToken(bytes(4), bytes(32), bytes(16), { tenant: 'maps', at: 0, by: 'x', why: 'y' });
   assert.equal(token.token, '01010101.AQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQE');
   assert.deepEqual(token.record, TOKEN);
--- a/packages/kubernetes/test/text.test.ts
+++ b/packages/kubernetes/test/text.test.ts
@@ -5,8 +5,8 @@
 import { isTooDeep, parseText } from '@shaleyoke/kubernetes/text';
 import fc from 'fast-check';
 
-test('what nests too deep is refused before it is parsed, in every form that nests', () => {
-  // Each of these has at most 64 KiB, as a body may; the parser would end the process on some of them.
+test('a text that nests too deeply is refused before parsing, for every kind of nesting', () => {
+  // Each has at most 64 KiB, the limit of a body; on some of them the parser would end the process.
   const bodies = [
     '['.repeat(60_000),
     '{"a":'.repeat(5_000) + '1' + '}'.repeat(5_000),
@@ -25,14 +25,14 @@
   }
 });
 
-test('what is flat enough is read as it is, and a key that stands twice is named', () => {
+test('a text within the depth limit is parsed unchanged, and a duplicate key is reported', () => {
   fc.assert(
     fc.property(fc.jsonValue({ maxDepth: 8 }), (value) => {
       const text = JSON.stringify(value);
       if (isTooDeep(text)) return;
-      const r = parseText(text);
-      assert.ok('value' in r, JSON.stringify(r));
-      assert.equal(JSON.stringify(r.value), JSON.stringify(JSON.parse(text)));
+      const parsed = parseText(text);
+      assert.ok('value' in parsed, JSON.stringify(parsed));
+      assert.equal(JSON.stringify(parsed.value), JSON.stringify(JSON.parse(text)));
     }),
     { seed: 21, numRuns: 500 },
   );
