--- a/packages/kubernetes/src/access.ts
+++ b/packages/kubernetes/src/access.ts
@@ -20,16 +20,16 @@
 
 /** The tenant that a client belongs to, or a refusal. */
 export const authenticate = (
-  who: Credentials,
+  credentials: Credentials,
   tokens: ReadonlyMap<string, TokenRecord>,
   tenants: ReadonlyMap<string, Tenant>,
 ): Tenant | Refusal => {
-  const id = who.token === null ? null : parseTokenId(who.token);
+  const id = credentials.token === null ? null : parseTokenId(credentials.token);
   const record = id === null ? undefined : tokens.get(id);
-  if (record === undefined || !verifyToken(record, who.token!)) return unauthorized();
+  if (record === undefined || !verifyToken(record, credentials.token!)) return unauthorized();
   const tenant = tenants.get(record.tenant);
   // A removed tenant and an address outside its networks get the same answer as an unknown token.
-  if (tenant === undefined || !isWithin(who.address, tenant.networks)) return unauthorized();
+  if (tenant === undefined || !isWithin(credentials.address, tenant.networks)) return unauthorized();
   return tenant;
 };
 
--- a/packages/kubernetes/src/commands.ts
+++ b/packages/kubernetes/src/commands.ts
@@ -176,8 +176,8 @@
       });
     });
   const token = kube.command('token').description('bearer tokens of tenants');
-  const withFileOptions = (c: Command): Command =>
-    c
+  const withFileOptions = (command: Command): Command =>
+    command
       .requiredOption('--config <file>', "the platform's settings (TOML)")
       .requiredOption('--kube <file>', 'the file that switches the front on (YAML)')
       .option('--operators <file>', "operators' own settings (YAML)");
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -27,7 +27,8 @@
 
   /** Starts the controller of a leader's term on this node. */
   begin(term: LeaderTerm): FeatureTerm {
-    if (this.endpoint === null || this.services === null) throw new Error('begin comes after serve');
+    if (this.endpoint === null || this.services === null)
+      throw new Error('serve() must be called before begin()');
     return new JobController(term, this.services, this.endpoint.cacheSync, this.settings.statusChangesPerS);
   }
 }
--- a/packages/kubernetes/src/job-controller.ts
+++ b/packages/kubernetes/src/job-controller.ts
@@ -29,6 +29,7 @@
 /** Reconciles all objects periodically during a leader's term. */
 export class JobController implements FeatureTerm {
   private active = false;
+  /** Whether a cache refresh is under way. */
   private syncing = false;
   private nextReconcileAt: Micros = 0;
   /** Token bucket: store changes that may be made now. */
@@ -64,21 +65,21 @@
     this.active = false;
   }
 
-  /** Does nothing: the next reconciliation sees it. */
+  /** Needs no action of its own. */
   taskRunning(): void {
-    // See above.
+    // The next reconciliation sees the change.
   }
-  /** Does nothing: the next reconciliation sees it. */
+  /** Needs no action of its own. */
   attemptEnded(): void {
-    // See above.
+    // The next reconciliation sees the change.
   }
-  /** Does nothing: the next reconciliation sees it. */
+  /** Needs no action of its own. */
   unknownAttemptExited(): void {
-    // See above.
+    // The next reconciliation sees the change.
   }
-  /** Does nothing: the next reconciliation sees it. */
+  /** Needs no action of its own. */
   machineRemoved(): void {
-    // See above.
+    // The next reconciliation sees the change.
   }
   /** Drops the cached outcome of a closed job. */
   jobClosed(job: ActiveJob): void {
@@ -116,7 +117,7 @@
       const action = nextAction(object.record, this.observe(object), timeLimitsOf(object), ctx.wallNow);
       if (action !== null) actions.push({ object, action });
     }
-    // Final states first: updates of counts are dropped while the allowance is short.
+    // Updates of counts come last: they wait while the allowance is short.
     actions.sort(
       (a, b) => priorityOf(a.action) - priorityOf(b.action) || a.object.version - b.object.version,
     );
@@ -217,7 +218,7 @@
   }
 }
 
-const priorityOf = (d: Action): number => (d.kind === 'record' && !d.final ? 1 : 0);
+const priorityOf = (action: Action): number => (action.kind === 'record' && !action.final ? 1 : 0);
 
 /** Time limits from the manifest, which was validated at creation. */
 const timeLimitsOf = (object: KubeObject): TimeLimits => {
@@ -225,7 +226,8 @@
     activeDeadlineSeconds?: number;
     ttlSecondsAfterFinished?: number;
   };
-  const toMicros = (s: number | undefined): Micros | null => (s === undefined ? null : s * SECOND);
+  const toMicros = (seconds: number | undefined): Micros | null =>
+    seconds === undefined ? null : seconds * SECOND;
   return {
     activeDeadlineUs: toMicros(spec.activeDeadlineSeconds),
     ttlUs: toMicros(spec.ttlSecondsAfterFinished),
--- a/packages/kubernetes/src/lists.ts
+++ b/packages/kubernetes/src/lists.ts
@@ -78,8 +78,9 @@
     const now = this.now();
     this.snapshots.delete(version);
     this.snapshots.set(version, { objects, at: now });
-    for (const [v, m] of this.snapshots)
-      if (this.snapshots.size > MAX_SNAPSHOTS || m.at < now - SNAPSHOT_TTL) this.snapshots.delete(v);
+    for (const [cachedVersion, snapshot] of this.snapshots)
+      if (this.snapshots.size > MAX_SNAPSHOTS || snapshot.at < now - SNAPSHOT_TTL)
+        this.snapshots.delete(cachedVersion);
       else break;
   }
 }
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -13,19 +13,19 @@
 export { register, type Host } from './commands.js';
 export { KubeSettingsError } from './settings.js';
 
-/** Parses the settings file (`what` is its name for messages) and creates feature and listener. Throws `KubeSettingsError`. */
+/** Parses the settings file (`fileName` is for messages) and creates feature and listener. Throws `KubeSettingsError`. */
 export const switchOn = (
   yaml: string,
   teams: readonly Team[],
-  what: string,
+  fileName: string,
 ): { feature: Feature; listener: (ask: AskFeature) => Promise<{ readonly close: () => void }> } => {
-  const settings = parseKube(yaml, teams, what);
+  const settings = parseKube(yaml, teams, fileName);
   return {
     feature: new Kube(() => randomBytes(16), settings),
     listener: (ask) =>
-      listen(settings, (body: KubeAsk, told) =>
+      listen(settings, (body: KubeAsk, onAnswer) =>
         ask(FEATURE, body, (answer, last) => {
-          told(answer as KubeAnswer, last);
+          onAnswer(answer as KubeAnswer, last);
         }),
       ),
   };
--- a/packages/kubernetes/src/problems.ts
+++ b/packages/kubernetes/src/problems.ts
@@ -23,13 +23,13 @@
 
 /** A path as text, such as `spec.template.spec.containers[0].image` or `metadata.annotations[shaleyoke/gang]`. */
 export const formatPath = (path: FieldPath): string => {
-  let out = '';
+  let text = '';
   for (const segment of path) {
-    if (typeof segment === 'number') out += `[${segment}]`;
-    else if (/^[A-Za-z0-9]+$/.test(segment)) out += out === '' ? segment : `.${segment}`;
-    else out += `[${segment}]`;
+    if (typeof segment === 'number') text += `[${segment}]`;
+    else if (/^[A-Za-z0-9]+$/.test(segment)) text += text === '' ? segment : `.${segment}`;
+    else text += `[${segment}]`;
   }
-  return out;
+  return text;
 };
 
 const pathPattern = (path: FieldPath): string =>
@@ -75,4 +75,5 @@
 };
 
 /** A problem as `FIELD: MESSAGE`. */
-export const formatProblem = (p: Problem): string => `${formatPath(p.path) || 'manifest'}: ${p.message}`;
+export const formatProblem = (problem: Problem): string =>
+  `${formatPath(problem.path) || 'manifest'}: ${problem.message}`;
--- a/packages/kubernetes/src/render.ts
+++ b/packages/kubernetes/src/render.ts
@@ -61,5 +61,5 @@
 };
 
 /** Labels of an object; empty if the manifest has none. */
-export const labelsOf = (o: KubeObject): Readonly<Record<string, string>> =>
-  ((o.manifest['metadata'] as Json)['labels'] ?? {}) as Record<string, string>;
+export const labelsOf = (object: KubeObject): Readonly<Record<string, string>> =>
+  ((object.manifest['metadata'] as Json)['labels'] ?? {}) as Record<string, string>;
--- a/packages/kubernetes/src/server.ts
+++ b/packages/kubernetes/src/server.ts
@@ -17,7 +17,7 @@
 const MAX_WATCH_MS = 30 * 60_000;
 
 /** Sends a request to the node's endpoint and returns its id, by which a watch is ended. */
-export type Ask = (body: KubeAsk, told: (answer: KubeAnswer, last: boolean) => void) => number;
+export type SendRequest = (body: KubeAsk, onAnswer: (answer: KubeAnswer, last: boolean) => void) => number;
 
 const send = (res: http.ServerResponse, code: number, body: unknown, retryAfterS: number | null): void => {
   if (res.writableEnded || res.destroyed || res.headersSent) return;
@@ -39,15 +39,15 @@
 
 /** Duration of a watch from the client's `timeoutSeconds`, up to the maximum. */
 const watchDurationMs = (url: string): number => {
-  const asked = Number(new URL(url, 'http://localhost').searchParams.get('timeoutSeconds') ?? '0');
-  return asked > 0 ? Math.min(asked * 1000, MAX_WATCH_MS) : MAX_WATCH_MS;
+  const requestedSeconds = Number(new URL(url, 'http://localhost').searchParams.get('timeoutSeconds') ?? '0');
+  return requestedSeconds > 0 ? Math.min(requestedSeconds * 1000, MAX_WATCH_MS) : MAX_WATCH_MS;
 };
 
 const watch = (
   res: http.ServerResponse,
   body: KubeAsk & { readonly ask: { readonly verb: 'watch' } },
   durationMs: number,
-  ask: Ask,
+  ask: SendRequest,
 ): void => {
   let started = false;
   let closed = false;
@@ -88,7 +88,7 @@
   });
 };
 
-const serve = (req: http.IncomingMessage, res: http.ServerResponse, body: string, ask: Ask): void => {
+const serve = (req: http.IncomingMessage, res: http.ServerResponse, body: string, ask: SendRequest): void => {
   const url = req.url ?? '/';
   const discovered = req.method === 'GET' ? discovery(url.split('?')[0]!) : null;
   if (discovered !== null) {
@@ -115,7 +115,7 @@
   });
 };
 
-const receive = (req: http.IncomingMessage, res: http.ServerResponse, ask: Ask): void => {
+const receive = (req: http.IncomingMessage, res: http.ServerResponse, ask: SendRequest): void => {
   const chunks: Buffer[] = [];
   let size = 0;
   let refused: Refusal | null = null;
@@ -137,7 +137,10 @@
 };
 
 /** Starts the server; resolves once it listens. `close` ends it and all connections. */
-export const listen = (settings: KubeSettings, ask: Ask): Promise<{ port: number; close: () => void }> =>
+export const listen = (
+  settings: KubeSettings,
+  ask: SendRequest,
+): Promise<{ port: number; close: () => void }> =>
   new Promise((resolve, reject) => {
     const server = http.createServer({ maxHeaderSize: MAX_HEADER_BYTES }, (req, res) => {
       receive(req, res, ask);
--- a/packages/kubernetes/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -86,24 +86,24 @@
   }),
 });
 
-/** Parses the file; `what` is its name for messages. Throws a `KubeSettingsError` that names each wrong field. */
-export const parseKube = (yaml: string, teams: readonly Team[], what: string): KubeSettings => {
+/** Parses the file; `fileName` is for messages. Throws a `KubeSettingsError` that names each wrong field. */
+export const parseKube = (yaml: string, teams: readonly Team[], fileName: string): KubeSettings => {
   const fail = (message: string): KubeSettingsError => new KubeSettingsError(message);
-  const file = check(SettingsFile, read(parseYaml, yaml, what, fail), what, fail, true);
+  const file = check(SettingsFile, read(parseYaml, yaml, fileName, fail), fileName, fail, true);
   const problems: string[] = [];
   const names = teams.map((t) => t.name);
   const separator = file.listen.lastIndexOf(':');
   const host = file.listen.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
   const port = Number(file.listen.slice(separator + 1));
   const address = parseNetwork(host);
-  if (address === null) problems.push(`${what}: listen: expected an address, not ${host}`);
+  if (address === null) problems.push(`${fileName}: listen: expected an address, not ${host}`);
   else if (address[0].range() !== 'loopback')
-    problems.push(`${what}: listen: only loopback so far, without TLS: listen on 127.0.0.1, not ${host}`);
-  if (port > 65_535) problems.push(`${what}: listen: there is no port ${port}`);
+    problems.push(`${fileName}: listen: only loopback so far, without TLS: listen on 127.0.0.1, not ${host}`);
+  if (port > 65_535) problems.push(`${fileName}: listen: there is no port ${port}`);
   const owners = new Map<string, string>();
   for (const [tenant, tenantSettings] of Object.entries(file.tenants))
     for (const [namespace, team] of Object.entries(tenantSettings.namespaces)) {
-      const path = `${what}: tenants.${tenant}.namespaces.${namespace}`;
+      const path = `${fileName}: tenants.${tenant}.namespaces.${namespace}`;
       if (!names.includes(team))
         problems.push(`${path}: ${team} is no team of the platform's file; those are ${names.join(', ')}`);
       const otherTenant = owners.get(namespace);
@@ -118,12 +118,12 @@
     sockets: file.sockets,
     statusChangesPerS: file.status_changes_per_s,
     tenants: new Map(
-      Object.entries(file.tenants).map(([name, t]) => [
+      Object.entries(file.tenants).map(([name, tenantSettings]) => [
         name,
         {
           name,
-          namespaces: new Map(Object.entries(t.namespaces)),
-          networks: t.addresses.map((a) => parseNetwork(a)!),
+          namespaces: new Map(Object.entries(tenantSettings.namespaces)),
+          networks: tenantSettings.addresses.map((a) => parseNetwork(a)!),
         },
       ]),
     ),
