--- a/packages/kubernetes/src/access.ts
+++ b/packages/kubernetes/src/access.ts
@@ -1,6 +1,6 @@
 /**
- * Authentication and authorization. A refusal depends only on the request and the client's own tenant, so that it does not
- * reveal whether a namespace or object of another tenant exists.
+ * Authentication and authorization. A refusal depends only on the request and the client's own tenant, so that it does
+ * not reveal whether a namespace or object of another tenant exists.
  */
 import { type KubeRequest, type Refusal, refuse } from './api.js';
 import { isWithin, type Tenant } from './settings.js';
--- a/packages/kubernetes/src/cache-sync.ts
+++ b/packages/kubernetes/src/cache-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a node's object cache up to date on demand. Without requests there is no store traffic. Each request is answered
- * from a state at least as recent as the request itself, so that a client may switch nodes and still read its own
- * writes. All watches share one long poll.
+ * Keeps a node's object cache up to date on demand. Without requests there is no store traffic. Each request is
+ * answered from a state at least as recent as the request itself, so that a client may switch nodes and still read its
+ * own writes. All watches share one long poll.
  */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
@@ -42,7 +42,9 @@
     );
   }
 
-  /** Calls `then(true)` once the cache is at least as recent as this call, `then(false)` if the store doesn't answer. */
+  /**
+   * Calls `then(true)` once the cache is at least as recent as this call, `then(false)` if the store doesn't answer.
+   */
   sync(then: (ok: boolean) => void): void {
     this.pendingCallbacks.push(then);
     this.scheduleRefresh();
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -223,7 +223,8 @@
       deleting: null,
     };
     const writes = chunks.map((value, n): StoreWrite => ({ kind: 'put', key: manifestKey(uid, n), value }));
-    // One transaction holds the job, the object and as many chunks as fit; the other chunks are written first, under a guard.
+    // One transaction holds the job, the object and as many chunks as fit; the other chunks are written first, under a
+    // guard.
     const fitsOneTransaction = writes.length <= settings.maxTransactionOperations - 2;
     const chunksBesideObject = settings.maxTransactionOperations - (fitsOneTransaction ? 2 : 3);
     const guard = guardKey(uid);
--- a/packages/kubernetes/src/identity.ts
+++ b/packages/kubernetes/src/identity.ts
@@ -14,8 +14,9 @@
 const RANDOM_DIGITS = 31;
 
 /**
- * Job id of the form `run-` and 32 digits that the protocol requires, derived from the uid's bits. About 100 of them are
- * random and not disclosed before the job is stored. Creation fails if the id is taken, and is retried with a new one.
+ * Job id of the form `run-` and 32 digits that the protocol requires, derived from the uid's bits. About 100 of them
+ * are random and not disclosed before the job is stored. Creation fails if the id is taken, and is retried with a new
+ * one.
  */
 export const nativeIdOf = (uid: string): string => {
   const number = BigInt(`0x${uid.replaceAll('-', '')}`) % 10n ** BigInt(RANDOM_DIGITS);
--- a/packages/kubernetes/src/job-controller.ts
+++ b/packages/kubernetes/src/job-controller.ts
@@ -207,7 +207,8 @@
         const guard = { key: guardKey(uid), version: this.cacheSync.cache.guards.get(uid) ?? 0 };
         const batch = indexes.slice(0, ctx.settings.maxTransactionOperations - 1);
         const writes = batch.map((n): StoreWrite => ({ kind: 'delete', key: manifestKey(uid, n) }));
-        // The guard is deleted last: as long as it exists the object can still be created, which fails the remaining deletions.
+        // The guard is deleted last: as long as it exists the object can still be created, which fails the remaining
+        // deletions.
         if (guard.version > 0 && batch.length === indexes.length)
           writes.push({ kind: 'delete', key: guard.key });
         this.allowance -= writes.length;
--- a/packages/kubernetes/src/mapping.ts
+++ b/packages/kubernetes/src/mapping.ts
@@ -105,7 +105,9 @@
   return cut > plain.lastIndexOf('/') ? plain.slice(0, cut) : plain;
 };
 
-/** The requested amount of a resource. A limit counts as the request where that is missing, and must equal it otherwise. */
+/**
+ * The requested amount of a resource. A limit counts as the request where that is missing, and must equal it otherwise.
+ */
 const resourceAmount = (
   pod: PodSpec,
   name: 'cpu' | 'memory' | typeof GPU_RESOURCE,
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -13,7 +13,9 @@
 export { register, type Host } from './commands.js';
 export { KubeSettingsError } from './settings.js';
 
-/** Parses the settings file (`fileName` is for messages) and creates feature and listener. Throws `KubeSettingsError`. */
+/**
+ * Parses the settings file (`fileName` is for messages) and creates feature and listener. Throws `KubeSettingsError`.
+ */
 export const switchOn = (
   yaml: string,
   teams: readonly Team[],
--- a/packages/kubernetes/src/quantity.ts
+++ b/packages/kubernetes/src/quantity.ts
@@ -1,6 +1,6 @@
 /**
- * Kubernetes quantities (`500m`, `1.5Gi`, `2e3`) as exact integers in units of 10^-9. Floating point is used only for the
- * final conversion to the core's numbers.
+ * Kubernetes quantities (`500m`, `1.5Gi`, `2e3`) as exact integers in units of 10^-9. Floating point is used only for
+ * the final conversion to the core's numbers.
  */
 
 /** An amount in units of 10^-9. */
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -1,4 +1,7 @@
-/** Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as null. */
+/**
+ * Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as
+ * null.
+ */
 import { reader } from '@shaleyoke/config/checked';
 import { bytesOf } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
--- a/packages/kubernetes/src/rollout.ts
+++ b/packages/kubernetes/src/rollout.ts
@@ -1,6 +1,6 @@
 /**
- * Decides a Deployment's rollout: which pods to create and which to withdraw next. It depends only on stored and observed
- * state, so that a new leader continues from the same facts.
+ * Decides a Deployment's rollout: which pods to create and which to withdraw next. It depends only on stored and
+ * observed state, so that a new leader continues from the same facts.
  *
  * Invariants, also with lost, late or repeated operations:
  * - There are never more than `replicas + surge` pods, counting those that may have been created and those that are
--- a/packages/kubernetes/src/server.ts
+++ b/packages/kubernetes/src/server.ts
@@ -1,4 +1,7 @@
-/** HTTP server with limits on sockets, sizes and times, so that clients can't exhaust what native users and workers need. */
+/**
+ * HTTP server with limits on sockets, sizes and times, so that clients can't exhaust what native users and workers
+ * need.
+ */
 import * as http from 'node:http';
 
 import type { KubeAnswer, Refusal } from './api.js';
--- a/packages/kubernetes/src/subset.ts
+++ b/packages/kubernetes/src/subset.ts
@@ -1,7 +1,7 @@
 /**
  * Schema of the supported subset of Kubernetes Jobs and Deployments. It validates manifests, and the documentation's
- * table and the published schema are generated from it. A description begins with what the field becomes. Unknown fields
- * are refused at every level.
+ * table and the published schema are generated from it. A description begins with what the field becomes. Unknown
+ * fields are refused at every level.
  */
 import { Schema } from 'effect';
 
--- a/packages/kubernetes/src/text.ts
+++ b/packages/kubernetes/src/text.ts
@@ -5,9 +5,9 @@
 const MAX_DEPTH = 64;
 
 /**
- * Whether a text nests deeper than any supported manifest. The YAML parser is recursive: 5000 levels, in 25 kB, ended the
- * whole process with the fatal error `RegExpCompiler Allocation failed` near the end of the stack, which can't be caught.
- * Brackets within quotes count as well, so that the check never misses a level.
+ * Whether a text nests deeper than any supported manifest. The YAML parser is recursive: 5000 levels, in 25 kB, ended
+ * the whole process with the fatal error `RegExpCompiler Allocation failed` near the end of the stack, which can't be
+ * caught. Brackets within quotes count as well: in doubt a text is refused.
  */
 export const isTooDeep = (text: string): boolean => {
   let brackets = 0;
--- a/packages/kubernetes/src/tokens.ts
+++ b/packages/kubernetes/src/tokens.ts
@@ -1,4 +1,7 @@
-/** Bearer tokens of the form `ID.SECRET`. Only salted hashes are stored, under `k/`, so that all nodes cache them with the objects. */
+/**
+ * Bearer tokens of the form `ID.SECRET`. Only salted hashes are stored, under `k/`, so that all nodes cache them with
+ * the objects.
+ */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 import { reader } from '@shaleyoke/config/checked';
@@ -30,8 +33,8 @@
   createHash('sha256').update(Buffer.from(salt, 'hex')).update(secret).digest();
 
 /**
- * Makes a token and its record from random bytes. A fast hash is enough: a secret of 256 random bits can't be guessed by
- * brute force, and a slow hash would let clients keep a small processor busy.
+ * Makes a token and its record from random bytes. A fast hash is enough: a secret of 256 random bits can't be guessed
+ * by brute force, and a slow hash would let clients keep a small processor busy.
  */
 export const newToken = (
   id: Uint8Array,
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -1,4 +1,7 @@
-/** Objects on several nodes in simulated time: identity, reads, watches and status, with crashes, lost messages and outages. */
+/**
+ * Objects on several nodes in simulated time: identity, reads, watches and status, with crashes, lost messages and
+ * outages.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
--- a/packages/kubernetes/test/rollout.test.ts
+++ b/packages/kubernetes/test/rollout.test.ts
@@ -59,7 +59,8 @@
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('run' as const), which: fc.nat(50) }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('die' as const), which: fc.nat(50) }) },
   { weight: 2, arbitrary: fc.record({ kind: fc.constant('go' as const), which: fc.nat(50) }) },
-  // After a leader change each pending creation was either executed or never will be: writes are conditional on the lease.
+  // After a leader change each pending creation was either executed or never will be: writes are conditional on the
+  // lease.
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('crash' as const), bits: fc.nat(255) }) },
   { weight: 3, arbitrary: fc.record({ kind: fc.constant('template' as const), back: fc.nat(3) }) },
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('scale' as const), replicas: fc.nat(8) }) },
--- a/packages/kubernetes/test/view.test.ts
+++ b/packages/kubernetes/test/view.test.ts
@@ -1,4 +1,7 @@
-/** The object cache against a plain event history: lists of pages from several revisions, and events received repeatedly. */
+/**
+ * The object cache against a plain event history: lists of pages from several revisions, and events received
+ * repeatedly.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
