--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,11 +7,20 @@
 const NOT_YET_READABLE = [
   'packages/budgets/src/{books,commands,explain,feature,packing,reader,store}.ts',
   'packages/demo/src/**',
-  // Of the emulator all but the soak.
-  'packages/emulator/src/*.ts',
-  'packages/emulator/src/digest/**',
-  'packages/emulator/src/scale/**',
-  'packages/kubernetes/src/**',
+  // Of the emulator the files that are too long or too complex.
+  'packages/emulator/src/cluster-simulation.ts',
+  'packages/emulator/src/fault-scenarios.ts',
+  'packages/emulator/src/users-model.ts',
+  'packages/emulator/src/waiting.ts',
+  'packages/emulator/src/wire.ts',
+  'packages/emulator/src/workers-model.ts',
+  'packages/emulator/src/scale/capacity.ts',
+  'packages/emulator/src/scale/hollow.ts',
+  // Of Kubernetes only the files with functions that are too long or too complex.
+  'packages/kubernetes/src/commands.ts',
+  'packages/kubernetes/src/front.ts',
+  'packages/kubernetes/src/mapping.ts',
+  'packages/kubernetes/src/rollout.ts',
 ];
 
 /** Names of one or two letters, except for some words of that length and the index of a loop. */
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -1,4 +1,4 @@
-/** What the program loads when the front is switched on, or one of its commands is called: a bundle of its own. */
+/** Entry point of the bundle that the program loads if the Kubernetes API is enabled or a `kube` command is called. */
 import { randomBytes } from 'node:crypto';
 
 import type { Team } from '@shaleyoke/core/domain/settings';
@@ -13,19 +13,21 @@
 export { register, type Host } from './commands.js';
 export { KubeSettingsError } from './settings.js';
 
-/** `yaml`: the operators' file; `what`: its name, for messages. Throws `KubeSettingsError`. */
+/**
+ * Parses the settings file (`fileName` is for messages) and creates feature and listener. Throws `KubeSettingsError`.
+ */
 export const switchOn = (
   yaml: string,
   teams: readonly Team[],
-  what: string,
+  fileName: string,
 ): { feature: Feature; listener: (ask: AskFeature) => Promise<{ readonly close: () => void }> } => {
-  const settings = parseKube(yaml, teams, what);
+  const settings = parseKube(yaml, teams, fileName);
   return {
     feature: new Kube(() => randomBytes(16), settings),
     listener: (ask) =>
-      listen(settings, (body: KubeAsk, told) =>
+      listen(settings, (body: KubeAsk, onAnswer) =>
         ask(FEATURE, body, (answer, last) => {
-          told(answer as KubeAnswer, last);
+          onAnswer(answer as KubeAnswer, last);
         }),
       ),
   };
--- a/packages/kubernetes/test/stored-records.test.ts
+++ b/packages/kubernetes/test/stored-records.test.ts
@@ -6,11 +6,11 @@
   guardKey,
   manifestKey,
   objectKey,
-  piecesOf,
+  readManifestChunk,
   readObject,
-  readPiece,
+  splitIntoChunks,
 } from '@shaleyoke/kubernetes/records';
-import { matches, newToken, readToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
+import { newToken, readToken, tokenKey, verifyToken } from '@shaleyoke/kubernetes/tokens';
 
 const OBJECT = {
   v: 1,
@@ -32,7 +32,7 @@
   hash: '89b53308396b17b8a20462ec11df817532cb5d2f81c7d2a9bffc978f9fb9878a',
 };
 
-test('objects and pieces of manifests are read as they stand', () => {
+test('objects and manifest chunks are decoded unchanged', () => {
   assert.deepEqual(readObject(OBJECT), OBJECT);
   for (const name of Object.keys(OBJECT))
     assert.equal(
@@ -42,17 +42,17 @@
     );
   const status = { ...OBJECT.status, ended: 9, result: 'failed', why: 'DeadlineExceeded' };
   assert.deepEqual(readObject({ ...OBJECT, status, deleting: 10 }), { ...OBJECT, status, deleting: 10 });
-  assert.deepEqual(readPiece({ v: 1, text: '{}' }), { v: 1, text: '{}' });
-  assert.deepEqual(piecesOf('{"kind":"Job"}', 2_000), [{ v: 1, text: '{"kind":"Job"}' }]);
+  assert.deepEqual(readManifestChunk({ v: 1, text: '{}' }), { v: 1, text: '{}' });
+  assert.deepEqual(splitIntoChunks('{"kind":"Job"}', 2_000), [{ v: 1, text: '{"kind":"Job"}' }]);
 });
 
-test('a token is on record with the hash of its secret alone', () => {
+test('a token is stored with only the hash of its secret', () => {
   const token = newToken(bytes(4), bytes(32), bytes(16), { tenant: 'maps', at: 0, by: 'x', why: 'y' });
   assert.equal(token.token, '01010101.AQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQEBAQE');
   assert.deepEqual(token.record, TOKEN);
   const record = readToken(TOKEN);
   assert.deepEqual(record, TOKEN);
-  assert.ok(record !== null && matches(record, token.token));
+  assert.ok(record !== null && verifyToken(record, token.token));
 });
 
 test('keys', () => {
--- a/packages/kubernetes/test/text.test.ts
+++ b/packages/kubernetes/test/text.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 
 import { checkText } from '@shaleyoke/kubernetes/check';
-import { isTooDeep, readText } from '@shaleyoke/kubernetes/text';
+import { isTooDeep, parseText } from '@shaleyoke/kubernetes/text';
 import fc from 'fast-check';
 
-test('what nests too deep is refused before it is parsed, in every form that nests', () => {
-  // Each of these has at most 64 KiB, as a body may; the parser would end the process on some of them.
+test('a text that nests too deeply is refused before parsing, for every kind of nesting', () => {
+  // Each has at most 64 KiB, the limit of a body; on some of them the parser would end the process.
   const bodies = [
     '['.repeat(60_000),
     '{"a":'.repeat(5_000) + '1' + '}'.repeat(5_000),
@@ -20,24 +20,24 @@
   ];
   for (const body of bodies) {
     assert.ok(body.length <= 64 * 1024);
-    assert.ok('problem' in readText(body), body.slice(0, 20));
+    assert.ok('problem' in parseText(body), body.slice(0, 20));
     assert.ok(checkText(body)[0]?.bad === true);
   }
 });
 
-test('what is flat enough is read as it is, and a key that stands twice is named', () => {
+test('a text within the depth limit is parsed unchanged, and a duplicate key is reported', () => {
   fc.assert(
     fc.property(fc.jsonValue({ maxDepth: 8 }), (value) => {
       const text = JSON.stringify(value);
       if (isTooDeep(text)) return;
-      const r = readText(text);
-      assert.ok('value' in r, JSON.stringify(r));
-      assert.equal(JSON.stringify(r.value), JSON.stringify(JSON.parse(text)));
+      const parsed = parseText(text);
+      assert.ok('value' in parsed, JSON.stringify(parsed));
+      assert.equal(JSON.stringify(parsed.value), JSON.stringify(JSON.parse(text)));
     }),
     { seed: 21, numRuns: 500 },
   );
-  const twice = readText('{"kind":"Job","kind":"Job"}');
+  const twice = parseText('{"kind":"Job","kind":"Job"}');
   assert.ok('problem' in twice && twice.problem.includes('unique'));
-  const many = readText(`a: &a [${'x,'.repeat(50)}]\nb: [${'*a,'.repeat(400)}]`);
+  const many = parseText(`a: &a [${'x,'.repeat(50)}]\nb: [${'*a,'.repeat(400)}]`);
   assert.ok('problem' in many);
 });
