--- a/packages/budgets/src/accounts.ts
+++ b/packages/budgets/src/accounts.ts
@@ -4,7 +4,7 @@
  * stored on pages of their own, which are written in the same transaction as the journal rows that change them. Does no
  * I/O.
  */
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 
 import { addCharge, type Ledger } from './books.js';
 import { chargeOf, type MonthRow, monthRow, type OwnersPart } from './records.js';
@@ -35,7 +35,7 @@
 /** The most bytes an owner can need; reserving them keeps each owner on one page as its amounts grow. */
 export const maxOwnerBytes = (owner: string): number => {
   const row: MonthRow = ['2026-12', MAX_AMOUNT, MAX_AMOUNT * 100, MAX_AMOUNT, 999_999_999, MAX_AMOUNT];
-  return bytesOf({
+  return jsonByteLength({
     m: { [owner]: Array.from({ length: MAX_SEPARATE_MONTHS + 1 }, () => row) },
     z: { [owner]: '2026-12' },
     c: { [owner]: ['2026-12', MAX_AMOUNT] },
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -7,7 +7,7 @@
   MACHINE_TYPES_KEY,
   RUNTIME_SUMMARY_KEY,
 } from '@shaleyoke/core/codecs/keys';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import type { Settings } from '@shaleyoke/core/domain/settings';
 import type { Command } from 'commander';
 
@@ -124,7 +124,7 @@
   const change = { at: host.now(), by: options.by, why: options.why, before: limitFields(before), after };
   let changes = [...(oldRecord?.changes ?? []), change].slice(-MAX_CHANGES_KEPT);
   const record = (): LimitRecord => ({ v: 1, ...after, changes });
-  while (changes.length > 1 && bytesOf(record()) > tool.settings.maxValueBytes - 256)
+  while (changes.length > 1 && jsonByteLength(record()) > tool.settings.maxValueBytes - 256)
     changes = changes.slice(1);
   if (!(await tool.service.put(limitKey(owner), record(), item?.version ?? 0))) {
     host.end(
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -2,7 +2,7 @@
 import type { RuntimeEstimates } from '@shaleyoke/core/cluster/runtime-estimates';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import { typeAllowed } from '@shaleyoke/core/domain/resources';
+import { isMachineTypeAllowed } from '@shaleyoke/core/domain/resources';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
 import { FULL_WEIGHT } from './books.js';
@@ -37,7 +37,7 @@
 ): Money => {
   let least: Money | null = null;
   for (const type of types.values()) {
-    if (!typeAllowed(spec, type)) continue;
+    if (!isMachineTypeAllowed(spec, type)) continue;
     const runUs =
       spec.shape === 'service'
         ? SERVICE_COMMITMENT
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -98,7 +98,7 @@
   );
   if (types.size === 0) return [`${id}: the machine types are not on record yet; ask again later`];
   const estimates = new RuntimeEstimates();
-  estimates.load(records.timings?.value);
+  estimates.restore(records.timings?.value);
   const chain = new Set([id]);
   const queue = [id];
   for (let current = queue.pop(); current !== undefined; current = queue.pop())
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -94,7 +94,7 @@
       jobs: () => cluster.jobs.values(),
       links,
       estimate: (job) =>
-        estimatedCost(job.spec, term.context.types, cluster.runtimeEstimates, settings.quantile),
+        estimatedCost(job.spec, term.context.machineTypes, cluster.runtimeEstimates, settings.quantile),
       monthBefore: (owner, month) => this.calendar(owner).previousMonth(month),
     });
     this.store = new LedgerStore(
@@ -200,7 +200,7 @@
   }
 
   private hourlyRateOf(machine: Machine): Money | null {
-    const type = this.term.context.types.get(machine.type);
+    const type = this.term.context.machineTypes.get(machine.type);
     return type === undefined ? null : rateOf(machine.spot ? type.spotPrice : type.price);
   }
 
@@ -232,7 +232,7 @@
     if (!this.accounting) return;
     this.ledger.setTime(this.wallNow);
     this.addMachine(attempt.machine, false);
-    const type = this.term.context.types.get(attempt.machine.type);
+    const type = this.term.context.machineTypes.get(attempt.machine.type);
     if (type === undefined) return;
     this.ledger.updateMachine(attempt.machine.name, this.hourlyRateOf(attempt.machine)!, true);
     this.ledger.startAttempt(
@@ -343,7 +343,8 @@
         ? { reason: 'budgets are being read', transient: true }
         : null;
     // Without prices the cost can't be estimated; without machine types nothing can be placed anyway.
-    if (this.term.context.types.size === 0) return { reason: 'prices are not known yet', transient: true };
+    if (this.term.context.machineTypes.size === 0)
+      return { reason: 'prices are not known yet', transient: true };
     const reason = this.limits.admit(job);
     return reason === null ? null : { reason, transient: false };
   }
@@ -517,7 +518,7 @@
   constructor(private readonly settings: BudgetSettings) {}
 
   /** Begins to read the ledger for a term of this leader. */
-  begin(term: LeaderTerm, links: DependencyLinks): FeatureTerm {
+  beginTerm(term: LeaderTerm, links: DependencyLinks): FeatureTerm {
     this.current = new BudgetTerm(term, links, this.settings);
     return this.current;
   }
--- a/packages/budgets/src/packing.ts
+++ b/packages/budgets/src/packing.ts
@@ -1,5 +1,5 @@
 /** Packs open jobs into pages. A job stays on its page as long as it fits, so that few pages change. */
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 
 import type { OpenJob, RunningAttempt } from './books.js';
 import { monthRow, type OpenPage, type OpenRow } from './records.js';
@@ -96,7 +96,7 @@
   const runs = runsOf(job.attempts.values());
   for (;;) {
     const candidate = row(runs);
-    const bytes = bytesOf({ [job.id]: candidate });
+    const bytes = jsonByteLength({ [job.id]: candidate });
     const last = runs.at(-1);
     if (bytes <= room || last === undefined) return { row: candidate, bytes };
     // Drop half of the attempts of the last run.
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -4,12 +4,12 @@
  * that it replaces.
  */
 import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import type { StoredItem, StoreWrite, VersionCondition } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
-import { pageRoom } from '@shaleyoke/core/storage/packed-pages';
+import { pageCapacity } from '@shaleyoke/core/storage/packed-pages';
 
 import { OwnerAccounts, type OwnerMarks } from './accounts.js';
 import { addCharge, type Ledger, OpenJob, zeroCharge } from './books.js';
@@ -39,7 +39,7 @@
 
 /** Items of one request to list. */
 const LIST_LIMIT = 500;
-const RETRY_DELAY: Micros = 500 * MILLI;
+const RETRY_DELAY: Micros = 500 * MILLISECOND;
 const MIN_FLUSH_INTERVAL: Micros = 2 * SECOND;
 const MAX_TRANSACTION_BYTES = 40 * 1024;
 /** A head, a page of owners, a journal page and a closed month must fit into one transaction. */
@@ -83,7 +83,7 @@
     private readonly changesPerS: number,
   ) {
     const { maxValueBytes: valueBytes } = term.context.settings;
-    this.pageBytes = pageRoom(valueBytes);
+    this.pageBytes = pageCapacity(valueBytes);
     this.accounts = new OwnerAccounts(ledger, marks, valueBytes, HEAD_OVERHEAD_BYTES);
   }
 
@@ -294,9 +294,9 @@
     const parts = this.accounts.partsByPage();
     const owners = this.ownersToWrite(parts, requiredPages, remainingOperations - journal.length);
     const head = this.headRecord(accountedUntil, parts.get(0)!);
-    if (bytesOf(head) > this.term.context.settings.maxValueBytes - 128) {
+    if (jsonByteLength(head) > this.term.context.settings.maxValueBytes - 128) {
       this.stop(HEAD_KEY, () => undefined);
-      this.term.context.error('budgets.too_many_owners', { bytes: bytesOf(head) });
+      this.term.context.error('budgets.too_many_owners', { bytes: jsonByteLength(head) });
       return;
     }
     const first: StoreWrite[] = [
@@ -373,7 +373,7 @@
     const { finalAmounts } = this.ledger;
     const pages: JournalPage[] = [];
     let rows: JournalRow[] = [...this.lastPage.rows];
-    let size = bytesOf({ ...this.lastPage, rows });
+    let size = jsonByteLength({ ...this.lastPage, rows });
     let changed = false;
     let bytes = 0;
     const completePage = (): void => {
@@ -391,7 +391,7 @@
         [...job.months].map(([m, c]) => monthRow(m, c)),
         job.jobComplete ? 1 : 0,
       ];
-      const rowBytes = bytesOf(row) + 1;
+      const rowBytes = jsonByteLength(row) + 1;
       const ownerPage = this.accounts.pageOf(job.owner);
       // The row needs a journal page that isn't in `pages` yet, and possibly the page of its owner.
       const addedPages = ownerPage > 0 && !requiredPages.has(ownerPage) ? 1 : 0;
@@ -405,7 +405,7 @@
           break;
         this.lastPage = { v: 1, n: this.lastPage.n + 1, prev: digestOf(this.lastPage), rows: [] };
         rows = [];
-        size = bytesOf(this.lastPage);
+        size = jsonByteLength(this.lastPage);
       }
       finalAmounts.shift();
       rows.push(row);
@@ -482,11 +482,14 @@
         });
       } else if (reply.kind === 'refused' && target === 'head') {
         // Refused although it is within the limits of the settings: this needs an operator.
-        context.error('budgets.write_rejected', { keys: writes.map((x) => x.key), bytes: bytesOf(writes) });
+        context.error('budgets.write_rejected', {
+          keys: writes.map((x) => x.key),
+          bytes: jsonByteLength(writes),
+        });
         this.stop(HEAD_KEY, () => undefined);
       } else if (reply.kind === 'refused') {
         // The service accepts less than its settings say: end this flush and use smaller pages from now on.
-        context.error('budgets.write_rejected', { writes: writes.length, bytes: bytesOf(writes) });
+        context.error('budgets.write_rejected', { writes: writes.length, bytes: jsonByteLength(writes) });
         this.pageBytes = Math.max(512, Math.floor(this.pageBytes * 0.6));
         this.packing.markAllChanged();
         this.flushing = false;
--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -135,7 +135,7 @@
   simulation.runFor(3 * SECOND);
   simulation.submit(specOf('run-1', { tasks: 4, estimatedRunUs: 150 * SECOND }));
   simulation.runFor(60 * SECOND);
-  const leader = simulation.nodes.findIndex((n) => n.core?.leads() === true);
+  const leader = simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true);
   simulation.crash(leader, 3 * SECOND);
   simulation.runFor(200 * SECOND);
   const view = recordedView(simulation);
@@ -159,7 +159,7 @@
       simulation.runFor(SECOND / 4);
     // After the core has recorded the end and before the ledger has, which is written every few seconds.
     simulation.runFor((delay + 1) * 4 * SECOND);
-    const leader = simulation.nodes.findIndex((n) => n.core?.leads() === true);
+    const leader = simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true);
     simulation.crash(leader, 3 * SECOND);
     simulation.runFor(60 * SECOND);
     const view = recordedView(simulation);
@@ -192,7 +192,7 @@
   for (let second = 0; second < 480; second++) {
     simulation.runFor(SECOND);
     if (second < 320 && second % 70 === 45)
-      simulation.crash(simulation.nodes.findIndex((n) => n.core?.leads() === true) % 3, 3 * SECOND);
+      simulation.crash(simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true) % 3, 3 * SECOND);
     if (second === 250)
       names.forEach((team, number) => {
         simulation.submit(specOf(`run-${2000 + number}`, { team, tasks: 1, estimatedRunUs: 20 * SECOND }));
--- a/packages/controller/src/admission.ts
+++ b/packages/controller/src/admission.ts
@@ -1,6 +1,6 @@
 /** Admission of calls by a rate limiter, as an effect. */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { Effect } from 'effect';
 
 import type { RateLimiter } from './rate-limiter.js';
@@ -23,6 +23,6 @@
 /** How long a call to the store that was rejected with that status is retried, by urgency. */
 export const RETRY_REJECTED_FOR: Record<RequestUrgency, Micros> = {
   0: 2 * SECOND,
-  1: 900 * MILLI,
+  1: 900 * MILLISECOND,
   2: 4 * SECOND,
 };
--- a/packages/controller/src/clients.ts
+++ b/packages/controller/src/clients.ts
@@ -5,7 +5,7 @@
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { PeerMessage } from '@shaleyoke/core/domain/peer';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { encodePeerMessage } from '@shaleyoke/protocol/peers';
 import { COMMANDS_PATH, decodeCommandReply, encodeCommands } from '@shaleyoke/protocol/workers';
 import { Context, Effect, Layer } from 'effect';
@@ -41,7 +41,7 @@
 /** Effect's service tag under which the clients are provided. */
 export class Clients extends Context.Tag('Clients')<Clients, ClientsService>() {}
 
-const COMMANDS_TIMEOUT: Micros = 2_500 * MILLI;
+const COMMANDS_TIMEOUT: Micros = 2_500 * MILLISECOND;
 const PEER_TIMEOUT: Micros = 2 * SECOND;
 /** Idle connections to workers are closed: with a thousand machines they would use up the sockets. */
 const WORKER_IDLE_MS = 4_000;
--- a/packages/controller/src/clock.ts
+++ b/packages/controller/src/clock.ts
@@ -1,5 +1,5 @@
 /** The process's clocks, in whole microseconds. */
-import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND } from '@shaleyoke/core/domain/time';
 
 const NANOSECONDS_PER_MICROSECOND = 1000n;
 
@@ -10,4 +10,4 @@
   Number((process.hrtime.bigint() - startedAt) / NANOSECONDS_PER_MICROSECOND);
 
 /** Time of day, since the Unix epoch. */
-export const wallNow = (): Micros => Date.now() * MILLI;
+export const wallNow = (): Micros => Date.now() * MILLISECOND;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -3,7 +3,7 @@
 import type { ClientRequest } from '@shaleyoke/core/domain/client-api';
 import type { CoreEffect, Input } from '@shaleyoke/core/domain/effects';
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
 import { decodeBody, encodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 import { decodeSubmission, encodeClientResponse, routeRequest } from '@shaleyoke/protocol/client-api';
@@ -224,7 +224,7 @@
       clearTimeout(this.timer);
     }
     this.timerDueAt = at;
-    const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MILLI));
+    const delayMs = Math.max(1, Math.ceil((at - steadyNow()) / MILLISECOND));
     this.timer = setTimeout(() => {
       this.timer = null;
       this.metrics.recordTimer(at, steadyNow());
--- a/packages/controller/src/http-client.ts
+++ b/packages/controller/src/http-client.ts
@@ -1,7 +1,7 @@
 /** HTTP calls with a time limit each, so that a server that does not respond holds up its caller for no longer than that. */
 import * as http from 'node:http';
 
-import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND } from '@shaleyoke/core/domain/time';
 import type { HttpCall } from '@shaleyoke/protocol/cloud';
 import { Effect } from 'effect';
 
@@ -72,7 +72,7 @@
     const timer = setTimeout(() => {
       request.destroy();
       settle(null);
-    }, timeout / MILLI);
+    }, timeout / MILLISECOND);
     request.on('error', () => {
       settle(null);
     });
--- a/packages/controller/src/process-metrics.ts
+++ b/packages/controller/src/process-metrics.ts
@@ -1,6 +1,6 @@
 /** Metrics of one process for its periodic log event: the delay of its timers, and what its parts report. */
 import type { LogFields } from '@shaleyoke/core/domain/effects';
-import { type Micros, MILLI } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND } from '@shaleyoke/core/domain/time';
 
 /** Collects the metrics between two summaries. */
 export class ProcessMetrics {
@@ -18,7 +18,7 @@
 
   /** Returns the metrics since the last summary and resets the timer delay. */
   takeSummary(): LogFields {
-    const eventLoopDelayMs = Math.round(this.longestDelay / MILLI);
+    const eventLoopDelayMs = Math.round(this.longestDelay / MILLISECOND);
     this.longestDelay = 0;
     return { eventLoopDelayMs, ...this.gauges() };
   }
--- a/packages/controller/src/rate-limiter.ts
+++ b/packages/controller/src/rate-limiter.ts
@@ -3,7 +3,7 @@
  * them, so that renewals of the leader's lease are never starved by other calls.
  */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { TokenBucket } from './token-bucket.js';
 
@@ -16,7 +16,7 @@
 }
 
 /** How long a call may wait for admission before it is abandoned, by urgency. */
-const MAX_WAIT: Record<RequestUrgency, Micros> = { 0: 4 * SECOND, 1: 900 * MILLI, 2: 4 * SECOND };
+const MAX_WAIT: Record<RequestUrgency, Micros> = { 0: 4 * SECOND, 1: 900 * MILLISECOND, 2: 4 * SECOND };
 /** The share of the tokens that calls of an urgency leave to more urgent ones. */
 const RESERVED_SHARE: Record<RequestUrgency, number> = { 0: 0, 1: 0.1, 2: 0.3 };
 
@@ -24,19 +24,19 @@
 const REJECTIONS_TO_SLOW_DOWN = 6;
 const REJECTION_WINDOW: Micros = 2 * SECOND;
 /** How long less urgent calls pause after a rejection. */
-const REJECTION_PAUSE: Micros = 150 * MILLI;
+const REJECTION_PAUSE: Micros = 150 * MILLISECOND;
 const SLOW_DOWN_FACTOR = 0.8;
 const MIN_USED_SHARE = 0.15;
 const RECOVERY_INTERVAL: Micros = 2 * SECOND;
 const RECOVERY_STEP = 0.1;
 /** Interval at which waiting calls are tried again. */
-const SERVE_INTERVAL: Micros = 20 * MILLI;
+const SERVE_INTERVAL: Micros = 20 * MILLISECOND;
 
 /** Runs a function once, after the delay. */
 export type Schedule = (delay: Micros, run: () => void) => void;
 
 const scheduleOnEventLoop: Schedule = (delay, run) => {
-  setTimeout(run, delay / MILLI);
+  setTimeout(run, delay / MILLISECOND);
 };
 
 /** Statistics of a limiter since the last summary. */
@@ -127,7 +127,7 @@
     const oldest = this.queue.reduce((earliest, { arrivedAt }) => Math.min(earliest, arrivedAt), this.now());
     const summary = {
       waiting: this.queue.length,
-      oldestMs: Math.round((this.now() - oldest) / MILLI),
+      oldestMs: Math.round((this.now() - oldest) / MILLISECOND),
       ...this.counts,
       usedShare: this.usedShare.requests,
     };
--- a/packages/controller/src/run-controller.ts
+++ b/packages/controller/src/run-controller.ts
@@ -1,6 +1,6 @@
 /** Runs one controller with its listeners until its scope closes. */
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { AskFeature, Feature } from '@shaleyoke/core/feature-api';
+import type { Feature,RequestFeature } from '@shaleyoke/core/feature-api';
 import { Effect, Runtime, type Scope } from 'effect';
 
 import { Clients } from './clients.js';
@@ -12,7 +12,7 @@
 const OUTGOING_SHARE = 0.25;
 
 /** Opens a feature's own listener, which passes its clients' requests to the core through `ask`. */
-export type FeatureListener = (ask: AskFeature) => Promise<{ readonly close: () => void }>;
+export type FeatureListener = (ask: RequestFeature) => Promise<{ readonly close: () => void }>;
 
 /** Most connections of users and workers; 0: no limit. */
 const incomingConnections = (maxConnections: number): number =>
--- a/packages/controller/src/store-client.ts
+++ b/packages/controller/src/store-client.ts
@@ -1,7 +1,7 @@
 /** The client of the key-value store: keeps to the request budget and retries requests that the store rejected as too many. */
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import type { HttpCall } from '@shaleyoke/protocol/cloud';
 import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
 import { Effect } from 'effect';
@@ -11,7 +11,7 @@
 import { callHttp, type HttpReply, makeAgent } from './http-client.js';
 import type { RateLimiter } from './rate-limiter.js';
 
-const TIMEOUT: Micros = 1_200 * MILLI;
+const TIMEOUT: Micros = 1_200 * MILLISECOND;
 /** Added to the wait time of a watch before it counts as unanswered. */
 const WATCH_MARGIN: Micros = 2 * SECOND;
 const SOCKETS = 16;
@@ -26,7 +26,7 @@
 const NO_ANSWER: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'no answer' };
 
 const timeoutOf = (operation: StoreOperation): Micros =>
-  operation.kind === 'watch' ? operation.waitMs * MILLI + WATCH_MARGIN : TIMEOUT;
+  operation.kind === 'watch' ? operation.waitMs * MILLISECOND + WATCH_MARGIN : TIMEOUT;
 
 /** Sends requests to the key-value store. */
 export class StoreClient {
--- a/packages/controller/test/rate-limiter.test.ts
+++ b/packages/controller/test/rate-limiter.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 
 import { RateLimiter } from '@shaleyoke/controller/rate-limiter';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 /** Numbers of writes that a service accepts and rejects if it announces one rate and enforces another. */
 const simulate = (announcedPerS: number, actualPerS: number, seconds: number) => {
@@ -15,7 +15,7 @@
   let accepted = 0;
   let rejected = 0;
   for (let ms = 0; ms < seconds * 1_000; ms += 10) {
-    now = ms * MILLI;
+    now = ms * MILLISECOND;
     tokens = Math.min(actualPerS, tokens + actualPerS / 100);
     limiter.admit(1, 1, (admitted) => {
       if (!admitted || ended) return;
--- a/packages/core/src/api/job-service.ts
+++ b/packages/core/src/api/job-service.ts
@@ -118,7 +118,7 @@
    * its end.
    */
   private health(): ClientResponse {
-    if (this.context.types.size === 0) return unavailable('machine types not known yet');
+    if (this.context.machineTypes.size === 0) return unavailable('machine types not known yet');
     return this.isStoreDown && this.isStoreServingPeers()
       ? unavailable('state service not answering this node')
       : { kind: 'healthy' };
--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -5,7 +5,7 @@
 import { activeJobKey, endedJobKey, jobIdOfActiveKey } from '../codecs/keys.js';
 import type { ClientResponse } from '../domain/client-api.js';
 import type { LogFields } from '../domain/effects.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { ActiveJobSweep } from './active-job-sweep.js';
 import { type ClientResponder, overloaded, storeUnavailable } from './client-responder.js';
@@ -29,7 +29,7 @@
 /** Polls older than this are not validated again, since their clients would give up first. */
 const MAX_RETRY_AGE_US: Micros = SECOND;
 /** Delay of the validation of polls for which records had to be read first. */
-const POST_LOOKUP_DELAY_US: Micros = MILLI;
+const POST_LOOKUP_DELAY_US: Micros = MILLISECOND;
 
 const ABSENT: ClientResponse = { kind: 'absent' };
 
@@ -81,7 +81,7 @@
     const arrivals = pending.map(({ oldestArrival }) => oldestArrival ?? now);
     return {
       pendingJobs: pending.reduce((sum, { jobCount }) => sum + jobCount, 0),
-      oldestPollMs: Math.round((now - Math.min(...arrivals)) / MILLI),
+      oldestPollMs: Math.round((now - Math.min(...arrivals)) / MILLISECOND),
       suspects: this.suspects.count,
       waitingForSweep: this.pollsAwaitingSweep.length,
       ...this.sweep.counts,
--- a/packages/core/src/api/validation-queue.ts
+++ b/packages/core/src/api/validation-queue.ts
@@ -1,18 +1,18 @@
 /** Validates pending polls in batches, one transaction at a time. */
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { PendingPolls } from './pending-polls.js';
 import type { ValidationBatch } from './validation-batch.js';
 import type { ValidationResult, VersionValidator } from './version-validator.js';
 
 /** Minimum time for which polls are collected into a batch; it is longer if the request rate is more limited. */
-const MIN_BATCH_DELAY_US: Micros = 30 * MILLI;
+const MIN_BATCH_DELAY_US: Micros = 30 * MILLISECOND;
 /** Fraction of the permitted request rate to the state service that the validations of one queue may use. */
 const STORE_REQUEST_SHARE = 0.06;
 /** Factor by which validations follow each other faster while more jobs wait than one transaction has conditions. */
 const BACKLOG_SPEEDUP_FACTOR = 2;
 /** The capacity of a queue is the number of jobs that it can validate within this time. */
-const MAX_QUEUE_DELAY_US: Micros = 1_500 * MILLI;
+const MAX_QUEUE_DELAY_US: Micros = 1_500 * MILLISECOND;
 
 /** Supplies and resolves the batches of a queue. */
 export interface ValidationQueueHost {
--- a/packages/core/src/cluster/cluster-model.ts
+++ b/packages/core/src/cluster/cluster-model.ts
@@ -4,7 +4,7 @@
  */
 import type { Heartbeat, WorkerCommand } from '../domain/heartbeat.js';
 import type { JobSpec, Priority } from '../domain/job.js';
-import { addTo, type Amounts, spreadLimit, takeFrom } from '../domain/resources.js';
+import { addTo, type Amounts, maxTasksPerZone, subtractFrom } from '../domain/resources.js';
 import { TaskBitset } from '../domain/task-bitset.js';
 import type { Micros } from '../domain/time.js';
 import type { AdmissionHold } from './admission-hold.js';
@@ -55,7 +55,7 @@
   recordedMachines = new Set<string>();
   /** Machines that may still run tasks from before this term and are not yet reconciled by a heartbeat. */
   readonly unreconciledMachines = new Set<string>();
-  /** Progress that survives the loss of a machine: by task index, or under -1 (`GANG_PROGRESS`) for a whole gang. */
+  /** Progress that survives the loss of a machine: by task index, or under -1 (`GANG_PROGRESS_KEY`) for a whole gang. */
   readonly checkpointedProgress = new Map<number, Micros>();
   /** Number of failures of this job's tasks, by machine name. */
   readonly failuresByMachine = new Map<string, number>();
@@ -183,7 +183,7 @@
     if (!this.spec.sameZone && !this.spec.spreadAcrossZones) return true;
     const tasks = this.tasksByZone();
     if (this.spec.sameZone) for (const other of tasks.keys()) if (other !== zone) return false;
-    return !this.spec.spreadAcrossZones || (tasks.get(zone) ?? 0) < spreadLimit(this.spec);
+    return !this.spec.spreadAcrossZones || (tasks.get(zone) ?? 0) < maxTasksPerZone(this.spec);
   }
 }
 
@@ -306,7 +306,7 @@
 
   private computeFree(total: Readonly<Amounts>): Amounts {
     const free = { cores: total.cores, gpus: total.gpus, memoryGb: total.memoryGb };
-    for (const attempt of this.attempts.values()) takeFrom(free, attempt.job.spec);
+    for (const attempt of this.attempts.values()) subtractFrom(free, attempt.job.spec);
     return free;
   }
 
--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -1,5 +1,5 @@
 /** The leader's view of the cluster in one term, and predictions based on it. */
-import { typeAllowed } from '../domain/resources.js';
+import { isMachineTypeAllowed } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { ActiveJob, Machine, TaskAttempt } from './cluster-model.js';
@@ -8,14 +8,14 @@
 import { latestStart } from './objectives.js';
 import type { PreemptionPolicy } from './preemption-policy.js';
 import { RuntimeEstimates, UNBOUNDED_RUN_TIME } from './runtime-estimates.js';
-import { GANG_PROGRESS } from './task-attempt.js';
+import { GANG_PROGRESS_KEY } from './task-attempt.js';
 import { UsageTotals } from './usage-totals.js';
 
 /** Time from the decision to start a task until it runs, if its image is cached. */
 const TASK_SETUP_TIME: Micros = 2 * SECOND;
 
 /** Time from the end of a job's last task until a dependent's tasks run: heartbeat, record, plan, record, start. */
-export const STAGE_HANDOVER: Micros = 3 * SECOND;
+export const STAGE_HANDOVER_TIME: Micros = 3 * SECOND;
 
 /** How long a job may wait for a cheaper machine when it can't meet any objective. */
 const MAX_DELAY_WITHOUT_OBJECTIVE: Micros = 60 * SECOND;
@@ -42,7 +42,7 @@
     readonly context: NodeContext,
   ) {
     const machines = new MachineRegistry();
-    this.usageTotals = new UsageTotals(machines, () => context.types);
+    this.usageTotals = new UsageTotals(machines, () => context.machineTypes);
     machines.observer = this.usageTotals;
     this.machines = machines;
   }
@@ -52,7 +52,7 @@
     const { job, runningAt } = attempt;
     const { spec } = job;
     if (spec.shape === 'service') return UNBOUNDED_RUN_TIME;
-    const progressKey = spec.shape === 'gang' ? GANG_PROGRESS : attempt.index;
+    const progressKey = spec.shape === 'gang' ? GANG_PROGRESS_KEY : attempt.index;
     const checkpointed = job.checkpointedProgress.get(progressKey) ?? 0;
     const elapsed = checkpointed + (runningAt === null ? 0 : this.context.now - runningAt);
     return this.runtimeEstimates.remaining(spec.class, attempt.machine.type, spec.estimatedRunUs, elapsed);
@@ -86,7 +86,7 @@
 
   /** Time that remains until the latest start that meets the job's next objective; null if it can't meet any. */
   slackOf(job: ActiveJob): Micros | null {
-    const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
+    const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS_KEY) ?? 0;
     const runTime = this.expectedRunTime(job, checkpointed);
     return latestStart(job, this.context.settings.objectives, this.context.wallNow, runTime, TASK_SETUP_TIME);
   }
@@ -96,11 +96,11 @@
     const { spec } = job;
     const runTime = this.expectedRunTime(job, 0);
     let pullRate = 0;
-    for (const type of this.context.types.values())
-      if (typeAllowed(spec, type) && type.imagePullGbPerS > 0)
+    for (const type of this.context.machineTypes.values())
+      if (isMachineTypeAllowed(spec, type) && type.imagePullGbPerS > 0)
         pullRate = Math.max(pullRate, type.imagePullGbPerS);
     const pullTime = pullRate > 0 ? Math.round((spec.imageGb / pullRate) * SECOND) : 0;
-    return runTime + pullTime + STAGE_HANDOVER;
+    return runTime + pullTime + STAGE_HANDOVER_TIME;
   }
 
   /** Expected remaining run time of a task of the job after `elapsed`, on the first machine type that it requests. */
--- a/packages/core/src/cluster/deadline-chain.ts
+++ b/packages/core/src/cluster/deadline-chain.ts
@@ -15,9 +15,9 @@
   /** The job with the deadline. */
   readonly last: DeadlineJob;
   /** Expected duration of all jobs on the chain, without the job that inherits the deadline. */
-  readonly tail: Micros;
+  readonly tailDuration: Micros;
 }
 
 /** Wall-clock time by which the inheriting job must be done to meet `deadlineFactor` times the last job's deadline. */
-export const latestFinish = ({ last, tail }: DeadlineChain, deadlineFactor = 1): Micros =>
-  last.acceptedAt + (last.spec.deadlineUs ?? 0) * deadlineFactor - tail;
+export const latestFinish = ({ last, tailDuration }: DeadlineChain, deadlineFactor = 1): Micros =>
+  last.acceptedAt + (last.spec.deadlineUs ?? 0) * deadlineFactor - tailDuration;
--- a/packages/core/src/cluster/runtime-estimates.ts
+++ b/packages/core/src/cluster/runtime-estimates.ts
@@ -3,7 +3,7 @@
  * few samples borrow from broader ones; stopped runs are censored observations, not short runs. (Paper, 9.3: stratified
  * empirical distributions with shrinkage, residuals from survival.)
  */
-import { bytesOf } from '../codecs/value-size.js';
+import { jsonByteLength } from '../codecs/value-size.js';
 import type { Micros } from '../domain/time.js';
 import { SECOND } from '../domain/time.js';
 
@@ -163,7 +163,7 @@
    * Returns the samples in their stored form, for the next leader: by group, pairs of the ratio and 1 for a censored sample
    * or 0 for a completed one. The result is reduced to at most `maxBytes`.
    */
-  summary(maxBytes: number): Record<string, [number, number][]> {
+  toStored(maxBytes: number): Record<string, [number, number][]> {
     const stored: Record<string, [number, number][]> = {};
     for (let count = MAX_STORED_SAMPLES; count >= 1; count = Math.floor(count / 2)) {
       for (const [key, samples] of this.groups)
@@ -173,14 +173,14 @@
             Math.round(ratio * STORED_PRECISION) / STORED_PRECISION,
             censored ? 1 : 0,
           ]);
-      if (bytesOf(stored) <= maxBytes) return stored;
+      if (jsonByteLength(stored) <= maxBytes) return stored;
     }
     // Too many groups: drop the narrowest first, since the broader ones can replace them.
     const narrowestFirst = Object.keys(stored).sort(
       (one, other) => other.split('|').length - one.split('|').length,
     );
     for (const key of narrowestFirst) {
-      if (bytesOf(stored) <= maxBytes) break;
+      if (jsonByteLength(stored) <= maxBytes) break;
       // eslint-disable-next-line @typescript-eslint/no-dynamic-delete
       delete stored[key];
     }
@@ -188,7 +188,7 @@
   }
 
   /** Loads the result of `summary`; malformed entries are skipped. */
-  load(stored: unknown): void {
+  restore(stored: unknown): void {
     if (typeof stored !== 'object' || stored === null) return;
     for (const [key, rows] of Object.entries(stored)) {
       if (!Array.isArray(rows)) continue;
--- a/packages/core/src/cluster/task-attempt.ts
+++ b/packages/core/src/cluster/task-attempt.ts
@@ -17,4 +17,4 @@
 export const attemptKey = (job: string, index: number): string => `${job}/${index}`;
 
 /** Key of the checkpointed progress of a whole gang; for other jobs, progress is kept by task index. */
-export const GANG_PROGRESS = -1;
+export const GANG_PROGRESS_KEY = -1;
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -148,7 +148,7 @@
   }
 
   /** The lowest priority of all attempts; the highest possible one if there are no attempts. */
-  lowestRunning(): Priority {
+  lowestLivePriority(): Priority {
     this.refresh();
     return PRIORITIES.find((priority) => this.attemptsByPriority[priority]! > 0) ?? 3;
   }
--- a/packages/core/src/codecs/keys.ts
+++ b/packages/core/src/codecs/keys.ts
@@ -17,7 +17,7 @@
 /** Prefix of the separate keys for progress too large for a page; earlier versions stored the progress of all jobs here. */
 export const LARGE_PROGRESS_PREFIX = 'p/';
 /** Prefix of machine records of earlier versions, one key per machine; they are read, moved into pages and removed. */
-export const FORMER_MACHINES_PREFIX = 'h/';
+export const LEGACY_MACHINES_PREFIX = 'h/';
 /** Key of the summary of measured run times, from which runtime estimates are restored. */
 export const RUNTIME_SUMMARY_KEY = 'timings';
 
@@ -44,4 +44,4 @@
 };
 
 /** Returns the key under which earlier versions recorded a machine. */
-export const legacyMachineKey = (name: string): string => `${FORMER_MACHINES_PREFIX}${name}`;
+export const legacyMachineKey = (name: string): string => `${LEGACY_MACHINES_PREFIX}${name}`;
--- a/packages/core/src/codecs/machine-codec.ts
+++ b/packages/core/src/codecs/machine-codec.ts
@@ -1,6 +1,6 @@
 /** Encodes and decodes machine records. */
 import { isStoredMap } from './stored-map.js';
-import { bytesOf } from './value-size.js';
+import { jsonByteLength } from './value-size.js';
 
 /** Stored attributes of a machine. */
 export interface MachineRecord {
@@ -51,7 +51,7 @@
   name: string,
   { type, zone }: Pick<MachineRecord, 'type' | 'zone'>,
 ): number =>
-  bytesOf({
+  jsonByteLength({
     [name]: encodeMachine({
       address: LONGEST_ADDRESS,
       type,
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -58,7 +58,7 @@
   private serveFeatures(): ReadonlyMap<string, FeatureEndpoint> {
     const endpoints = new Map<string, FeatureEndpoint>();
     for (const feature of this.features) {
-      const endpoint = feature.serve?.({
+      const endpoint = feature.createEndpoint?.({
         context: this.context,
         submitRequest: (body, onResponse) => {
           this.jobService.handleInternal(body, onResponse);
@@ -114,7 +114,7 @@
     // Keeps time monotonic even if inputs arrive with timestamps out of order.
     context.now = Math.max(context.now, now);
     context.effects = [];
-    context.guard(input.kind, () => {
+    context.runGuarded(input.kind, () => {
       this.dispatch(input);
     });
     context.runDueTimers();
@@ -130,7 +130,7 @@
     const { context } = this;
     const action = context.effects.find(isLeaderAction);
     if (action === undefined) return;
-    context.invariants.check('onlyLeaderActs', this.leads(), () => ({
+    context.invariants.check('onlyLeaderActs', this.canActAsLeader(), () => ({
       action: action.kind === 'cloudRequest' ? action.op.kind : action.kind,
       term: this.election.lease?.term ?? null,
     }));
@@ -142,7 +142,7 @@
   }
 
   /** Whether this controller leads and may act as leader now. */
-  leads(): boolean {
+  canActAsLeader(): boolean {
     return this.election.canActAsLeader();
   }
 
@@ -204,7 +204,7 @@
 
   private respondToHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     if (this.currentScheduler !== null) {
-      if (this.leads()) return this.currentScheduler.respondToHeartbeat(heartbeat);
+      if (this.canActAsLeader()) return this.currentScheduler.respondToHeartbeat(heartbeat);
       this.currentScheduler.recordLiveness(heartbeat);
       return { kind: 'unavailable' };
     }
--- a/packages/core/src/domain/resources.ts
+++ b/packages/core/src/domain/resources.ts
@@ -31,7 +31,7 @@
 };
 
 /** Subtracts the amounts from `total` in place. */
-export const takeFrom = (total: Amounts, amount: Readonly<Amounts>): void => {
+export const subtractFrom = (total: Amounts, amount: Readonly<Amounts>): void => {
   total.cores -= amount.cores;
   total.gpus -= amount.gpus;
   total.memoryGb -= amount.memoryGb;
@@ -41,7 +41,7 @@
   need > 0 ? Math.floor((free + AMOUNT_TOLERANCE) / need) : Infinity;
 
 /** Number of requests of size `need` that fit into `free` together. */
-export const timesFits = (need: Readonly<Amounts>, free: Readonly<Amounts>): number => {
+export const countFits = (need: Readonly<Amounts>, free: Readonly<Amounts>): number => {
   const fitCount = Math.min(
     fitCountOf(need.cores, free.cores),
     fitCountOf(need.gpus, free.gpus),
@@ -51,21 +51,22 @@
 };
 
 /** Whether the job may run on the machine type and one of its tasks fits on an empty machine of it. */
-export const typeAllowed = (spec: JobSpec, type: MachineType): boolean =>
+export const isMachineTypeAllowed = (spec: JobSpec, type: MachineType): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type.name)) && fits(spec, type);
 
 /** Whether the job may run on machines of this type, zone and pricing model, regardless of their free capacity. */
-export const placeAllowed = (spec: JobSpec, type: string, zone: string, spot: boolean): boolean =>
+export const isPlacementAllowed = (spec: JobSpec, type: string, zone: string, spot: boolean): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type)) &&
   (spec.zone === null || spec.zone === zone) &&
   (spec.spot || !spot);
 
 /** Whether any machine type could run a task of the job in a zone that the job allows. */
-export const fitsSomewhere = (spec: JobSpec, types: ReadonlyMap<string, MachineType>): boolean => {
+export const fitsAnyMachineType = (spec: JobSpec, types: ReadonlyMap<string, MachineType>): boolean => {
   for (const type of types.values())
-    if (typeAllowed(spec, type) && (spec.zone === null || type.zones.includes(spec.zone))) return true;
+    if (isMachineTypeAllowed(spec, type) && (spec.zone === null || type.zones.includes(spec.zone)))
+      return true;
   return false;
 };
 
 /** Maximum number of tasks per zone for a job that is spread across zones: half of them, rounded up. */
-export const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
+export const maxTasksPerZone = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
--- a/packages/core/src/domain/time.ts
+++ b/packages/core/src/domain/time.ts
@@ -7,4 +7,4 @@
 export const SECOND: Micros = 1_000_000;
 
 /** One millisecond in microseconds. */
-export const MILLI: Micros = 1_000;
+export const MILLISECOND: Micros = 1_000;
--- a/packages/core/src/feature-api.ts
+++ b/packages/core/src/feature-api.ts
@@ -61,7 +61,7 @@
  * Passes a client's request to a feature's endpoint, and returns the request's number. `onAnswer` is called for each
  * response.
  */
-export type AskFeature = (
+export type RequestFeature = (
   feature: string,
   body: unknown,
   onAnswer: (answer: unknown, last: boolean) => void,
@@ -72,7 +72,7 @@
   /** Unique name, by which requests to its endpoint are routed. */
   readonly name: string;
   /** Called once per process, before anything else. Returns the feature's endpoint. */
-  serve?(services: NodeServices): FeatureEndpoint;
+  createEndpoint?(services: NodeServices): FeatureEndpoint;
   /** Called at the start of a leader's term, before the stored state is restored. */
-  begin(term: LeaderTerm, dependencies: DependencyLinks): FeatureTerm;
+  beginTerm(term: LeaderTerm, dependencies: DependencyLinks): FeatureTerm;
 }
--- a/packages/core/src/jobs/dependency-failure-propagation.ts
+++ b/packages/core/src/jobs/dependency-failure-propagation.ts
@@ -7,7 +7,7 @@
 import { encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
 /** Number of writes per cancelled job. */
@@ -17,7 +17,7 @@
 /** Delay before a refused transaction is retried with fewer jobs. */
 const REFUSED_RETRY_US: Micros = SECOND;
 /** Delay before a transaction without a usable reply is retried. */
-const FAILED_RETRY_US: Micros = 300 * MILLI;
+const FAILED_RETRY_US: Micros = 300 * MILLISECOND;
 
 /** State of the leader that the propagation requires, and events that it reports. */
 export interface PropagationEvents {
--- a/packages/core/src/jobs/dependency-graph.ts
+++ b/packages/core/src/jobs/dependency-graph.ts
@@ -187,8 +187,8 @@
       if (dependency === undefined) continue;
       if (job.priority > dependency.priority) dependency.priority = job.priority;
       if (last === undefined || last.spec.deadlineUs === null) continue;
-      const tailAfterJob = ownDue <= inheritedDue ? 0 : (chain?.tail ?? 0);
-      const link = { last, tail: tailAfterJob + this.host.expectedDuration(job) };
+      const tailAfterJob = ownDue <= inheritedDue ? 0 : (chain?.tailDuration ?? 0);
+      const link = { last, tailDuration: tailAfterJob + this.host.expectedDuration(job) };
       const { deadlineChain } = dependency;
       if (deadlineChain === null || latestFinish(link) < latestFinish(deadlineChain))
         dependency.deadlineChain = link;
--- a/packages/core/src/jobs/dependency-outcome-resolver.ts
+++ b/packages/core/src/jobs/dependency-outcome-resolver.ts
@@ -5,7 +5,7 @@
 import { decodeEndedJob } from '../codecs/job-codec.js';
 import { endedJobKey } from '../codecs/keys.js';
 import type { StoredItem } from '../domain/key-value-store.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { JobOutcome } from './dependency-graph.js';
 
@@ -16,7 +16,7 @@
 /** Delay before a record that could not be decoded is read again. */
 const UNREADABLE_RETRY_US: Micros = 10 * SECOND;
 /** Delay before a missing record is read again. */
-const MISSING_RETRY_US: Micros = 400 * MILLI;
+const MISSING_RETRY_US: Micros = 400 * MILLISECOND;
 
 /** Reads the records of ended jobs that others depend on. */
 export class DependencyOutcomeResolver {
--- a/packages/core/src/jobs/job-completion.ts
+++ b/packages/core/src/jobs/job-completion.ts
@@ -3,7 +3,7 @@
 import { decodeEndedJob, encodeEndedJob } from '../codecs/job-codec.js';
 import { activeJobKey, endedJobKey, LEADER_KEY } from '../codecs/keys.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { JobOutcome } from './dependency-graph.js';
 
@@ -12,9 +12,9 @@
 /** Delay before a transaction that the state service refused is retried. */
 const REFUSED_RETRY_US: Micros = 5 * SECOND;
 /** Delay before a transaction without a usable reply is retried. */
-const FAILED_RETRY_US: Micros = 200 * MILLI;
+const FAILED_RETRY_US: Micros = 200 * MILLISECOND;
 /** Delay before the record of an ended job is read again, if it was missing or could not be read. */
-const CONFIRM_RETRY_US: Micros = 300 * MILLI;
+const CONFIRM_RETRY_US: Micros = 300 * MILLISECOND;
 
 /** Receives events about the end of jobs. */
 export interface CompletionEvents {
--- a/packages/core/src/leader/cluster-summary.ts
+++ b/packages/core/src/leader/cluster-summary.ts
@@ -16,7 +16,7 @@
   for (const machine of cluster.machines.values()) {
     const key = `${machine.type}/${machine.zone}${machine.spot ? '/spot' : ''}`;
     const pool = (pools[key] ??= { up: 0, booting: 0, cores: 0, gpus: 0, tasks: 0 });
-    const type = context.types.get(machine.type);
+    const type = context.machineTypes.get(machine.type);
     if (type === undefined) continue;
     if (!machine.up) {
       pool.booting++;
--- a/packages/core/src/leader/feature-registry.ts
+++ b/packages/core/src/leader/feature-registry.ts
@@ -21,7 +21,7 @@
   ) {
     this.registered = features.map((feature) => ({
       name: feature.name,
-      term: feature.begin(term, dependencies),
+      term: feature.beginTerm(term, dependencies),
     }));
   }
 
@@ -33,7 +33,7 @@
   /** Notifies every feature, in the order in which they were passed to the core. */
   notify(event: (feature: FeatureTerm) => void): void {
     for (const { name, term } of this.registered)
-      this.term.context.guard(name, () => {
+      this.term.context.runGuarded(name, () => {
         event(term);
       });
   }
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -3,12 +3,12 @@
  * lease for 40 s: its renewals arrived, so no other controller could lead, but heartbeats of its workers timed out until all
  * worker leases had expired (adresy-pomorze rough: 2,706 tasks killed). Performs no I/O; callers pass the times.
  */
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 
 /** A timer with a longer delay counts as late; for comparison, a worker waits four seconds for an answer. */
 const MAX_TIMER_DELAY: Micros = SECOND;
 /** A longer gap between answers to lease renewals counts as late. */
-const MAX_RENEWAL_GAP: Micros = 2_500 * MILLI;
+const MAX_RENEWAL_GAP: Micros = 2_500 * MILLISECOND;
 /** Late events within the window that mean overload. A single pause of the process causes only one. */
 const OVERLOAD_COUNT = 3;
 const OVERLOAD_WINDOW: Micros = 20 * SECOND;
--- a/packages/core/src/leader/maintenance-loop.ts
+++ b/packages/core/src/leader/maintenance-loop.ts
@@ -1,5 +1,5 @@
 /** Periodic work of a leader: leases, unresponsive machines, scale-in, queued commands, stored progress, resignation. */
-import { type Micros, MILLI } from '../domain/time.js';
+import { type Micros, MILLISECOND } from '../domain/time.js';
 import type { Failover } from '../leadership/failover.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
@@ -17,7 +17,7 @@
 import type { ProgressPublisher } from './progress-publisher.js';
 import type { TermRecords } from './term-records.js';
 
-const INTERVAL: Micros = 500 * MILLI;
+const INTERVAL: Micros = 500 * MILLISECOND;
 
 /** Number of rounds after which each kind of work is repeated. */
 const ROUND_INTERVALS = {
@@ -114,7 +114,7 @@
 
   /** Resigns if this node no longer learns of cancellations; returns whether it did. */
   private resignIfMissingCancellations(): boolean {
-    if (!this.term.election.missesCancellations || !this.mayResign()) return false;
+    if (!this.term.election.isCancellationDataOutdated || !this.mayResign()) return false;
     this.term.election.resign('receives no cancellations');
     return true;
   }
@@ -134,9 +134,9 @@
   private mayResign(): boolean {
     const { context, election } = this.term;
     const { now, settings } = context;
-    const { resignedAt, resignationInterval } = election;
+    const { resignedAt, minResignationInterval } = election;
     if (settings.peers.length === 0 || this.term.inFailoverGracePeriod) return false;
-    return resignedAt === null || now - resignedAt > resignationInterval;
+    return resignedAt === null || now - resignedAt > minResignationInterval;
   }
 
   /**
@@ -174,7 +174,7 @@
     const { writer, machineStore, progressStore } = this.parts;
     const { cluster, context } = this.term;
     // Pages in the previous format or over the size limit are split up while no other writes are queued.
-    if (writer.backlog < context.settings.maxTransactionOperations) {
+    if (writer.pendingCount < context.settings.maxTransactionOperations) {
       machineStore.compact();
       progressStore.compact(cluster.jobs.values());
     }
--- a/packages/core/src/leader/placement-commit.ts
+++ b/packages/core/src/leader/placement-commit.ts
@@ -1,7 +1,13 @@
 /** Carries out the steps of a plan, after validating them against the current cluster state. */
 import type { ActiveJob, Machine } from '../cluster/cluster-model.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
-import { type Amounts, fits, placeAllowed, spreadLimit, takeFrom } from '../domain/resources.js';
+import {
+  type Amounts,
+  fits,
+  isPlacementAllowed,
+  maxTasksPerZone,
+  subtractFrom,
+} from '../domain/resources.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { PlanStep } from '../scheduling/plan-input.js';
 import type { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
@@ -13,7 +19,7 @@
 export class PlacementCommit {
   constructor(
     private readonly term: LeaderTerm,
-    private readonly attempts: Pick<AttemptLifecycle, 'begin'>,
+    private readonly attempts: Pick<AttemptLifecycle, 'startTasks'>,
   ) {}
 
   /** Starts the steps that are due. The cluster may have changed between slices of the plan, so each step is validated. */
@@ -33,7 +39,7 @@
     const indices = job.nextWaiting(chosen.length);
     if (job.spec.shape === 'gang' && indices.length !== job.spec.tasks) return;
     usage.add(job.spec, indices.length);
-    this.attempts.begin(
+    this.attempts.startTasks(
       job,
       indices.map((index, position) => ({ index, machine: chosen[position]! })),
     );
@@ -47,18 +53,18 @@
     const zones = job.tasksByZone();
     const zoneAllows = (zone: string): boolean => {
       if (spec.sameZone && [...zones.keys()].some((other) => other !== zone)) return false;
-      return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < spreadLimit(spec);
+      return !spec.spreadAcrossZones || (zones.get(zone) ?? 0) < maxTasksPerZone(spec);
     };
     for (const step of steps) {
       const machine = this.term.cluster.machines.get(step.slot.machine!);
-      const type = this.term.context.types.get(step.slot.type.name);
+      const type = this.term.context.machineTypes.get(step.slot.type.name);
       if (machine === undefined || type === undefined || !machine.isUsable()) continue;
-      if (!placeAllowed(spec, machine.type, machine.zone, machine.spot)) continue;
+      if (!isPlacementAllowed(spec, machine.type, machine.zone, machine.spot)) continue;
       const room = free.get(machine) ?? machine.freeOf(type);
       free.set(machine, room);
       for (let placed = 0; placed < step.count && fits(spec, room) && zoneAllows(machine.zone); placed++) {
         zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
-        takeFrom(room, spec);
+        subtractFrom(room, spec);
         chosen.push(machine);
       }
     }
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,13 +1,13 @@
 /** A plan in progress, computed in slices so that the node can do other work between them. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { type Micros, MILLI } from '../domain/time.js';
-import type { Decision, PlacementSearch } from '../scheduling/placement-search.js';
+import { type Micros, MILLISECOND } from '../domain/time.js';
+import type { PlacementSearch,SearchResult } from '../scheduling/placement-search.js';
 import type { PlanStep } from '../scheduling/plan-input.js';
 import type { StepsByJob } from './placement-commit.js';
 import type { WaitingWork } from './waiting-groups.js';
 
 /** A slice ends with the first decision after this time, so that queued inputs wait for at most a few slices. */
-const SLICE_LENGTH: Micros = 30 * MILLI;
+const SLICE_LENGTH: Micros = 30 * MILLISECOND;
 
 /** Processor time of the phases of a plan, in microseconds. */
 export interface PlanCost {
@@ -63,7 +63,7 @@
   }
 
   /** What the search has decided so far. */
-  get decision(): Decision {
+  get decision(): SearchResult {
     return this.search.decision();
   }
 
--- a/packages/core/src/leader/planner.ts
+++ b/packages/core/src/leader/planner.ts
@@ -2,7 +2,7 @@
  * Plans where and when waiting tasks start, by a search over a snapshot of the cluster. Only the steps that start now are
  * carried out; the next plan decides everything else again.
  */
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Autoscaler } from '../machines/autoscaler.js';
@@ -19,9 +19,9 @@
 /** Pause after a plan, as a multiple of its processor time, to answer requests of users and workers. */
 const PAUSE_PER_PLAN_CPU_TIME = 6;
 /** Shortest pause between two plans, however little processor time they take. */
-const MIN_PAUSE = 80 * MILLI;
+const MIN_PAUSE = 80 * MILLISECOND;
 /** One plan covers all events that arrive within this time. */
-const BATCHING_DELAY = 15 * MILLI;
+const BATCHING_DELAY = 15 * MILLISECOND;
 /** A new leader plans only urgent work while more than this share of the recorded machines is unreconciled. */
 const MAX_UNRECONCILED_SHARE = 0.1;
 /** Shortest interval between plans while no work waits; they only size spare capacity for expected arrivals. */
@@ -31,9 +31,9 @@
 /** Longest time without a full plan while this node is late with its answers. */
 const MAX_DELAY_WHILE_LAGGING = 6 * SECOND;
 /** One plan covers all urgent jobs that arrive within this time. */
-const URGENT_BATCHING_DELAY = 20 * MILLI;
+const URGENT_BATCHING_DELAY = 20 * MILLISECOND;
 /** Pause between two slices of a plan, in which pending inputs are handled. */
-const SLICE_PAUSE = MILLI;
+const SLICE_PAUSE = MILLISECOND;
 
 /** Components that provide the input of plans and carry them out. */
 export interface PlannerParts {
@@ -122,7 +122,7 @@
       return;
     }
     this.urgentPassScheduled = false;
-    if (this.term.isRestored && this.term.canDispatch() && this.term.context.types.size > 0)
+    if (this.term.isRestored && this.term.canDispatch() && this.term.context.machineTypes.size > 0)
       this.startRun(true, null);
   }
 
@@ -145,7 +145,7 @@
 
   private runPass(): void {
     const { context } = this.term;
-    if (context.types.size === 0) return;
+    if (context.machineTypes.size === 0) return;
     if (this.currentRun !== null) {
       this.passDeferred = true;
       return;
@@ -187,7 +187,7 @@
   private startRun(urgentOnly: boolean, onFinished: OnFinished | null): void {
     const { context } = this.term;
     const { snapshotBuilder, autoscaler } = this.parts;
-    const clock = new PlanClock(context.stopwatch);
+    const clock = new PlanClock(context.processorTime);
     this.refreshDeadlineChains();
     const waiting = this.waitingGroups.collect(urgentOnly);
     const groupsUs = clock.elapsed();
--- a/packages/core/src/leader/state-restoration.ts
+++ b/packages/core/src/leader/state-restoration.ts
@@ -4,9 +4,9 @@
 import { decodeActiveJob } from '../codecs/job-codec.js';
 import {
   ACTIVE_JOBS_PREFIX,
-  FORMER_MACHINES_PREFIX,
   jobIdOfActiveKey,
   LARGE_PROGRESS_PREFIX,
+  LEGACY_MACHINES_PREFIX,
   MACHINE_PAGES_PREFIX,
   PROGRESS_PAGES_PREFIX,
 } from '../codecs/keys.js';
@@ -88,7 +88,7 @@
     const knownMachines = this.term.cluster.machines;
     for (const [name, record] of machineStore.load(
       itemsUnder(MACHINE_PAGES_PREFIX),
-      itemsUnder(FORMER_MACHINES_PREFIX),
+      itemsUnder(LEGACY_MACHINES_PREFIX),
     )) {
       const machine = knownMachines.get(name) ?? machines.add(name, record);
       machine.recorded = 'yes';
@@ -98,7 +98,7 @@
       machine.awaitingReconciliation = true;
       if (record.retiring) machines.retire(machine, 'was retiring');
     }
-    machineStore.adopt(itemsUnder(FORMER_MACHINES_PREFIX), (name) => knownMachines.get(name));
+    machineStore.migrateLegacyRecords(itemsUnder(LEGACY_MACHINES_PREFIX), (name) => knownMachines.get(name));
   }
 
   private restoreJobs(itemsUnder: ItemsUnder): void {
@@ -111,7 +111,7 @@
       itemsUnder(PROGRESS_PAGES_PREFIX),
       itemsUnder(LARGE_PROGRESS_PREFIX),
       jobs.values(),
-      machineStore.isComplete,
+      machineStore.areAllRecordsReadable,
     );
   }
 
@@ -126,12 +126,12 @@
   }
 
   /** Adds a job that was accepted in this term. */
-  jobPut(id: string, value: unknown, version: number): void {
+  jobRecordPut(id: string, value: unknown, version: number): void {
     this.add(id, value, version, true);
   }
 
   /** Ends a job whose active record was deleted, because the job was cancelled or has ended. */
-  jobDeleted(id: string, version: number): void {
+  jobRecordDeleted(id: string, version: number): void {
     const job = this.term.cluster.jobs.get(id);
     if (job?.phase === 'active' && job.version < version) this.parts.completion.recordEnd(job, null);
   }
--- a/packages/core/src/leader/term-composition.ts
+++ b/packages/core/src/leader/term-composition.ts
@@ -24,7 +24,7 @@
 import { SnapshotBuilder } from '../scheduling/snapshot-builder.js';
 import { FencedWriter } from '../storage/fenced-writer.js';
 import { MachineStore } from '../storage/machine-store.js';
-import { pageRoom } from '../storage/packed-pages.js';
+import { pageCapacity } from '../storage/packed-pages.js';
 import { ProgressStore } from '../storage/progress-store.js';
 import { AttemptLifecycle } from '../tasks/attempt-lifecycle.js';
 import { HeartbeatHandler } from '../tasks/heartbeat-handler.js';
@@ -143,7 +143,7 @@
   }
 
   private createMachineStore(): MachineStore {
-    const room = pageRoom(this.context.settings.maxValueBytes);
+    const room = pageCapacity(this.context.settings.maxValueBytes);
     return new MachineStore(this.writer, room, this.findMachine, (key) => {
       this.context.error('machine.record_unreadable', { key });
     });
--- a/packages/core/src/leader/waiting-groups.ts
+++ b/packages/core/src/leader/waiting-groups.ts
@@ -1,8 +1,8 @@
 /** Groups waiting work into identical tasks of one job, in the order in which a plan considers them. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
-import { STAGE_HANDOVER } from '../cluster/cluster-state.js';
+import { STAGE_HANDOVER_TIME } from '../cluster/cluster-state.js';
 import type { QuotaUsage } from '../cluster/fair-share.js';
-import { GANG_PROGRESS } from '../cluster/task-attempt.js';
+import { GANG_PROGRESS_KEY } from '../cluster/task-attempt.js';
 import type { Team } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
 import type { DependencyGraph } from '../jobs/dependency-graph.js';
@@ -55,7 +55,7 @@
     const jobs = new Map<TaskGroup, ActiveJob>();
     const groups: TaskGroup[] = [];
     const overflowJobs: ActiveJob[] = [];
-    const order = this.parts.queueOrder.inOrder();
+    const order = this.parts.queueOrder.startableJobs();
     const lowestPriority = order.reduce((least, { priority }) => Math.min(least, priority), 3);
     // Work with and without GPUs is limited separately, so that many waiting gangs don't keep arrays out of the plan.
     const groupCounts = [0, 0];
@@ -127,15 +127,16 @@
       spec,
       count,
       zones: job.tasksByZone(),
-      avoid: new Set(job.failuresByMachine.keys()),
-      checkpointedProgress: job.checkpointedProgress.get(GANG_PROGRESS) ?? 0,
+      avoidedMachines: new Set(job.failuresByMachine.keys()),
+      checkpointedProgress: job.checkpointedProgress.get(GANG_PROGRESS_KEY) ?? 0,
       scaleOutThreshold: cluster.scaleOutThreshold(job),
       allowedDelay: cluster.allowedDelay(job),
-      reserve: spec.priority > lowestPriority || hasReservation || this.parts.queueOrder.hasTurn(job),
+      reservesCapacity:
+        spec.priority > lowestPriority || hasReservation || this.parts.queueOrder.hasTurn(job),
       allowedMachines: hasReservation ? job.reservedMachines : null,
       hypothetical: false,
       runTimes: new Map(),
-      costPenalties: new Map(),
+      relativePrices: new Map(),
     };
   }
 
@@ -146,12 +147,12 @@
     if (dependencies.blockedCount === 0) return [];
     const { now } = context;
     let longestBoot = 0;
-    for (const type of context.types.values()) longestBoot = Math.max(longestBoot, type.bootUs);
+    for (const type of context.machineTypes.values()) longestBoot = Math.max(longestBoot, type.bootUs);
     const predictedEnd = (job: ActiveJob): Micros => {
       let remaining = job.waitingCount > 0 ? cluster.expectedDuration(job) : 0;
       for (const attempt of job.liveAttempts.values())
         remaining = Math.max(remaining, cluster.remainingRunTime(attempt));
-      return now + remaining + STAGE_HANDOVER;
+      return now + remaining + STAGE_HANDOVER_TIME;
     };
     const upcoming = upcomingStages(
       cluster.jobs.values(),
@@ -160,7 +161,7 @@
       predictedEnd,
       now + longestBoot,
     );
-    return upcoming.map(({ job, ready }) => ({
+    return upcoming.map(({ job, readyAt }) => ({
       spec: {
         ...job.spec,
         shape: 'array',
@@ -170,16 +171,16 @@
       },
       count: Math.min(job.spec.tasks, MAX_COMPARED_TASKS),
       zones: new Map(),
-      avoid: new Set(),
+      avoidedMachines: new Set(),
       checkpointedProgress: 0,
       scaleOutThreshold: cluster.scaleOutThreshold(job),
       allowedDelay: cluster.allowedDelay(job),
       allowedMachines: null,
-      reserve: false,
+      reservesCapacity: false,
       hypothetical: true,
-      notBefore: ready,
+      notBefore: readyAt,
       runTimes: new Map(),
-      costPenalties: new Map(),
+      relativePrices: new Map(),
     }));
   }
 }
--- a/packages/core/src/leadership/cancellation-freshness.ts
+++ b/packages/core/src/leadership/cancellation-freshness.ts
@@ -17,7 +17,7 @@
 /**
  * Safety factor for clock drift: monotonic clocks drift apart by up to 0.05%, and leases are shortened by twice that.
  */
-export const CLOCK_DRIFT = 0.001;
+export const CLOCK_DRIFT_MARGIN = 0.001;
 
 /** Time that a worker needs to stop its tasks after its lease has expired. */
 const TASK_STOP_MARGIN_US: Micros = SECOND;
@@ -38,9 +38,9 @@
  * for the worst case of clock drift. Can be too short to operate with, or negative.
  */
 export const maxCancellationAge = (settings: CancellationSettings): Micros => {
-  const longestLease = settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT);
+  const longestLease = settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT_MARGIN);
   const remaining = settings.cancellationDeadlineUs - longestLease - TASK_STOP_MARGIN_US;
-  return Math.floor(remaining * (1 - CLOCK_DRIFT));
+  return Math.floor(remaining * (1 - CLOCK_DRIFT_MARGIN));
 };
 
 /** Tracks up to which time a leader knows all confirmed cancellations. */
--- a/packages/core/src/leadership/failover.ts
+++ b/packages/core/src/leadership/failover.ts
@@ -1,16 +1,16 @@
 /** Restores the state stored by earlier leaders when a term begins, then watches the job records for changes. */
 import {
   ACTIVE_JOBS_PREFIX,
-  FORMER_MACHINES_PREFIX,
   jobIdOfActiveKey,
   LARGE_PROGRESS_PREFIX,
+  LEGACY_MACHINES_PREFIX,
   MACHINE_PAGES_PREFIX,
   PROGRESS_PAGES_PREFIX,
   RUNTIME_SUMMARY_KEY,
 } from '../codecs/keys.js';
 import type { StoredItem, StoreEvent, StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import { MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { CancellationFreshness } from './cancellation-freshness.js';
 import { listAllItems, type ListingTerm } from './paged-list.js';
@@ -21,7 +21,7 @@
   PROGRESS_PAGES_PREFIX,
   MACHINE_PAGES_PREFIX,
   LARGE_PROGRESS_PREFIX,
-  FORMER_MACHINES_PREFIX,
+  LEGACY_MACHINES_PREFIX,
 ] as const;
 
 /** Upper bound of the time that a watch request waits for a change. */
@@ -33,7 +33,7 @@
  * nothing until it is answered.
  */
 const WATCH_FRACTION_OF_MAX_AGE = 0.25;
-const WATCH_RETRY_DELAY_US: Micros = 200 * MILLI;
+const WATCH_RETRY_DELAY_US: Micros = 200 * MILLISECOND;
 /** Pause between requests for changes that do not wait, while the watch is late. */
 const PROBE_INTERVAL_US: Micros = SECOND;
 
@@ -51,9 +51,9 @@
   /** All records are read: `read` returns the items under a prefix, `timings` is the stored runtime summary, if any. */
   restore(read: (prefix: string) => readonly StoredItem[], timings: StoredItem | null): void;
   /** A job's record was created or changed, as found by a watch or a list. */
-  jobPut(id: string, value: unknown, version: number): void;
+  jobRecordPut(id: string, value: unknown, version: number): void;
   /** A job's record was deleted by a change with this version. */
-  jobDeleted(id: string, version: number): void;
+  jobRecordDeleted(id: string, version: number): void;
   /** `ids` are all jobs that existed at this revision; any other job was deleted. */
   jobsListed(ids: ReadonlySet<string>, revision: number): void;
 }
@@ -127,7 +127,7 @@
   }
 
   private get watchMs(): number {
-    const fraction = Math.floor((this.freshness.maxAgeUs * WATCH_FRACTION_OF_MAX_AGE) / MILLI);
+    const fraction = Math.floor((this.freshness.maxAgeUs * WATCH_FRACTION_OF_MAX_AGE) / MILLISECOND);
     return Math.min(MAX_WATCH_MS, Math.max(MIN_WATCH_MS, fraction));
   }
 
@@ -181,7 +181,7 @@
       const present = new Set(items.map((item) => jobIdOfActiveKey(item.key)));
       for (const item of items)
         if (item.version > this.appliedRevision)
-          this.events.jobPut(jobIdOfActiveKey(item.key), item.value, item.version);
+          this.events.jobRecordPut(jobIdOfActiveKey(item.key), item.value, item.version);
       this.events.jobsListed(present, revision);
       this.appliedRevision = Math.max(this.appliedRevision, revision);
       this.freshness.confirmUpTo(requestedAt);
@@ -191,7 +191,7 @@
 
   private applyJobEvent(event: StoreEvent): void {
     const id = jobIdOfActiveKey(event.key);
-    if (event.kind === 'put') this.events.jobPut(id, event.value, event.version);
-    else this.events.jobDeleted(id, event.version);
+    if (event.kind === 'put') this.events.jobRecordPut(id, event.value, event.version);
+    else this.events.jobRecordDeleted(id, event.version);
   }
 }
--- a/packages/core/src/leadership/held-lease.ts
+++ b/packages/core/src/leadership/held-lease.ts
@@ -4,15 +4,15 @@
  * a margin for clock drift.
  */
 import type { Micros } from '../domain/time.js';
-import { MILLI } from '../domain/time.js';
+import { MILLISECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
-import { CLOCK_DRIFT } from './cancellation-freshness.js';
+import { CLOCK_DRIFT_MARGIN } from './cancellation-freshness.js';
 import type { LeaderLease } from './leader-lease.js';
 
 /** Number of renewals within the duration of one lease. */
 const RENEWALS_PER_LEASE = 5;
 /** Fixed margin by which the validity is shortened, in addition to the one for clock drift. */
-const EXPIRY_MARGIN_US: Micros = 20 * MILLI;
+const EXPIRY_MARGIN_US: Micros = 20 * MILLISECOND;
 
 /** Receives the outcomes of renewals. */
 export interface HeldLeaseEvents {
@@ -65,7 +65,7 @@
     const leaseUs = this.context.settings.tuning.leaderLeaseUs;
     this.validUntil = Math.max(
       this.validUntil,
-      requestedAt + Math.floor(leaseUs * (1 - CLOCK_DRIFT)) - EXPIRY_MARGIN_US,
+      requestedAt + Math.floor(leaseUs * (1 - CLOCK_DRIFT_MARGIN)) - EXPIRY_MARGIN_US,
     );
   }
 
--- a/packages/core/src/leadership/leader-election.ts
+++ b/packages/core/src/leadership/leader-election.ts
@@ -2,7 +2,7 @@
  * Leader election with a key in the key-value store: a node watches the leader's key, acquires it when it is vacant, and
  * renews its lease while leading. There is at most one leader at a time, and term numbers increase.
  */
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { HeldLease } from './held-lease.js';
 import { KnownLeader } from './known-leader.js';
@@ -14,7 +14,7 @@
 export type { LeaderLease } from './leader-lease.js';
 
 /** Interval at which a node that has resigned checks for a new leader during its hold-off. */
-const HOLD_OFF_CHECK_INTERVAL_US: Micros = 500 * MILLI;
+const HOLD_OFF_CHECK_INTERVAL_US: Micros = 500 * MILLISECOND;
 /** Time for which a node does not try to become leader again after resigning. */
 const RESIGNATION_HOLD_OFF_US: Micros = 20 * SECOND;
 /** Minimum number of worker lease durations between two resignations of a process. */
@@ -66,12 +66,12 @@
   /**
    * Whether this node holds a valid lease, but watches and lists have failed for too long to learn of cancellations.
    */
-  get missesCancellations(): boolean {
+  get isCancellationDataOutdated(): boolean {
     return this.heldLease?.isCancellationDataOutdated() === true;
   }
 
   /** Minimum time between two resignations of a process. */
-  get resignationInterval(): Micros {
+  get minResignationInterval(): Micros {
     return LEASES_BETWEEN_RESIGNATIONS * this.context.settings.workerLeaseUs;
   }
 
--- a/packages/core/src/leadership/leader-key-watch.ts
+++ b/packages/core/src/leadership/leader-key-watch.ts
@@ -3,14 +3,14 @@
 import { decodeLeader } from '../codecs/leadership-codec.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
-import { MILLI } from '../domain/time.js';
+import { MILLISECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { KnownLeader } from './known-leader.js';
 
 /** Wait of a watch request as a fraction of the lease duration, so that a lost connection is noticed soon. */
 const WATCH_FRACTION_OF_LEASE = 0.5;
-const READ_RETRY_DELAY_US: Micros = 300 * MILLI;
-const WATCH_RETRY_DELAY_US: Micros = 500 * MILLI;
+const READ_RETRY_DELAY_US: Micros = 300 * MILLISECOND;
+const WATCH_RETRY_DELAY_US: Micros = 500 * MILLISECOND;
 
 /** The election as the watch depends on it. */
 export interface LeaderKeyWatchEvents {
@@ -74,7 +74,7 @@
   private watch(after: number): void {
     const watchedLeader = this.knownLeader.last;
     const { leaderLeaseUs } = this.context.settings.tuning;
-    const waitMs = Math.floor((leaderLeaseUs * WATCH_FRACTION_OF_LEASE) / MILLI);
+    const waitMs = Math.floor((leaderLeaseUs * WATCH_FRACTION_OF_LEASE) / MILLISECOND);
     this.context.requestStore({ kind: 'watch', prefix: LEADER_KEY, after, waitMs }, 0, (reply) => {
       if (reply.kind !== 'events') {
         this.resumeAfter(reply.kind === 'tooOld' ? 0 : WATCH_RETRY_DELAY_US);
--- a/packages/core/src/leadership/lease-acquisition.ts
+++ b/packages/core/src/leadership/lease-acquisition.ts
@@ -6,13 +6,13 @@
 import { decodeTerm, encodeLeader, encodeTerm, type TermRecord } from '../codecs/leadership-codec.js';
 import type { StoreOperation, StoreReply } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import { MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { CancellationFreshness } from './cancellation-freshness.js';
 import type { LeaderLease } from './leader-lease.js';
 
 /** Delay before a new attempt after a failed request. */
-const RETRY_DELAY_US: Micros = 300 * MILLI;
+const RETRY_DELAY_US: Micros = 300 * MILLISECOND;
 /** Delay before a new attempt after a term record that could not be decoded. */
 const UNREADABLE_TERM_RETRY_DELAY_US: Micros = SECOND;
 
@@ -51,7 +51,7 @@
   start(): void {
     this.active = true;
     const requestedAt = this.context.now;
-    const ttlMs = Math.floor(this.context.settings.tuning.leaderLeaseUs / MILLI);
+    const ttlMs = Math.floor(this.context.settings.tuning.leaderLeaseUs / MILLISECOND);
     this.context.requestStore({ kind: 'grant', ttlMs }, 0, (reply) => {
       if (reply.kind === 'granted') this.readTerm({ id: reply.lease, requestedAt });
       else this.fail(RETRY_DELAY_US);
--- a/packages/core/src/leadership/paged-list.ts
+++ b/packages/core/src/leadership/paged-list.ts
@@ -1,13 +1,13 @@
 /** Reads all items under a prefix of the key-value store, page by page. */
 import type { StoredItem, StoreOperation } from '../domain/key-value-store.js';
 import type { Micros } from '../domain/time.js';
-import { MILLI } from '../domain/time.js';
+import { MILLISECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 
 /** Maximum number of items per request. */
 const PAGE_ITEM_LIMIT = 500;
 /** Delay before a page is requested again after a failure. */
-const RETRY_DELAY_US: Micros = 300 * MILLI;
+const RETRY_DELAY_US: Micros = 300 * MILLISECOND;
 
 /** The part of the leader's term that listing depends on. */
 export interface ListingTerm {
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -4,7 +4,7 @@
 import type { MachineType } from '../domain/machine.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
-import type { Decision } from '../scheduling/placement-search.js';
+import type { SearchResult } from '../scheduling/placement-search.js';
 import type { CapacityOffer, TaskGroup } from '../scheduling/plan-input.js';
 import type { AutoscalerHost } from './autoscaler-host.js';
 import { CapacityOffers } from './capacity-offers.js';
@@ -57,7 +57,7 @@
       if (!this.host.isActive()) return;
       this.context.requestCloud({ kind: 'types' }, TYPES_URGENCY, (reply) => {
         if (reply.kind === 'types' && reply.types.length > 0)
-          this.context.types = new Map(reply.types.map((type) => [type.name, type]));
+          this.context.machineTypes = new Map(reply.types.map((type) => [type.name, type]));
       });
       this.refreshTypes();
     });
@@ -98,7 +98,7 @@
   }
 
   /** Provisions the machines that a plan uses but that don't exist yet. */
-  scaleOutFor(decision: Decision): void {
+  scaleOutFor(decision: SearchResult): void {
     // Existing machines are listed and recorded as pre-provisioned first, since those are never scaled in.
     if (this.inventory.awaitsFirstList) return;
     const { preprovisioned } = this.host;
@@ -122,7 +122,7 @@
     const maxIdle = settings.tuning.idleScaleInUs * idleFactor;
     for (const machine of this.host.machines()) {
       if (machine.retirementReason !== null) continue;
-      const type = this.context.types.get(machine.type);
+      const type = this.context.machineTypes.get(machine.type);
       if (type === undefined) continue;
       if (this.failedToBoot(machine, type)) this.host.retire(machine, 'never came up');
       else if (canScaleIn(machine) && !needed.has(machine.name) && now - machine.idleSince > maxIdle)
--- a/packages/core/src/machines/capacity-offers.ts
+++ b/packages/core/src/machines/capacity-offers.ts
@@ -35,7 +35,7 @@
   /** All kinds of capacity that may be requested now. */
   available(): CapacityOffer[] {
     const offers: CapacityOffer[] = [];
-    for (const type of this.context.types.values())
+    for (const type of this.context.machineTypes.values())
       for (const zone of type.zones)
         for (const spot of [false, true]) {
           const state = this.states.get(offerKey(type.name, zone, spot));
--- a/packages/core/src/machines/demand-forecast.ts
+++ b/packages/core/src/machines/demand-forecast.ts
@@ -1,7 +1,7 @@
 /** Demand forecast: sizes the spare capacity for future jobs from the arrivals of the last minutes. */
 import { allowedWait, mustStartAtOnce } from '../cluster/objectives.js';
 import type { JobSpec } from '../domain/job.js';
-import { typeAllowed } from '../domain/resources.js';
+import { isMachineTypeAllowed } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { TaskGroup } from '../scheduling/plan-input.js';
@@ -101,8 +101,8 @@
 
   private shortestBoot(spec: JobSpec): Micros | null {
     let shortest: Micros | null = null;
-    for (const type of this.context.types.values())
-      if (typeAllowed(spec, type))
+    for (const type of this.context.machineTypes.values())
+      if (isMachineTypeAllowed(spec, type))
         shortest = shortest === null ? type.bootUs : Math.min(shortest, type.bootUs);
     return shortest;
   }
@@ -146,15 +146,15 @@
       spec,
       count,
       zones: new Map(),
-      avoid: new Set(),
+      avoidedMachines: new Set(),
       checkpointedProgress: 0,
       scaleOutThreshold: this.isCostSensitive() ? HYPOTHETICAL_DELAY : 0,
       allowedDelay: HYPOTHETICAL_DELAY,
       allowedMachines: null,
-      reserve: false,
+      reservesCapacity: false,
       hypothetical: true,
       runTimes: new Map(),
-      costPenalties: new Map(),
+      relativePrices: new Map(),
     };
   }
 }
--- a/packages/core/src/machines/machine-failure-detector.ts
+++ b/packages/core/src/machines/machine-failure-detector.ts
@@ -1,12 +1,12 @@
 /** Failure detection for machines: expired worker leases, unresponsive machines, and network partitions. */
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
-import { type Micros, MILLI } from '../domain/time.js';
-import { CLOCK_DRIFT } from '../leadership/cancellation-freshness.js';
+import { type Micros, MILLISECOND } from '../domain/time.js';
+import { CLOCK_DRIFT_MARGIN } from '../leadership/cancellation-freshness.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineLifecycle } from './machine-lifecycle.js';
 
 /** Margin beyond a worker's lease and clock drift before its tasks are assumed to have stopped. */
-const LEASE_MARGIN: Micros = 300 * MILLI;
+const LEASE_MARGIN: Micros = 300 * MILLISECOND;
 /** Heartbeat intervals until a machine is suspected; allows for two late or lost heartbeats. */
 const SUSPICION_INTERVALS = 2.5;
 /** Heartbeat intervals after which a machine is overdue. */
@@ -62,7 +62,7 @@
   /** Ends the attempts of workers whose lease has expired, clock drift included: they have stopped their tasks. */
   expireLeases(): void {
     const { context, cluster } = this.term;
-    const leaseUs = Math.ceil(context.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT)) + LEASE_MARGIN;
+    const leaseUs = Math.ceil(context.settings.workerLeaseUs * (1 + 2 * CLOCK_DRIFT_MARGIN)) + LEASE_MARGIN;
     for (const machine of cluster.machines.values()) {
       if (context.now <= machine.leaseRenewedAt + leaseUs || !isExpected(machine)) continue;
       context.info('machine.lease_expired', { machine: machine.name, tasks: machine.attempts.size });
@@ -126,7 +126,7 @@
       expected++;
       if (heartbeatAgeUs > suspicionUs * NEAR_SUSPICION_SHARE) nearlySuspected++;
     }
-    return { zones, expected, nearlySuspected: nearlySuspected };
+    return { zones, expected, nearlySuspected };
   }
 
   /**
@@ -134,10 +134,10 @@
    * resign again: if all machines failed at once, no node receives heartbeats, and leaders would keep replacing each other
    * without any of them leading until the machines' leases expire.
    */
-  private shouldResign({ expected, nearlySuspected: nearlySuspected }: OverdueSurvey): boolean {
+  private shouldResign({ expected, nearlySuspected }: OverdueSurvey): boolean {
     const { context, election } = this.term;
-    const { resignedAt, resignationInterval } = election;
-    const resignedLately = resignedAt !== null && context.now - resignedAt < resignationInterval;
+    const { resignedAt, minResignationInterval } = election;
+    const resignedLately = resignedAt !== null && context.now - resignedAt < minResignationInterval;
     return (
       expected >= MIN_MACHINES_TO_RESIGN &&
       nearlySuspected === expected &&
--- a/packages/core/src/machines/machine-lifecycle.ts
+++ b/packages/core/src/machines/machine-lifecycle.ts
@@ -2,14 +2,14 @@
 import { Machine, type TaskAttempt } from '../cluster/cluster-model.js';
 import type { Heartbeat } from '../domain/heartbeat.js';
 import type { ListedMachine } from '../domain/machine.js';
-import { type Micros, MILLI } from '../domain/time.js';
+import { type Micros, MILLISECOND } from '../domain/time.js';
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { MachineStore } from '../storage/machine-store.js';
 
 /** Maximum number of removed machines whose names are kept, to recognize delayed lists and heartbeats. */
 const MAX_REMOVED_NAMES = 2_000;
 /** How often a machine that retires once it is empty is checked. */
-const RETIREMENT_CHECK_INTERVAL: Micros = 500 * MILLI;
+const RETIREMENT_CHECK_INTERVAL: Micros = 500 * MILLISECOND;
 
 /** Actions that the lifecycle of machines requests from other components, and events that it reports. */
 export interface MachineEvents {
@@ -74,7 +74,7 @@
    * lease expired that the machine existed and ran tasks that were running elsewhere by then.
    */
   private isStale(heartbeat: Heartbeat): boolean {
-    if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;
+    if (heartbeat.tasks.length === 0 || !this.store.areAllRecordsReadable) return false;
     this.term.context.info('heartbeat.stale', {
       machine: heartbeat.machine,
       session: heartbeat.agentEpoch,
--- a/packages/core/src/membership/peer-failure-detector.ts
+++ b/packages/core/src/membership/peer-failure-detector.ts
@@ -153,7 +153,7 @@
    * Suspects the peers that have been silent for too long, given the variation of their intervals, and returns them.
    * `timerDelayUs`: how late this node's own timers fire. A node that is delayed or was frozen suspects others later.
    */
-  suspectSilentPeers(timerDelayUs: Micros): PeerChange[] {
+  suspectOverduePeers(timerDelayUs: Micros): PeerChange[] {
     const now = this.now();
     const changes: PeerChange[] = [];
     for (const peer of this.peers.values()) {
--- a/packages/core/src/membership/peer-heartbeats.ts
+++ b/packages/core/src/membership/peer-heartbeats.ts
@@ -2,7 +2,7 @@
 import type { PeerHeartbeat, PeerStatus } from '../domain/peer.js';
 import type { MembershipSettings } from '../domain/settings.js';
 import type { Micros } from '../domain/time.js';
-import { MILLI, SECOND } from '../domain/time.js';
+import { MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { type PeerChange, PeerFailureDetector } from './peer-failure-detector.js';
 
@@ -10,7 +10,7 @@
  * An answer to a peer proves that the state service is up only if it is at least this much later than the loss of this
  * node's connection.
  */
-const MIN_ANSWER_DELAY_AFTER_LOSS_US: Micros = 500 * MILLI;
+const MIN_ANSWER_DELAY_AFTER_LOSS_US: Micros = 500 * MILLISECOND;
 /** A successful answer to a peer that is older than this says nothing about the current state. */
 const MAX_ANSWER_AGE_US: Micros = 5 * SECOND;
 /** Number of heartbeat intervals without a heartbeat after which a worker counts as not reaching this node. */
@@ -53,7 +53,7 @@
 
   /** Starts to send heartbeats. `wallUs`: wall-clock time, from which the incarnation number is derived. */
   start(wallUs: Micros): void {
-    this.incarnation = Math.max(1, Math.floor(wallUs / MILLI));
+    this.incarnation = Math.max(1, Math.floor(wallUs / MILLISECOND));
     this.startedAt = this.context.now;
     this.dueAt = this.context.now;
     this.runHeartbeatCycle();
@@ -110,7 +110,7 @@
     const { heartbeatIntervalUs } = this.settings;
     // A delay is halved each time rather than dropped: heartbeats of peers may still be waiting to be processed.
     this.timerDelayUs = Math.max(context.now - this.dueAt, Math.floor(this.timerDelayUs / 2));
-    for (const change of this.failureDetector.suspectSilentPeers(this.timerDelayUs)) this.logChange(change);
+    for (const change of this.failureDetector.suspectOverduePeers(this.timerDelayUs)) this.logChange(change);
     this.expireWorkerContacts();
     const message = this.failureDetector.composeHeartbeat(this.ownStatus());
     for (const { member } of context.settings.peers) context.emit({ kind: 'peerMessage', member, message });
--- a/packages/core/src/node/machine-type-loader.ts
+++ b/packages/core/src/node/machine-type-loader.ts
@@ -2,11 +2,11 @@
 import { MACHINE_TYPES_KEY } from '../codecs/keys.js';
 import { decodeMachineTypes } from '../codecs/machine-type-codec.js';
 import type { MachineType } from '../domain/machine.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from './node-context.js';
 
 /** First retry delay, and the amount by which it grows with each attempt. */
-const RETRY_DELAY_STEP_US: Micros = 400 * MILLI;
+const RETRY_DELAY_STEP_US: Micros = 400 * MILLISECOND;
 const MAX_RETRY_DELAY_US: Micros = 2 * SECOND;
 
 /** Loads the machine types, with retries until they are known. */
@@ -28,7 +28,7 @@
   }
 
   private loadFromStore(failedAttempts: number): void {
-    if (this.context.types.size > 0) return;
+    if (this.context.machineTypes.size > 0) return;
     this.context.requestStore({ kind: 'get', key: MACHINE_TYPES_KEY }, 1, (reply) => {
       const types = reply.kind === 'item' ? decodeMachineTypes(reply.item.value) : null;
       if (types !== null && types.length > 0) {
@@ -54,14 +54,14 @@
   }
 
   private applyTypes(types: readonly MachineType[]): void {
-    this.context.types = new Map(types.map((type) => [type.name, type]));
+    this.context.machineTypes = new Map(types.map((type) => [type.name, type]));
     this.context.info('machine_types.loaded', { types: types.map((type) => type.name) });
     this.onLoaded();
   }
 
   /** Stores the types if they are known but not stored yet. Also called when this node becomes leader. */
   storeIfMissing(): void {
-    if (this.stored || this.context.types.size === 0) return;
-    this.stored = this.save([...this.context.types.values()]);
+    if (this.stored || this.context.machineTypes.size === 0) return;
+    this.stored = this.save([...this.context.machineTypes.values()]);
   }
 }
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -10,13 +10,13 @@
 import type { LogEvent } from '../domain/log-events.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Settings } from '../domain/settings.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import { Invariants } from './invariants.js';
 import { StoreConnection } from './store-connection.js';
 import { TimerQueue } from './timer-queue.js';
 
 /** Delay between probes of the store while it does not answer. */
-const PROBE_INTERVAL_US: Micros = 300 * MILLI;
+const PROBE_INTERVAL_US: Micros = 300 * MILLISECOND;
 
 interface PendingStoreCall {
   readonly sentAt: Micros;
@@ -30,7 +30,7 @@
   /** Wall-clock time minus monotonic time, from the newest input that carried both. */
   wallOffset: Micros = 0;
   /** Machine types by name; empty until loaded. */
-  types: ReadonlyMap<string, MachineType> = new Map();
+  machineTypes: ReadonlyMap<string, MachineType> = new Map();
   /** Effects of the current step, in order of emission. */
   effects: CoreEffect[] = [];
   /** Tracks whether the store answers this node. */
@@ -55,7 +55,7 @@
     /** Settings of this controller. */
     readonly settings: Settings,
     /** Processor time. Only used to limit the time spent on a search; no other decision depends on it. */
-    readonly stopwatch: () => Micros,
+    readonly processorTime: () => Micros,
     /** Whether debug events, which record individual decisions, are logged. */
     readonly verbose = true,
   ) {}
@@ -90,7 +90,7 @@
   }
 
   /** Runs a callback, and logs an exception thrown by it so that it stops neither other components nor the node. */
-  guard(operation: string, run: () => void): void {
+  runGuarded(operation: string, run: () => void): void {
     try {
       run();
     } catch (error) {
@@ -201,7 +201,7 @@
 
   /** Runs all due timers, ordered by due time. */
   runDueTimers(): void {
-    for (const run of this.timers.takeDue(this.now)) this.guard('timer', run);
+    for (const run of this.timers.takeDue(this.now)) this.runGuarded('timer', run);
   }
 
   /** Due time of the next timer; null if none is set. */
@@ -221,7 +221,7 @@
     while (this.endOfStepCallbacks.length > 0) {
       const due = this.endOfStepCallbacks;
       this.endOfStepCallbacks = [];
-      for (const run of due) this.guard('end of step', run);
+      for (const run of due) this.runGuarded('end of step', run);
     }
   }
 }
--- a/packages/core/src/scheduling/backfill.ts
+++ b/packages/core/src/scheduling/backfill.ts
@@ -103,7 +103,7 @@
       if (isUnconstrained(group) && !group.spec.sameZone)
         unplaceable.set(kind, Math.min(simultaneousTasks, limit));
       // Keep lower priorities off the pools that the group has a prior claim to.
-      if (group.reserve) reservePools(simulation, group);
+      if (group.reservesCapacity) reservePools(simulation, group);
     }
     const remaining = group.count - totalCount(steps);
     if (remaining > 0 && budget.hasTimeForScaleOut() && simulation.options.canScaleOut(group))
--- a/packages/core/src/scheduling/defragmentation.ts
+++ b/packages/core/src/scheduling/defragmentation.ts
@@ -2,7 +2,7 @@
 import type { Machine, TaskAttempt } from '../cluster/cluster-model.js';
 import type { ClusterState } from '../cluster/cluster-state.js';
 import type { MachineType } from '../domain/machine.js';
-import { type Amounts, fits, placeAllowed, takeFrom } from '../domain/resources.js';
+import { type Amounts, fits, isPlacementAllowed, subtractFrom } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { isRunningWithCheckpoints, MIN_RUN_BEFORE_STOP } from './preemption-candidates.js';
@@ -64,7 +64,7 @@
   private leastUsedMovableMachine(): Machine | null {
     let best: { machine: Machine; share: number } | null = null;
     for (const machine of this.cluster.machines.values()) {
-      const type = this.context.types.get(machine.type);
+      const type = this.context.machineTypes.get(machine.type);
       if (type === undefined || machine.preprovisioned) continue;
       if (!machine.isUsable() || machine.attempts.size === 0) continue;
       const share = usedShare(machine, type);
@@ -92,10 +92,10 @@
       const { spec } = job;
       const target = targets.find(
         ({ machine, free }) =>
-          placeAllowed(spec, machine.type, machine.zone, machine.spot) && fits(spec, free),
+          isPlacementAllowed(spec, machine.type, machine.zone, machine.spot) && fits(spec, free),
       );
       if (target === undefined) return false;
-      takeFrom(target.free, spec);
+      subtractFrom(target.free, spec);
     }
     return true;
   }
@@ -103,7 +103,7 @@
   private targetsFor(source: Machine): MoveTarget[] {
     const targets: MoveTarget[] = [];
     for (const machine of this.cluster.machines.values()) {
-      const type = this.context.types.get(machine.type);
+      const type = this.context.machineTypes.get(machine.type);
       if (machine === source || type === undefined) continue;
       if (!machine.isUsable() || machine.attempts.size < source.attempts.size) continue;
       targets.push({ machine, free: machine.freeOf(type) });
--- a/packages/core/src/scheduling/free-capacity.ts
+++ b/packages/core/src/scheduling/free-capacity.ts
@@ -1,7 +1,7 @@
 /** Free capacity at the current time of a simulation, and its reservation for groups. */
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import { UNBOUNDED_RUN_TIME } from '../cluster/runtime-estimates.js';
-import { addTo, type Amounts, timesFits } from '../domain/resources.js';
+import { addTo, type Amounts, countFits } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { type MachinePool, poolAccepts, poolMatches } from './machine-pool.js';
 import type { PlacementSimulation } from './placement-simulation.js';
@@ -36,7 +36,7 @@
     if (count >= limit) break;
     if (!poolAccepts(pool, spec) || (zone !== null && pool.zone !== zone)) continue;
     visitFreeSlots(pool, gpuKind(spec), now, (slot) => {
-      if (allowedMachines === null || allowedMachines.has(slot.machine!)) count += timesFits(spec, slot.free);
+      if (allowedMachines === null || allowedMachines.has(slot.machine!)) count += countFits(spec, slot.free);
       return count < limit;
     });
   }
@@ -79,7 +79,7 @@
       const placement = placements[i]!;
       const { slot } = placement;
       if (placement.earliestFit[kind] > now || slot.machine === null) continue;
-      const tasks = Math.min(remaining, timesFits(spec, slot.free));
+      const tasks = Math.min(remaining, countFits(spec, slot.free));
       if (tasks <= 0) continue;
       const { images } = slot;
       simulation.occupy(placement, group, tasks, now, UNBOUNDED_RUN_TIME);
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -1,5 +1,5 @@
 /** Places one group of waiting tasks in a simulation, by earliest predicted finish. */
-import { spreadLimit } from '../domain/resources.js';
+import { maxTasksPerZone } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { tasksFittingNow } from './free-capacity.js';
 import type { ZoneFilter } from './placement-options.js';
@@ -29,7 +29,7 @@
   zone: string,
 ): number =>
   group.spec.spreadAcrossZones
-    ? spreadLimit(group.spec) - (group.zones.get(zone) ?? 0) - (used.get(zone) ?? 0)
+    ? maxTasksPerZone(group.spec) - (group.zones.get(zone) ?? 0) - (used.get(zone) ?? 0)
     : Infinity;
 
 /** Inserts an option by rank, behind others of the same rank. */
--- a/packages/core/src/scheduling/machine-pool.ts
+++ b/packages/core/src/scheduling/machine-pool.ts
@@ -1,7 +1,7 @@
 /** Machines of one type, zone and purchase option, sorted by when they may have free capacity. */
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { type Amounts, fits, placeAllowed } from '../domain/resources.js';
+import { type Amounts, fits, isPlacementAllowed } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { firstFit } from './capacity-timeline.js';
 import { GPU_KINDS, gpuKind, type Placement } from './plan-input.js';
@@ -44,7 +44,7 @@
 
 /** Whether the pool's type, zone and purchase option allow tasks of the job, regardless of reservations. */
 export const poolMatches = ({ type, zone, spot }: MachinePool, spec: JobSpec): boolean =>
-  placeAllowed(spec, type.name, zone, spot) && fits(spec, type);
+  isPlacementAllowed(spec, type.name, zone, spot) && fits(spec, type);
 
 /** Whether tasks of the job may run in the pool, given the priority that it is reserved for. */
 export const poolAccepts = (pool: MachinePool, spec: JobSpec): boolean =>
--- a/packages/core/src/scheduling/option-evaluator.ts
+++ b/packages/core/src/scheduling/option-evaluator.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Amounts } from '../domain/resources.js';
-import { fits, timesFits } from '../domain/resources.js';
+import { countFits,fits } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { earliestStart } from './capacity-timeline.js';
 import type { CapacityOffer, ClusterSnapshot, Placement, PlacementOption, TaskGroup } from './plan-input.js';
@@ -78,10 +78,11 @@
     const finish = start + duration;
     const gap = this.tasksInGap(spec, slot.type);
     const price = slot.sunkCost ? 1 : relativeMachinePrice(this.snapshot, group, slot.type, slot.spot);
-    const avoidance = slot.machine !== null && group.avoid.has(slot.machine) ? AVOIDANCE_PENALTY : 0;
+    const avoidance =
+      slot.machine !== null && group.avoidedMachines.has(slot.machine) ? AVOIDANCE_PENALTY : 0;
     const rank = this.baseRank(group, slot, finish, price, gap) + scaleOutPenalty + avoidance;
     if (rank >= bound) return null;
-    const fitting = Math.max(1, timesFits(spec, this.availableCapacity));
+    const fitting = Math.max(1, countFits(spec, this.availableCapacity));
     return {
       placement,
       offer,
@@ -143,13 +144,13 @@
     for (const large of this.kindsLargerThan(spec)) {
       if (!fits(large, type) || (large.machineTypes !== null && !large.machineTypes.includes(type.name)))
         continue;
-      const largeCount = timesFits(large, free);
+      const largeCount = countFits(large, free);
       const rest = {
         cores: free.cores - largeCount * large.cores,
         gpus: free.gpus,
         memoryGb: free.memoryGb - largeCount * large.memoryGb,
       };
-      const count = timesFits(spec, rest);
+      const count = countFits(spec, rest);
       if (gap === null || count < gap) gap = count;
     }
     return gap;
--- a/packages/core/src/scheduling/placement-options.ts
+++ b/packages/core/src/scheduling/placement-options.ts
@@ -1,5 +1,5 @@
 /** Enumerates where a group's tasks could go, without examining every machine. */
-import { fits, placeAllowed } from '../domain/resources.js';
+import { fits, isPlacementAllowed } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { type MachinePool, poolAccepts, UNSORTED } from './machine-pool.js';
 import type { OptionEvaluator } from './option-evaluator.js';
@@ -52,7 +52,8 @@
         bound = this.visitPool(group, pool, wantedTasks, bound, visit);
     for (const offer of this.snapshot.offers) {
       const { type, zone, spot } = offer;
-      if (!placeAllowed(spec, type.name, zone, spot) || !fits(spec, type) || !zoneAllowed(zone)) continue;
+      if (!isPlacementAllowed(spec, type.name, zone, spot) || !fits(spec, type) || !zoneAllowed(zone))
+        continue;
       const option = this.evaluateOffer(group, offer, bound);
       if (option !== null) bound = visit(option);
     }
@@ -73,7 +74,7 @@
   canScaleOut({ spec }: TaskGroup): boolean {
     return this.snapshot.offers.some(
       (offer) =>
-        placeAllowed(spec, offer.type.name, offer.zone, offer.spot) &&
+        isPlacementAllowed(spec, offer.type.name, offer.zone, offer.spot) &&
         fits(spec, offer.type) &&
         this.isAvailable(offer),
     );
@@ -94,7 +95,7 @@
       const placement = this.placementByMachine.get(name);
       if (placement === undefined) continue;
       const { type, zone, spot } = placement.slot;
-      if (!placeAllowed(group.spec, type.name, zone, spot) || !zoneAllowed(zone)) continue;
+      if (!isPlacementAllowed(group.spec, type.name, zone, spot) || !zoneAllowed(zone)) continue;
       const option = this.evaluator.evaluate(group, placement, null, bound);
       if (option !== null) bound = visit(option);
     }
@@ -118,7 +119,7 @@
     const placements = pool.byEarliestFit[kind];
     const fitTimes = pool.sortedFits[kind];
     const runTime = this.evaluator.runTime(group, pool.type);
-    const useClasses = group.avoid.size === 0;
+    const useClasses = group.avoidedMachines.size === 0;
     const { tasksByClass } = this;
     let bound = initialBound;
     for (let i = 0; i < placements.length; i++) {
--- a/packages/core/src/scheduling/placement-search.ts
+++ b/packages/core/src/scheduling/placement-search.ts
@@ -5,8 +5,8 @@
  * action. A search can be suspended between two steps and resumed later.
  */
 import type { JobSpec } from '../domain/job.js';
-import { spreadLimit } from '../domain/resources.js';
-import { type Micros, MILLI } from '../domain/time.js';
+import { maxTasksPerZone } from '../domain/resources.js';
+import { type Micros, MILLISECOND } from '../domain/time.js';
 import { placeBackfill } from './backfill.js';
 import { reserveFreeCapacity, reservePools } from './free-capacity.js';
 import { placeGroup } from './group-placement.js';
@@ -23,13 +23,13 @@
 import { allCanStartNow } from './uncontended-placement.js';
 
 /** How far past the budget groups that can't start now are still placed; bounds the duration of a plan. */
-const LATER_START_OVERRUN: Micros = 80 * MILLI;
+const LATER_START_OVERRUN: Micros = 80 * MILLISECOND;
 
 /** How far past the budget backfill may still start work. */
 const BACKFILL_OVERRUN: Micros = 2 * LATER_START_OVERRUN;
 
 /** How far past the budget backfill may still plan for machines to be provisioned. */
-const SCALE_OUT_OVERRUN: Micros = 40 * MILLI;
+const SCALE_OUT_OVERRUN: Micros = 40 * MILLISECOND;
 
 /** Limits on the time and breadth of a search. */
 export interface SearchLimits {
@@ -46,7 +46,7 @@
 }
 
 /** The result of a search, with its cost. */
-export interface Decision {
+export interface SearchResult {
   /** In the order in which they were decided. */
   readonly steps: readonly PlanStep[];
   /** The snapshot that the search worked on, including the machines that it provisions. */
@@ -82,7 +82,7 @@
 const tasksPerZone = ({ spec, count }: TaskGroup, zones: number): number => {
   if (spec.sameZone) return count;
   return spec.spreadAcrossZones
-    ? Math.max(spreadLimit(spec), Math.ceil(count / 2))
+    ? Math.max(maxTasksPerZone(spec), Math.ceil(count / 2))
     : Math.ceil(count / zones);
 };
 
@@ -124,7 +124,7 @@
   }
 
   /** The result of the search so far. */
-  decision(): Decision {
+  decision(): SearchResult {
     return {
       steps: this.steps,
       snapshot: this.snapshot,
@@ -170,7 +170,7 @@
   private *placeReserved(groups: readonly TaskGroup[]): Generator<void, ReadonlySet<TaskGroup>> {
     const placed = new Set<TaskGroup>();
     for (const group of groups) {
-      if (!group.reserve || canStartNow(this.simulation, group)) continue;
+      if (!group.reservesCapacity || canStartNow(this.simulation, group)) continue;
       // Otherwise smaller work of lower priority takes each machine that becomes free while more groups wait
       // than one plan considers: on a full-size day 40 gangs waited behind arrays.
       if (this.isDeferred(group)) reservePools(this.simulation, group);
@@ -292,7 +292,7 @@
   limits: SearchLimits,
   stopwatch: () => Micros,
   backfill: BackfillWork = NO_BACKFILL,
-): Decision => {
+): SearchResult => {
   const startedAt = stopwatch();
   const run = new PlacementSearch(snapshot, groups, backfill, limits, () => stopwatch() - startedAt);
   const slices = run.run();
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -22,7 +22,7 @@
   /** Number of the job's live tasks in each zone. */
   readonly zones: ReadonlyMap<string, number>;
   /** Machines that these tasks should avoid. */
-  readonly avoid: ReadonlySet<string>;
+  readonly avoidedMachines: ReadonlySet<string>;
   /** Checkpointed progress from which a restarted task continues. */
   readonly checkpointedProgress: Micros;
   /** How much sooner the group must finish on a new machine to justify provisioning it; scaled by the relative price. */
@@ -35,7 +35,7 @@
    * Whether capacity is reserved for the group while it can't start, so that groups behind it don't take it: due to its
    * fair-share turn, a preemption reservation or its priority.
    */
-  readonly reserve: boolean;
+  readonly reservesCapacity: boolean;
   /** Whether the group stands for no actual tasks, but for capacity kept for arrivals or upcoming stages. */
   readonly hypothetical: boolean;
   /** Of a hypothetical group: capacity that is free now is reserved for urgent arrivals. */
@@ -43,7 +43,7 @@
   /** Earliest time at which the group may start. */
   readonly notBefore?: Micros;
   /** Cache of relative prices by machine type and purchase option. */
-  readonly costPenalties: Map<string, number>;
+  readonly relativePrices: Map<string, number>;
   /** Cache of predicted run times by machine type. */
   readonly runTimes: Map<string, Micros>;
 }
--- a/packages/core/src/scheduling/preemption-candidates.ts
+++ b/packages/core/src/scheduling/preemption-candidates.ts
@@ -3,7 +3,7 @@
 import { mayPreempt, type PreemptionPolicy } from '../cluster/preemption-policy.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { addTo, type Amounts, fits, placeAllowed, takeFrom } from '../domain/resources.js';
+import { addTo, type Amounts, fits, isPlacementAllowed, subtractFrom } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import { taskKind } from './plan-input.js';
 
@@ -101,7 +101,8 @@
     for (const machine of this.machines) {
       const { type: typeName, zone, spot } = machine;
       const type = this.types.get(typeName);
-      if (type === undefined || !machine.isUsable() || !placeAllowed(spec, typeName, zone, spot)) continue;
+      if (type === undefined || !machine.isUsable() || !isPlacementAllowed(spec, typeName, zone, spot))
+        continue;
       if (!fits(spec, type)) continue;
       const zoneKey = spec.sameZone ? zone : '';
       const list = byZone.get(zoneKey) ?? [];
@@ -142,7 +143,7 @@
     for (;;) {
       const victims = takeVictims(spec, free, stoppable);
       if (!fits(spec, free)) break;
-      takeFrom(free, spec);
+      subtractFrom(free, spec);
       cost = Math.max(cost, victims.length);
       list.push({ machine, victims, cost });
     }
--- a/packages/core/src/scheduling/preemption-planner.ts
+++ b/packages/core/src/scheduling/preemption-planner.ts
@@ -76,7 +76,7 @@
     const { teams } = this.context.settings;
     const hasGuarantees =
       teams.length > 1 && teams.some((team) => team.guaranteedCores > 0 || team.guaranteedGpus > 0);
-    const lowestPriority = this.cluster.usageTotals.lowestRunning();
+    const lowestPriority = this.cluster.usageTotals.lowestLivePriority();
     return (job) => hasGuarantees || job.priority > lowestPriority;
   }
 
@@ -106,7 +106,7 @@
   }
 
   private candidates(): PreemptionCandidates {
-    const { settings, types } = this.context;
+    const { settings, machineTypes } = this.context;
     const reserved = this.reservedMachines();
     // With an objective on waiting, a start counts only if the attempt is not stopped soon after. Without one, stopping
     // costs only the time to save, since a stopped task saves its progress first.
@@ -118,7 +118,7 @@
     const waits = this.waitsByClass();
     return new PreemptionCandidates(
       [...this.cluster.machines.values()].filter((machine) => !reserved.has(machine.name)),
-      types,
+      machineTypes,
       this.cluster.preemptionPolicy(),
       (attempt) =>
         this.hasRunEnough(attempt, classesWithWaitObjective) &&
--- a/packages/core/src/scheduling/queue-order.ts
+++ b/packages/core/src/scheduling/queue-order.ts
@@ -10,7 +10,7 @@
   type ObjectiveOrder,
   orderByObjectives,
 } from '../cluster/objectives.js';
-import { GANG_PROGRESS } from '../cluster/task-attempt.js';
+import { GANG_PROGRESS_KEY } from '../cluster/task-attempt.js';
 import type { Priority } from '../domain/job.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
@@ -79,7 +79,7 @@
   }
 
   /** All startable jobs in queue order. Also begins and ends fair-share turns. */
-  inOrder(): ActiveJob[] {
+  startableJobs(): ActiveJob[] {
     const startable = [...this.cluster.jobs.values()].filter((job) => this.cluster.isStartable(job));
     const waiting = fairShareOrder(startable, this.context.settings.teams);
     const exempt = this.exemptFromObjectives(waiting);
@@ -152,7 +152,7 @@
     let totalCores = 0;
     const candidates = jobs.map((job): ObjectiveCandidate => {
       const { spec, waitingCount } = job;
-      const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS) ?? 0;
+      const checkpointed = job.checkpointedProgress.get(GANG_PROGRESS_KEY) ?? 0;
       const runTime = this.cluster.expectedRunTime(job, checkpointed);
       const amount = waitingCount * (gpu ? spec.gpus : spec.cores);
       totalWork += runTime * amount;
--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -2,7 +2,7 @@
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { fits, timesFits } from '../domain/resources.js';
+import { countFits,fits } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { ClusterSnapshot, TaskGroup } from './plan-input.js';
 
@@ -73,7 +73,7 @@
 
 /** Hourly price of one task's share of a machine. */
 const pricePerTask = (spec: JobSpec, type: MachineType, spot: boolean): number =>
-  (spot ? type.spotPrice : type.price) / Math.max(1, timesFits(spec, type));
+  (spot ? type.spotPrice : type.price) / Math.max(1, countFits(spec, type));
 
 const typeFits = (spec: JobSpec, type: MachineType): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type.name)) && fits(spec, type);
@@ -100,14 +100,14 @@
   type: MachineType,
   spot: boolean,
 ): number => {
-  const { spec, costPenalties } = group;
+  const { spec, relativePrices } = group;
   const key = spot ? `${type.name}|s` : type.name;
-  let ratio = costPenalties.get(key);
+  let ratio = relativePrices.get(key);
   if (ratio === undefined) {
     const onDemandPrice = (other: MachineType): number => pricePerTask(spec, other, false);
     const multiple = multipleOfCheapest(snapshot, spec, pricePerTask(spec, type, spot), onDemandPrice);
     ratio = multiple === null ? 1 : Math.min(MAX_RELATIVE_TASK_PRICE, multiple);
-    costPenalties.set(key, ratio);
+    relativePrices.set(key, ratio);
   }
   return ratio;
 };
@@ -119,13 +119,13 @@
   type: MachineType,
   spot: boolean,
 ): number => {
-  const { spec, costPenalties } = group;
+  const { spec, relativePrices } = group;
   const key = spot ? `${type.name}|ms` : `${type.name}|m`;
-  let ratio = costPenalties.get(key);
+  let ratio = relativePrices.get(key);
   if (ratio === undefined) {
     const price = spot ? type.spotPrice : type.price;
     ratio = multipleOfCheapest(snapshot, spec, price, (other) => other.price) ?? 1;
-    costPenalties.set(key, ratio);
+    relativePrices.set(key, ratio);
   }
   return ratio;
 };
--- a/packages/core/src/scheduling/snapshot-builder.ts
+++ b/packages/core/src/scheduling/snapshot-builder.ts
@@ -4,15 +4,15 @@
 import type { CapacityChange, MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { CapacityOffer, ClusterSnapshot } from './plan-input.js';
 
 /** How long a machine's slot is cached while the machine doesn't change. */
-const SLOT_CACHE_TIME: Micros = 2_500 * MILLI;
+const SLOT_CACHE_TIME: Micros = 2_500 * MILLISECOND;
 
 /** A cached slot is used only if its next predicted change is further away than this. */
-const MIN_TIME_TO_CHANGE: Micros = 100 * MILLI;
+const MIN_TIME_TO_CHANGE: Micros = 100 * MILLISECOND;
 
 /** Minimum remaining boot time that is predicted for a booting machine. */
 const MIN_REMAINING_BOOT_TIME: Micros = 2 * SECOND;
@@ -41,16 +41,16 @@
   build(offers: readonly CapacityOffer[], recurringSpecs: readonly JobSpec[]): ClusterSnapshot {
     const slots: MachineSlot[] = [];
     const costSensitive = this.cluster.isCostSensitive();
-    const { now, types } = this.context;
+    const { now, machineTypes } = this.context;
     for (const machine of this.cluster.machines.values()) {
-      const type = types.get(machine.type);
+      const type = machineTypes.get(machine.type);
       const slot = type === undefined ? null : this.slotOf(machine, type, costSensitive);
       if (slot !== null) slots.push(slot);
     }
     return {
       now,
       slots,
-      types: [...types.values()],
+      types: [...machineTypes.values()],
       offers,
       recurringSpecs,
       provisioned: new Map(),
--- a/packages/core/src/scheduling/upcoming-stages.ts
+++ b/packages/core/src/scheduling/upcoming-stages.ts
@@ -14,7 +14,7 @@
 export interface UpcomingStage {
   readonly job: ActiveJob;
   /** Predicted time at which all its dependencies are done. */
-  readonly ready: Micros;
+  readonly readyAt: Micros;
 }
 
 /** Blocked jobs whose dependencies are predicted to be met by the time `horizon`, soonest first. */
@@ -39,12 +39,12 @@
   const stages: UpcomingStage[] = [];
   for (const job of jobs) {
     if (!job.blockedOnDependencies || job.dependencyFailed || job.phase !== 'active') continue;
-    let ready = 0;
+    let readyAt = 0;
     for (const id of dependencies.unmetDependencies(job)) {
-      ready = Math.max(ready, predictEnd(findJob(id)));
-      if (ready > horizon) break;
+      readyAt = Math.max(readyAt, predictEnd(findJob(id)));
+      if (readyAt > horizon) break;
     }
-    if (ready > 0 && ready <= horizon) stages.push({ job, ready });
+    if (readyAt > 0 && readyAt <= horizon) stages.push({ job, readyAt });
   }
-  return stages.sort((one, other) => one.ready - other.ready).slice(0, MAX_STAGES);
+  return stages.sort((one, other) => one.readyAt - other.readyAt).slice(0, MAX_STAGES);
 };
--- a/packages/core/src/storage/fenced-writer.ts
+++ b/packages/core/src/storage/fenced-writer.ts
@@ -4,9 +4,9 @@
  * conditional on the version that it replaces, so a delayed write can't overwrite a newer value with an older one.
  */
 import { LEADER_KEY } from '../codecs/keys.js';
-import { bytesOf } from '../codecs/value-size.js';
+import { jsonByteLength } from '../codecs/value-size.js';
 import type { StoreReply, StoreWrite, VersionCondition } from '../domain/key-value-store.js';
-import { type Micros, MILLI, SECOND } from '../domain/time.js';
+import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 import type { NodeContext } from '../node/node-context.js';
 import { BatchLimit } from './batch-limit.js';
 
@@ -46,17 +46,17 @@
   readonly bytes: number;
 }
 
-const BATCHING_DELAY: Micros = 15 * MILLI;
+const BATCHING_DELAY: Micros = 15 * MILLISECOND;
 /** Deferred writes are batched for longer: the write rate is limited, and many are superseded by a newer value. */
-const DEFERRED_BATCHING_DELAY: Micros = 1_200 * MILLI;
-const RETRY_DELAY: Micros = 250 * MILLI;
+const DEFERRED_BATCHING_DELAY: Micros = 1_200 * MILLISECOND;
+const RETRY_DELAY: Micros = 250 * MILLISECOND;
 const MAX_BATCH_BYTES = 48 * 1024;
 /** Request overhead of a write besides its key and value. */
 const WRITE_OVERHEAD_BYTES = 128;
 /** How long the batch limit stays reduced after the store refused a batch of several writes. */
 const REFUSAL_BACKOFF: Micros = 30 * SECOND;
 
-const valueBytes = (write: StoreWrite): number => (write.kind === 'put' ? bytesOf(write.value) : 0);
+const valueBytes = (write: StoreWrite): number => (write.kind === 'put' ? jsonByteLength(write.value) : 0);
 
 /** Queues and batches a leader's writes, and sends them while it holds the leader key. */
 export class FencedWriter {
@@ -91,7 +91,7 @@
   }
 
   /** Number of writes that wait to be sent. */
-  get backlog(): number {
+  get pendingCount(): number {
     return this.pending.size;
   }
 
--- a/packages/core/src/storage/machine-store.ts
+++ b/packages/core/src/storage/machine-store.ts
@@ -1,6 +1,6 @@
 /** Stores machine records. A task starts only on a machine with a record, and a machine is marked as retiring before deletion. */
 import type { Machine } from '../cluster/cluster-model.js';
-import { FORMER_MACHINES_PREFIX, legacyMachineKey, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
+import { LEGACY_MACHINES_PREFIX, legacyMachineKey, MACHINE_PAGES_PREFIX } from '../codecs/keys.js';
 import {
   decodeMachine,
   encodeMachine,
@@ -31,9 +31,9 @@
 export class MachineStore {
   private readonly pages: PackedPages;
   /** Whether all stored machine records could be read. */
-  isComplete = true;
+  areAllRecordsReadable = true;
 
-  /** `pageCapacity`: see `pageRoom`. `onUnreadable`: called with the page key or machine name of an unreadable record. */
+  /** `pageCapacity`: see the function of that name. `onUnreadable`: called with the page key or machine name of an unreadable record. */
   constructor(
     private readonly writer: FencedWriter,
     pageCapacity: number,
@@ -57,7 +57,7 @@
   load(pages: readonly StoredItem[], legacyItems: readonly StoredItem[]): Map<string, MachineRecord> {
     const found = new Map<string, MachineRecord>();
     for (const item of legacyItems)
-      this.loadRecord(found, item.key.slice(FORMER_MACHINES_PREFIX.length), item.value);
+      this.loadRecord(found, item.key.slice(LEGACY_MACHINES_PREFIX.length), item.value);
     for (const item of pages) {
       const entries = readPage(item.value);
       if (entries === null) this.reportUnreadable(item.key);
@@ -83,9 +83,12 @@
   }
 
   /** Moves the records of an earlier version into pages; each old key is removed once the move is confirmed. */
-  adopt(legacyItems: readonly StoredItem[], find: (name: string) => Machine | undefined): void {
+  migrateLegacyRecords(
+    legacyItems: readonly StoredItem[],
+    find: (name: string) => Machine | undefined,
+  ): void {
     for (const item of legacyItems) {
-      const machine = find(item.key.slice(FORMER_MACHINES_PREFIX.length));
+      const machine = find(item.key.slice(LEGACY_MACHINES_PREFIX.length));
       if (machine === undefined) continue;
       this.put(machine, () => {
         this.writer.remove(legacyMachineKey(machine.name));
@@ -94,7 +97,7 @@
   }
 
   private reportUnreadable(key: string): void {
-    this.isComplete = false;
+    this.areAllRecordsReadable = false;
     this.onUnreadable(key);
   }
 
--- a/packages/core/src/storage/packed-pages.ts
+++ b/packages/core/src/storage/packed-pages.ts
@@ -9,12 +9,12 @@
  * is the union of all its copies. Pages that have become too large are emptied in the same way: the copies are written and
  * confirmed first, and the old page is emptied last.
  */
-import { bytesOf } from '../codecs/value-size.js';
+import { jsonByteLength } from '../codecs/value-size.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 import { PAGE_FRAME_BYTES, readPage, reducedPageCapacity } from './page-format.js';
 
-export { pageRoom, readPage } from './page-format.js';
+export { pageCapacity, readPage } from './page-format.js';
 
 interface Page {
   readonly key: string;
@@ -54,7 +54,7 @@
   private readonly pagesToEmpty = new Map<string, ReadonlySet<string>>();
   private compacting = false;
 
-  /** `pageCapacity`: characters of JSON that the records of a page may take; see `pageRoom`. */
+  /** `pageCapacity`: characters of JSON that the records of a page may take; see the function of that name. */
   constructor(
     private readonly writer: FencedWriter,
     private readonly prefix: string,
@@ -101,7 +101,10 @@
     // An unreadable page is left as it is and accepts no new records.
     if (entries === null) page.closed = true;
     for (const id of ids) this.loadRecord(page, id, maxSizeOf(id));
-    if (page.reservedSize > this.pageCapacity || bytesOf(item.value) > this.pageCapacity + PAGE_FRAME_BYTES)
+    if (
+      page.reservedSize > this.pageCapacity ||
+      jsonByteLength(item.value) > this.pageCapacity + PAGE_FRAME_BYTES
+    )
       this.closeAndEmpty(page);
   }
 
--- a/packages/core/src/storage/page-format.ts
+++ b/packages/core/src/storage/page-format.ts
@@ -18,7 +18,7 @@
 };
 
 /** Capacity of a page for records, in characters of JSON, where a value may have `valueBytes` bytes. */
-export const pageRoom = (valueBytes: number): number => {
+export const pageCapacity = (valueBytes: number): number => {
   const reserve = PAGE_FRAME_BYTES + Math.floor(valueBytes * PAGE_RESERVE_FRACTION);
   return Math.max(MIN_PAGE_CAPACITY, valueBytes - Math.min(MAX_PAGE_RESERVE_BYTES, reserve));
 };
--- a/packages/core/src/storage/progress-store.ts
+++ b/packages/core/src/storage/progress-store.ts
@@ -10,12 +10,12 @@
   NAME_OVERHEAD_BYTES,
   type ProgressRecord,
 } from '../codecs/progress-codec.js';
-import { bytesOf } from '../codecs/value-size.js';
+import { jsonByteLength } from '../codecs/value-size.js';
 import type { StoredItem } from '../domain/key-value-store.js';
 import type { NodeContext } from '../node/node-context.js';
 import type { FencedWriter, WriteUrgency } from './fenced-writer.js';
 import { LargeProgress } from './large-progress.js';
-import { PackedPages, pageRoom, readPage } from './packed-pages.js';
+import { PackedPages, pageCapacity, readPage } from './packed-pages.js';
 
 const noop = (): void => undefined;
 
@@ -45,17 +45,22 @@
     private readonly findJob: (id: string) => ActiveJob | undefined,
     private readonly findMachine: (name: string) => Machine | undefined,
   ) {
-    this.pages = new PackedPages(writer, PROGRESS_PAGES_PREFIX, pageRoom(context.settings.maxValueBytes), {
-      encode: (id) => this.encodeRecord(id),
-      onWritten: (id, value) => {
-        this.applyWritten(id, decodeProgress(value));
+    this.pages = new PackedPages(
+      writer,
+      PROGRESS_PAGES_PREFIX,
+      pageCapacity(context.settings.maxValueBytes),
+      {
+        encode: (id) => this.encodeRecord(id),
+        onWritten: (id, value) => {
+          this.applyWritten(id, decodeProgress(value));
+        },
+        move: (id, onMoved) => {
+          const job = this.findJob(id);
+          if (job === undefined) onMoved(true);
+          else this.move(job, onMoved);
+        },
       },
-      move: (id, onMoved) => {
-        const job = this.findJob(id);
-        if (job === undefined) onMoved(true);
-        else this.move(job, onMoved);
-      },
-    });
+    );
   }
 
   /** Applies the progress that earlier leaders wrote, on pages (`pages`) or under separate keys (`largeItems`), to the jobs. */
@@ -117,7 +122,12 @@
     const record = decodeProgress(item.value);
     merge(id!, record?.from ?? this.legacySegmentStart(keyNumber), item.value);
     if (record !== null)
-      this.largeOf(job).loadKey(item.key, partNumberOfKeyNumber(keyNumber), record, bytesOf(item.value));
+      this.largeOf(job).loadKey(
+        item.key,
+        partNumberOfKeyNumber(keyNumber),
+        record,
+        jsonByteLength(item.value),
+      );
   }
 
   /**
@@ -134,7 +144,7 @@
   private largeOf(job: ActiveJob): LargeProgress {
     const existing = this.large.get(job.id);
     if (existing !== undefined) return existing;
-    const maxPartBytes = pageRoom(this.context.settings.maxValueBytes);
+    const maxPartBytes = pageCapacity(this.context.settings.maxValueBytes);
     const large = new LargeProgress(this.writer, job, maxPartBytes, this.maxNameLength, () =>
       this.machinesOf(job),
     );
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -43,7 +43,7 @@
 /** Starts, adopts, stops and ends attempts, and maintains them in the cluster state. */
 export class AttemptLifecycle {
   /** Number of completed runs added to the runtime estimates since the caller last reset it. */
-  learnedRuns = 0;
+  completedRunCount = 0;
   private readonly commands: CommandQueue;
   private readonly gangs: GangSupervisor;
 
@@ -67,7 +67,7 @@
   // ---- starting ----------------------------------------------------------------------------------
 
   /** Creates attempts with the given placements; from now on the tasks count as present on those machines. */
-  begin(job: ActiveJob, placements: readonly TaskPlacement[]): void {
+  startTasks(job: ActiveJob, placements: readonly TaskPlacement[]): void {
     const { context: ctx } = this.term;
     const attempts = this.createAttempts(job, placements);
     job.startedBefore = true;
@@ -205,7 +205,7 @@
       cause: cause ?? 'gone',
     });
     this.events.attemptEnded(attempt, exit);
-    if (recordRun(this.term, attempt, cause, exit?.checkpointed === true)) this.learnedRuns++;
+    if (recordRun(this.term, attempt, cause, exit?.checkpointed === true)) this.completedRunCount++;
     if (cause === 'error' && recordTaskFailure(this.term, machine, job)) this.retireFaulty(machine);
     if (cause === 'noRoom' || cause === 'busy' || cause === 'unknown')
       delayRetry(this.term, job, RETRY_SECONDS_AFTER_REJECTION);
--- a/packages/core/src/tasks/reconciliation.ts
+++ b/packages/core/src/tasks/reconciliation.ts
@@ -127,7 +127,11 @@
       if (attempt.confirmed) this.events.taskRunning(attempt);
     }
     if (task.state !== 'fetching')
-      recordCachedImage(machine, attempt.job.spec, ctx.types.get(machine.type)?.imageCacheGb ?? Infinity);
+      recordCachedImage(
+        machine,
+        attempt.job.spec,
+        ctx.machineTypes.get(machine.type)?.imageCacheGb ?? Infinity,
+      );
     this.term.schedulePass();
   }
 
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -137,7 +137,7 @@
 test('a backfilled group with a reservation keeps lower priorities off its machines', () => {
   const slots = [slotOf('m1', MACHINE_TYPE, { free: { cores: 2, gpus: 0, memoryGb: 16 } })];
   const urgent = groupOf(specOf('run-1', { shape: 'gang', tasks: 1, cores: 4, priority: 3 }), {
-    reserve: true,
+    reservesCapacity: true,
   });
   const low = groupOf(specOf('run-2', { tasks: 2, priority: 0 }));
   const decision = search(
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
@@ -26,7 +26,7 @@
   let time = 0;
   return {
     operators: 'search_groups: 1\nsearch_budget_ms: 100000\n',
-    stopwatch: () => (time += 15 * MILLI),
+    stopwatch: () => (time += 15 * MILLISECOND),
   };
 };
 
@@ -126,7 +126,7 @@
       // Crashes before the effects of this step are carried out.
       if (count === lastStep)
         simulation.later(0, () => {
-          simulation.crash(leader, [50 * MILLI, 5 * SECOND][point % 2]!);
+          simulation.crash(leader, [50 * MILLISECOND, 5 * SECOND][point % 2]!);
         });
     });
     submitAll(simulation);
@@ -151,7 +151,7 @@
   },
   'machines are lost': (simulation, random) => {
     for (let lost = 0; lost < 6; lost++)
-      simulation.later(random.below(1_500) * MILLI, () => {
+      simulation.later(random.below(1_500) * MILLISECOND, () => {
         const worker = simulation.anyWorker();
         if (worker !== undefined) simulation.killWorker(worker);
       });
@@ -160,13 +160,13 @@
   'jobs are cancelled': (simulation, random) => {
     const cancelled = ['run-1', 'run-2', 'run-12', 'run-15'];
     for (const id of cancelled)
-      simulation.later(random.below(1_200) * MILLI, () => {
+      simulation.later(random.below(1_200) * MILLISECOND, () => {
         simulation.cancel(id);
       });
     return cancelled;
   },
   'one start of the large gang fails': (simulation, random) => {
-    simulation.later(300 * MILLI + random.below(400) * MILLI, () => {
+    simulation.later(300 * MILLISECOND + random.below(400) * MILLISECOND, () => {
       const holder = [...simulation.workers.values()].find((worker) =>
         worker.tasks.some((task) => task.job === 'run-1'),
       );
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -8,7 +8,7 @@
 
 import type { Heartbeat, HeartbeatResponse } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -56,7 +56,7 @@
   return {
     simulation,
     ids,
-    leader: () => simulation.nodes.find((node) => node.core?.leads() === true)?.name ?? null,
+    leader: () => simulation.nodes.find((node) => node.core?.canActAsLeader() === true)?.name ?? null,
   };
 };
 
@@ -93,9 +93,9 @@
     const previousLeader = leader();
     simulation.runFor(Math.min(offset, 7) * SECOND);
     const nextLeader = simulation.nodes.findIndex(
-      (node) => node.name !== previousLeader && node.core?.leads() === true,
+      (node) => node.name !== previousLeader && node.core?.canActAsLeader() === true,
     );
-    if (nextLeader >= 0) simulation.crash(nextLeader, 300 * MILLI);
+    if (nextLeader >= 0) simulation.crash(nextLeader, 300 * MILLISECOND);
   },
 };
 
@@ -118,11 +118,11 @@
         ids.slice(3, 5).forEach((id) => {
           simulation.cancel(id);
         });
-        simulation.runFor(Math.ceil((offset * SECOND) / 2) - 100 * MILLI);
+        simulation.runFor(Math.ceil((offset * SECOND) / 2) - 100 * MILLISECOND);
         ids.slice(5, 7).forEach((id) => {
           simulation.cancel(id);
         });
-        simulation.runFor(100 * MILLI);
+        simulation.runFor(100 * MILLISECOND);
         simulation.stateOutage(MAX_TIME_TO_STOP + 15 * SECOND);
         simulation.runFor(MAX_TIME_TO_STOP + 40 * SECOND);
         const violations = simulation.broken.filter((violation) => !violation.startsWith('error logged'));
@@ -206,7 +206,7 @@
 
 /** The leader's response to a heartbeat. */
 const responseOf = (simulation: ClusterSimulation, heartbeat: Heartbeat): HeartbeatResponse => {
-  const core = simulation.nodes.find((node) => node.core?.leads() === true)!.core!;
+  const core = simulation.nodes.find((node) => node.core?.canActAsLeader() === true)!.core!;
   return core.scheduler!.respondToHeartbeat(heartbeat);
 };
 
@@ -255,21 +255,21 @@
   let answered = 0;
   for (let phase = 0; phase < 16; phase++) {
     const { simulation } = startCluster(phase + 1, 1);
-    simulation.runFor(phase * 190 * MILLI);
+    simulation.runFor(phase * 190 * MILLISECOND);
     simulation.ordersLate = { share: 1, most: 6 * SECOND };
     const id = 'run-777';
     simulation.submit(jobOf(id, 2));
-    simulation.runFor(400 * MILLI);
+    simulation.runFor(400 * MILLISECOND);
     simulation.ordersLate = null;
     simulation.cancel(id);
-    simulation.runFor(300 * MILLI);
+    simulation.runFor(300 * MILLISECOND);
     const cancelledAt = simulation.users.cancelledAt.get(id);
     assert.ok(cancelledAt !== undefined);
     const confirmedAt = simulation.now;
     // Each worker is answered once before the leader gives up on its command, and receives nothing from then on.
     const deafWorkers = new Set<string>();
     for (let i = 0; i < 60; i++) {
-      simulation.runFor(25 * MILLI);
+      simulation.runFor(25 * MILLISECOND);
       for (const worker of simulation.workers.values())
         if (worker.answered > confirmedAt && worker.deafUntil === 0) {
           worker.deafUntil = simulation.now + 30 * SECOND;
@@ -356,7 +356,7 @@
       chooseNode,
     );
     for (let i = 0; i < 3; i++)
-      simulation.later(random.below(15_000) * MILLI, () => {
+      simulation.later(random.below(15_000) * MILLISECOND, () => {
         simulation.cancel(ids[random.below(ids.length)]!);
       });
     // Workers that are answered until then keep their tasks for a whole lease afterwards.
@@ -370,7 +370,7 @@
       });
     if (random.chance(0.3))
       simulation.later(random.below(30) * SECOND, () => {
-        simulation.crash(chooseNode(), [100 * MILLI, 600 * MILLI, 4 * SECOND][random.below(3)]!);
+        simulation.crash(chooseNode(), [100 * MILLISECOND, 600 * MILLISECOND, 4 * SECOND][random.below(3)]!);
       });
     if (random.chance(0.3))
       simulation.later(random.below(30) * SECOND, () => {
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -47,15 +47,15 @@
   spec,
   count: spec.tasks,
   zones: new Map(),
-  avoid: new Set(),
+  avoidedMachines: new Set(),
   checkpointedProgress: 0,
   scaleOutThreshold: 0,
   allowedDelay: 0,
   allowedMachines: null,
-  reserve: false,
+  reservesCapacity: false,
   hypothetical: false,
   runTimes: new Map(),
-  costPenalties: new Map(),
+  relativePrices: new Map(),
   ...overrides,
 });
 
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'node:test';
 
 import type { Heartbeat } from '@shaleyoke/core/domain/heartbeat';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -35,7 +35,7 @@
   };
   for (const worker of simulation.workers.values()) worker.muteUntil = simulation.now + 60 * SECOND;
   simulation.crash(simulation.leader(), 30 * SECOND);
-  for (let i = 0; i < 1_000 && !isReady.includes(true); i++) simulation.runFor(25 * MILLI);
+  for (let i = 0; i < 1_000 && !isReady.includes(true); i++) simulation.runFor(25 * MILLISECOND);
   assert.ok(isReady.includes(true), 'a new leader is ready');
   const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
   for (const heartbeat of oldHeartbeats)
@@ -144,7 +144,7 @@
     assert.equal(runningOf('run-2') + runningOf('run-3'), 8, `seed ${seed}: team u has reached its quota`);
     // From here on the cloud has more machines, which boot within a second.
     simulation.cloud.perZone = 4;
-    simulation.cloud.bootUs = () => 800 * MILLI;
+    simulation.cloud.bootUs = () => 800 * MILLISECOND;
     failOver(simulation, []);
     const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
     for (const heartbeats of oldRounds) {
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -10,7 +10,7 @@
   encodeActiveJob,
   encodeEndedJob,
 } from '@shaleyoke/core/codecs/job-codec';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { DependencyGraph } from '@shaleyoke/core/jobs/dependency-graph';
@@ -145,14 +145,14 @@
     );
     simulation.runFor(300_000);
   }
-  const leader = simulation.nodes.findIndex((node) => node.core?.leads() === true);
+  const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader() === true);
   simulation.crash(leader, 30 * SECOND);
   simulation.cancel('run-0');
   // Less than the crashed leader's lease, so that no node leads yet.
   simulation.runFor(1_500_000);
   for (let attempt = 0; attempt < 6; attempt++) simulation.poll('run-4');
   simulation.runFor(1_500_000);
-  assert.ok(simulation.nodes.every((node) => node.core?.leads() !== true));
+  assert.ok(simulation.nodes.every((node) => node.core?.canActAsLeader() !== true));
   assert.equal(simulation.stageOf('run-4'), 'cancelled');
   assert.deepEqual(simulation.broken, []);
 });
@@ -226,7 +226,7 @@
   const spec = specOf('run-7', { dependsOn: dependencies });
   const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
   assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, acceptedAt: 5 });
-  assert.ok(bytesOf(record) < 2_048 - 128, `${bytesOf(record)} bytes`);
+  assert.ok(jsonByteLength(record) < 2_048 - 128, `${jsonByteLength(record)} bytes`);
   assert.equal(record['spec'], undefined, 'the previous version would start it too early');
   // As the previous version writes it: without the field `needs` and all fields added later.
   const oldSpec = {
@@ -261,5 +261,5 @@
   });
   // The record of an ended job is small whatever its spec: a job accepted under larger limits can end under smaller ones.
   const largeSpec = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
-  assert.ok(bytesOf(encodeEndedJob(largeSpec, 'cancelled', 0, 1)) < 300);
+  assert.ok(jsonByteLength(encodeEndedJob(largeSpec, 'cancelled', 0, 1)) < 300);
 });
--- a/packages/core/test/failover.test.ts
+++ b/packages/core/test/failover.test.ts
@@ -79,10 +79,10 @@
         for (const item of read(ACTIVE_JOBS_PREFIX)) this.jobs.set(idOf(item.key), item.version);
         this.isReady = true;
       },
-      jobPut: (id, _value, version) => {
+      jobRecordPut: (id, _value, version) => {
         this.jobs.set(id, version);
       },
-      jobDeleted: (id, version) => {
+      jobRecordDeleted: (id, version) => {
         if ((this.jobs.get(id) ?? Infinity) < version) this.jobs.delete(id);
       },
       jobsListed: (ids, revision) => {
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
@@ -107,7 +107,7 @@
     simulation.runFor(3 * SECOND);
     // Short tasks: starts happen all the time, on machines that are already recorded for the job.
     for (let i = 0; i < 4; i++)
-      simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
+      simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLISECOND }));
     simulation.runFor(20 * SECOND);
     const { starts } = simulation;
     simulation.runFor(5 * SECOND);
@@ -117,7 +117,7 @@
     simulation.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++) {
       simulation.cancel(`run-${seed}${i}`);
-      simulation.runFor(700 * MILLI);
+      simulation.runFor(700 * MILLISECOND);
     }
     cancelled += simulation.users.cancelledAt.size;
     simulation.runFor(60 * SECOND);
@@ -140,8 +140,8 @@
     };
     simulation.runFor(3 * SECOND);
     for (let round = 0; round < 5; round++) {
-      simulation.answersSlow = 1_190 * MILLI;
-      simulation.runFor((4_000 + random.below(3_000)) * MILLI);
+      simulation.answersSlow = 1_190 * MILLISECOND;
+      simulation.runFor((4_000 + random.below(3_000)) * MILLISECOND);
       const leader = simulation.leader();
       if (leader < 0) continue;
       // Its last renewal was executed and answered late; from now on it receives no answers.
@@ -183,7 +183,7 @@
   id: string,
   reports: ReportCounts,
 ): void => {
-  simulation.later(SECOND + random.below(4_000) * MILLI, () => {
+  simulation.later(SECOND + random.below(4_000) * MILLISECOND, () => {
     simulation.cancel(id);
     reports.cancelled++;
     simulation.later(3 * SECOND, () => {
@@ -215,7 +215,7 @@
     if (simulation.stageOf(earlierId) === 'done') simulation.cancel(earlierId);
     if (random.chance(0.3))
       simulation.users.submit({ ...spec, id: `run-9${seed}${round}`, team: 'nobody' }, 1_000);
-    simulation.runFor(250 * MILLI);
+    simulation.runFor(250 * MILLISECOND);
   }
   return ids;
 };
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 
 import type { Core } from '@shaleyoke/core/core';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { BASIC_SCENARIOS, FIRST_BOUNDS, type Outcome, play } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
@@ -79,7 +79,7 @@
 
 /** The index of the node that holds the leader lease; -1 while none does. */
 const leaderIndex = (simulation: ClusterSimulation): number =>
-  simulation.nodes.findIndex((node) => node.core?.leads() === true);
+  simulation.nodes.findIndex((node) => node.core?.canActAsLeader() === true);
 
 const leaderCore = (simulation: ClusterSimulation): Core => simulation.nodes[leaderIndex(simulation)]!.core!;
 
@@ -99,9 +99,10 @@
       ];
       for (const spec of specs) simulation.submit(spec);
       for (let change = 0; change < changes; change++) {
-        simulation.runFor(runTime + random.below(4_000) * MILLI);
+        simulation.runFor(runTime + random.below(4_000) * MILLISECOND);
         const leader = leaderIndex(simulation);
-        if (leader >= 0) simulation.crash(leader, [60 * MILLI, 800 * MILLI, 20 * SECOND][random.below(3)]!);
+        if (leader >= 0)
+          simulation.crash(leader, [60 * MILLISECOND, 800 * MILLISECOND, 20 * SECOND][random.below(3)]!);
       }
       const description = `${changes} changes, seed ${seed}`;
       // The simulation checks each answer and records `not_done` for a job that is reported as done too early.
@@ -168,11 +169,11 @@
     simulation.killWorker(lostWorker);
     simulation.runFor(40 * SECOND);
     // Its tasks run elsewhere by now. The next leader has no heartbeat from it and takes a while to read the records.
-    simulation.listDelay = 800 * MILLI;
+    simulation.listDelay = 800 * MILLISECOND;
     simulation.crash(leaderIndex(simulation), SECOND);
     const newScheduler = (): Core['scheduler'] =>
       simulation.nodes.map((node) => node.core?.scheduler ?? null).find((found) => found !== null) ?? null;
-    for (let i = 0; i < 40 && newScheduler() === null; i++) simulation.runFor(250 * MILLI);
+    for (let i = 0; i < 40 && newScheduler() === null; i++) simulation.runFor(250 * MILLISECOND);
     const scheduler = newScheduler()!;
     const { machines } = scheduler.term.cluster;
     assert.equal(scheduler.term.isRestored, false);
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -21,10 +21,10 @@
   // Each node may learn of the job by one failed transaction.
   for (let i = 0; i < 200; i++) {
     simulation.submit(spec);
-    simulation.runFor(20 * MILLI);
+    simulation.runFor(20 * MILLISECOND);
   }
   simulation.runFor(SECOND);
-  assert.ok(answered()! > simulation.now - 1_500 * MILLI);
+  assert.ok(answered()! > simulation.now - 1_500 * MILLISECOND);
   assert.ok(
     simulation.state.wasted - failedBefore <= 3,
     `failed writes: ${simulation.state.wasted - failedBefore}`,
@@ -79,7 +79,7 @@
   const ids = Array.from({ length: 1_500 }, (_, i) => `run-${10_000 + i}`);
   for (const id of ids) {
     simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
-    simulation.runFor(25 * MILLI);
+    simulation.runFor(25 * MILLISECOND);
   }
   simulation.stateOutage(20 * SECOND);
   simulation.runFor(20 * SECOND);
@@ -117,7 +117,7 @@
     // All processes restart with a quota under which none of these jobs could be accepted.
     simulation.teams = '[[cluster.teams]]\nname = "t"\ncpus_max = 2.0\n';
     simulation.nodes.forEach((_, i) => {
-      simulation.crash(i, 300 * MILLI);
+      simulation.crash(i, 300 * MILLISECOND);
     });
     simulation.runFor(12 * SECOND);
     const resubmittedAt = simulation.now;
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { LeaderHealth } from '@shaleyoke/core/leader/leader-health';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
@@ -13,7 +13,7 @@
   health.recordTimer(30 * SECOND, 10 * SECOND);
   assert.equal(health.isOverloaded, false);
   for (let second = 31; second < 61; second++)
-    health.recordTimer(second * SECOND, second * SECOND - 900 * MILLI);
+    health.recordTimer(second * SECOND, second * SECOND - 900 * MILLISECOND);
   assert.equal(health.isOverloaded, false);
   health.recordTimer(62 * SECOND, 60 * SECOND);
   health.recordTimer(64 * SECOND, 62 * SECOND);
@@ -61,14 +61,18 @@
   simulation.runFor(40 * SECOND);
   const log: string[] = [];
   simulation.onLog = (node, event) => log.push(`${node} ${event}`);
-  return { simulation, leader: () => simulation.nodes.find((n) => n.core?.leads())?.name ?? 'nobody', log };
+  return {
+    simulation,
+    leader: () => simulation.nodes.find((n) => n.core?.canActAsLeader())?.name ?? 'nobody',
+    log,
+  };
 };
 
 test('an overloaded leader hands over the leader lease once, and no worker lease expires', () => {
   for (let seed = 1; seed <= 4; seed++) {
     const { simulation, leader, log } = startCluster(seed, seed % 2 === 0 ? 3 : 5);
     const slow = leader();
-    simulation.stutter.set(slow, 2_500 * MILLI);
+    simulation.stutter.set(slow, 2_500 * MILLISECOND);
     simulation.runFor(12 * SECOND);
     assert.notEqual(leader(), slow);
     simulation.runFor(60 * SECOND);
@@ -80,7 +84,7 @@
 
 test('where all nodes are slow, leadership does not keep changing', () => {
   const { simulation, log } = startCluster(9, 3);
-  for (const node of simulation.nodes) simulation.stutter.set(node.name, 2_500 * MILLI);
+  for (const node of simulation.nodes) simulation.stutter.set(node.name, 2_500 * MILLISECOND);
   simulation.runFor(100 * SECOND);
   // Each node may resign once in four worker leases, which last 20 s here.
   assert.ok(log.filter((l) => l.endsWith('leader.resigned')).length <= 4, log.join('; '));
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -4,7 +4,7 @@
 
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { type PeerChange, PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 import { beatOf } from '@shaleyoke/emulator/beats';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
@@ -44,7 +44,7 @@
       } else if (nextCheckAt <= end) {
         this.now = nextCheckAt;
         this.lastCheckAt = nextCheckAt;
-        this.changes.push(...this.detector.suspectSilentPeers(timerDelay));
+        this.changes.push(...this.detector.suspectOverduePeers(timerDelay));
       } else this.now = end;
     }
   }
@@ -61,7 +61,11 @@
     const fixture = new DetectorFixture();
     // Lost packets are retransmitted, so that their heartbeats arrive late.
     for (let i = 1; i <= 60; i++)
-      fixture.send(i * SECOND, (random.chance(0.02) ? 250 : 1 + random.below(20)) * MILLI, beatOf('p', i));
+      fixture.send(
+        i * SECOND,
+        (random.chance(0.02) ? 250 : 1 + random.below(20)) * MILLISECOND,
+        beatOf('p', i),
+      );
     fixture.advanceTo(60 * SECOND);
     assert.equal(fixture.suspicions, 0, `seed ${seed}`);
     fixture.advanceTo(65 * SECOND);
@@ -82,7 +86,7 @@
     let sentAt = 0;
     let lastSentAt = 0;
     for (let i = 1; i <= 40; i++) {
-      sentAt += (1_000 + random.below(1_900)) * MILLI;
+      sentAt += (1_000 + random.below(1_900)) * MILLISECOND;
       lastSentAt = sentAt;
       fixture.send(sentAt, 0, beatOf('p', i, { timerDelayUs: SECOND }));
     }
@@ -102,9 +106,9 @@
   fixture.advanceTo(20 * SECOND);
   // The node was frozen for 9 s; the peer's heartbeats are in the socket and are read only after the timers.
   fixture.now = 29 * SECOND;
-  assert.deepEqual(fixture.detector.suspectSilentPeers(9 * SECOND), []);
+  assert.deepEqual(fixture.detector.suspectOverduePeers(9 * SECOND), []);
   assert.equal(
-    fixture.detector.suspectSilentPeers(0).length,
+    fixture.detector.suspectOverduePeers(0).length,
     1,
     'a node whose timers are on time suspects the peer',
   );
@@ -118,7 +122,7 @@
   assert.equal(fixture.detector.receive(beatOf('stranger', 9)), null);
   assert.equal(fixture.detector.receive(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
   fixture.now = 4 * SECOND;
-  assert.equal(fixture.detector.suspectSilentPeers(0).length, 1);
+  assert.equal(fixture.detector.suspectOverduePeers(0).length, 1);
   assert.equal(fixture.detector.receive(beatOf('p', 6)), null);
   assert.equal(fixture.detector.stateOf('p'), 'suspected', 'a late heartbeat does not clear the suspicion');
   assert.equal(fixture.detector.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
@@ -128,9 +132,9 @@
   const fixture = new DetectorFixture();
   fixture.detector.receive(beatOf('p', 1, { incarnation: 9 }));
   fixture.now = 4 * SECOND;
-  assert.equal(fixture.detector.suspectSilentPeers(0).length, 1);
+  assert.equal(fixture.detector.suspectOverduePeers(0).length, 1);
   for (let i = 1; i < 9; i++) {
-    fixture.now += 10 * MILLI;
+    fixture.now += 10 * MILLISECOND;
     assert.equal(
       fixture.detector.receive(beatOf('p', i, { incarnation: 3 })),
       null,
@@ -222,7 +226,7 @@
 
 test('crashes of peers, partitions between them and their ends are detected; the leader does not change', () => {
   const { simulation, log } = startSimulation(9);
-  const leader = simulation.nodes.findIndex((node) => node.core?.leads());
+  const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
   const [crashed, other] = [0, 1, 2].filter((i) => i !== leader) as [number, number];
   log.length = 0;
   simulation.crash(crashed, 8 * SECOND);
@@ -264,8 +268,8 @@
       if (event.startsWith('peer.')) log.push(`${node} ${event} ${String(fields['of'])}`);
     };
     // The old incarnation is the wall-clock time of its start; the new one is `clockStepMs` before that.
-    simulation.wallStart = 60 * SECOND - simulation.now - clockStepMs * MILLI;
-    simulation.crash(2, 50 * MILLI);
+    simulation.wallStart = 60 * SECOND - simulation.now - clockStepMs * MILLISECOND;
+    simulation.crash(2, 50 * MILLISECOND);
     simulation.runFor(4 * SECOND);
     for (const other of ['n0', 'n1', 'n3', 'n4'])
       assert.ok(log.includes(`${other} peer.restarted n2`), `${clockStepMs} ms back: ${log.join('; ')}`);
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -4,7 +4,7 @@
 
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { LEADER_KEY } from '@shaleyoke/core/codecs/keys';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import type {
   StoredItem,
   StoreOperation,
@@ -16,7 +16,7 @@
 import { NodeContext } from '@shaleyoke/core/node/node-context';
 import { FencedWriter } from '@shaleyoke/core/storage/fenced-writer';
 import { MachineStore } from '@shaleyoke/core/storage/machine-store';
-import { PackedPages, pageRoom, readPage } from '@shaleyoke/core/storage/packed-pages';
+import { PackedPages, pageCapacity, readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ProgressStore } from '@shaleyoke/core/storage/progress-store';
 import { Random } from '@shaleyoke/emulator/random';
 import { settingsFor } from '@shaleyoke/emulator/site';
@@ -64,7 +64,9 @@
       return { kind: 'failed', executed: null, cause: 'silent', reason: 'dead' };
     if (
       operation.writes.length > this.limits.ops ||
-      operation.writes.some((write) => write.kind === 'put' && bytesOf(write.value) > this.limits.valueBytes)
+      operation.writes.some(
+        (write) => write.kind === 'put' && jsonByteLength(write.value) > this.limits.valueBytes,
+      )
     ) {
       this.refusals++;
       return { kind: 'refused', reason: '400' };
@@ -205,7 +207,7 @@
   const jobs = new Map<string, ActiveJob>();
   const findJob = (id: string): ActiveJob | undefined => jobs.get(id);
   const findMachine = (name: string): Machine | undefined => machines.get(name);
-  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), findMachine, () =>
+  const machineStore = new MachineStore(writer, pageCapacity(settings.maxValueBytes), findMachine, () =>
     assert.fail('unreadable'),
   );
   const progressStore = new ProgressStore(context, writer, findJob, findMachine);
@@ -235,7 +237,7 @@
   const next = createFixture(2, 0);
   const restoredMachines = new MachineStore(
     next.writer,
-    pageRoom(settings.maxValueBytes),
+    pageCapacity(settings.maxValueBytes),
     () => undefined,
     failUnreadable,
   ).load(store.itemsUnder('r/'), []);
@@ -274,11 +276,11 @@
     ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
   );
   const findMachine = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
-  const machineStore = new MachineStore(writer, pageRoom(settings.maxValueBytes), findMachine, () =>
+  const machineStore = new MachineStore(writer, pageCapacity(settings.maxValueBytes), findMachine, () =>
     assert.fail('unreadable'),
   );
   assert.equal(machineStore.load([], store.itemsUnder('h/')).get(machine.name)?.retiring, true);
-  machineStore.adopt(store.itemsUnder('h/'), findMachine);
+  machineStore.migrateLegacyRecords(store.itemsUnder('h/'), findMachine);
   const progressStore = new ProgressStore(context, writer, (id) => jobs.get(id), findMachine);
   progressStore.load(store.itemsUnder('q/'), store.itemsUnder('p/'), jobs.values(), true);
   store.runFor(5 * SECOND);
@@ -305,7 +307,7 @@
 const writeFormerRecords = (store: UnreliableStore) => {
   const machines = Array.from({ length: 240 }, (_, i) => createMachine(i));
   const put = (key: string, value: unknown): void => {
-    assert.ok(bytesOf(value) <= 16 * 1024, key);
+    assert.ok(jsonByteLength(value) <= 16 * 1024, key);
     store.items.set(key, { key, value, version: 2, lease: null });
   };
   const putPages = <T>(
@@ -389,7 +391,7 @@
       );
       const machineStore = new MachineStore(
         writer,
-        pageRoom(lowerLimits.maxValueBytes),
+        pageCapacity(lowerLimits.maxValueBytes),
         findMachine,
         failUnreadable,
       );
@@ -430,7 +432,7 @@
         ...current.itemsUnder('r/'),
         ...current.itemsUnder('p/'),
       ])
-        assert.ok(bytesOf(item.value) <= 2_048, `${item.key}: ${bytesOf(item.value)} bytes`);
+        assert.ok(jsonByteLength(item.value) <= 2_048, `${item.key}: ${jsonByteLength(item.value)} bytes`);
       for (const item of [...current.itemsUnder('q/'), ...current.itemsUnder('r/')])
         if (!item.key.includes('/s')) assert.deepEqual(item.value, { entries: {} }, item.key);
     }
@@ -456,7 +458,7 @@
   assert.equal(refused, 1);
   assert.deepEqual(done.length, 11);
   // The limits are lower than announced: pages are made smaller until every record is stored.
-  const pages: PackedPages = new PackedPages(writer, 'q/', pageRoom(settings.maxValueBytes), {
+  const pages: PackedPages = new PackedPages(writer, 'q/', pageCapacity(settings.maxValueBytes), {
     encode: (id) => ({ id, pad: 'z'.repeat(60) }),
     move: (id, then) => {
       pages.put(
@@ -479,7 +481,7 @@
   }
   const stored = new Set(store.itemsUnder('q/').flatMap((item) => Object.keys(readPage(item.value) ?? {})));
   assert.equal(stored.size, 40);
-  assert.ok(context.now > 0 && store.itemsUnder('q/').every((item) => bytesOf(item.value) <= 700));
+  assert.ok(context.now > 0 && store.itemsUnder('q/').every((item) => jsonByteLength(item.value) <= 700));
 });
 
 test('a machine omitted from a record in flight counts as unrecorded until it is written again', () => {
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -29,7 +29,7 @@
   for (let i = 0; i < 10; i++)
     simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
   simulation.runFor(60 * SECOND);
-  const leader = simulation.nodes.find((node) => node.core?.leads())!.name;
+  const leader = simulation.nodes.find((node) => node.core?.canActAsLeader())!.name;
   const log: string[] = [];
   simulation.onLog = (node, event) => log.push(`${node} ${event}`);
   return { simulation, leader, others: NAMES.filter((name) => name !== leader), log };
@@ -53,7 +53,7 @@
         for (const one of NAMES)
           for (const other of NAMES) if (one < other) simulation.network.cut(one, other, 60 * SECOND);
       simulation.runFor(12 * SECOND);
-      assert.equal(simulation.nodes.find((node) => node.core?.leads())?.name, others[1]);
+      assert.equal(simulation.nodes.find((node) => node.core?.canActAsLeader())?.name, others[1]);
       simulation.runFor(75 * SECOND);
       assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
       assert.equal(
@@ -76,7 +76,9 @@
     simulation.network.cut(leader, 'state', 60 * SECOND);
     if (peersAreCut) for (const other of others) simulation.network.cut(leader, other, 60 * SECOND);
     simulation.runFor(7 * SECOND);
-    assert.ok(others.some((name) => simulation.nodes.find((node) => node.name === name)!.core!.leads()));
+    assert.ok(
+      others.some((name) => simulation.nodes.find((node) => node.name === name)!.core!.canActAsLeader()),
+    );
     log.length = 0;
     // More tasks than can run, so that there is a reason to scale out.
     for (let i = 20; i < 24; i++) simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
@@ -249,7 +251,7 @@
         specOf(`run-${i}`, { tasks: 3, estimatedRunUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }),
       );
     simulation.runFor(30 * SECOND);
-    const leader = simulation.nodes.findIndex((node) => node.core?.leads());
+    const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
     simulation.network.cutOneWay('state', `n${leader}`, 60 * SECOND);
     simulation.runFor(3 * SECOND);
     const usersHost = simulation.users.host;
@@ -262,7 +264,7 @@
     }
     simulation.runFor(90 * SECOND);
     assert.equal(simulation.users.cancelledAt.size, 4);
-    assert.ok(simulation.nodes.some((node) => node.core?.leads()));
+    assert.ok(simulation.nodes.some((node) => node.core?.canActAsLeader()));
     assert.deepEqual([...new Set(simulation.broken)].slice(0, 3), [], `seed ${seed}`);
   }
 });
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -115,7 +115,7 @@
     }),
   ];
   const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 2, cores: 2, priority: 1, sameZone: true }), {
-    reserve: true,
+    reservesCapacity: true,
   });
   const array = groupOf(specOf('run-2', { tasks: 2, cores: 1, priority: 0 }));
   const decision = search(snapshotOf(slots, { cpu: 30 }), [gang, array], SEARCH_LIMITS, stoppedClock);
@@ -133,7 +133,9 @@
     }),
   );
   const gangs = [1, 2, 3].map((i) =>
-    groupOf(specOf(`run-${i}`, { shape: 'gang', tasks: 2, cores: 2, priority: 1 }), { reserve: true }),
+    groupOf(specOf(`run-${i}`, { shape: 'gang', tasks: 2, cores: 2, priority: 1 }), {
+      reservesCapacity: true,
+    }),
   );
   const array = groupOf(specOf('run-9', { tasks: 1, cores: 1, priority: 0 }));
   const decision = search(
@@ -319,7 +321,7 @@
     { hypothetical: true, reservedForUrgent: true },
   );
   assert.equal(startedNow([array, anyZoneReservation], 'run-2'), 10);
-  const actualService = groupOf({ ...service, id: 'run-3' }, { reserve: true });
+  const actualService = groupOf({ ...service, id: 'run-3' }, { reservesCapacity: true });
   assert.equal(startedNow([array, actualService, spreadReservation], 'run-3'), 4);
   assert.equal(startedNow([array, actualService, spreadReservation], 'run-2'), 8);
 });
--- a/packages/core/test/polls-at-size.test.ts
+++ b/packages/core/test/polls-at-size.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { PollingUsers } from '@shaleyoke/emulator/polling-users';
 import { Random } from '@shaleyoke/emulator/random';
@@ -17,7 +17,7 @@
 /** The longest time for which polls of a job may stay unanswered. */
 const MAX_TIME_WITHOUT_ANSWER = 75 * SECOND;
 /** Keeps the rate of accepted jobs below the store's write limit. */
-const SUBMISSION_INTERVAL = 40 * MILLI;
+const SUBMISSION_INTERVAL = 40 * MILLISECOND;
 
 /** A simulated cluster and the users who poll its jobs. */
 interface PolledCluster {
@@ -65,7 +65,7 @@
   const cluster = startPolledCluster(21);
   const { simulation, users } = cluster;
   simulation.nodes.forEach((_, i) => {
-    simulation.crash(i, 300 * MILLI);
+    simulation.crash(i, 300 * MILLISECOND);
   });
   simulation.runFor(SECOND);
   users.resetMeasurements();
@@ -90,7 +90,7 @@
     name: 'a burst of lookups that uses up all store requests',
     interrupt: (simulation) => {
       for (let i = 0; i < 4_000; i++)
-        simulation.later(i * 2 * MILLI, () => {
+        simulation.later(i * 2 * MILLISECOND, () => {
           simulation.users.host.ask(0, { kind: 'cancel', id: `run-${900_000 + i}` }, () => undefined);
         });
       simulation.runFor(9 * SECOND);
--- a/packages/core/test/protocol-rules.test.ts
+++ b/packages/core/test/protocol-rules.test.ts
@@ -145,9 +145,9 @@
   // The cloud is unavailable as well.
   simulation.cloud.downUntil = simulation.now + 100 * SECOND;
   simulation.runFor(90 * SECOND);
-  const leader = simulation.nodes.find((node) => node.core?.leads() === true);
+  const leader = simulation.nodes.find((node) => node.core?.canActAsLeader() === true);
   simulation.runFor(8 * SECOND);
-  assert.ok(leader?.core?.leads(), 'the same node still leads');
+  assert.ok(leader?.core?.canActAsLeader(), 'the same node still leads');
   simulation.runFor(150 * SECOND);
   for (let i = 0; i < 4; i++) simulation.poll(`run-${i}`);
   simulation.runFor(2 * SECOND);
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -22,7 +22,7 @@
   const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
   const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, deadlineFactor: 1 }];
   const context = new NodeContext({ ...settings, objectives }, () => 0);
-  context.types = new Map([['gpu', GPU]]);
+  context.machineTypes = new Map([['gpu', GPU]]);
   const cluster = new ClusterState(context);
   for (let i = 0; i < machines; i++) {
     const machine = new Machine(`m-${i}`, `m-${i}`, 'gpu', 'a', false, 0);
@@ -70,7 +70,7 @@
     addJob(cluster, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
     for (let i = 0; i < 3; i++)
       addJob(cluster, `small-${i}`, { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
-    return new QueueOrder(cluster).inOrder().map((job) => job.id);
+    return new QueueOrder(cluster).startableJobs().map((job) => job.id);
   };
   assert.equal(
     orderWith(0)[0],
@@ -93,7 +93,7 @@
   addJob(cluster, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
   addJob(cluster, 'small', { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
   assert.deepEqual(
-    new QueueOrder(cluster).inOrder().map((job) => job.id),
+    new QueueOrder(cluster).startableJobs().map((job) => job.id),
     ['small', 'large'],
   );
 });
@@ -110,10 +110,10 @@
   addJob(cluster, 'urgent-array', urgent);
   addJob(cluster, 'urgent-gang', { ...urgent, shape: 'gang' });
   const queue = new QueueOrder(cluster);
-  queue.inOrder();
+  queue.startableJobs();
   // Each team is due a turn now.
   context.now += 13 * SECOND;
-  const order = queue.inOrder();
+  const order = queue.startableJobs();
   const turns = order.filter((job) => queue.hasTurn(job));
   assert.equal(turns.length, TEAMS.length);
   assert.deepEqual(
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 
 import type { JobSpec } from '@shaleyoke/core/domain/job';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { specOf } from '@shaleyoke/emulator/specs';
@@ -33,8 +33,8 @@
 
 /** Crashes processes that restart at once: a random one, the leader, or all of them; once or repeatedly. */
 const crashAndRestart = (simulation: ClusterSimulation, random: Random): void => {
-  const downtime = (): number => random.below(500) * MILLI;
-  const leader = simulation.nodes.findIndex((node) => node.core?.leads());
+  const downtime = (): number => random.below(500) * MILLISECOND;
+  const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
   const choice = random.below(5);
   if (choice === 0) simulation.crash(random.below(simulation.nodes.length), downtime());
   else if (choice === 1 && leader >= 0) simulation.crash(leader, downtime());
@@ -44,7 +44,7 @@
     const node = leader >= 0 && random.chance(0.6) ? leader : random.below(simulation.nodes.length);
     for (let restart = 0; restart < 2 + random.below(4); restart++) {
       simulation.crash(node, downtime());
-      simulation.runFor(random.below(1_500) * MILLI);
+      simulation.runFor(random.below(1_500) * MILLISECOND);
     }
   }
 };
@@ -86,7 +86,7 @@
   };
   simulation.repeats = 0.1;
   // Half of the histories have faults from the start: starting up must not depend on a process that survives it.
-  if (seed % 2 === 0) simulation.runFor(random.below(1_200) * MILLI);
+  if (seed % 2 === 0) simulation.runFor(random.below(1_200) * MILLISECOND);
   const ids: string[] = [];
   for (let step = 0; step < size.steps; step++) {
     simulation.loss = random.chance(0.3) ? 0.15 : 0.01;
@@ -104,13 +104,13 @@
     const anyId = ids[random.below(Math.max(1, ids.length))];
     if (anyId !== undefined && random.chance(0.15)) simulation.cancel(anyId);
     for (const id of ids) if (random.chance(0.2)) simulation.poll(id);
-    simulation.runFor(random.below(5_000) * MILLI);
+    simulation.runFor(random.below(5_000) * MILLISECOND);
   }
   simulation.loss = 0;
   while (simulation.state.down) simulation.runFor(SECOND);
-  for (let i = 0; i < simulation.nodes.length; i++) simulation.crash(i, random.below(500) * MILLI);
-  simulation.runFor(500 * MILLI + LEADER_LEASE + MAX_ELECTION_TIME);
-  const isElectionLate = !simulation.nodes.some((node) => node.core?.leads());
+  for (let i = 0; i < simulation.nodes.length; i++) simulation.crash(i, random.below(500) * MILLISECOND);
+  simulation.runFor(500 * MILLISECOND + LEADER_LEASE + MAX_ELECTION_TIME);
+  const isElectionLate = !simulation.nodes.some((node) => node.core?.canActAsLeader());
   simulation.runFor(200 * SECOND);
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
@@ -162,7 +162,7 @@
   let startedTasks = 0;
   let sendLateCopy: (() => string) | null = null;
   for (let i = 0; i < 400; i++) {
-    simulation.runFor(100 * MILLI);
+    simulation.runFor(100 * MILLISECOND);
     for (const worker of simulation.workers.values()) {
       const task = worker.tasks[0];
       if (task === undefined || sendLateCopy !== null) continue;
@@ -187,9 +187,9 @@
     simulation.stand(12);
     const preprovisioned = new Set(simulation.workers.keys());
     for (let crashNumber = 0; crashNumber < 4; crashNumber++) {
-      simulation.runFor(random.below(700) * MILLI);
-      const leader = simulation.nodes.findIndex((node) => node.core?.leads());
-      if (leader >= 0) simulation.crash(leader, random.below(500) * MILLI);
+      simulation.runFor(random.below(700) * MILLISECOND);
+      const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
+      if (leader >= 0) simulation.crash(leader, random.below(500) * MILLISECOND);
     }
     simulation.runFor(30 * SECOND);
     // More tasks than these machines can run: others are provisioned, and only those may be returned.
@@ -220,7 +220,7 @@
     for (let i = 0; i < 4; i++)
       simulation.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
     simulation.runFor(20 * SECOND);
-    const leader = simulation.nodes.findIndex((node) => node.core?.leads());
+    const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
     // Few enough machines die with the leader for the next one to plan before it knows that they are lost.
     const deadMachines = [...simulation.workers.values()].slice(0, 2);
     for (const worker of deadMachines) simulation.killWorker(worker);
@@ -232,7 +232,7 @@
     simulation.crash(leader, 8 * SECOND);
     simulation.submit(specOf('run-9', { tasks: 4, estimatedRunUs: 10 * SECOND }));
     while (simulation.now < 60 * SECOND && firstStartAt === 0) {
-      simulation.runFor(100 * MILLI);
+      simulation.runFor(100 * MILLISECOND);
       if ([...simulation.workers.values()].some((worker) => worker.tasks.some((t) => t.job === 'run-9')))
         firstStartAt = simulation.now;
     }
@@ -268,8 +268,8 @@
       if (event === 'leader.state_restored') restoredAt = simulation.now;
     };
     simulation.crash(
-      simulation.nodes.findIndex((node) => node.core?.leads()),
-      300 * MILLI,
+      simulation.nodes.findIndex((node) => node.core?.canActAsLeader()),
+      300 * MILLISECOND,
     );
     simulation.submit(specOf('run-8', { class: 'd', tasks: 4, estimatedRunUs: 10 * SECOND }));
     simulation.submit(
@@ -284,7 +284,7 @@
     let serviceStartedAt: Micros | null = null;
     let arrayStartedAt: Micros | null = null;
     while (simulation.now < 60 * SECOND && arrayStartedAt === null) {
-      simulation.runFor(100 * MILLI);
+      simulation.runFor(100 * MILLISECOND);
       serviceStartedAt ??= startTimeOf('run-9');
       arrayStartedAt ??= startTimeOf('run-8');
     }
--- a/packages/core/test/runtime-estimates.test.ts
+++ b/packages/core/test/runtime-estimates.test.ts
@@ -21,6 +21,6 @@
   );
   assert.ok(estimates.remaining('c', 'x', 10 * SECOND, 60 * SECOND) > 0);
   const restored = new RuntimeEstimates();
-  restored.load(JSON.parse(JSON.stringify(estimates.summary(16_000))));
+  restored.restore(JSON.parse(JSON.stringify(estimates.toStored(16_000))));
   assert.ok(restored.remaining('c', 'x', 10 * SECOND, 0) > 19 * SECOND);
 });
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -16,9 +16,9 @@
   ACTIVE_JOBS_PREFIX,
   activeJobKey,
   endedJobKey,
-  FORMER_MACHINES_PREFIX,
   LARGE_PROGRESS_PREFIX,
   LEADER_KEY,
+  LEGACY_MACHINES_PREFIX,
   legacyMachineKey,
   MACHINE_PAGES_PREFIX,
   MACHINE_TYPES_KEY,
@@ -201,10 +201,10 @@
   const estimates = new RuntimeEstimates();
   estimates.recordRun('train', 'g8', 100 * SECOND, 110 * SECOND, true);
   estimates.recordRun('train', 'g8', 100 * SECOND, 50 * SECOND, false);
-  assert.deepEqual(stored(estimates.summary(16_000)), record);
+  assert.deepEqual(stored(estimates.toStored(16_000)), record);
   const restored = new RuntimeEstimates();
-  restored.load(record);
-  assert.deepEqual(stored(restored.summary(16_000)), record);
+  restored.restore(record);
+  assert.deepEqual(stored(restored.toStored(16_000)), record);
 });
 
 test('keys', () => {
@@ -218,7 +218,7 @@
       PROGRESS_PAGES_PREFIX,
       MACHINE_PAGES_PREFIX,
       LARGE_PROGRESS_PREFIX,
-      FORMER_MACHINES_PREFIX,
+      LEGACY_MACHINES_PREFIX,
     ],
     ['j/', 'q/', 'r/', 'p/', 'h/'],
   );
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -114,7 +114,7 @@
       counted.coresByTeam.get(team) ?? 0,
       `${label}: cores of ${team}`,
     );
-  assert.equal(totals.lowestRunning(), counted.lowestPriority, `${label}: lowest running`);
+  assert.equal(totals.lowestLivePriority(), counted.lowestPriority, `${label}: lowest running`);
   assert.equal(
     totals.anyPreprovisioned,
     machines.some((machine) => machine.preprovisioned),
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -14,7 +14,7 @@
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { MembershipSettings, Settings } from '@shaleyoke/core/domain/settings';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
 
 import { CloudModel } from './cloud-model.js';
@@ -53,12 +53,12 @@
 }
 
 /** Timeout of a controller's call to the state service or the cloud. */
-const CALL_TIMEOUT: Micros = 1200 * MILLI;
+const CALL_TIMEOUT: Micros = 1200 * MILLISECOND;
 /** Timeouts of users: for a poll, and for any other request. */
 const POLL_TIMEOUT: Micros = 2 * SECOND;
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
 /** Timeout of commands to a worker that is unreachable or slow to receive them, longer than that of other calls. */
-const COMMAND_TIMEOUT: Micros = 2500 * MILLI;
+const COMMAND_TIMEOUT: Micros = 2500 * MILLISECOND;
 const REPLY_LOST: StoreReply = { kind: 'failed', executed: null, cause: 'silent', reason: 'lost' };
 const REPLY_REFUSED = { kind: 'failed', executed: false, cause: 'refused', reason: '503' } as const;
 
@@ -130,7 +130,7 @@
   readonly state = new StateModel(
     () => this.now,
     (run) => {
-      this.schedule(2 * MILLI, run);
+      this.schedule(2 * MILLISECOND, run);
     },
   );
   /** Network links; the endpoints are the names of nodes and workers, `state` and `cloud`. */
@@ -243,7 +243,7 @@
   /** With the probability `repeats`, runs the delivery again: within half a second, or within 30 s. */
   private maybeRepeat(run: () => void): void {
     if (this.repeats > 0 && this.random.chance(this.repeats))
-      this.schedule(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLI, run);
+      this.schedule(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLISECOND, run);
   }
 
   // ---- nodes -------------------------------------------------------------------------------------
@@ -421,7 +421,7 @@
         const deliver = (): void => {
           this.step(receiver, { kind: 'peerMessage', message: effect.message });
         };
-        this.schedule(this.network.delay(node.name, receiver.name) + 2 * MILLI, deliver);
+        this.schedule(this.network.delay(node.name, receiver.name) + 2 * MILLISECOND, deliver);
         this.maybeRepeat(deliver);
         return;
       }
@@ -437,7 +437,7 @@
     this.keptHeartbeats = [];
     for (const heartbeat of kept)
       for (const node of this.nodes)
-        this.schedule(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLI, () => {
+        this.schedule(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLISECOND, () => {
           this.keptArrived++;
           this.step(node, { kind: 'heartbeat', request: this.nextRequest++, heartbeat });
         });
@@ -495,7 +495,7 @@
   ): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
     if (this.network.delay(node.name, 'state') > 0 || !this.random.chance(this.answersLost)) return false;
-    this.schedule(3 * MILLI, () => {
+    this.schedule(3 * MILLISECOND, () => {
       if (this.state.apply(op).kind !== 'ok') return;
       for (const write of op.writes) {
         const kind = write.kind === 'delete' ? 'delete' : write.key.replace(/\/.*$/, '/');
@@ -513,7 +513,7 @@
   ): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
     if (!this.random.chance(this.lateWrites)) return false;
-    this.schedule((2_000 + this.random.below(10_000)) * MILLI, () => {
+    this.schedule((2_000 + this.random.below(10_000)) * MILLISECOND, () => {
       this.lateWritten.all++;
       if (this.state.apply(op).kind === 'ok') this.lateWritten.applied++;
     });
@@ -535,16 +535,16 @@
     if (requestDelay > 0 || this.network.delay(to, from) > 0) {
       // The request is executed when the partition ends; the caller has timed out by then.
       if (watch === null)
-        this.schedule(requestDelay + 2 * MILLI, () => {
+        this.schedule(requestDelay + 2 * MILLISECOND, () => {
           run();
         });
-      this.schedule(watch === null ? CALL_TIMEOUT : watch.waitMs * MILLI + 2 * SECOND, () => {
+      this.schedule(watch === null ? CALL_TIMEOUT : watch.waitMs * MILLISECOND + 2 * SECOND, () => {
         onReply(lost);
       });
       return;
     }
     if (to === 'state' && this.remainingRefusal(from) > 0) {
-      this.schedule(3 * MILLI, () => {
+      this.schedule(3 * MILLISECOND, () => {
         onReply(REPLY_REFUSED as R);
       });
       return;
@@ -556,7 +556,7 @@
         if (isPending) onReply(result);
         isPending = false;
       };
-      this.schedule(3 * MILLI, () => {
+      this.schedule(3 * MILLISECOND, () => {
         this.state.watch(watch, (reply) => {
           const isSlow = this.stateSlow !== null && this.random.chance(this.stateSlow.share);
           const delay = isSlow ? this.random.below(this.stateSlow!.most) : 0;
@@ -570,7 +570,7 @@
           );
         });
       });
-      this.schedule(watch.waitMs * MILLI + 2 * SECOND, () => {
+      this.schedule(watch.waitMs * MILLISECOND + 2 * SECOND, () => {
         answerOnce(lost);
       });
       return;
@@ -592,7 +592,7 @@
     }
     if (to === 'state' && this.answersSlow > 0) {
       const duration = this.random.below(this.answersSlow);
-      this.schedule(3 * MILLI, () => {
+      this.schedule(3 * MILLISECOND, () => {
         const result = run();
         this.schedule(Math.min(duration, CALL_TIMEOUT), () => {
           onReply(duration < CALL_TIMEOUT ? result : lost);
@@ -608,7 +608,7 @@
         onReply(lost);
       });
     } else if (outcome < (this.loss * 2) / 3) {
-      this.schedule(3 * MILLI, () => {
+      this.schedule(3 * MILLISECOND, () => {
         run();
       });
       this.schedule(CALL_TIMEOUT, () => {
@@ -619,10 +619,10 @@
         onReply(lost);
       });
     else
-      this.schedule((2 + this.random.below(6)) * MILLI, () => {
+      this.schedule((2 + this.random.below(6)) * MILLISECOND, () => {
         const result = run();
         this.maybeRepeat(run);
-        this.schedule(2 * MILLI, () => {
+        this.schedule(2 * MILLISECOND, () => {
           onReply(result);
         });
       });
@@ -647,7 +647,7 @@
     if (requestDelay > 0 || this.network.delay(node.name, worker.name) > 0) {
       this.machines.recordTimeout(worker);
       const lateRequest = this.nextRequest++;
-      this.schedule(requestDelay + 2 * MILLI, () => {
+      this.schedule(requestDelay + 2 * MILLISECOND, () => {
         this.step(node, { kind: 'heartbeat', request: lateRequest, heartbeat });
       });
       return;
@@ -665,12 +665,12 @@
       if (isRequestLost || isResponseLost || this.now < worker.cutUntil || this.now < worker.deafUntil)
         return;
       const leader = answer.kind === 'redirect' ? this.nodes.findIndex((x) => x.name === answer.leader) : -1;
-      this.schedule(2 * MILLI, () => {
+      this.schedule(2 * MILLISECOND, () => {
         this.machines.handleResponse(worker, session, sentAt, answer, leader);
       });
     });
     // A heartbeat whose request is lost still arrives, up to 20 s late and with its old content.
-    this.schedule(isRequestLost ? this.random.below(20) * SECOND : 2 * MILLI, deliver);
+    this.schedule(isRequestLost ? this.random.below(20) * SECOND : 2 * MILLISECOND, deliver);
     this.maybeRepeat(() => {
       this.step(this.nodes[this.random.below(this.nodes.length)]!, {
         kind: 'heartbeat',
@@ -781,13 +781,13 @@
       onAnswer(answer, last);
     };
     this.pendingFeatureRequests.set(`${node.name}/${incarnation}/${request}`, notify);
-    this.schedule(2 * MILLI, () => {
+    this.schedule(2 * MILLISECOND, () => {
       if (node.core !== null && node.incarnation === incarnation)
         this.step(node, { kind: 'featureRequest', feature, request, body, wallUs: this.wall });
     });
     const checkConnection = (): void => {
       if (isPending && (node.core === null || node.incarnation !== incarnation)) notify(null, true);
-      else if (isPending) this.schedule(200 * MILLI, checkConnection);
+      else if (isPending) this.schedule(200 * MILLISECOND, checkConnection);
     };
     checkConnection();
   }
@@ -798,7 +798,7 @@
   runFor(length: Micros): void {
     const end = this.now + length;
     while (this.now < end) {
-      this.timeline.advanceTo(Math.min(end, this.now + 25 * MILLI));
+      this.timeline.advanceTo(Math.min(end, this.now + 25 * MILLISECOND));
       this.state.expire();
       for (const node of this.nodes)
         if (node.wakeAt !== null && node.wakeAt <= this.now && this.remainingPause(node) === 0) {
@@ -815,7 +815,7 @@
   private checkSingleLeader(): void {
     // A frozen node can't act, and learns the time with its next input.
     const leaders = (): SimulatedNode[] =>
-      this.nodes.filter((node) => node.frozenUntil <= this.now && node.core?.leads() === true);
+      this.nodes.filter((node) => node.frozenUntil <= this.now && node.core?.canActAsLeader() === true);
     if (leaders().length < 2) return;
     for (const node of leaders()) this.step(node, { kind: 'timer' });
     if (leaders().length > 1)
@@ -850,7 +850,7 @@
 
   /** The index of the node that is entitled to act as the leader now; -1: none. */
   leader(): number {
-    return this.nodes.findIndex((node) => node.core?.leads() === true);
+    return this.nodes.findIndex((node) => node.core?.canActAsLeader() === true);
   }
 
   /** A random running machine, if there is one. */
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -5,7 +5,7 @@
 import type { CoreEffect } from '@shaleyoke/core/domain/effects';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import type { Feature } from '@shaleyoke/core/feature-api';
 
 import { ClusterSimulation } from '../cluster-simulation.js';
@@ -105,8 +105,8 @@
   world.lateWrites = random.chance(0.1) ? 0.3 : 0;
   world.answersLost = random.chance(0.1) ? 0.3 : 0;
   world.keepReports = random.chance(0.2) ? 0.5 : 0;
-  if (random.chance(0.08)) world.crash(random.below(NODE_COUNT), random.below(6_000) * MILLI);
-  if (random.chance(0.05) && world.leader() >= 0) world.crash(world.leader(), 700 * MILLI);
+  if (random.chance(0.08)) world.crash(random.below(NODE_COUNT), random.below(6_000) * MILLISECOND);
+  if (random.chance(0.05) && world.leader() >= 0) world.crash(world.leader(), 700 * MILLISECOND);
   if (random.chance(0.04)) world.stateOutage((2 + random.below(10)) * SECOND);
   if (random.chance(0.05)) world.freeze(random.below(NODE_COUNT), (1 + random.below(8)) * SECOND);
   if (random.chance(0.06))
@@ -165,7 +165,7 @@
     if (jobId !== undefined && random.chance(0.15)) world.cancel(jobId);
     if (jobId !== undefined && random.chance(0.4)) world.poll(jobId);
     for (const client of clients) client.sendRequests(world, random);
-    world.runFor((500 + random.below(4_000)) * MILLI);
+    world.runFor((500 + random.below(4_000)) * MILLISECOND);
   }
   clearFaults(world);
   for (const id of ids) world.poll(id);
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -4,7 +4,7 @@
  */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import { Random } from './random.js';
@@ -35,7 +35,7 @@
     const leader = simulation.leader();
     if (leader < 0) return;
     count('ends');
-    simulation.crash(leader, [50 * MILLI, 700 * MILLI, 5 * SECOND][random.below(3)]!);
+    simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
   });
 };
 
@@ -66,7 +66,7 @@
   const running = new Set(busyWorkers(simulation).flatMap((worker) => worker.tasks.map((task) => task.job)));
   for (const id of [...running].slice(0, maxJobs)) {
     count('called off');
-    simulation.later(random.below(200) * MILLI, () => {
+    simulation.later(random.below(200) * MILLISECOND, () => {
       simulation.cancel(id);
     });
   }
@@ -83,8 +83,8 @@
     if (node !== name || --writesLeft > 0) return;
     simulation.onWrite = () => undefined;
     count('ended at a write');
-    simulation.later(random.chance(0.5) ? 0 : 20 * MILLI, () => {
-      simulation.crash(leader, [50 * MILLI, 700 * MILLI, 5 * SECOND][random.below(3)]!);
+    simulation.later(random.chance(0.5) ? 0 : 20 * MILLISECOND, () => {
+      simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
     });
   };
 };
@@ -130,7 +130,7 @@
   'the leader ends': ({ w: simulation, random, count }) => {
     const leader = simulation.leader();
     if (leader < 0) return;
-    simulation.crash(leader, [50 * MILLI, 700 * MILLI, 5 * SECOND][random.below(3)]!);
+    simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
     count('ends');
   },
   'late reports and repeats': ({ w: simulation }) => {
@@ -146,12 +146,12 @@
       simulation.nodes.forEach((_, index) => {
         simulation.crash(
           index,
-          index === first ? random.below(300) * MILLI : (300 + random.below(6_000)) * MILLI,
+          index === first ? random.below(300) * MILLISECOND : (300 + random.below(6_000)) * MILLISECOND,
         );
       });
     };
     restartAll();
-    if (random.chance(0.5)) simulation.later(random.below(3_000) * MILLI, restartAll);
+    if (random.chance(0.5)) simulation.later(random.below(3_000) * MILLISECOND, restartAll);
   },
   'the leader ends while machines can not be reached': ({ w: simulation, random, count }) => {
     for (const worker of simulation.workers.values())
@@ -175,7 +175,7 @@
       simulation.users.queryBurstChance = 0;
     });
     if (random.chance(0.5))
-      simulation.crash(random.below(simulation.nodes.length), random.below(800) * MILLI);
+      simulation.crash(random.below(simulation.nodes.length), random.below(800) * MILLISECOND);
     if (random.chance(0.4)) {
       simulation.lateWrites = 0.3;
       simulation.later(10 * SECOND, () => {
@@ -197,7 +197,7 @@
       count('met the end');
       // Close to the worker's heartbeat, the leader's write and the reply to it.
       for (let i = 0; i < 3; i++)
-        simulation.later(random.below(400) * MILLI, () => {
+        simulation.later(random.below(400) * MILLISECOND, () => {
           const action = random.below(3);
           if (action === 0) simulation.poll(id);
           else if (action === 1) simulation.submit(spec);
@@ -214,7 +214,7 @@
     simulation.later(15 * SECOND, () => {
       simulation.answersLost = 0;
     });
-    if (random.chance(0.6)) crashLeader(context, random.below(8_000) * MILLI);
+    if (random.chance(0.6)) crashLeader(context, random.below(8_000) * MILLISECOND);
   },
   'old reports kept for the next leader': (context) => {
     const { w: simulation, random, count } = context;
@@ -247,7 +247,7 @@
       );
       disturbWorkers(context, 0.7);
       cancelRunningJobs(context, 3);
-      crashLeader(context, random.below(6_000) * MILLI);
+      crashLeader(context, random.below(6_000) * MILLISECOND);
       if (random.chance(0.5)) crashLeader(context, (8 + random.below(8)) * SECOND);
     });
   },
@@ -269,14 +269,14 @@
         });
       } else if (faultKind === 1) {
         for (let round = 0; round < 5; round++)
-          simulation.later(round * 1_300 * MILLI, () => {
+          simulation.later(round * 1_300 * MILLISECOND, () => {
             cancelRunningJobs(context, 1);
           });
-        crashLeader(context, random.below(4_000) * MILLI);
+        crashLeader(context, random.below(4_000) * MILLISECOND);
       } else {
         simulation.freeze(leader, (4 + random.below(12)) * SECOND);
         for (let round = 0; round < 6; round++)
-          simulation.later(round * 1_300 * MILLI, () => {
+          simulation.later(round * 1_300 * MILLISECOND, () => {
             cancelRunningJobs(context, 1);
           });
       }
@@ -284,7 +284,7 @@
   },
   'new machines at once while writes lag, and the leader ends': (context) => {
     const { w: simulation, random, count } = context;
-    simulation.cloud.bootUs = () => random.below(2_000) * MILLI;
+    simulation.cloud.bootUs = () => random.below(2_000) * MILLISECOND;
     const workersBefore = simulation.workers.size;
     // The jobs need new machines.
     for (const worker of busyWorkers(simulation)) if (random.chance(0.6)) simulation.killWorker(worker);
@@ -314,7 +314,7 @@
         count('mute');
       } else if (worker.alive && random.chance(0.2))
         worker.deafUntil = simulation.now + (5 + random.below(45)) * SECOND;
-    crashLeader(context, random.below(15_000) * MILLI);
+    crashLeader(context, random.below(15_000) * MILLISECOND);
   },
   'machines are taken with notice, and jobs cancelled while they save': (context) => {
     const { w: simulation, random, count } = context;
@@ -331,7 +331,7 @@
           worker.nextReport = simulation.now;
           count('taken');
         }
-      simulation.later(1_500 * MILLI + random.below(2_500) * MILLI, () => {
+      simulation.later(1_500 * MILLISECOND + random.below(2_500) * MILLISECOND, () => {
         for (const worker of simulation.workers.values())
           for (const task of worker.tasks)
             if (task.state === 'saving' && random.chance(0.7)) {
@@ -339,18 +339,18 @@
               count('cancelled while saving');
             }
       });
-      if (random.chance(0.3)) crashLeader(context, random.below(5_000) * MILLI);
+      if (random.chance(0.3)) crashLeader(context, random.below(5_000) * MILLISECOND);
     });
   },
   'one-task jobs four a second, a quarter cancelled': (context) => {
     const { w: simulation, random, count } = context;
     simulation.state.writesPerSecond = 25;
     for (let i = 0; i < 48; i++)
-      simulation.later(i * 250 * MILLI, () => {
+      simulation.later(i * 250 * MILLISECOND, () => {
         const id = context.submit({ tasks: 1, estimatedRunUs: (1 + random.below(3)) * SECOND });
         count('small jobs');
         if (random.chance(0.25))
-          simulation.later(random.below(4_000) * MILLI, () => {
+          simulation.later(random.below(4_000) * MILLISECOND, () => {
             simulation.cancel(id);
           });
       });
@@ -361,7 +361,7 @@
   'ten changes of leader in two minutes': (context) => {
     const { w: simulation, random, count } = context;
     for (let i = 0; i < 10; i++)
-      simulation.later(i * 12 * SECOND + random.below(4_000) * MILLI, () => {
+      simulation.later(i * 12 * SECOND + random.below(4_000) * MILLISECOND, () => {
         const leader = simulation.leader();
         if (leader < 0) return;
         count('changes');
@@ -369,7 +369,7 @@
         if (faultKind === 0)
           simulation.refuse(simulation.nodes[leader]!.name, (7 + random.below(5)) * SECOND);
         else if (faultKind === 1) simulation.freeze(leader, (7 + random.below(5)) * SECOND);
-        else simulation.crash(leader, random.below(6_000) * MILLI);
+        else simulation.crash(leader, random.below(6_000) * MILLISECOND);
       });
     if (random.chance(0.5))
       simulation.later((20 + random.below(60)) * SECOND, () => {
@@ -410,12 +410,12 @@
           else worker.cutUntil = simulation.now + (10 + random.below(25)) * SECOND;
           count('lost');
         }
-      if (random.chance(0.5)) crashLeader(context, random.below(3_000) * MILLI);
+      if (random.chance(0.5)) crashLeader(context, random.below(3_000) * MILLISECOND);
     });
   },
   'more work than room, urgent and not, over slow links': (context) => {
     const { w: simulation, random, count } = context;
-    simulation.stateSlow = { share: 0.5, most: 900 * MILLI };
+    simulation.stateSlow = { share: 0.5, most: 900 * MILLISECOND };
     for (let i = 0; i < 6; i++)
       context.submit({
         tasks: 3 + random.below(4),
@@ -427,7 +427,7 @@
     simulation.later(20 * SECOND, () => {
       simulation.stateSlow = null;
     });
-    if (random.chance(0.5)) crashLeader(context, random.below(10_000) * MILLI);
+    if (random.chance(0.5)) crashLeader(context, random.below(10_000) * MILLISECOND);
   },
 };
 
@@ -540,7 +540,7 @@
         for (const id of ids) if (random.chance(0.3)) simulation.poll(id);
         const worker = simulation.anyWorker();
         if (worker !== undefined && random.chance(0.03)) simulation.killWorker(worker);
-        simulation.runFor((500 + random.below(4_000)) * MILLI);
+        simulation.runFor((500 + random.below(4_000)) * MILLISECOND);
       }
     }
     simulation.runFor(random.below(15) * SECOND);
--- a/packages/emulator/src/loopback-cloud.ts
+++ b/packages/emulator/src/loopback-cloud.ts
@@ -2,7 +2,7 @@
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI } from '@shaleyoke/core/domain/time';
+import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
 import type { LoopWorker } from './loopback-workers.js';
 
@@ -87,7 +87,7 @@
     this.workers.set(name, worker);
     setTimeout(() => {
       if (worker.alive && !this.host.isStopping()) void worker.boot();
-    }, type.bootUs / MILLI);
+    }, type.bootUs / MILLISECOND);
     return name;
   }
 
