--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -2,13 +2,13 @@
 import type { Heartbeat, ReportedTask, WorkerCommand } from '@shaleyoke/core/domain/heartbeat';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { type Asked, serve, type Served } from './loopback-http.js';
 import { type Answer, decodeCommands, decodeHeartbeatResponse, encodeHeartbeat } from './wire.js';
 
 /** Minimum time between heartbeats, however many tasks change. */
-const MIN_HEARTBEAT_INTERVAL: Micros = 500 * MILLI;
+const MIN_HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
 const STEP_MS = 50;
 
 /** An attempt of a task on a worker. */
@@ -295,7 +295,7 @@
     const now = this.world.now();
     if (leader >= 0 && leader !== this.node % this.world.nodes.length) {
       this.node = leader;
-      this.nextHeartbeatAt = now + 100 * MILLI;
+      this.nextHeartbeatAt = now + 100 * MILLISECOND;
     } else {
       this.node++;
       this.nextHeartbeatAt = now + SECOND;
@@ -332,7 +332,7 @@
       state: refusal === null ? 'fetching' : 'exited',
       cause: refusal,
       runningSince: null,
-      stateEndsAt: this.world.now() + 300 * MILLI,
+      stateEndsAt: this.world.now() + 300 * MILLISECOND,
     });
     this.sendHeartbeatSoon();
   }
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -65,8 +65,8 @@
   {
     name: 'a delayed heartbeat brings back a machine that is gone',
     file: 'machines/machine-lifecycle.ts',
-    from: 'if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;',
-    to: 'if (heartbeat.tasks.length >= 0 || !this.store.isComplete) return false;',
+    from: 'if (heartbeat.tasks.length === 0 || !this.store.areAllRecordsReadable) return false;',
+    to: 'if (heartbeat.tasks.length >= 0 || !this.store.areAllRecordsReadable) return false;',
   },
   {
     name: 'a lost start command does not raise the fencing token',
--- a/packages/emulator/src/polling-users.ts
+++ b/packages/emulator/src/polling-users.ts
@@ -1,5 +1,5 @@
 /** Simulated users who poll each of their jobs every 5 s at a random node, and record for how long none was answered. */
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { ClusterSimulation } from './cluster-simulation.js';
 import type { Random } from './random.js';
@@ -8,7 +8,7 @@
 /** How often a user polls a job. */
 const POLL_INTERVAL: Micros = 5 * SECOND;
 /** A poll is sent up to this much earlier or later. */
-const POLL_JITTER: Micros = 500 * MILLI;
+const POLL_JITTER: Micros = 500 * MILLISECOND;
 
 interface PolledJob {
   readonly id: string;
@@ -123,7 +123,7 @@
   private recordAnswer(job: PolledJob, sentAt: Micros): void {
     const { now } = this.simulation;
     this.answered++;
-    this.latenciesMs.push((now - sentAt) / MILLI);
+    this.latenciesMs.push((now - sentAt) / MILLISECOND);
     job.longestGap = this.longestGapOf(job);
     job.lastAnsweredAt = now;
     job.polledSince = [];
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -4,7 +4,7 @@
  */
 import { Agent } from 'node:http';
 
-import { MILLI } from '@shaleyoke/core/domain/time';
+import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
 import { call } from '../loopback-http.js';
 import { LoopWorker, type WorkerWorld } from '../loopback-workers.js';
@@ -26,7 +26,7 @@
 const LATENCY_SAMPLE_INTERVAL = 20;
 const STATUS_OK = 200;
 
-const nowUs = (): number => Math.round(performance.now() * MILLI);
+const nowUs = (): number => Math.round(performance.now() * MILLISECOND);
 
 const worldOf = (
   number: number,
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -9,7 +9,7 @@
 
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { controllerSettings } from '../controller-settings.js';
 import { call, freePorts, type Served } from '../loopback-http.js';
@@ -121,7 +121,7 @@
   constructor(private readonly options: HollowOptions) {}
 
   private now(): Micros {
-    return Math.round((performance.now() - this.startedAt) * MILLI);
+    return Math.round((performance.now() - this.startedAt) * MILLISECOND);
   }
 
   async run(): Promise<HollowReport> {
--- a/packages/emulator/src/scale/poll-load.ts
+++ b/packages/emulator/src/scale/poll-load.ts
@@ -5,7 +5,7 @@
  */
 import { encodeActiveJob } from '@shaleyoke/core/codecs/job-codec';
 import { activeJobKey } from '@shaleyoke/core/codecs/keys';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { ClusterSimulation } from '../cluster-simulation.js';
 import { PollingUsers } from '../polling-users.js';
@@ -47,7 +47,7 @@
 const ELECTION_TIME: Micros = 5 * SECOND;
 /** Long enough for even the slowest controller to load all jobs. */
 const WARM_UP_TIME: Micros = 200 * SECOND;
-const RESTART_DELAY: Micros = 300 * MILLI;
+const RESTART_DELAY: Micros = 300 * MILLISECOND;
 const TEAM_SETTINGS = '[[cluster.teams]]\nname = "t"\ncpus_max = 4.0\n';
 const FIRST_JOB_NUMBER = 100_000;
 
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -1,7 +1,7 @@
 /** Measures a simulated deployment of one size: idle, during a burst of mixed jobs, and during a change of leader. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { ClusterSimulation } from '../cluster-simulation.js';
 import { Random } from '../random.js';
@@ -19,7 +19,7 @@
 /** Limit on the duration of a burst; the report says so if its tasks have not all started or ended by then. */
 const MAX_BURST_DURATION: Micros = 150 * SECOND;
 const MAX_TAKEOVER_TIME: Micros = 40 * SECOND;
-const CHECK_INTERVAL: Micros = 100 * MILLI;
+const CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 
 /** Size and seed of a measurement. */
 export interface SizeOptions {
--- a/packages/emulator/src/soak/fault-injector.ts
+++ b/packages/emulator/src/soak/fault-injector.ts
@@ -1,5 +1,5 @@
 /** Injects the faults of a schedule into a running cluster. */
-import { MILLI } from '@shaleyoke/core/domain/time';
+import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
 import type { LoopWorker } from '../loopback-workers.js';
 import type { Random } from '../random.js';
@@ -44,7 +44,7 @@
         links.storeRefusedUntil = cluster.now() + durationMs;
         return;
       case 'storeDown':
-        cluster.store.outage(durationMs * MILLI);
+        cluster.store.outage(durationMs * MILLISECOND);
         return;
       case 'storeSlow':
       case 'storeAnswersLost':
@@ -111,7 +111,7 @@
         commands.block(durationMs, 'requests');
         return;
       case 'workersHang':
-        worker.hang(durationMs * MILLI);
+        worker.hang(durationMs * MILLISECOND);
         return;
       case 'commandsLate':
         commands.maxDelayMs = durationMs;
--- a/packages/emulator/src/soak/soak-cluster.ts
+++ b/packages/emulator/src/soak/soak-cluster.ts
@@ -11,7 +11,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { controllerSettings } from '../controller-settings.js';
 import { LoopbackCloud } from '../loopback-cloud.js';
@@ -140,7 +140,7 @@
   }
 
   private nowUs(): Micros {
-    return Math.round((performance.now() - this.startedAt) * MILLI);
+    return Math.round((performance.now() - this.startedAt) * MILLISECOND);
   }
 
   /** Creates a link without faults. */
@@ -336,7 +336,7 @@
     const worker = this.cloud.workers.get(machine);
     while (worker !== undefined && worker.hangsFor > 0) {
       const { hangsFor } = worker;
-      await new Promise((resolve) => setTimeout(resolve, hangsFor / MILLI));
+      await new Promise((resolve) => setTimeout(resolve, hangsFor / MILLISECOND));
     }
   }
 
--- a/packages/emulator/src/state-model.ts
+++ b/packages/emulator/src/state-model.ts
@@ -6,7 +6,7 @@
   StoreReply,
 } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 /** Minimum number of past changes that are kept for watches, once there are as many. */
 const HISTORY_LENGTH = 10_000;
@@ -137,7 +137,7 @@
     }
     const reply = this.eventsFor(op);
     if (reply.kind !== 'events' || reply.events.length > 0) onReply(reply);
-    else this.watches.push({ operation: op, expiresAt: this.now() + op.waitMs * MILLI, onReply });
+    else this.watches.push({ operation: op, expiresAt: this.now() + op.waitMs * MILLISECOND, onReply });
   }
 
   /** Executes any operation except watches. */
@@ -158,7 +158,10 @@
         return this.transact(op);
       case 'grant': {
         const lease = this.nextLease++;
-        this.leases.set(lease, { duration: op.ttlMs * MILLI, expiresAt: this.now() + op.ttlMs * MILLI });
+        this.leases.set(lease, {
+          duration: op.ttlMs * MILLISECOND,
+          expiresAt: this.now() + op.ttlMs * MILLISECOND,
+        });
         return { kind: 'granted', lease };
       }
       case 'renew': {
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -2,7 +2,7 @@
 import type { ClientRequest, ClientResponse } from '@shaleyoke/core/domain/client-api';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { Random } from './random.js';
 import type { Workload } from './work.js';
@@ -84,12 +84,12 @@
           this.random.chance(0.3) || (round === 0 && stage === 'accepted')
             ? { kind: 'submit', id, spec, problem: null }
             : { kind: 'poll', id };
-        this.host.schedule((round * 15 + this.random.below(15)) * MILLI, () => {
+        this.host.schedule((round * 15 + this.random.below(15)) * MILLISECOND, () => {
           this.send(id, body, () => undefined, node);
         });
       }
     if (stage === 'accepted' && this.random.chance(0.15))
-      this.host.schedule(this.random.below(40) * MILLI, () => {
+      this.host.schedule(this.random.below(40) * MILLISECOND, () => {
         this.cancel(id);
       });
   }
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -9,7 +9,7 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { SimulatedMachines } from './cloud-model.js';
 import type { Random } from './random.js';
@@ -223,7 +223,7 @@
       for (const command of response.commands) this.executeCommand(worker, command);
     } else if (leader >= 0 && leader !== worker.node) {
       worker.node = leader;
-      worker.nextReport = this.now + 100 * MILLI;
+      worker.nextReport = this.now + 100 * MILLISECOND;
     } else this.switchNode(worker);
   }
 
@@ -287,7 +287,7 @@
       state: 'fetching',
       cause: null,
       checkpointed: false,
-      stateEndsAt: this.now + 500 * MILLI,
+      stateEndsAt: this.now + 500 * MILLISECOND,
       runningSince: null,
     });
   }
@@ -398,7 +398,7 @@
         } else continue;
         changed = true;
       }
-      if (changed) worker.nextReport = Math.min(worker.nextReport, this.now + 50 * MILLI);
+      if (changed) worker.nextReport = Math.min(worker.nextReport, this.now + 50 * MILLISECOND);
       if (this.now < worker.nextReport) continue;
       worker.nextReport = this.now + HEARTBEAT_INTERVAL;
       this.host.sendHeartbeat(worker);
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -7,7 +7,7 @@
  */
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 
 import { beatOf } from '../src/beats.js';
@@ -30,9 +30,9 @@
 const BASELINE: TestCase = {
   name: 'baseline',
   lossRate: 0.0003,
-  extraIntervalUs: 20 * MILLI,
+  extraIntervalUs: 20 * MILLISECOND,
   freezeUs: 0,
-  timerDelayUs: 20 * MILLI,
+  timerDelayUs: 20 * MILLISECOND,
 };
 const CASES: TestCase[] = [
   BASELINE,
@@ -71,8 +71,8 @@
       nextFreeze += 120 * SECOND;
     }
     if (at >= end) return received;
-    let delay = 1 * MILLI;
-    for (let retransmitDelay = 200 * MILLI; random.chance(testCase.lossRate); retransmitDelay *= 2)
+    let delay = 1 * MILLISECOND;
+    for (let retransmitDelay = 200 * MILLISECOND; random.chance(testCase.lossRate); retransmitDelay *= 2)
       delay += retransmitDelay;
     // All heartbeats use one connection, so later ones wait for the retransmission of a lost packet.
     lastArrival = Math.max(lastArrival, at + delay);
@@ -99,7 +99,7 @@
     }
     now = nextCheck;
     const timerDelay = random.below(testCase.timerDelayUs + 1);
-    if (detector.suspectSilentPeers(timerDelay).length > 0) {
+    if (detector.suspectOverduePeers(timerDelay).length > 0) {
       if (now >= end) return { falseSuspicions, detectionTime: now - end };
       falseSuspicions++;
     } else if (now >= end && detector.stateOf('p') === 'suspected')
@@ -118,7 +118,7 @@
     const result = simulate(
       testCase,
       new Random(1_000 * caseIndex + hour + 1),
-      3_600 * SECOND + ((hour * 377) % 1_000) * MILLI,
+      3_600 * SECOND + ((hour * 377) % 1_000) * MILLISECOND,
     );
     falseSuspicions += result.falseSuspicions;
     detectionTimes.push(result.detectionTime);
--- a/packages/kubernetes/src/cache-sync.ts
+++ b/packages/kubernetes/src/cache-sync.ts
@@ -5,19 +5,19 @@
  */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import type { NodeContext } from '@shaleyoke/core/node/node-context';
 
 import { type Change, ObjectCache } from './object-cache.js';
 import { KEY_PREFIX } from './records.js';
 
 /** Requests within this time share one store request; the delay is longer where the store's request rate is low. */
-const MIN_BATCH_DELAY: Micros = 5 * MILLI;
+const MIN_BATCH_DELAY: Micros = 5 * MILLISECOND;
 /** Share of the store's request rate that refreshes of one node may use, however many clients there are. */
 const MAX_REQUEST_SHARE = 0.06;
 const POLL_MS = 20_000;
 const PAGE_SIZE = 500;
-const RETRY_DELAY: Micros = 500 * MILLI;
+const RETRY_DELAY: Micros = 500 * MILLISECOND;
 
 /** Refreshes an object cache before reads and follows changes while there are watches. */
 export class CacheSync {
@@ -67,7 +67,7 @@
     const done = (ok: boolean): void => {
       this.refreshing = false;
       for (const then of callbacks)
-        this.context.guard('kube.sync', () => {
+        this.context.runGuarded('kube.sync', () => {
           then(ok);
         });
       if (this.pendingCallbacks.length > 0) this.scheduleRefresh();
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -19,14 +19,14 @@
   ) {}
 
   /** Starts the node's endpoint; the core calls it once, before `begin`. */
-  serve(services: NodeServices): FeatureEndpoint {
+  createEndpoint(services: NodeServices): FeatureEndpoint {
     this.services = services;
     this.endpoint = new KubeEndpoint(services, this.random, this.settings.tenants);
     return this.endpoint;
   }
 
   /** Starts the controller of a leader's term on this node. */
-  begin(term: LeaderTerm): FeatureTerm {
+  beginTerm(term: LeaderTerm): FeatureTerm {
     if (this.endpoint === null || this.services === null)
       throw new Error('serve() must be called before begin()');
     return new JobController(term, this.services, this.endpoint.cacheSync, this.settings.statusChangesPerS);
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -2,7 +2,7 @@
 import { randomBytes } from 'node:crypto';
 
 import type { Team } from '@shaleyoke/core/domain/settings';
-import type { AskFeature, Feature } from '@shaleyoke/core/feature-api';
+import type { Feature,RequestFeature } from '@shaleyoke/core/feature-api';
 
 import type { KubeAnswer } from './api.js';
 import { Kube } from './feature.js';
@@ -20,7 +20,7 @@
   yaml: string,
   teams: readonly Team[],
   fileName: string,
-): { feature: Feature; listener: (ask: AskFeature) => Promise<{ readonly close: () => void }> } => {
+): { feature: Feature; listener: (ask: RequestFeature) => Promise<{ readonly close: () => void }> } => {
   const settings = parseKube(yaml, teams, fileName);
   return {
     feature: new Kube(() => randomBytes(16), settings),
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -3,7 +3,7 @@
  * null.
  */
 import { reader } from '@shaleyoke/config/checked';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
 
 /** Prefix of all keys of this package. */
@@ -94,7 +94,7 @@
       const code = text.charCodeAt(from + length - 1);
       if (code >= 0xd800 && code <= 0xdbff && length > 1) length--;
       const chunk = { v: 1 as const, text: text.slice(from, from + length) };
-      if (bytesOf(chunk) <= maxBytes || length === 1) {
+      if (jsonByteLength(chunk) <= maxBytes || length === 1) {
         chunks.push(chunk);
         break;
       }
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -229,7 +229,7 @@
   simulation.runFor(45 * SECOND);
   // The leader crashes between storing the reason and cancelling the job.
   simulation.crash(
-    simulation.nodes.findIndex((n) => n.core?.leads() === true),
+    simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true),
     3 * SECOND,
   );
   simulation.runFor(90 * SECOND);
