--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -7,8 +7,8 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
-import { TYPE } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { MACHINE_TYPE } from '@shaleyoke/emulator/site';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import {
   chargedMoney,
@@ -22,10 +22,10 @@
 test('without faults, run time is charged as it was and the records are consistent', () => {
   const { simulation } = simulateBudgets(new Random(1));
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 5 }));
-  simulation.submit(specOf('run-2', { shape: 'gang', tasks: 3, sameZone: true, team: 'u' }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 5 }));
+  simulation.submit(makeJobSpec('run-2', { shape: 'gang', tasks: 3, sameZone: true, team: 'u' }));
   simulation.submit(
-    specOf('run-3', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }),
+    makeJobSpec('run-3', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }),
   );
   simulation.runFor(180 * SECOND);
   const view = recordedView(simulation);
@@ -48,7 +48,7 @@
   let bill = 0;
   const head = view.head!;
   for (const rented of simulation.cloud.bills.values())
-    bill += (((rented.to ?? head.w - simulation.wallStart) - rented.from) / 3.6e9) * TYPE.price * 1e6;
+    bill += (((rented.to ?? head.w - simulation.wallStart) - rented.from) / 3.6e9) * MACHINE_TYPE.price * 1e6;
   assert.ok(
     Math.abs(bill - balance.cost) < simulation.cloud.bills.size * 2500,
     `cloud ${bill}, ledger ${balance.cost}`,
@@ -64,19 +64,23 @@
     simulation.runFor(2 * SECOND);
     const specs: JobSpec[] = [];
     for (let step = 0; step < 30; step++) {
-      simulation.loss = random.chance(0.3) ? 0.2 : 0.02;
+      simulation.messageLoss = random.chance(0.3) ? 0.2 : 0.02;
       if (random.chance(0.6) && specs.length < 12) {
         const id = `run-${seed}${String(step).padStart(3, '0')}`;
         const team = random.chance(0.5) ? 't' : 'u';
         const spec = random.chance(0.3)
-          ? specOf(id, {
+          ? makeJobSpec(id, {
               team,
               shape: 'gang',
               tasks: 1 + random.below(3),
               sameZone: true,
               estimatedRunUs: 12 * SECOND,
             })
-          : specOf(id, { team, tasks: 1 + random.below(6), estimatedRunUs: (4 + random.below(30)) * SECOND });
+          : makeJobSpec(id, {
+              team,
+              tasks: 1 + random.below(6),
+              estimatedRunUs: (4 + random.below(30)) * SECOND,
+            });
         specs.push(spec);
         simulation.submit(spec);
       }
@@ -86,7 +90,7 @@
       if (random.chance(0.08)) simulation.stateOutage((2 + random.below(14)) * SECOND);
       const worker = simulation.anyWorker();
       if (worker !== undefined && random.chance(0.15))
-        worker.cutUntil = simulation.now + (4 + random.below(30)) * SECOND;
+        worker.unreachableUntil = simulation.now + (4 + random.below(30)) * SECOND;
       if (worker !== undefined && random.chance(0.1)) simulation.killWorker(worker);
       const anySpec = specs[random.below(Math.max(1, specs.length))];
       if (anySpec !== undefined && random.chance(0.08)) simulation.cancel(anySpec.id);
@@ -100,26 +104,26 @@
         // A task that hangs runs for longer than estimated; the workers record the longest run of each task.
         let limit = spec.tasks * 2 * MAX_REPORT_DELAY;
         for (let i = 0; i < spec.tasks; i++) limit += simulation.work.longestUs.get(`${spec.id}/${i}`) ?? 0;
-        if (!simulation.users.asked.has(spec.id))
+        if (!simulation.users.cancelRequested.has(spec.id))
           assert.ok(
             chargedUs(view, spec.id) <= limit,
             `seed ${seed} ${spec.id}: ${chargedUs(view, spec.id)} > ${limit}`,
           );
       }
     }
-    simulation.loss = 0;
+    simulation.messageLoss = 0;
     simulation.runFor(300 * SECOND);
     for (const spec of specs) simulation.poll(spec.id);
     simulation.runFor(2 * SECOND);
     const view = recordedView(simulation);
-    assert.deepEqual([...new Set(simulation.broken)].slice(0, 5), [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)].slice(0, 5), [], `seed ${seed}`);
     assert.deepEqual(verifyBooks(view), [], `seed ${seed}`);
-    assert.equal(simulation.refusals, 0);
+    assert.equal(simulation.oversizedTransactions, 0);
     for (const spec of specs) {
       const runUs = chargedUs(view, spec.id);
       const attempts = spec.tasks * 40;
       assert.ok(
-        runUs <= (simulation.work.ranUs.get(spec.id) ?? 0) + attempts * MAX_REPORT_DELAY,
+        runUs <= (simulation.work.totalRunUs.get(spec.id) ?? 0) + attempts * MAX_REPORT_DELAY,
         `seed ${seed} ${spec.id}`,
       );
       charged += runUs;
@@ -133,7 +137,7 @@
 test('a change of leader costs owners nothing, and attempts that keep running are charged without a gap', () => {
   const { simulation } = simulateBudgets(new Random(4));
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 4, estimatedRunUs: 150 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 4, estimatedRunUs: 150 * SECOND }));
   simulation.runFor(60 * SECOND);
   const leader = simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true);
   simulation.crash(leader, 3 * SECOND);
@@ -153,7 +157,7 @@
     // Flushes are rare, as in a deployment where many pages change at each flush.
     const { simulation } = simulateBudgets(new Random(20 + delay), 'changes_per_s: 0.05');
     simulation.runFor(3 * SECOND);
-    simulation.submit(specOf('run-1', { tasks: 4, estimatedRunUs: 120 * SECOND }));
+    simulation.submit(makeJobSpec('run-1', { tasks: 4, estimatedRunUs: 120 * SECOND }));
     const tasks = (): { state: string }[] => [...simulation.workers.values()].flatMap((x) => x.tasks);
     for (let quarter = 0; quarter < 1200 && !tasks().some((t) => t.state === 'exited'); quarter++)
       simulation.runFor(SECOND / 4);
@@ -186,7 +190,7 @@
   simulation.limits = { valueBytes: 2_048, ops: 5 };
   simulation.runFor(3 * SECOND);
   names.forEach((team, number) => {
-    simulation.submit(specOf(`run-${1000 + number}`, { team, tasks: 2, estimatedRunUs: 40 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${1000 + number}`, { team, tasks: 2, estimatedRunUs: 40 * SECOND }));
   });
   const before = new Map<string, number>();
   for (let second = 0; second < 480; second++) {
@@ -195,7 +199,9 @@
       simulation.crash(simulation.nodes.findIndex((n) => n.core?.canActAsLeader() === true) % 3, 3 * SECOND);
     if (second === 250)
       names.forEach((team, number) => {
-        simulation.submit(specOf(`run-${2000 + number}`, { team, tasks: 1, estimatedRunUs: 20 * SECOND }));
+        simulation.submit(
+          makeJobSpec(`run-${2000 + number}`, { team, tasks: 1, estimatedRunUs: 20 * SECOND }),
+        );
       });
     const view = recordedView(simulation);
     assert.deepEqual(view.problems, [], `second ${second}`);
@@ -207,7 +213,7 @@
   }
   const view = recordedView(simulation);
   assert.deepEqual(verifyBooks(view), []);
-  assert.equal(simulation.refusals, 0);
+  assert.equal(simulation.oversizedTransactions, 0);
   assert.ok(simulation.keys('b/a/').length >= 8, `${simulation.keys('b/a/').length} pages`);
   const closed = view.closed.filter((c) => c.month === '2026-11' && c.row[1] > 0);
   assert.equal(closed.length, 40);
@@ -222,7 +228,9 @@
   // More services than the journal pages of one transaction hold; they are charged as they run, then all cancelled.
   const ids = Array.from({ length: 240 }, (_, k) => `run-${String(k).padStart(6, '0')}`);
   for (const id of ids)
-    simulation.submit(specOf(id, { shape: 'service', tasks: 1, cores: 1, estimatedRunUs: 1000 * SECOND }));
+    simulation.submit(
+      makeJobSpec(id, { shape: 'service', tasks: 1, cores: 1, estimatedRunUs: 1000 * SECOND }),
+    );
   const before = new Map<string, number>();
   for (let second = 0; second < 220; second++) {
     simulation.runFor(SECOND);
@@ -243,7 +251,7 @@
 test('the platform pays for lost work: a job whose machines die is charged for one run', () => {
   const { simulation } = simulateBudgets(new Random(9));
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 3, estimatedRunUs: 60 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 3, estimatedRunUs: 60 * SECOND }));
   for (let death = 0; death < 3; death++) {
     simulation.runFor(45 * SECOND);
     for (const worker of [...simulation.workers.values()])
@@ -257,7 +265,7 @@
   assert.equal(simulation.stageOf('run-1'), 'done');
   const runUs = chargedUs(view, 'run-1');
   assert.ok(runUs > 3 * 56 * SECOND && runUs < 3 * (60 * SECOND + MAX_REPORT_DELAY), `${runUs / SECOND}`);
-  assert.ok(simulation.work.ranUs.get('run-1')! > 4 * 60 * SECOND, 'it did run more than once');
+  assert.ok(simulation.work.totalRunUs.get('run-1')! > 4 * 60 * SECOND, 'it did run more than once');
   assert.ok(balanceOf(view).platform.lost > 0);
 });
 
@@ -265,12 +273,12 @@
   // Starts ninety seconds before December begins in Warsaw.
   const { simulation } = simulateBudgets(new Random(6), '', 4, '', Date.UTC(2026, 10, 30, 22, 58, 30) * 1000);
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 2, estimatedRunUs: 120 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 2, estimatedRunUs: 120 * SECOND }));
   simulation.submit(
-    specOf('run-2', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }),
+    makeJobSpec('run-2', { shape: 'service', tasks: 1, team: 'u', estimatedRunUs: 1000 * SECOND }),
   );
   simulation.runFor(200 * SECOND);
-  simulation.submit(specOf('run-3', { tasks: 2, estimatedRunUs: 20 * SECOND }));
+  simulation.submit(makeJobSpec('run-3', { tasks: 2, estimatedRunUs: 20 * SECOND }));
   simulation.runFor(150 * SECOND);
   const view = recordedView(simulation);
   assert.deepEqual(verifyBooks(view), []);
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -8,7 +8,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { type ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { recordedView, simulateBudgets } from './budget-simulation.js';
 
@@ -19,7 +19,7 @@
 };
 /** Two tasks of 60 s, each a quarter of a machine at 1.00 an hour: 0.0083; the commitment is at most 2.2 times that. */
 const job = (id: string, more: Partial<JobSpec> = {}): JobSpec =>
-  specOf(id, { tasks: 2, estimatedRunUs: 60 * SECOND, ...more });
+  makeJobSpec(id, { tasks: 2, estimatedRunUs: 60 * SECOND, ...more });
 
 test('jobs that exceed a limit stay queued, other owners go on, and they begin when the limit is raised', () => {
   const { simulation } = simulateBudgets(new Random(2), 'owners:\n  t: { hard: 0.04 }\n');
@@ -38,7 +38,7 @@
   simulation.runFor(200 * SECOND);
   assert.deepEqual(new Set(stages(simulation, ids)), new Set(['done']));
   assert.deepEqual(verifyBooks(recordedView(simulation)), []);
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a limit of zero, or one lowered below what is spent, holds back only jobs that have not begun', () => {
@@ -52,7 +52,7 @@
   simulation.submit(job('run-3'));
   simulation.runFor(150 * SECOND);
   assert.deepEqual(stages(simulation, ['run-1', 'run-2', 'run-3']), ['done', 'queued', 'queued']);
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a chain of jobs begins as a whole or not at all, and neither crash nor limit interrupts it', () => {
@@ -89,7 +89,7 @@
     }
     assert.ok(begun >= 1 && begun < chains.length, `seed ${seed}: ${begun}`);
     assert.deepEqual(stages(simulation, ['run-99']), [stages(simulation, [first[2]!])[0]]);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
   }
 });
 
@@ -108,7 +108,7 @@
     const specs: JobSpec[] = [];
     let maxCharged = 0;
     for (let step = 0; step < 40; step++) {
-      simulation.loss = random.chance(0.2) ? 0.15 : 0.02;
+      simulation.messageLoss = random.chance(0.2) ? 0.15 : 0.02;
       if (random.chance(0.6)) {
         const gang = random.chance(0.3);
         const spec = job(`run-${String(step).padStart(3, '0')}`, {
@@ -127,7 +127,7 @@
       for (const charge of currentLedger()?.accounts.get('t')?.values() ?? [])
         maxCharged = Math.max(maxCharged, charge.money);
     }
-    simulation.loss = 0;
+    simulation.messageLoss = 0;
     simulation.runFor(200 * SECOND);
     const view = recordedView(simulation);
     assert.deepEqual(verifyBooks(view), [], `seed ${seed}`);
@@ -141,13 +141,13 @@
     simulation.runFor(2 * SECOND);
     // Nothing is stopped for exceeding a limit: each job that has begun is done.
     for (const spec of specs)
-      if ((simulation.work.ranUs.get(spec.id) ?? 0) > 0)
+      if ((simulation.work.totalRunUs.get(spec.id) ?? 0) > 0)
         assert.equal(
           simulation.stageOf(spec.id),
           'done',
           `seed ${seed} ${spec.id}: ${simulation.stageOf(spec.id)}`,
         );
-    assert.deepEqual([...new Set(simulation.broken)].slice(0, 4), [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)].slice(0, 4), [], `seed ${seed}`);
   }
 });
 
@@ -184,6 +184,6 @@
   simulation.runFor(120 * SECOND);
   assert.deepEqual(stages(simulation, ['run-1']), ['done']);
   assert.deepEqual(simulation.value('b/head'), { v: 1, damaged: true });
-  assert.ok(simulation.broken.some((b) => b.includes('budgets.unreadable')));
-  assert.ok(simulation.broken.some((b) => b.includes('budgets.stopped')));
+  assert.ok(simulation.violations.some((b) => b.includes('budgets.unreadable')));
+  assert.ok(simulation.violations.some((b) => b.includes('budgets.stopped')));
 });
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -11,7 +11,7 @@
 import { verifyStatement } from '@shaleyoke/budgets/verify';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 import fc from 'fast-check';
 
 import { budgetSettings, recordedView, simulateBudgets, TEAMS } from './budget-simulation.js';
@@ -23,9 +23,12 @@
   simulation.runFor(4 * SECOND);
   for (let i = 0; i < 4; i++)
     simulation.submit(
-      specOf(`run-${i}`, { team: i % 2 === 0 ? 't' : 'u', class: i % 2 === 0 ? 'geheim-t' : 'geheim-u' }),
+      makeJobSpec(`run-${i}`, {
+        team: i % 2 === 0 ? 't' : 'u',
+        class: i % 2 === 0 ? 'geheim-t' : 'geheim-u',
+      }),
     );
-  simulation.submit(specOf('run-8', { team: 'u', tasks: 9, estimatedRunUs: 100 * SECOND }));
+  simulation.submit(makeJobSpec('run-8', { team: 'u', tasks: 9, estimatedRunUs: 100 * SECOND }));
   simulation.runFor(120 * SECOND);
   return simulation;
 };
@@ -72,14 +75,14 @@
     facts,
     recordedView(simulation),
     budgetSettings('owners:\n  u: { hard: 0.02 }\n'),
-    simulation.wall,
+    simulation.wallClock,
   );
   assert.match(
     lines[0]!,
     /run-8: held back: budget of u: 0\.0\d+ of 0\.020000 EUR left in 2026-12, about 0\.\d+ needed/,
   );
   assert.match(
-    explainJob('run-77', facts, recordedView(simulation), budgetSettings(), simulation.wall)[0]!,
+    explainJob('run-77', facts, recordedView(simulation), budgetSettings(), simulation.wallClock)[0]!,
     /no such job/,
   );
 });
--- a/packages/budgets/test/stored-records.test.ts
+++ b/packages/budgets/test/stored-records.test.ts
@@ -18,7 +18,7 @@
 } from '@shaleyoke/budgets/records';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { simulateBudgets } from './budget-simulation.js';
 
@@ -102,8 +102,8 @@
 test('the records that a leader writes have these fields and no others', () => {
   const { simulation: world } = simulateBudgets(new Random(1));
   world.runFor(3 * SECOND);
-  world.submit(specOf('run-1', { tasks: 2, estimatedRunUs: 20 * SECOND }));
-  world.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 900 * SECOND }));
+  world.submit(makeJobSpec('run-1', { tasks: 2, estimatedRunUs: 20 * SECOND }));
+  world.submit(makeJobSpec('run-2', { tasks: 2, estimatedRunUs: 900 * SECOND }));
   world.runFor(120 * SECOND);
   const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
   assert.deepEqual(fieldsOf(world.value('b/head')), fieldsOf(HEAD_RECORD));
--- a/packages/core/test/backfill.test.ts
+++ b/packages/core/test/backfill.test.ts
@@ -12,7 +12,7 @@
 } from '@shaleyoke/core/scheduling/placement-search';
 import type { CapacityOffer, TaskGroup } from '@shaleyoke/core/scheduling/plan-input';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { groupOf, SEARCH_LIMITS, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
 
@@ -34,9 +34,11 @@
     }),
   );
   const comparedGroups = Array.from({ length: 64 }, (_, i) =>
-    groupOf(specOf(`run-${i}`, { tasks: 5, cores: 4 })),
+    groupOf(makeJobSpec(`run-${i}`, { tasks: 5, cores: 4 })),
+  );
+  const backfilledGroups = Array.from({ length: 100 }, (_, i) =>
+    groupOf(makeJobSpec(`run-9${i}`, { tasks: 3 })),
   );
-  const backfilledGroups = Array.from({ length: 100 }, (_, i) => groupOf(specOf(`run-9${i}`, { tasks: 3 })));
   const decision = search(
     snapshotOf(slots, { box: 5 }),
     comparedGroups,
@@ -55,8 +57,8 @@
 
 test('a backfilled task smaller than any searched group uses the remaining capacity of a machine', () => {
   const slots = [slotOf('m1', MACHINE_TYPE, { free: { cores: 1, gpus: 0, memoryGb: 16 } })];
-  const small = groupOf(specOf('run-2', { tasks: 1, cores: 1 }));
-  const large = groupOf(specOf('run-1', { tasks: 1, cores: 3 }));
+  const small = groupOf(makeJobSpec('run-2', { tasks: 1, cores: 1 }));
+  const large = groupOf(makeJobSpec('run-1', { tasks: 1, cores: 3 }));
   const decision = search(
     snapshotOf(slots, { box: 5 }),
     [large],
@@ -72,7 +74,7 @@
     slotOf(`f${i}`, MACHINE_TYPE, { free: { cores: 1, gpus: 0, memoryGb: 16 } }),
   );
   const backfilledGroups = Array.from({ length: 500 }, (_, i) =>
-    groupOf(specOf(`run-${i}`, { tasks: 5, cores: 2 })),
+    groupOf(makeJobSpec(`run-${i}`, { tasks: 5, cores: 2 })),
   );
   const groupsDecision = search(
     snapshotOf(nearlyFullMachines, { box: 5 }),
@@ -86,7 +88,7 @@
     groupsDecision.placementsExamined < 3_000,
     `${groupsDecision.placementsExamined} placements examined`,
   );
-  const array = groupOf(specOf('run-1', { tasks: 4_000 }));
+  const array = groupOf(makeJobSpec('run-1', { tasks: 4_000 }));
   const arrayDecision = search(
     snapshotOf(emptyMachines(1_000), { box: 5 }),
     [],
@@ -106,9 +108,9 @@
     ...emptyMachines(3),
     ...Array.from({ length: 3 }, (_, i) => slotOf(`z${i}`, MACHINE_TYPE, { zone: 'b' })),
   ];
-  const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 4, cores: 4, sameZone: true }));
-  const spreadArray = groupOf(specOf('run-2', { tasks: 9, cores: 2, spreadAcrossZones: true }));
-  const sameZoneArray = groupOf(specOf('run-3', { tasks: 9, cores: 2, sameZone: true }));
+  const gang = groupOf(makeJobSpec('run-1', { shape: 'gang', tasks: 4, cores: 4, sameZone: true }));
+  const spreadArray = groupOf(makeJobSpec('run-2', { tasks: 9, cores: 2, spreadAcrossZones: true }));
+  const sameZoneArray = groupOf(makeJobSpec('run-3', { tasks: 9, cores: 2, sameZone: true }));
   const decision = search(
     snapshotOf(slots, { box: 5 }),
     [],
@@ -136,10 +138,10 @@
 
 test('a backfilled group with a reservation keeps lower priorities off its machines', () => {
   const slots = [slotOf('m1', MACHINE_TYPE, { free: { cores: 2, gpus: 0, memoryGb: 16 } })];
-  const urgent = groupOf(specOf('run-1', { shape: 'gang', tasks: 1, cores: 4, priority: 3 }), {
+  const urgent = groupOf(makeJobSpec('run-1', { shape: 'gang', tasks: 1, cores: 4, priority: 3 }), {
     reservesCapacity: true,
   });
-  const low = groupOf(specOf('run-2', { tasks: 2, priority: 0 }));
+  const low = groupOf(makeJobSpec('run-2', { tasks: 2, priority: 0 }));
   const decision = search(
     snapshotOf(slots, { box: 5 }),
     [],
@@ -153,7 +155,7 @@
 test('machines are provisioned for backfilled groups, within the limit of an offer', () => {
   const offer: CapacityOffer = { type: MACHINE_TYPE, zone: 'a', spot: false, limit: 50 };
   const backfilledGroups = Array.from({ length: 100 }, (_, i) =>
-    groupOf(specOf(`run-${i}`, { tasks: 4, cores: 4 })),
+    groupOf(makeJobSpec(`run-${i}`, { tasks: 4, cores: 4 })),
   );
   const decision = search(
     snapshotOf([], { box: 500 }, [offer]),
@@ -173,7 +175,7 @@
       const groupRandom = new Random(seed);
       return Array.from({ length: 3 + groupRandom.below(6) }, (_, i) =>
         groupOf(
-          specOf(`run-${i}`, {
+          makeJobSpec(`run-${i}`, {
             shape: groupRandom.chance(0.3) ? 'gang' : 'array',
             tasks: 1 + groupRandom.below(6),
             cores: 1 + groupRandom.below(2),
@@ -213,7 +215,7 @@
 });
 
 test('where capacity is short, the search runs even if uncontended plans skip it', () => {
-  const groups = [1, 2, 3].map((i) => groupOf(specOf(`run-${i}`, { tasks: 2, cores: 2 })));
+  const groups = [1, 2, 3].map((i) => groupOf(makeJobSpec(`run-${i}`, { tasks: 2, cores: 2 })));
   const decision = search(
     snapshotOf(emptyMachines(2), { box: 5 }),
     groups,
@@ -225,7 +227,7 @@
 
 test('a search that is suspended and resumed makes the same decision, and restores its snapshot', () => {
   const groups = Array.from({ length: 10 }, (_, i) =>
-    groupOf(specOf(`run-${i}`, { tasks: 1 + (i % 4), cores: 1 + (i % 3) })),
+    groupOf(makeJobSpec(`run-${i}`, { tasks: 1 + (i % 4), cores: 1 + (i % 3) })),
   );
   const uninterrupted = search(snapshotOf(emptyMachines(8), { box: 5 }), groups, SEARCH_LIMITS, stoppedClock);
   const snapshot = snapshotOf(emptyMachines(8), { box: 5 });
--- a/packages/core/test/bulk-starts.test.ts
+++ b/packages/core/test/bulk-starts.test.ts
@@ -9,14 +9,14 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation, type CoreOptions } from '@shaleyoke/emulator/cluster-simulation';
 import {
+  BASIC_LIMITS,
   BASIC_SCENARIOS,
+  EXTENDED_LIMITS,
   EXTENDED_SCENARIOS,
-  FIRST_BOUNDS,
-  play,
-  SECOND_BOUNDS,
+  runScenarios,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
 import { teamQuota, violationsOf } from './scenario-fixtures.js';
@@ -49,18 +49,18 @@
     null,
     coreOptions,
   );
-  simulation.stand(MACHINES);
+  simulation.addMachines(MACHINES);
   simulation.runFor(4 * SECOND);
   return simulation;
 };
 
 const JOBS: readonly JobSpec[] = [
-  specOf('run-1', { shape: 'gang', tasks: 128, estimatedRunUs: 6 * SECOND }),
-  specOf('run-2', { tasks: 60, estimatedRunUs: 5 * SECOND }),
-  specOf('run-3', { tasks: 25, cores: 2, estimatedRunUs: 4 * SECOND, spreadAcrossZones: true }),
-  specOf('run-4', { shape: 'gang', tasks: 16, cores: 2, estimatedRunUs: 5 * SECOND, sameZone: true }),
+  makeJobSpec('run-1', { shape: 'gang', tasks: 128, estimatedRunUs: 6 * SECOND }),
+  makeJobSpec('run-2', { tasks: 60, estimatedRunUs: 5 * SECOND }),
+  makeJobSpec('run-3', { tasks: 25, cores: 2, estimatedRunUs: 4 * SECOND, spreadAcrossZones: true }),
+  makeJobSpec('run-4', { shape: 'gang', tasks: 16, cores: 2, estimatedRunUs: 5 * SECOND, sameZone: true }),
   ...Array.from({ length: 12 }, (_, i) =>
-    specOf(`run-${10 + i}`, { tasks: 3 + i, estimatedRunUs: 3 * SECOND }),
+    makeJobSpec(`run-${10 + i}`, { tasks: 3 + i, estimatedRunUs: 3 * SECOND }),
   ),
 ];
 
@@ -92,7 +92,7 @@
   let count = 0;
   simulation.meter = {
     stopwatch: () => 0,
-    stepped: (node) => {
+    recordStep: (node) => {
       if (node === leader) onStep(++count);
     },
   };
@@ -106,7 +106,7 @@
   simulation.onLog = (_node, event, fields) => {
     if (event === 'plan.completed') slices = Math.max(slices, Number(fields['slices']));
   };
-  countSteps(simulation, simulation.nodes[simulation.leader()]!.name, (count) => {
+  countSteps(simulation, simulation.nodes[simulation.leaderIndex()]!.name, (count) => {
     if (simulation.starts < 140) steps = count;
   });
   submitAll(simulation);
@@ -121,11 +121,11 @@
   for (let point = 0; point < CRASH_POINTS; point++) {
     const lastStep = 1 + Math.floor((point * steps) / CRASH_POINTS);
     const simulation = createSimulation(1);
-    const leader = simulation.leader();
+    const leader = simulation.leaderIndex();
     countSteps(simulation, simulation.nodes[leader]!.name, (count) => {
       // Crashes before the effects of this step are carried out.
       if (count === lastStep)
-        simulation.later(0, () => {
+        simulation.runAfter(0, () => {
           simulation.crash(leader, [50 * MILLISECOND, 5 * SECOND][point % 2]!);
         });
     });
@@ -139,19 +139,19 @@
 
 const FAULTS: Readonly<Record<string, Fault>> = {
   'writes are refused': (simulation) => {
-    simulation.refuse(simulation.nodes[simulation.leader()]!.name, 8 * SECOND);
+    simulation.refuseRequestsOf(simulation.nodes[simulation.leaderIndex()]!.name, 8 * SECOND);
     return [];
   },
   'writes are delayed': (simulation) => {
-    simulation.lateWrites = 0.6;
-    simulation.later(10 * SECOND, () => {
-      simulation.lateWrites = 0;
+    simulation.lateTransactionChance = 0.6;
+    simulation.runAfter(10 * SECOND, () => {
+      simulation.lateTransactionChance = 0;
     });
     return [];
   },
   'machines are lost': (simulation, random) => {
     for (let lost = 0; lost < 6; lost++)
-      simulation.later(random.below(1_500) * MILLISECOND, () => {
+      simulation.runAfter(random.below(1_500) * MILLISECOND, () => {
         const worker = simulation.anyWorker();
         if (worker !== undefined) simulation.killWorker(worker);
       });
@@ -160,13 +160,13 @@
   'jobs are cancelled': (simulation, random) => {
     const cancelled = ['run-1', 'run-2', 'run-12', 'run-15'];
     for (const id of cancelled)
-      simulation.later(random.below(1_200) * MILLISECOND, () => {
+      simulation.runAfter(random.below(1_200) * MILLISECOND, () => {
         simulation.cancel(id);
       });
     return cancelled;
   },
   'one start of the large gang fails': (simulation, random) => {
-    simulation.later(300 * MILLISECOND + random.below(400) * MILLISECOND, () => {
+    simulation.runAfter(300 * MILLISECOND + random.below(400) * MILLISECOND, () => {
       const holder = [...simulation.workers.values()].find((worker) =>
         worker.tasks.some((task) => task.job === 'run-1'),
       );
@@ -175,9 +175,9 @@
     return [];
   },
   'commands are delayed': (simulation) => {
-    simulation.ordersLate = { share: 0.5, most: 6 * SECOND };
-    simulation.later(8 * SECOND, () => {
-      simulation.ordersLate = null;
+    simulation.commandDelay = { share: 0.5, most: 6 * SECOND };
+    simulation.runAfter(8 * SECOND, () => {
+      simulation.commandDelay = null;
     });
     return [];
   },
@@ -210,24 +210,24 @@
   simulation.runFor(8 * SECOND);
   assert.equal(failures, 3);
   // The injected failures are logged as errors; nothing else may be recorded.
-  const otherViolations = simulation.broken.filter((violation) => !violation.includes('made to fail'));
-  simulation.broken.length = 0;
+  const otherViolations = simulation.violations.filter((violation) => !violation.includes('made to fail'));
+  simulation.violations.length = 0;
   assert.deepEqual(otherViolations, []);
   runToEnd(simulation, 'after failures');
 });
 
 const SCENARIOS = [
-  ...Object.entries(BASIC_SCENARIOS).map(([name, scenario]) => ({ name, scenario, bounds: FIRST_BOUNDS })),
+  ...Object.entries(BASIC_SCENARIOS).map(([name, scenario]) => ({ name, scenario, bounds: BASIC_LIMITS })),
   ...Object.entries(EXTENDED_SCENARIOS).map(([name, scenario]) => ({
     name,
     scenario,
-    bounds: SECOND_BOUNDS,
+    bounds: EXTENDED_LIMITS,
   })),
 ];
 
 test('the fault scenarios pass with plans computed in slices', () => {
   SCENARIOS.forEach(({ name, scenario, bounds }, index) => {
     const seed = 200 + index;
-    checkOutcome(play(seed, [scenario], 2, bounds, slicedPlans()), `${name}, seed ${seed}`);
+    checkOutcome(runScenarios(seed, [scenario], 2, bounds, slicedPlans()), `${name}, seed ${seed}`);
   });
 });
--- a/packages/core/test/cancellations.test.ts
+++ b/packages/core/test/cancellations.test.ts
@@ -11,7 +11,7 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { seedRange } from './scenario-fixtures.js';
 
@@ -23,9 +23,9 @@
 /** A long job whose shape follows from its number: a gang, a service or an array. */
 const jobOf = (id: string, number: number): JobSpec => {
   if (number % 3 === 0)
-    return specOf(id, { shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: LONG_RUN });
-  if (number % 3 === 1) return specOf(id, { shape: 'service', tasks: 2, estimatedRunUs: LONG_RUN });
-  return specOf(id, { tasks: 4, estimatedRunUs: LONG_RUN });
+    return makeJobSpec(id, { shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: LONG_RUN });
+  if (number % 3 === 1) return makeJobSpec(id, { shape: 'service', tasks: 2, estimatedRunUs: LONG_RUN });
+  return makeJobSpec(id, { tasks: 4, estimatedRunUs: LONG_RUN });
 };
 
 /** A cluster in which all submitted jobs are running. */
@@ -44,8 +44,8 @@
     60,
     8,
   );
-  simulation.machines.slowClocks = 0.0005;
-  simulation.nodes.forEach((node, i) => (node.rate = [0.9995, 1.0005, 1][(i + seed) % 3]!));
+  simulation.machines.clockSlowdown = 0.0005;
+  simulation.nodes.forEach((node, i) => (node.clockRate = [0.9995, 1.0005, 1][(i + seed) % 3]!));
   if (seed % 2 === 0) simulation.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
   simulation.runFor(3 * SECOND);
   const ids = Array.from({ length: jobs }, (_, i) => `run-${seed}${String(i).padStart(3, '0')}`);
@@ -62,7 +62,7 @@
 
 /** How many jobs still had tasks after their cancellation was confirmed, and the longest time until they stopped. */
 const tasksAfterCancellation = (simulation: ClusterSimulation): { jobs: number; longest: number } => {
-  const stopTimes = [...simulation.machines.lastSeen].map(
+  const stopTimes = [...simulation.machines.lastSeenAfterCancellation].map(
     ([id, at]) => at - simulation.users.cancelledAt.get(id)!,
   );
   return { jobs: stopTimes.length, longest: Math.max(0, ...stopTimes) };
@@ -73,15 +73,15 @@
   plain: () => undefined,
   'half of the workers receive nothing': ({ simulation }) => {
     [...simulation.workers.values()].forEach((worker, i) => {
-      if (i % 2 === 0) worker.deafUntil = simulation.now + 90 * SECOND;
+      if (i % 2 === 0) worker.receivesNothingUntil = simulation.now + 90 * SECOND;
     });
   },
   'late heartbeats and responses': ({ simulation }) => {
-    simulation.repeats = 0.3;
-    simulation.loss = 0.1;
+    simulation.duplication = 0.3;
+    simulation.messageLoss = 0.1;
   },
   'the state service slow before': ({ simulation }) => {
-    simulation.stateSlow = { share: 0.5, most: 3 * SECOND };
+    simulation.storeDelay = { share: 0.5, most: 3 * SECOND };
   },
   'the old leader is frozen at first': ({ simulation, leader }) => {
     simulation.freeze(
@@ -108,7 +108,7 @@
         const { simulation, ids, leader } = cluster;
         const previousLeader = leader();
         assert.ok(previousLeader !== null);
-        simulation.refuse(previousLeader, 200 * SECOND);
+        simulation.refuseRequestsOf(previousLeader, 200 * SECOND);
         injectFault(cluster, offset);
         // Some jobs are cancelled at once, some under the next leader and some just before the outage.
         ids.slice(0, 3).forEach((id) => {
@@ -125,7 +125,7 @@
         simulation.runFor(100 * MILLISECOND);
         simulation.stateOutage(MAX_TIME_TO_STOP + 15 * SECOND);
         simulation.runFor(MAX_TIME_TO_STOP + 40 * SECOND);
-        const violations = simulation.broken.filter((violation) => !violation.startsWith('error logged'));
+        const violations = simulation.violations.filter((violation) => !violation.startsWith('error logged'));
         assert.deepEqual([...new Set(violations)], [], `${name}, outage after ${offset} s, seed ${seed}`);
         jobs += tasksAfterCancellation(simulation).jobs;
       }
@@ -143,20 +143,21 @@
     const { simulation, ids, leader } = startCluster(seed, 6, nodes);
     const previousLeader = leader();
     // Lists are delayed as well as the watch: the leader learns of no cancellation, yet keeps its lease.
-    simulation.watchesHangUntil = simulation.now + 70 * SECOND;
-    simulation.listDelay = 70 * SECOND;
+    simulation.watchRepliesHeldUntil = simulation.now + 70 * SECOND;
+    simulation.listReplyDelay = 70 * SECOND;
     simulation.runFor(3 * SECOND);
     for (const id of ids.slice(0, 4)) simulation.cancel(id);
     // Workers that were answered until now and receive nothing from here on keep their tasks for a whole lease.
     simulation.runFor(24 * SECOND);
-    for (const worker of simulation.workers.values()) worker.deafUntil = simulation.now + 60 * SECOND;
+    for (const worker of simulation.workers.values())
+      worker.receivesNothingUntil = simulation.now + 60 * SECOND;
     simulation.runFor(41 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
     assert.ok(
       tasksAfterCancellation(simulation).jobs >= 4,
       `seed ${seed}: there were tasks when the cancellations were confirmed`,
     );
-    simulation.listDelay = 0;
+    simulation.listReplyDelay = 0;
     simulation.runFor(30 * SECOND);
     assert.ok(leader() !== null, `seed ${seed}: a node leads again (before: ${previousLeader})`);
   }
@@ -166,20 +167,20 @@
   for (const seed of [1, 2, 3]) {
     const { simulation, ids, leader } = startCluster(seed, 6);
     const previousLeader = leader();
-    simulation.lateFor = previousLeader;
-    simulation.watchesHangUntil = simulation.now + 120 * SECOND;
-    simulation.listDelay = 120 * SECOND;
+    simulation.delayedNode = previousLeader;
+    simulation.watchRepliesHeldUntil = simulation.now + 120 * SECOND;
+    simulation.listReplyDelay = 120 * SECOND;
     simulation.runFor(3 * SECOND);
     for (const id of ids.slice(0, 3)) simulation.cancel(id);
     simulation.runFor(60 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
     assert.ok(leader() !== null && leader() !== previousLeader, `seed ${seed}: another node leads`);
     assert.ok(
       tasksAfterCancellation(simulation).jobs === 3 &&
         tasksAfterCancellation(simulation).longest < MAX_TIME_TO_STOP,
     );
     assert.ok(
-      [...simulation.workers.values()].every((worker) => !worker.alive || worker.session === 1),
+      [...simulation.workers.values()].every((worker) => !worker.alive || worker.agentEpoch === 1),
       `seed ${seed}: no worker lease expired`,
     );
   }
@@ -188,14 +189,14 @@
 test('a hanging watch alone has no effect: cancellations are found by lists as well', () => {
   const { simulation, ids, leader } = startCluster(4, 6);
   const previousLeader = leader();
-  simulation.watchesHangUntil = simulation.now + 100 * SECOND;
+  simulation.watchRepliesHeldUntil = simulation.now + 100 * SECOND;
   simulation.runFor(5 * SECOND);
   for (const id of ids.slice(0, 3)) simulation.cancel(id);
   simulation.runFor(90 * SECOND);
   assert.equal(leader(), previousLeader);
-  assert.deepEqual([...new Set(simulation.broken)], []);
+  assert.deepEqual([...new Set(simulation.violations)], []);
   assert.ok(
-    [...simulation.workers.values()].every((worker) => !worker.alive || worker.session === 1),
+    [...simulation.workers.values()].every((worker) => !worker.alive || worker.agentEpoch === 1),
     'no worker lease expired',
   );
   assert.ok(
@@ -217,13 +218,13 @@
     worker.tasks.some((task) => task.job === id),
   )!;
   // The worker receives nothing, so that its tasks keep running while their job ends.
-  worker.deafUntil = simulation.now + 15 * SECOND;
-  const overtaken = simulation.machines.reportOf(worker);
+  worker.receivesNothingUntil = simulation.now + 15 * SECOND;
+  const overtaken = simulation.machines.heartbeatOf(worker);
   const tasks = overtaken.tasks.filter((task) => task.job === id);
   simulation.cancel(id);
   simulation.runFor(5 * SECOND);
   assert.ok(simulation.users.cancelledAt.has(id));
-  const newer = simulation.machines.reportOf(worker);
+  const newer = simulation.machines.heartbeatOf(worker);
   for (const heartbeat of [newer, overtaken]) {
     const response = responseOf(simulation, heartbeat);
     assert.equal(response.kind, 'accepted');
@@ -256,11 +257,11 @@
   for (let phase = 0; phase < 16; phase++) {
     const { simulation } = startCluster(phase + 1, 1);
     simulation.runFor(phase * 190 * MILLISECOND);
-    simulation.ordersLate = { share: 1, most: 6 * SECOND };
+    simulation.commandDelay = { share: 1, most: 6 * SECOND };
     const id = 'run-777';
     simulation.submit(jobOf(id, 2));
     simulation.runFor(400 * MILLISECOND);
-    simulation.ordersLate = null;
+    simulation.commandDelay = null;
     simulation.cancel(id);
     simulation.runFor(300 * MILLISECOND);
     const cancelledAt = simulation.users.cancelledAt.get(id);
@@ -271,20 +272,20 @@
     for (let i = 0; i < 60; i++) {
       simulation.runFor(25 * MILLISECOND);
       for (const worker of simulation.workers.values())
-        if (worker.answered > confirmedAt && worker.deafUntil === 0) {
-          worker.deafUntil = simulation.now + 30 * SECOND;
+        if (worker.leaseRenewedAt > confirmedAt && worker.receivesNothingUntil === 0) {
+          worker.receivesNothingUntil = simulation.now + 30 * SECOND;
           deafWorkers.add(worker.name);
         }
     }
     answered += deafWorkers.size;
     simulation.runFor(10 * SECOND);
-    assert.ok(simulation.lateOrders > 0);
+    assert.ok(simulation.lateCommands > 0);
     for (const name of deafWorkers)
       assert.ok(
         simulation.workers.get(name)!.tasks.every((task) => task.job !== id),
         `phase ${phase}: started on ${name}`,
       );
-    assert.deepEqual([...new Set(simulation.broken)], []);
+    assert.deepEqual([...new Set(simulation.violations)], []);
   }
   assert.ok(answered > 20, `workers answered while a start command was in flight: ${answered}`);
 });
@@ -296,36 +297,36 @@
   chooseNode: () => number,
 ) => void)[] = [
   ({ simulation }, random) => {
-    simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
+    simulation.watchRepliesHeldUntil = simulation.now + (20 + random.below(40)) * SECOND;
   },
   ({ simulation }, random) => {
-    simulation.watchesHangUntil = simulation.now + (20 + random.below(40)) * SECOND;
-    simulation.listDelay = (2 + random.below(40)) * SECOND;
+    simulation.watchRepliesHeldUntil = simulation.now + (20 + random.below(40)) * SECOND;
+    simulation.listReplyDelay = (2 + random.below(40)) * SECOND;
   },
   // The store refuses the node again and again, with lease renewals in between, so its lease never expires.
   ({ simulation }, random, chooseNode) => {
     const name = simulation.nodes[chooseNode()]!.name;
-    simulation.watchesHangUntil = simulation.now + 40 * SECOND;
+    simulation.watchRepliesHeldUntil = simulation.now + 40 * SECOND;
     for (let offsetS = 0; offsetS < 40; offsetS += 4 + random.below(3))
-      simulation.later(offsetS * SECOND, () => {
-        simulation.refuse(name, (1 + random.below(4)) * SECOND);
+      simulation.runAfter(offsetS * SECOND, () => {
+        simulation.refuseRequestsOf(name, (1 + random.below(4)) * SECOND);
       });
   },
   // A failover whose reads are slow, while lease renewals are answered.
   ({ simulation }, random, chooseNode) => {
     simulation.crash(chooseNode(), (1 + random.below(8)) * SECOND);
-    simulation.listDelay = (1 + random.below(25)) * SECOND;
+    simulation.listReplyDelay = (1 + random.below(25)) * SECOND;
   },
   ({ simulation }, random, chooseNode) => {
-    simulation.network.cutOneWay(
+    simulation.network.partitionOneWay(
       'state',
       simulation.nodes[chooseNode()]!.name,
       (10 + random.below(35)) * SECOND,
     );
   },
   ({ simulation }, random, chooseNode) => {
-    simulation.refuse(simulation.nodes[chooseNode()]!.name, 60 * SECOND);
-    simulation.later((1 + random.below(20)) * SECOND, () => {
+    simulation.refuseRequestsOf(simulation.nodes[chooseNode()]!.name, 60 * SECOND);
+    simulation.runAfter((1 + random.below(20)) * SECOND, () => {
       simulation.stateOutage((5 + random.below(50)) * SECOND);
     });
   },
@@ -347,39 +348,40 @@
     return leaderIndex >= 0 && random.chance(0.8) ? leaderIndex : random.below(3);
   };
   for (let round = 0; round < 4; round++) {
-    simulation.loss = random.chance(0.3) ? 0.15 : 0.02;
-    simulation.repeats = random.chance(0.3) ? 0.2 : 0;
-    simulation.stateSlow = random.chance(0.3) ? { share: 0.4, most: 4 * SECOND } : null;
+    simulation.messageLoss = random.chance(0.3) ? 0.15 : 0.02;
+    simulation.duplication = random.chance(0.3) ? 0.2 : 0;
+    simulation.storeDelay = random.chance(0.3) ? { share: 0.4, most: 4 * SECOND } : null;
     CANCELLATION_DELAYING_FAULTS[random.below(CANCELLATION_DELAYING_FAULTS.length)]!(
       cluster,
       random,
       chooseNode,
     );
     for (let i = 0; i < 3; i++)
-      simulation.later(random.below(15_000) * MILLISECOND, () => {
+      simulation.runAfter(random.below(15_000) * MILLISECOND, () => {
         simulation.cancel(ids[random.below(ids.length)]!);
       });
     // Workers that are answered until then keep their tasks for a whole lease afterwards.
-    simulation.later((5 + random.below(30)) * SECOND, () => {
+    simulation.runAfter((5 + random.below(30)) * SECOND, () => {
       for (const worker of simulation.workers.values())
-        if (random.chance(0.8)) worker.deafUntil = simulation.now + (5 + random.below(50)) * SECOND;
+        if (random.chance(0.8))
+          worker.receivesNothingUntil = simulation.now + (5 + random.below(50)) * SECOND;
     });
     if (random.chance(0.3))
-      simulation.later(random.below(30) * SECOND, () => {
+      simulation.runAfter(random.below(30) * SECOND, () => {
         simulation.freeze(chooseNode(), (1 + random.below(20)) * SECOND);
       });
     if (random.chance(0.3))
-      simulation.later(random.below(30) * SECOND, () => {
+      simulation.runAfter(random.below(30) * SECOND, () => {
         simulation.crash(chooseNode(), [100 * MILLISECOND, 600 * MILLISECOND, 4 * SECOND][random.below(3)]!);
       });
     if (random.chance(0.3))
-      simulation.later(random.below(30) * SECOND, () => {
+      simulation.runAfter(random.below(30) * SECOND, () => {
         for (const worker of simulation.workers.values())
-          if (random.chance(0.3)) worker.cutUntil = simulation.now + (1 + random.below(25)) * SECOND;
+          if (random.chance(0.3)) worker.unreachableUntil = simulation.now + (1 + random.below(25)) * SECOND;
       });
     simulation.runFor(60 * SECOND);
-    simulation.listDelay = 0;
-    simulation.stateSlow = null;
+    simulation.listReplyDelay = 0;
+    simulation.storeDelay = null;
     for (let i = 0; i < 3; i++) {
       const id = `run-${seed}${String(100 + round * 10 + i)}`;
       ids.push(id);
@@ -387,10 +389,10 @@
     }
     simulation.runFor((15 + random.below(20)) * SECOND);
   }
-  simulation.loss = 0;
+  simulation.messageLoss = 0;
   simulation.runFor(60 * SECOND);
   const { jobs, longest } = tasksAfterCancellation(simulation);
-  return { violations: [...new Set(simulation.broken)], jobs, longest, elections };
+  return { violations: [...new Set(simulation.violations)], jobs, longest, elections };
 };
 
 /** More seeds: `CANCEL_SEEDS=1-400 node --import tsx --test packages/core/test/cancellations.test.ts`. */
--- a/packages/core/test/cluster-fixtures.ts
+++ b/packages/core/test/cluster-fixtures.ts
@@ -7,7 +7,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import type { SearchLimits } from '@shaleyoke/core/scheduling/placement-search';
 import type { CapacityOffer, ClusterSnapshot, TaskGroup } from '@shaleyoke/core/scheduling/plan-input';
-import { TYPE } from '@shaleyoke/emulator/site';
+import { MACHINE_TYPE } from '@shaleyoke/emulator/site';
 
 /** Search limits that no test reaches. */
 export const SEARCH_LIMITS: SearchLimits = { budgetUs: 1e12, width: 6, depth: 12, toleranceUs: SECOND };
@@ -17,7 +17,7 @@
 
 /** The emulator's machine type under another name, with the given fields overridden. */
 export const typeOf = (name: string, overrides: Partial<MachineType> = {}): MachineType => ({
-  ...TYPE,
+  ...MACHINE_TYPE,
   name,
   ...overrides,
 });
--- a/packages/core/test/delayed-heartbeats.test.ts
+++ b/packages/core/test/delayed-heartbeats.test.ts
@@ -10,7 +10,7 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 import type { Worker } from '@shaleyoke/emulator/workers-model';
 
 import { teamQuota, violationsOf } from './scenario-fixtures.js';
@@ -33,18 +33,18 @@
     if (event === 'leader.state_restored')
       isReady[simulation.nodes.findIndex((node) => node.name === nodeName)] = true;
   };
-  for (const worker of simulation.workers.values()) worker.muteUntil = simulation.now + 60 * SECOND;
-  simulation.crash(simulation.leader(), 30 * SECOND);
+  for (const worker of simulation.workers.values()) worker.sendsNothingUntil = simulation.now + 60 * SECOND;
+  simulation.crash(simulation.leaderIndex(), 30 * SECOND);
   for (let i = 0; i < 1_000 && !isReady.includes(true); i++) simulation.runFor(25 * MILLISECOND);
   assert.ok(isReady.includes(true), 'a new leader is ready');
-  const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+  const { scheduler } = simulation.nodes[simulation.leaderIndex()]!.core!;
   for (const heartbeat of oldHeartbeats)
     assert.equal(scheduler!.respondToHeartbeat(heartbeat).kind, 'accepted');
   for (const worker of simulation.workers.values()) {
-    worker.muteUntil = 0;
-    worker.node = simulation.leader();
+    worker.sendsNothingUntil = 0;
+    worker.node = simulation.leaderIndex();
     // The test chooses when each worker reports from here on.
-    worker.nextReport = simulation.now + 3600 * SECOND;
+    worker.nextHeartbeatAt = simulation.now + 3600 * SECOND;
   }
 };
 
@@ -59,20 +59,20 @@
 /** Starts long tasks on several machines, and fails one of them so that it is started again elsewhere. */
 const moveTask = (seed: number, shape: 'array' | 'gang'): MovedTask => {
   const simulation = new ClusterSimulation(new Random(seed * 37 + 5), 3, teamQuota(40), 40, 5);
-  simulation.stand(8);
+  simulation.addMachines(8);
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++)
-    simulation.submit(specOf(`run-${seed}${i}`, { shape, tasks: 3, estimatedRunUs: 900 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${seed}${i}`, { shape, tasks: 3, estimatedRunUs: 900 * SECOND }));
   simulation.runFor(20 * SECOND);
   const origin = [...simulation.workers.values()].find(
     (worker) => worker.alive && runningTasks(worker).length > 0,
   )!;
-  const oldHeartbeat = simulation.machines.reportOf(origin);
+  const oldHeartbeat = simulation.machines.heartbeatOf(origin);
   const failing = origin.tasks.find((task) => task.state === 'running')!;
   const task = `${failing.job}/${failing.index}`;
   failing.state = 'exited';
   failing.cause = 'error';
-  origin.nextReport = simulation.now;
+  origin.nextHeartbeatAt = simulation.now;
   simulation.runFor(25 * SECOND);
   const holders = holdersOf(simulation, task);
   assert.ok(holders.length === 1 && holders[0] !== origin, `seed ${seed}: ${task} has moved`);
@@ -87,7 +87,7 @@
       const holdersBefore = holdersOf(simulation, task).map((worker) => worker.name);
       failOver(simulation, [oldHeartbeat]);
       for (const worker of simulation.workers.values())
-        worker.nextReport = simulation.now + (worker === origin ? 2 * SECOND : 0);
+        worker.nextHeartbeatAt = simulation.now + (worker === origin ? 2 * SECOND : 0);
       simulation.runFor(40 * SECOND);
       const description = `${shape}, seed ${seed}`;
       assert.deepEqual(
@@ -109,14 +109,19 @@
     const { simulation, oldHeartbeat, origin, task } = moveTask(seed, 'array');
     const [holder] = holdersOf(simulation, task) as [Worker];
     failOver(simulation, [oldHeartbeat]);
-    const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+    const { scheduler } = simulation.nodes[simulation.leaderIndex()]!.core!;
     // The machine has the new leader's token, as from a command or from an answer sent before the records were read.
-    simulation.machines.orders(holder.name, scheduler!.term.firstFencingToken, holder.session, []);
-    assert.equal(scheduler!.respondToHeartbeat(simulation.machines.reportOf(holder)).kind, 'accepted');
-    holder.deafUntil = simulation.now + 12 * SECOND;
+    simulation.machines.executeCommands(
+      holder.name,
+      scheduler!.term.firstFencingToken,
+      holder.agentEpoch,
+      [],
+    );
+    assert.equal(scheduler!.respondToHeartbeat(simulation.machines.heartbeatOf(holder)).kind, 'accepted');
+    holder.receivesNothingUntil = simulation.now + 12 * SECOND;
     for (const worker of simulation.workers.values())
-      if (worker !== holder) worker.nextReport = simulation.now;
-    origin.nextReport = simulation.now;
+      if (worker !== holder) worker.nextHeartbeatAt = simulation.now;
+    origin.nextHeartbeatAt = simulation.now;
     simulation.runFor(40 * SECOND);
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
@@ -125,28 +130,37 @@
 test("a late copy that lists one team's tasks does not keep another team's from counting towards its quota", () => {
   for (let seed = 1; seed <= 4; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 41 + 3), 3, TWO_TEAMS, 8, 1);
-    simulation.stand(2);
+    simulation.addMachines(2);
     simulation.runFor(3 * SECOND);
     simulation.submit(
-      specOf('run-1', { tasks: 8, team: 't', estimatedRunUs: 900 * SECOND, checkpointIntervalUs: SECOND }),
+      makeJobSpec('run-1', {
+        tasks: 8,
+        team: 't',
+        estimatedRunUs: 900 * SECOND,
+        checkpointIntervalUs: SECOND,
+      }),
     );
     simulation.runFor(15 * SECOND);
     const oldRounds = Array.from({ length: 8 }, () =>
-      [...simulation.workers.values()].map((worker) => simulation.machines.reportOf(worker)),
+      [...simulation.workers.values()].map((worker) => simulation.machines.heartbeatOf(worker)),
     );
     // Team u preempts team t, and has more tasks waiting than its quota allows.
-    simulation.submit(specOf('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
-    simulation.submit(specOf('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }));
+    simulation.submit(
+      makeJobSpec('run-2', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }),
+    );
+    simulation.submit(
+      makeJobSpec('run-3', { tasks: 8, team: 'u', priority: 2, estimatedRunUs: 900 * SECOND }),
+    );
     simulation.runFor(30 * SECOND);
     const runningOf = (job: string): number =>
       [...simulation.workers.values()].flatMap(runningTasks).filter((task) => task.startsWith(`${job}/`))
         .length;
     assert.equal(runningOf('run-2') + runningOf('run-3'), 8, `seed ${seed}: team u has reached its quota`);
     // From here on the cloud has more machines, which boot within a second.
-    simulation.cloud.perZone = 4;
+    simulation.cloud.machinesPerZone = 4;
     simulation.cloud.bootUs = () => 800 * MILLISECOND;
     failOver(simulation, []);
-    const { scheduler } = simulation.nodes[simulation.leader()]!.core!;
+    const { scheduler } = simulation.nodes[simulation.leaderIndex()]!.core!;
     for (const heartbeats of oldRounds) {
       for (const heartbeat of heartbeats) scheduler!.respondToHeartbeat(heartbeat);
       simulation.runFor(2 * SECOND);
--- a/packages/core/test/dependencies.test.ts
+++ b/packages/core/test/dependencies.test.ts
@@ -16,7 +16,7 @@
 import { DependencyGraph } from '@shaleyoke/core/jobs/dependency-graph';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 /** A random acyclic graph: each job depends on some of the jobs before it. */
 const randomGraph = (random: Random, count: number, id: (i: number) => string): JobSpec[] => {
@@ -26,7 +26,7 @@
     if (i > 0 && random.chance(0.8))
       for (let edge = 0; edge < 1 + random.below(3); edge++) dependencies.add(id(random.below(i)));
     specs.push(
-      specOf(id(i), {
+      makeJobSpec(id(i), {
         dependsOn: [...dependencies],
         shape: random.chance(0.25) ? 'gang' : 'array',
         tasks: 1 + random.below(3),
@@ -55,7 +55,7 @@
     const specs = randomGraph(random, 16, (i) => `run-${seed}${String(i).padStart(3, '0')}`);
     let submitted = 0;
     for (let step = 0; step < 40; step++) {
-      simulation.loss = random.chance(0.3) ? 0.25 : 0.03;
+      simulation.messageLoss = random.chance(0.3) ? 0.25 : 0.03;
       // A client only names dependencies that were accepted.
       const spec = specs[submitted];
       if (
@@ -76,14 +76,18 @@
         if (simulation.stageOf(jobSpec.id) !== undefined && random.chance(0.4)) simulation.poll(jobSpec.id);
       simulation.runFor((1 + random.below(5)) * SECOND);
     }
-    simulation.loss = 0;
+    simulation.messageLoss = 0;
     for (let i = 0; i < 60; i++) {
       for (const jobSpec of specs)
         if (simulation.stageOf(jobSpec.id) !== undefined) simulation.poll(jobSpec.id);
       simulation.runFor(5 * SECOND);
     }
-    assert.deepEqual([...new Set(simulation.broken)].slice(0, 5), [], `seed ${seed}`);
-    assert.equal(simulation.refusals, 0, 'writes respect the announced limits from the first one on');
+    assert.deepEqual([...new Set(simulation.violations)].slice(0, 5), [], `seed ${seed}`);
+    assert.equal(
+      simulation.oversizedTransactions,
+      0,
+      'writes respect the announced limits from the first one on',
+    );
     for (const jobSpec of specs.slice(0, submitted)) {
       const stage = simulation.stageOf(jobSpec.id);
       if (stage !== undefined) assert.match(stage, /done|cancelled/, `seed ${seed} ${jobSpec.id}`);
@@ -97,7 +101,7 @@
   const ids = Array.from({ length: 12 }, (_, i) => `run-${i}`);
   ids.forEach((id, i) => {
     simulation.submit(
-      specOf(id, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }),
+      makeJobSpec(id, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }),
     );
     simulation.runFor(SECOND);
   });
@@ -105,14 +109,14 @@
   simulation.runFor(60_000);
   for (const node of [0, 1, 2]) simulation.crash(node, (1 + node) * SECOND);
   // A job whose dependency is already cancelled is accepted nevertheless.
-  simulation.submit(specOf('run-99', { dependsOn: ['run-0'] }));
+  simulation.submit(makeJobSpec('run-99', { dependsOn: ['run-0'] }));
   simulation.runFor(16 * SECOND);
   for (const id of [...ids, 'run-99']) simulation.poll(id);
   simulation.runFor(2 * SECOND);
   for (const id of [...ids, 'run-99']) assert.equal(simulation.stageOf(id), 'cancelled', id);
   // Their own records say so as well: the leader has no blocked job left.
   assert.deepEqual(simulation.keys('j/'), []);
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a job that depends on one cancelled long ago is reported as cancelled from the first answer on', () => {
@@ -120,19 +124,19 @@
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed));
     simulation.runFor(3 * SECOND);
-    simulation.submit(specOf('run-0', { estimatedRunUs: 300 * SECOND }));
+    simulation.submit(makeJobSpec('run-0', { estimatedRunUs: 300 * SECOND }));
     simulation.runFor(SECOND);
-    simulation.submit(specOf('run-1', { dependsOn: ['run-0'] }));
+    simulation.submit(makeJobSpec('run-1', { dependsOn: ['run-0'] }));
     for (let number = 0; number < 8; number++) simulation.poll('run-1');
     simulation.runFor(SECOND);
     simulation.cancel('run-0');
     simulation.runFor(45 * SECOND);
     for (let number = 2; number < 8; number++)
-      simulation.submit(specOf(`run-${number}`, { dependsOn: [number % 2 === 0 ? 'run-0' : 'run-1'] }));
+      simulation.submit(makeJobSpec(`run-${number}`, { dependsOn: [number % 2 === 0 ? 'run-0' : 'run-1'] }));
     simulation.runFor(SECOND);
     for (let number = 2; number < 8; number++)
       assert.equal(simulation.stageOf(`run-${number}`), 'cancelled', `seed ${seed} run-${number}`);
-    assert.deepEqual(simulation.broken, []);
+    assert.deepEqual(simulation.violations, []);
   }
 });
 
@@ -141,7 +145,7 @@
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 5; i++) {
     simulation.submit(
-      specOf(`run-${i}`, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }),
+      makeJobSpec(`run-${i}`, { dependsOn: i === 0 ? [] : [`run-${i - 1}`], estimatedRunUs: 100 * SECOND }),
     );
     simulation.runFor(300_000);
   }
@@ -154,26 +158,26 @@
   simulation.runFor(1_500_000);
   assert.ok(simulation.nodes.every((node) => node.core?.canActAsLeader() !== true));
   assert.equal(simulation.stageOf('run-4'), 'cancelled');
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('dependencies on services or on jobs never accepted are refused; wide fan-in is accepted and runs', () => {
   const simulation = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
   simulation.runFor(3 * SECOND);
   const fanInIds = Array.from({ length: 70 }, (_, i) => `run-${100 + i}`);
-  for (const id of fanInIds) simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
-  simulation.submit(specOf('run-1', { shape: 'service', tasks: 1 }));
+  for (const id of fanInIds) simulation.submit(makeJobSpec(id, { tasks: 1, estimatedRunUs: 2 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { shape: 'service', tasks: 1 }));
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-2', { dependsOn: ['run-1'] }));
-  simulation.submit(specOf('run-3', { dependsOn: ['run-77'] }));
-  simulation.submit(specOf('run-4', { dependsOn: fanInIds }));
+  simulation.submit(makeJobSpec('run-2', { dependsOn: ['run-1'] }));
+  simulation.submit(makeJobSpec('run-3', { dependsOn: ['run-77'] }));
+  simulation.submit(makeJobSpec('run-4', { dependsOn: fanInIds }));
   simulation.runFor(90 * SECOND);
   simulation.poll('run-4');
   simulation.runFor(2 * SECOND);
   assert.equal(simulation.stageOf('run-2'), undefined);
   assert.equal(simulation.stageOf('run-3'), undefined);
   assert.equal(simulation.stageOf('run-4'), 'done');
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('inherited priority and latest finish equal a direct recursive computation', () => {
@@ -223,7 +227,7 @@
 
 test('job records are decoded; the previous version decodes only those without dependencies', () => {
   const dependencies = Array.from({ length: 150 }, (_, i) => `run-${400_000 + i * 7}`);
-  const spec = specOf('run-7', { dependsOn: dependencies });
+  const spec = makeJobSpec('run-7', { dependsOn: dependencies });
   const record = encodeActiveJob(spec, 5) as Record<string, unknown>;
   assert.deepEqual(decodeActiveJob(structuredClone(record)), { spec, acceptedAt: 5 });
   assert.ok(jsonByteLength(record) < 2_048 - 128, `${jsonByteLength(record)} bytes`);
@@ -251,8 +255,8 @@
     saveUs: 0,
     deadlineUs: null,
   };
-  assert.deepEqual(decodeActiveJob({ spec: oldSpec, at: 9 }), { spec: specOf('run-8'), acceptedAt: 9 });
-  assert.deepEqual(encodeActiveJob(specOf('run-8'), 9), { spec: oldSpec, at: 9 });
+  assert.deepEqual(decodeActiveJob({ spec: oldSpec, at: 9 }), { spec: makeJobSpec('run-8'), acceptedAt: 9 });
+  assert.deepEqual(encodeActiveJob(makeJobSpec('run-8'), 9), { spec: oldSpec, at: 9 });
   assert.deepEqual(decodeEndedJob({ stage: 'done', done: 2, spec: oldSpec }), {
     stage: 'done',
     done: 2,
@@ -260,6 +264,8 @@
     endedAt: null,
   });
   // The record of an ended job is small whatever its spec: a job accepted under larger limits can end under smaller ones.
-  const largeSpec = specOf('run-9', { machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`) });
+  const largeSpec = makeJobSpec('run-9', {
+    machineTypes: Array.from({ length: 900 }, (_, i) => `type-${i}`),
+  });
   assert.ok(jsonByteLength(encodeEndedJob(largeSpec, 'cancelled', 0, 1)) < 300);
 });
--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -10,13 +10,13 @@
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
+  EXTENDED_LIMITS,
   EXTENDED_SCENARIOS,
-  type Outcome,
-  play,
-  SECOND_BOUNDS,
+  runScenarios,
+  type ScenarioOutcome,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
@@ -73,22 +73,22 @@
   ],
 };
 
-const addCounts = (totals: Map<string, number>, { w: simulation, counts }: Outcome): void => {
+const addCounts = (totals: Map<string, number>, { simulation, counts }: ScenarioOutcome): void => {
   const add = (label: string, count: number): void => {
     totals.set(label, (totals.get(label) ?? 0) + count);
   };
   for (const [label, count] of counts) add(label, count);
-  for (const [stage, count] of simulation.users.looks) add(`looks: ${stage}`, count);
-  for (const [key, count] of simulation.unanswered) add(`unanswered: ${key}`, count);
-  add('kept', simulation.keptArrived);
-  for (const [label, count] of Object.entries(simulation.machines.saves)) add(`saves: ${label}`, count);
+  for (const [stage, count] of simulation.users.burstQueries) add(`looks: ${stage}`, count);
+  for (const [key, count] of simulation.writesWithoutReply) add(`unanswered: ${key}`, count);
+  add('kept', simulation.delayedHeartbeatsDelivered);
+  for (const [label, count] of Object.entries(simulation.machines.checkpoints)) add(`saves: ${label}`, count);
 };
 
 for (const name of EXTENDED_NAMES)
   test(`${name}: no rule is violated, all jobs end, all polls are answered`, () => {
     const totals = new Map<string, number>();
     for (let seed = firstSeed; seed <= lastSeed; seed++) {
-      const outcome = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
+      const outcome = runScenarios(seed, [EXTENDED_SCENARIOS[name]!], 3, EXTENDED_LIMITS);
       checkOutcome(outcome, `seed ${seed}`);
       addCounts(totals, outcome);
     }
@@ -103,16 +103,16 @@
   let startedBefore = 0;
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 113), 3, teamQuota(16), 16, 4);
-    simulation.stand(4);
+    simulation.addMachines(4);
     simulation.runFor(3 * SECOND);
     // Short tasks: starts happen all the time, on machines that are already recorded for the job.
     for (let i = 0; i < 4; i++)
-      simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLISECOND }));
+      simulation.submit(makeJobSpec(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLISECOND }));
     simulation.runFor(20 * SECOND);
     const { starts } = simulation;
     simulation.runFor(5 * SECOND);
     startedBefore += simulation.starts - starts;
-    simulation.refuse(simulation.nodes[simulation.leader()]!.name, 20 * SECOND);
+    simulation.refuseRequestsOf(simulation.nodes[simulation.leaderIndex()]!.name, 20 * SECOND);
     // The leader learns of the refusal with its next lease renewal.
     simulation.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++) {
@@ -121,7 +121,7 @@
     }
     cancelled += simulation.users.cancelledAt.size;
     simulation.runFor(60 * SECOND);
-    assert.deepEqual(simulation.machines.startedAfter, [], `seed ${seed}`);
+    assert.deepEqual(simulation.machines.startsAfterCancellation, [], `seed ${seed}`);
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
   assert.ok(
@@ -140,13 +140,13 @@
     };
     simulation.runFor(3 * SECOND);
     for (let round = 0; round < 5; round++) {
-      simulation.answersSlow = 1_190 * MILLISECOND;
+      simulation.storeReplyDelay = 1_190 * MILLISECOND;
       simulation.runFor((4_000 + random.below(3_000)) * MILLISECOND);
-      const leader = simulation.leader();
+      const leader = simulation.leaderIndex();
       if (leader < 0) continue;
       // Its last renewal was executed and answered late; from now on it receives no answers.
-      simulation.network.cut(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
-      simulation.answersSlow = 0;
+      simulation.network.partition(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
+      simulation.storeReplyDelay = 0;
       simulation.runFor(20 * SECOND);
     }
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
@@ -165,11 +165,11 @@
 /** Polls each job 3 s after its end, unless it was cancelled; it must be reported as done within another second. */
 const checkCompletionReports = (simulation: ClusterSimulation, reports: ReportCounts): void => {
   simulation.work.onDone = (id) => {
-    simulation.later(3 * SECOND, () => {
-      if (simulation.users.asked.has(id)) return;
+    simulation.runAfter(3 * SECOND, () => {
+      if (simulation.users.cancelRequested.has(id)) return;
       reports.done++;
       simulation.poll(id);
-      simulation.later(SECOND, () => {
+      simulation.runAfter(SECOND, () => {
         if (simulation.stageOf(id) !== 'done') reports.doneReportedLate++;
       });
     });
@@ -183,10 +183,10 @@
   id: string,
   reports: ReportCounts,
 ): void => {
-  simulation.later(SECOND + random.below(4_000) * MILLISECOND, () => {
+  simulation.runAfter(SECOND + random.below(4_000) * MILLISECOND, () => {
     simulation.cancel(id);
     reports.cancelled++;
-    simulation.later(3 * SECOND, () => {
+    simulation.runAfter(3 * SECOND, () => {
       if (!['cancelled', 'done'].includes(simulation.stageOf(id) ?? '')) reports.cancelledReportedLate++;
     });
   });
@@ -201,7 +201,7 @@
 ): readonly string[] => {
   const ids: string[] = [];
   for (let round = 0; round < 480; round++) {
-    const spec = specOf(`run-${seed}${String(round).padStart(4, '0')}`, {
+    const spec = makeJobSpec(`run-${seed}${String(round).padStart(4, '0')}`, {
       tasks: 1,
       estimatedRunUs: (1 + random.below(5)) * SECOND,
     });
@@ -225,7 +225,7 @@
   for (let seed = 1; seed <= 2; seed++) {
     const random = new Random(seed * 521);
     const simulation = new ClusterSimulation(random, 3, teamQuota(40), 40, 6);
-    simulation.stand(10);
+    simulation.addMachines(10);
     simulation.runFor(3 * SECOND);
     // The limit of the smallest site: 25 writes a second for all nodes. A job takes three, besides the leader's pages.
     simulation.state.writesPerSecond = 25;
@@ -254,9 +254,9 @@
     const random = new Random(seed * 811 + 7);
     const names = Array.from({ length: 2 + (seed % 2) }, () => ALL_NAMES[random.below(ALL_NAMES.length)]!);
     const scenarios = names.map((name) => ALL_SCENARIOS[name]!);
-    const outcome = play(2_000 + seed, scenarios, 2, SECOND_BOUNDS);
+    const outcome = runScenarios(2_000 + seed, scenarios, 2, EXTENDED_LIMITS);
     checkOutcome(outcome, `seed ${seed}: ${names.join('; ')}`);
-    elections += outcome.won;
+    elections += outcome.electionCount;
   }
   assert.ok(elections > lastCombinationSeed, `elections: ${elections}`);
 });
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -8,9 +8,14 @@
 import type { Core } from '@shaleyoke/core/core';
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
-import { BASIC_SCENARIOS, FIRST_BOUNDS, type Outcome, play } from '@shaleyoke/emulator/fault-scenarios';
+import {
+  BASIC_LIMITS,
+  BASIC_SCENARIOS,
+  runScenarios,
+  type ScenarioOutcome,
+} from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
@@ -32,11 +37,11 @@
   unreachedWithTasks: number;
 }
 
-const addOutcome = (totals: Totals, { w: simulation, won, counts }: Outcome): void => {
-  totals.lateCommands += simulation.lateOrders;
-  totals.lateWrites += simulation.lateWritten.all;
-  totals.staleWrites += simulation.lateWritten.all - simulation.lateWritten.applied;
-  totals.elections += won;
+const addOutcome = (totals: Totals, { simulation, electionCount, counts }: ScenarioOutcome): void => {
+  totals.lateCommands += simulation.lateCommands;
+  totals.lateWrites += simulation.lateTransactions.all;
+  totals.staleWrites += simulation.lateTransactions.all - simulation.lateTransactions.applied;
+  totals.elections += electionCount;
   totals.cuts += counts.get('cuts') ?? 0;
   totals.leaderEnds += counts.get('ends') ?? 0;
   totals.unreachedWithTasks += counts.get('unreached with tasks') ?? 0;
@@ -70,7 +75,7 @@
       unreachedWithTasks: 0,
     };
     for (let seed = firstSeed; seed <= lastSeed; seed++) {
-      const outcome = play(seed, [BASIC_SCENARIOS[name]!], 4, FIRST_BOUNDS);
+      const outcome = runScenarios(seed, [BASIC_SCENARIOS[name]!], 4, BASIC_LIMITS);
       checkOutcome(outcome, `seed ${seed}`);
       addOutcome(totals, outcome);
     }
@@ -89,13 +94,13 @@
       const random = new Random(seed * 131 + changes);
       // A quota of one core: each task starts when the one before has ended.
       const simulation = new ClusterSimulation(random, 3, teamQuota(1), 1, 4);
-      simulation.stand(2);
-      simulation.repeats = seed % 2 === 0 ? 0.3 : 0;
+      simulation.addMachines(2);
+      simulation.duplication = seed % 2 === 0 ? 0.3 : 0;
       simulation.runFor(3 * SECOND);
       const runTime = (6 + random.below(8)) * SECOND;
       const specs = [
-        specOf('run-1', { tasks: 3, estimatedRunUs: runTime }),
-        specOf('run-2', { tasks: 2, estimatedRunUs: runTime }),
+        makeJobSpec('run-1', { tasks: 3, estimatedRunUs: runTime }),
+        makeJobSpec('run-2', { tasks: 2, estimatedRunUs: runTime }),
       ];
       for (const spec of specs) simulation.submit(spec);
       for (let change = 0; change < changes; change++) {
@@ -121,7 +126,7 @@
 const submitLongTasks = (simulation: ClusterSimulation, seed: number): void => {
   simulation.runFor(2 * SECOND);
   for (let i = 0; i < 4; i++)
-    simulation.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
   simulation.runFor(30 * SECOND);
 };
 
@@ -138,9 +143,9 @@
       (worker) => worker.alive && worker.tasks.length > 0,
     )!;
     // Copies of its earlier heartbeats arrive one after the other, for longer than its lease.
-    const sentHeartbeats = Array.from({ length: 12 }, () => simulation.machines.reportOf(hanging));
+    const sentHeartbeats = Array.from({ length: 12 }, () => simulation.machines.heartbeatOf(hanging));
     for (const heartbeat of sentHeartbeats) leaderCore(simulation).scheduler!.respondToHeartbeat(heartbeat);
-    hanging.cutUntil = simulation.now + 1_000 * SECOND;
+    hanging.unreachableUntil = simulation.now + 1_000 * SECOND;
     const cutAt = simulation.now;
     for (const heartbeat of sentHeartbeats) {
       simulation.runFor(4 * SECOND);
@@ -164,12 +169,12 @@
     const lostWorker = [...simulation.workers.values()].find(
       (worker) => worker.alive && worker.tasks.some((task) => task.state === 'running'),
     )!;
-    const oldHeartbeat = simulation.machines.reportOf(lostWorker);
+    const oldHeartbeat = simulation.machines.heartbeatOf(lostWorker);
     const taskCount = lostWorker.tasks.length;
     simulation.killWorker(lostWorker);
     simulation.runFor(40 * SECOND);
     // Its tasks run elsewhere by now. The next leader has no heartbeat from it and takes a while to read the records.
-    simulation.listDelay = 800 * MILLISECOND;
+    simulation.listReplyDelay = 800 * MILLISECOND;
     simulation.crash(leaderIndex(simulation), SECOND);
     const newScheduler = (): Core['scheduler'] =>
       simulation.nodes.map((node) => node.core?.scheduler ?? null).find((found) => found !== null) ?? null;
@@ -203,9 +208,9 @@
     const first = NAMES[random.below(NAMES.length)]!;
     const second = NAMES[random.below(NAMES.length)]!;
     const scenarios = [BASIC_SCENARIOS[first]!, BASIC_SCENARIOS[second]!];
-    const outcome = play(1_000 + seed, scenarios, 3, FIRST_BOUNDS);
+    const outcome = runScenarios(1_000 + seed, scenarios, 3, BASIC_LIMITS);
     checkOutcome(outcome, `seed ${seed}: ${first}; ${second}`);
-    elections += outcome.won;
+    elections += outcome.electionCount;
   }
   assert.ok(elections > 2 * lastPairSeed, `elections: ${elections}`);
 });
--- a/packages/core/test/immediate-queries.test.ts
+++ b/packages/core/test/immediate-queries.test.ts
@@ -8,15 +8,15 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 test('a repeated submission of a job that the node knows takes no store write', () => {
   const simulation = new ClusterSimulation(new Random(5), 3, undefined, undefined, 4);
   simulation.runFor(3 * SECOND);
-  const spec = specOf('run-1', { estimatedRunUs: 300 * SECOND });
+  const spec = makeJobSpec('run-1', { estimatedRunUs: 300 * SECOND });
   simulation.submit(spec);
   simulation.runFor(2 * SECOND);
-  const failedBefore = simulation.state.wasted;
+  const failedBefore = simulation.state.conflictingWrites;
   const answered = (): number | undefined => simulation.users.answeredAt.get('run-1');
   // Each node may learn of the job by one failed transaction.
   for (let i = 0; i < 200; i++) {
@@ -26,10 +26,10 @@
   simulation.runFor(SECOND);
   assert.ok(answered()! > simulation.now - 1_500 * MILLISECOND);
   assert.ok(
-    simulation.state.wasted - failedBefore <= 3,
-    `failed writes: ${simulation.state.wasted - failedBefore}`,
+    simulation.state.conflictingWrites - failedBefore <= 3,
+    `failed writes: ${simulation.state.conflictingWrites - failedBefore}`,
   );
-  assert.deepEqual([...new Set(simulation.broken)], []);
+  assert.deepEqual([...new Set(simulation.violations)], []);
 });
 
 test('a record that cannot be read does not delay other polls', () => {
@@ -42,10 +42,10 @@
   );
   simulation.runFor(3 * SECOND);
   const ids = Array.from({ length: 40 }, (_, i) => `run-${100 + i}`);
-  for (const id of ids) simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
+  for (const id of ids) simulation.submit(makeJobSpec(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
   simulation.runFor(10 * SECOND);
   const unreadable = ids[17]!;
-  simulation.state.mute.add(`j/${unreadable}`);
+  simulation.state.silentKeys.add(`j/${unreadable}`);
   // All clients poll the same node at the same moments, so that the same polls form a batch each time.
   const pollingSince = simulation.now;
   const answered = new Map<string, number>();
@@ -61,7 +61,7 @@
   // Polls of the last rounds are all answered.
   for (const id of ids)
     if (id !== unreadable) assert.ok(simulation.users.answeredAt.get(id)! > simulation.now - 11 * SECOND, id);
-  simulation.state.mute.clear();
+  simulation.state.silentKeys.clear();
   simulation.poll(unreadable);
   simulation.runFor(3 * SECOND);
   assert.ok(simulation.users.answeredAt.get(unreadable)! > simulation.now - 3 * SECOND);
@@ -78,7 +78,7 @@
   simulation.runFor(3 * SECOND);
   const ids = Array.from({ length: 1_500 }, (_, i) => `run-${10_000 + i}`);
   for (const id of ids) {
-    simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
+    simulation.submit(makeJobSpec(id, { tasks: 1, estimatedRunUs: 600 * SECOND }));
     simulation.runFor(25 * MILLISECOND);
   }
   simulation.stateOutage(20 * SECOND);
@@ -92,7 +92,7 @@
     ids.filter((id) => simulation.users.answeredAt.get(id)! < outageEnd),
     [],
   );
-  assert.deepEqual([...new Set(simulation.broken)], []);
+  assert.deepEqual([...new Set(simulation.violations)], []);
 });
 
 test('a known job is never refused, whatever the current limits, the machine types or the request body', () => {
@@ -108,7 +108,7 @@
     simulation.runFor(3 * SECOND);
     const ids = Array.from({ length: 4 }, (_, i) => `run-${seed}${i}`);
     const specs = ids.map((id, i) =>
-      specOf(id, { shape: 'gang', tasks: 2, cores: 3, estimatedRunUs: [2, 2, 400, 400][i]! * SECOND }),
+      makeJobSpec(id, { shape: 'gang', tasks: 2, cores: 3, estimatedRunUs: [2, 2, 400, 400][i]! * SECOND }),
     );
     for (const spec of specs) simulation.submit(spec);
     simulation.runFor(25 * SECOND);
@@ -132,10 +132,10 @@
     simulation.runFor(4 * SECOND);
     for (const id of ids) assert.ok(simulation.users.answeredAt.get(id)! > resubmittedAt, id);
     // The same submission of an unknown job is refused.
-    simulation.users.submit(specOf(`run-${seed}9`, { shape: 'gang', tasks: 2, cores: 3 }), 1_000);
+    simulation.users.submit(makeJobSpec(`run-${seed}9`, { shape: 'gang', tasks: 2, cores: 3 }), 1_000);
     simulation.runFor(2 * SECOND);
-    if (!simulation.users.told.has(`run-${seed}9`)) refused++;
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    if (!simulation.users.knownStages.has(`run-${seed}9`)) refused++;
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
   }
   assert.equal(refused, 4);
 });
--- a/packages/core/test/leader-health.test.ts
+++ b/packages/core/test/leader-health.test.ts
@@ -6,7 +6,7 @@
 import { LeaderHealth } from '@shaleyoke/core/leader/leader-health';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 test('three late timers within twenty seconds mean overload, a single long delay does not', () => {
   const health = new LeaderHealth();
@@ -57,7 +57,7 @@
   );
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 8; i++)
-    simulation.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 200 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${i}`, { tasks: 8, estimatedRunUs: 200 * SECOND }));
   simulation.runFor(40 * SECOND);
   const log: string[] = [];
   simulation.onLog = (node, event) => log.push(`${node} ${event}`);
@@ -72,21 +72,21 @@
   for (let seed = 1; seed <= 4; seed++) {
     const { simulation, leader, log } = startCluster(seed, seed % 2 === 0 ? 3 : 5);
     const slow = leader();
-    simulation.stutter.set(slow, 2_500 * MILLISECOND);
+    simulation.processingIntervals.set(slow, 2_500 * MILLISECOND);
     simulation.runFor(12 * SECOND);
     assert.notEqual(leader(), slow);
     simulation.runFor(60 * SECOND);
     assert.equal(log.filter((l) => l.endsWith('leader.elected')).length, 1, log.join('; '));
     assert.equal(log.filter((l) => l.endsWith('machine.epoch_changed')).length, 0);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
   }
 });
 
 test('where all nodes are slow, leadership does not keep changing', () => {
   const { simulation, log } = startCluster(9, 3);
-  for (const node of simulation.nodes) simulation.stutter.set(node.name, 2_500 * MILLISECOND);
+  for (const node of simulation.nodes) simulation.processingIntervals.set(node.name, 2_500 * MILLISECOND);
   simulation.runFor(100 * SECOND);
   // Each node may resign once in four worker leases, which last 20 s here.
   assert.ok(log.filter((l) => l.endsWith('leader.resigned')).length <= 4, log.join('; '));
-  assert.deepEqual([...new Set(simulation.broken)], []);
+  assert.deepEqual([...new Set(simulation.violations)], []);
 });
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -6,10 +6,10 @@
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { type PeerChange, PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
-import { beatOf } from '@shaleyoke/emulator/beats';
+import { peerHeartbeatOf } from '@shaleyoke/emulator/beats';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 const ENABLED: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
 const NAMES = ['n0', 'n1', 'n2'];
@@ -64,13 +64,13 @@
       fixture.send(
         i * SECOND,
         (random.chance(0.02) ? 250 : 1 + random.below(20)) * MILLISECOND,
-        beatOf('p', i),
+        peerHeartbeatOf('p', i),
       );
     fixture.advanceTo(60 * SECOND);
     assert.equal(fixture.suspicions, 0, `seed ${seed}`);
     fixture.advanceTo(65 * SECOND);
     assert.equal(fixture.detector.stateOf('p'), 'suspected', `seed ${seed}`);
-    fixture.send(70 * SECOND, 0, beatOf('p', 61));
+    fixture.send(70 * SECOND, 0, peerHeartbeatOf('p', 61));
     fixture.advanceTo(71 * SECOND);
     assert.equal(fixture.detector.stateOf('p'), 'alive');
     assert.equal(fixture.changes.at(-1)?.kind, 'alive');
@@ -88,7 +88,7 @@
     for (let i = 1; i <= 40; i++) {
       sentAt += (1_000 + random.below(1_900)) * MILLISECOND;
       lastSentAt = sentAt;
-      fixture.send(sentAt, 0, beatOf('p', i, { timerDelayUs: SECOND }));
+      fixture.send(sentAt, 0, peerHeartbeatOf('p', i, { timerDelayUs: SECOND }));
     }
     fixture.advanceTo(lastSentAt);
     assert.equal(fixture.suspicions, 0, `seed ${seed}`);
@@ -102,7 +102,7 @@
 
 test('a node whose own timers are late, or that was frozen, suspects peers later', () => {
   const fixture = new DetectorFixture();
-  for (let i = 1; i <= 20; i++) fixture.send(i * SECOND, 0, beatOf('p', i));
+  for (let i = 1; i <= 20; i++) fixture.send(i * SECOND, 0, peerHeartbeatOf('p', i));
   fixture.advanceTo(20 * SECOND);
   // The node was frozen for 9 s; the peer's heartbeats are in the socket and are read only after the timers.
   fixture.now = 29 * SECOND;
@@ -116,27 +116,27 @@
 
 test('heartbeats that were delayed or came from a replaced process are ignored', () => {
   const fixture = new DetectorFixture();
-  assert.equal(fixture.detector.receive(beatOf('p', 5))?.kind, 'alive');
-  assert.equal(fixture.detector.receive(beatOf('p', 4)), null);
-  assert.equal(fixture.detector.receive(beatOf('p', 5)), null);
-  assert.equal(fixture.detector.receive(beatOf('stranger', 9)), null);
-  assert.equal(fixture.detector.receive(beatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 5))?.kind, 'alive');
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 4)), null);
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 5)), null);
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('stranger', 9)), null);
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 1, { incarnation: 2 }))?.kind, 'restarted');
   fixture.now = 4 * SECOND;
   assert.equal(fixture.detector.suspectOverduePeers(0).length, 1);
-  assert.equal(fixture.detector.receive(beatOf('p', 6)), null);
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 6)), null);
   assert.equal(fixture.detector.stateOf('p'), 'suspected', 'a late heartbeat does not clear the suspicion');
-  assert.equal(fixture.detector.receive(beatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
+  assert.equal(fixture.detector.receive(peerHeartbeatOf('p', 2, { incarnation: 2 }))?.kind, 'alive');
 });
 
 test('a process with a lower incarnation than its predecessor is accepted, a burst of old heartbeats is not', () => {
   const fixture = new DetectorFixture();
-  fixture.detector.receive(beatOf('p', 1, { incarnation: 9 }));
+  fixture.detector.receive(peerHeartbeatOf('p', 1, { incarnation: 9 }));
   fixture.now = 4 * SECOND;
   assert.equal(fixture.detector.suspectOverduePeers(0).length, 1);
   for (let i = 1; i < 9; i++) {
     fixture.now += 10 * MILLISECOND;
     assert.equal(
-      fixture.detector.receive(beatOf('p', i, { incarnation: 3 })),
+      fixture.detector.receive(peerHeartbeatOf('p', i, { incarnation: 3 })),
       null,
       'a burst counts as delayed heartbeats',
     );
@@ -144,7 +144,7 @@
   const changes: (PeerChange | null)[] = [];
   for (let i = 9; i < 12; i++) {
     fixture.now += SECOND;
-    changes.push(fixture.detector.receive(beatOf('p', i, { incarnation: 3 })));
+    changes.push(fixture.detector.receive(peerHeartbeatOf('p', i, { incarnation: 3 })));
   }
   assert.deepEqual(
     changes.map((change) => change?.kind),
@@ -156,10 +156,10 @@
 test('a peer counts as having reached the state service when its own heartbeat says it did', () => {
   const fixture = new DetectorFixture();
   fixture.now = 10 * SECOND;
-  fixture.detector.receive(beatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
+  fixture.detector.receive(peerHeartbeatOf('p', 1, { storeAnswerAgeUs: 2 * SECOND }));
   assert.equal(fixture.detector.peerWithStoreAnswerAfter(7 * SECOND), 'p');
   assert.equal(fixture.detector.peerWithStoreAnswerAfter(8 * SECOND), null);
-  fixture.detector.receive(beatOf('p', 2, { storeAnswerAgeUs: null }));
+  fixture.detector.receive(peerHeartbeatOf('p', 2, { storeAnswerAgeUs: null }));
   assert.equal(fixture.detector.peerWithStoreAnswerAfter(0), null);
 });
 
@@ -168,7 +168,11 @@
 /** The kind of a node's answer to a health request; `none` if it does not answer. */
 const healthOf = (simulation: ClusterSimulation, node: number): string => {
   let kind = 'none';
-  simulation.users.host.ask(node, { kind: 'health' }, (response) => (kind = response?.kind ?? 'none'));
+  simulation.users.host.sendRequest(
+    node,
+    { kind: 'health' },
+    (response) => (kind = response?.kind ?? 'none'),
+  );
   return kind;
 };
 
@@ -181,7 +185,7 @@
     log.push(`${node} ${event} ${typeof peer === 'string' ? peer : ''}`);
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 4; i++)
-    simulation.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 200 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${i}`, { tasks: 6, estimatedRunUs: 200 * SECOND }));
   simulation.runFor(30 * SECOND);
   return { simulation, log };
 };
@@ -198,7 +202,7 @@
         `${i} s`,
       );
     }
-    for (const node of [0, 1]) simulation.network.cut(`n${node}`, 'state', 30 * SECOND);
+    for (const node of [0, 1]) simulation.network.partition(`n${node}`, 'state', 30 * SECOND);
     simulation.runFor(9 * SECOND);
     for (let i = 0; i < 20; i++) {
       simulation.runFor(SECOND);
@@ -215,12 +219,13 @@
     );
     // Without heartbeats from peers, every node reports healthy.
     for (const first of NAMES)
-      for (const second of NAMES) if (first < second) simulation.network.cut(first, second, 30 * SECOND);
-    simulation.network.cut('n0', 'state', 30 * SECOND);
+      for (const second of NAMES)
+        if (first < second) simulation.network.partition(first, second, 30 * SECOND);
+    simulation.network.partition('n0', 'state', 30 * SECOND);
     simulation.runFor(15 * SECOND);
     assert.equal(healthOf(simulation, 0), 'healthy');
     simulation.runFor(30 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], []);
+    assert.deepEqual([...new Set(simulation.violations)], []);
   }
 });
 
@@ -235,7 +240,7 @@
   simulation.runFor(6 * SECOND);
   for (const observer of [leader, other]) assert.ok(log.includes(`n${observer} peer.restarted n${crashed}`));
   log.length = 0;
-  simulation.network.cut(`n${leader}`, `n${other}`, 10 * SECOND);
+  simulation.network.partition(`n${leader}`, `n${other}`, 10 * SECOND);
   simulation.runFor(14 * SECOND);
   assert.deepEqual(
     log.filter((line) => line.includes('peer.')).sort(),
@@ -251,7 +256,7 @@
     [],
     'a suspicion does not change the leader',
   );
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a process that restarts at once is accepted at once, even if the wall clock was set back', () => {
@@ -274,7 +279,7 @@
     for (const other of ['n0', 'n1', 'n3', 'n4'])
       assert.ok(log.includes(`${other} peer.restarted n2`), `${clockStepMs} ms back: ${log.join('; ')}`);
     assert.equal(log.filter((line) => line.includes('suspected')).length, 0, log.join('; '));
-    assert.deepEqual(simulation.broken, []);
+    assert.deepEqual(simulation.violations, []);
   }
 });
 
--- a/packages/core/test/objectives.test.ts
+++ b/packages/core/test/objectives.test.ts
@@ -10,11 +10,11 @@
   orderByObjectives,
 } from '@shaleyoke/core/cluster/objectives';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 test('the Moore-Hodgson rule keeps the number of missed objectives low', () => {
   const job = (id: string, tasks: number): ActiveJob =>
-    new ActiveJob(specOf(id, { tasks }), 1, Number(id.slice(4)), 0);
+    new ActiveJob(makeJobSpec(id, { tasks }), 1, Number(id.slice(4)), 0);
   const candidateOf = (candidate: ActiveJob, start: number | null): ObjectiveCandidate => ({
     job: candidate,
     latestStart: start,
--- a/packages/core/test/packed-pages.test.ts
+++ b/packages/core/test/packed-pages.test.ts
@@ -20,7 +20,7 @@
 import { ProgressStore } from '@shaleyoke/core/storage/progress-store';
 import { Random } from '@shaleyoke/emulator/random';
 import { settingsFor } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runningAttempt } from './cluster-fixtures.js';
 
@@ -220,7 +220,7 @@
   const allMachines = [...machines.values()];
   for (let i = 0; i < 200; i++) {
     const tasks = i === 0 ? 60_000 : 1 + (i % 80);
-    const job = new ActiveJob(specOf(`run-${i}`, { tasks }), 1, i, 0);
+    const job = new ActiveJob(makeJobSpec(`run-${i}`, { tasks }), 1, i, 0);
     jobs.set(job.id, job);
     for (let index = 0; index < Math.min(tasks, 80); index++) {
       const machine = allMachines[(i * 7 + index) % allMachines.length]!;
@@ -273,7 +273,7 @@
   machine.retirementReason = 'was retiring';
   machine.awaitingReconciliation = true;
   const jobs = new Map(
-    ['run-1', 'run-2'].map((id) => [id, new ActiveJob(specOf(id, { tasks: 4 }), 1, 0, 0)]),
+    ['run-1', 'run-2'].map((id) => [id, new ActiveJob(makeJobSpec(id, { tasks: 4 }), 1, 0, 0)]),
   );
   const findMachine = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
   const machineStore = new MachineStore(writer, pageCapacity(settings.maxValueBytes), findMachine, () =>
@@ -386,7 +386,7 @@
       const jobs = new Map(
         [...expected].map(([id, progress]) => [
           id,
-          new ActiveJob(specOf(id, { tasks: progress.tasks }), 1, 0, 0),
+          new ActiveJob(makeJobSpec(id, { tasks: progress.tasks }), 1, 0, 0),
         ]),
       );
       const machineStore = new MachineStore(
@@ -489,7 +489,7 @@
   // next leader could start it again elsewhere.
   const { context, store, writer } = createFixture(1, 0);
   const machine = createMachine(1);
-  const job = new ActiveJob(specOf('run-1'), 1, 0, 0);
+  const job = new ActiveJob(makeJobSpec('run-1'), 1, 0, 0);
   const findMachine = (name: string): Machine | undefined => (name === machine.name ? machine : undefined);
   const progressStore = new ProgressStore(
     context,
--- a/packages/core/test/partition-histories.test.ts
+++ b/packages/core/test/partition-histories.test.ts
@@ -6,7 +6,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { seedRange, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
 
@@ -14,14 +14,14 @@
 const randomJob = (random: Random, id: string): JobSpec => {
   const pick = random.below(4);
   if (pick === 0)
-    return specOf(id, {
+    return makeJobSpec(id, {
       shape: 'gang',
       tasks: 1 + random.below(4),
       sameZone: true,
       estimatedRunUs: 15 * SECOND,
     });
-  if (pick === 1) return specOf(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 20 * SECOND });
-  return specOf(id, { tasks: 1 + random.below(6), estimatedRunUs: (5 + random.below(40)) * SECOND });
+  if (pick === 1) return makeJobSpec(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 20 * SECOND });
+  return makeJobSpec(id, { tasks: 1 + random.below(6), estimatedRunUs: (5 + random.below(40)) * SECOND });
 };
 
 /** Cuts random links of one node, or the store links of all nodes but one, in one direction or both. */
@@ -31,9 +31,9 @@
   const duration = [2, 9, 20, 45][random.below(4)]! * SECOND;
   const cutBetween = (one: string, other: string): void => {
     const direction = random.below(4);
-    if (direction === 0) simulation.network.cutOneWay(one, other, duration);
-    else if (direction === 1) simulation.network.cutOneWay(other, one, duration);
-    else simulation.network.cut(one, other, duration);
+    if (direction === 0) simulation.network.partitionOneWay(one, other, duration);
+    else if (direction === 1) simulation.network.partitionOneWay(other, one, duration);
+    else simulation.network.partition(one, other, duration);
   };
   const choice = random.below(7);
   if (choice <= 1) cutBetween(node, 'state');
@@ -45,7 +45,7 @@
   } else {
     // All nodes but one lose the state service.
     for (const other of names.filter((name) => name !== node))
-      simulation.network.cut(other, 'state', duration);
+      simulation.network.partition(other, 'state', duration);
   }
 };
 
@@ -76,7 +76,7 @@
   simulation.runFor(2 * SECOND);
   const ids: string[] = [];
   for (let step = 0; step < 26; step++) {
-    simulation.loss = random.chance(0.2) ? 0.2 : 0.02;
+    simulation.messageLoss = random.chance(0.2) ? 0.2 : 0.02;
     if (random.chance(0.6) && ids.length < 14) {
       const id = `run-${seed}${String(step).padStart(3, '0')}`;
       ids.push(id);
@@ -92,7 +92,7 @@
     for (const id of ids) if (random.chance(0.3)) simulation.poll(id);
     simulation.runFor((1 + random.below(7)) * SECOND);
   }
-  simulation.loss = 0;
+  simulation.messageLoss = 0;
   simulation.runFor(300 * SECOND);
   for (const id of ids) simulation.poll(id);
   simulation.runFor(3 * SECOND);
--- a/packages/core/test/partitions.test.ts
+++ b/packages/core/test/partitions.test.ts
@@ -10,7 +10,7 @@
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
 import { settingsFor } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 const NAMES = ['n0', 'n1', 'n2'];
 
@@ -27,7 +27,7 @@
   const simulation = new ClusterSimulation(new Random(seed), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 30);
   simulation.runFor(3 * SECOND);
   for (let i = 0; i < 10; i++)
-    simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${i}`, { tasks: 12, cores: 2, estimatedRunUs: 300 * SECOND }));
   simulation.runFor(60 * SECOND);
   const leader = simulation.nodes.find((node) => node.core?.canActAsLeader())!.name;
   const log: string[] = [];
@@ -37,7 +37,7 @@
 
 /** How often a worker's lease expired, which starts a new agent epoch of the worker. */
 const countExpiredLeases = (simulation: ClusterSimulation): number =>
-  [...simulation.workers.values()].reduce((count, worker) => count + worker.session - 1, 0);
+  [...simulation.workers.values()].reduce((count, worker) => count + worker.agentEpoch - 1, 0);
 
 test('when two nodes lose the state service, workers move to the third and no lease expires', () => {
   // A node that could not read the leader's key once redirected workers to the deposed leader. The new leader received no
@@ -47,15 +47,15 @@
       const { simulation, leader, others, log } = loadedCluster(seed);
       const busy = [...simulation.workers.values()].filter((worker) => worker.tasks.length > 0).length;
       assert.ok(busy >= 20, `${busy} busy workers`);
-      for (const name of [leader, others[0]!]) simulation.network.cut(name, 'state', 60 * SECOND);
+      for (const name of [leader, others[0]!]) simulation.network.partition(name, 'state', 60 * SECOND);
       // Where peers don't reach each other either, the knowledge of the old leader expires by itself.
       if (peersAreCut)
         for (const one of NAMES)
-          for (const other of NAMES) if (one < other) simulation.network.cut(one, other, 60 * SECOND);
+          for (const other of NAMES) if (one < other) simulation.network.partition(one, other, 60 * SECOND);
       simulation.runFor(12 * SECOND);
       assert.equal(simulation.nodes.find((node) => node.core?.canActAsLeader())?.name, others[1]);
       simulation.runFor(75 * SECOND);
-      assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+      assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
       assert.equal(
         countExpiredLeases(simulation),
         0,
@@ -73,15 +73,15 @@
   // A deposed leader once provisioned 56 machines for tasks that it considered lost, 33 s after another was elected.
   for (const peersAreCut of [false, true]) {
     const { simulation, leader, others, log } = loadedCluster(7);
-    simulation.network.cut(leader, 'state', 60 * SECOND);
-    if (peersAreCut) for (const other of others) simulation.network.cut(leader, other, 60 * SECOND);
+    simulation.network.partition(leader, 'state', 60 * SECOND);
+    if (peersAreCut) for (const other of others) simulation.network.partition(leader, other, 60 * SECOND);
     simulation.runFor(7 * SECOND);
     assert.ok(
       others.some((name) => simulation.nodes.find((node) => node.name === name)!.core!.canActAsLeader()),
     );
     log.length = 0;
     // More tasks than can run, so that there is a reason to scale out.
-    for (let i = 20; i < 24; i++) simulation.submit(specOf(`run-${i}`, { tasks: 12, cores: 4 }));
+    for (let i = 20; i < 24; i++) simulation.submit(makeJobSpec(`run-${i}`, { tasks: 12, cores: 4 }));
     simulation.runFor(50 * SECOND);
     const decisions = [
       'autoscaler.scale_out_requested',
@@ -101,7 +101,7 @@
     // A message from a peer ends the term at once; without one, the term lasts until the state service answers again.
     assert.equal(log.filter((line) => line === `${leader} leader.suspended`).length > 0, peersAreCut);
     simulation.runFor(30 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], []);
+    assert.deepEqual([...new Set(simulation.violations)], []);
     assert.equal(countExpiredLeases(simulation), 0);
   }
 });
@@ -186,17 +186,17 @@
   // Polls once waited for one call after the other to a silent store, until their users gave up.
   const simulation = new ClusterSimulation(new Random(5), 1);
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 2 }));
-  simulation.submit(specOf('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 2 }));
+  simulation.submit(makeJobSpec('run-2', { tasks: 2, estimatedRunUs: 600 * SECOND }));
   simulation.runFor(40 * SECOND);
   simulation.poll('run-1');
   simulation.runFor(2 * SECOND);
   assert.equal(simulation.stageOf('run-1'), 'done');
-  simulation.network.cut('n0', 'state', 20 * SECOND);
+  simulation.network.partition('n0', 'state', 20 * SECOND);
   const answers: { kind: string; after: number }[] = [];
   const poll = (id: string): void => {
     const askedAt = simulation.now;
-    simulation.users.host.ask(0, { kind: 'poll', id }, (answer) =>
+    simulation.users.host.sendRequest(0, { kind: 'poll', id }, (answer) =>
       answers.push({ kind: answer?.kind ?? 'none', after: simulation.now - askedAt }),
     );
   };
@@ -224,7 +224,7 @@
     answers.map((answer) => answer.kind),
     ['view'],
   );
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('one lost call among answered ones does not count as a lost connection', () => {
@@ -248,16 +248,16 @@
     simulation.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
       simulation.submit(
-        specOf(`run-${i}`, { tasks: 3, estimatedRunUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }),
+        makeJobSpec(`run-${i}`, { tasks: 3, estimatedRunUs: 200 * SECOND, shape: i < 2 ? 'array' : 'gang' }),
       );
     simulation.runFor(30 * SECOND);
     const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
-    simulation.network.cutOneWay('state', `n${leader}`, 60 * SECOND);
+    simulation.network.partitionOneWay('state', `n${leader}`, 60 * SECOND);
     simulation.runFor(3 * SECOND);
     const usersHost = simulation.users.host;
     for (let i = 0; i < 4; i++) {
-      simulation.users.asked.add(`run-${i}`);
-      usersHost.ask((leader + 1) % 3, { kind: 'cancel', id: `run-${i}` }, (answer) => {
+      simulation.users.cancelRequested.add(`run-${i}`);
+      usersHost.sendRequest((leader + 1) % 3, { kind: 'cancel', id: `run-${i}` }, (answer) => {
         assert.equal(answer?.kind, 'view');
         simulation.users.cancelledAt.set(`run-${i}`, simulation.now);
       });
@@ -265,6 +265,6 @@
     simulation.runFor(90 * SECOND);
     assert.equal(simulation.users.cancelledAt.size, 4);
     assert.ok(simulation.nodes.some((node) => node.core?.canActAsLeader()));
-    assert.deepEqual([...new Set(simulation.broken)].slice(0, 3), [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)].slice(0, 3), [], `seed ${seed}`);
   }
 });
--- a/packages/core/test/placement-search.test.ts
+++ b/packages/core/test/placement-search.test.ts
@@ -15,7 +15,7 @@
 } from '@shaleyoke/core/scheduling/plan-input';
 import { simulateCompletion } from '@shaleyoke/core/scheduling/rollout';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { groupOf, SEARCH_LIMITS, slotOf, snapshotOf, stoppedClock, typeOf } from './cluster-fixtures.js';
 
@@ -24,7 +24,7 @@
 test('a machine without the image is preferred over one with it if the task finishes sooner there', () => {
   const warm = slotOf('warm', typeOf('cpu', { cores: 1 }), { images: new Set(['img']) });
   const cold = slotOf('cold', typeOf('gpu', { cores: 1, imagePullGbPerS: 0.5 }));
-  const group = groupOf(specOf('run-1', { tasks: 1, imageGb: 1 }));
+  const group = groupOf(makeJobSpec('run-1', { tasks: 1, imageGb: 1 }));
   const decision = search(
     snapshotOf([warm, cold], { cpu: 12, gpu: 3 }),
     [group],
@@ -44,7 +44,7 @@
   const offer: CapacityOffer = { type, zone: 'a', spot: false, limit: 5 };
   const decision = search(
     snapshotOf([busy], { cpu: 5 }, [offer]),
-    [groupOf(specOf('run-1', { tasks: 1 }))],
+    [groupOf(makeJobSpec('run-1', { tasks: 1 }))],
     SEARCH_LIMITS,
     stoppedClock,
   );
@@ -52,7 +52,7 @@
   const soonFree = { ...busy, changes: [{ at: 2 * SECOND, cores: 1, gpus: 0, memoryGb: 1 }] };
   const soonDecision = search(
     snapshotOf([soonFree], { cpu: 5 }, [offer]),
-    [groupOf(specOf('run-1', { tasks: 1 }))],
+    [groupOf(makeJobSpec('run-1', { tasks: 1 }))],
     SEARCH_LIMITS,
     stoppedClock,
   );
@@ -61,8 +61,8 @@
 
 test('a group that can be placed nowhere never improves the score', () => {
   const snapshot = (): ClusterSnapshot => snapshotOf([slotOf('m', typeOf('cpu'))], { cpu: 5 });
-  const placeable = groupOf(specOf('run-1'));
-  const unplaceable = groupOf(specOf('run-2', { cores: 99 }));
+  const placeable = groupOf(makeJobSpec('run-1'));
+  const unplaceable = groupOf(makeJobSpec('run-2', { cores: 99 }));
   const both = simulateCompletion(
     new PlacementSimulation(snapshot(), [placeable, unplaceable]),
     [placeable, unplaceable],
@@ -78,7 +78,7 @@
 test('the same snapshot gives the same decision', () => {
   const decide = (): string => {
     const slots = [1, 2, 3].map((i) => slotOf(`m${i}`, typeOf('cpu')));
-    const groups = [3, 1, 2].map((size, i) => groupOf(specOf(`run-${i}`, { tasks: size, cores: size })));
+    const groups = [3, 1, 2].map((size, i) => groupOf(makeJobSpec(`run-${i}`, { tasks: size, cores: size })));
     const decision = search(snapshotOf(slots, { cpu: 7 }), groups, SEARCH_LIMITS, stoppedClock);
     return JSON.stringify(
       decision.steps.map((step) => [step.group.spec.id, step.slot.key, step.start, step.count]),
@@ -90,7 +90,7 @@
 test('once its time budget is exceeded, the search still places all groups, by earliest predicted finish', () => {
   let now = 0;
   const slots = [slotOf('m1', typeOf('cpu')), slotOf('m2', typeOf('cpu'))];
-  const groups = [1, 2, 3].map((i) => groupOf(specOf(`run-${i}`, { tasks: 2 })));
+  const groups = [1, 2, 3].map((i) => groupOf(makeJobSpec(`run-${i}`, { tasks: 2 })));
   const decision = search(
     snapshotOf(slots, { cpu: 7 }),
     groups,
@@ -114,10 +114,13 @@
       changes: [{ at: 5 * SECOND, cores: 2, gpus: 0, memoryGb: 2 }],
     }),
   ];
-  const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 2, cores: 2, priority: 1, sameZone: true }), {
-    reservesCapacity: true,
-  });
-  const array = groupOf(specOf('run-2', { tasks: 2, cores: 1, priority: 0 }));
+  const gang = groupOf(
+    makeJobSpec('run-1', { shape: 'gang', tasks: 2, cores: 2, priority: 1, sameZone: true }),
+    {
+      reservesCapacity: true,
+    },
+  );
+  const array = groupOf(makeJobSpec('run-2', { tasks: 2, cores: 1, priority: 0 }));
   const decision = search(snapshotOf(slots, { cpu: 30 }), [gang, array], SEARCH_LIMITS, stoppedClock);
   assert.ok(decision.steps.filter((step) => step.group === gang).every((step) => step.start === 5 * SECOND));
   assert.ok(decision.steps.filter((step) => step.group === array).every((step) => step.start > 0));
@@ -133,11 +136,11 @@
     }),
   );
   const gangs = [1, 2, 3].map((i) =>
-    groupOf(specOf(`run-${i}`, { shape: 'gang', tasks: 2, cores: 2, priority: 1 }), {
+    groupOf(makeJobSpec(`run-${i}`, { shape: 'gang', tasks: 2, cores: 2, priority: 1 }), {
       reservesCapacity: true,
     }),
   );
-  const array = groupOf(specOf('run-9', { tasks: 1, cores: 1, priority: 0 }));
+  const array = groupOf(makeJobSpec('run-9', { tasks: 1, cores: 1, priority: 0 }));
   const decision = search(
     snapshotOf(slots, { cpu: 3 }),
     [...gangs, array],
@@ -168,7 +171,7 @@
   );
   const groups = Array.from({ length: 40 }, (_, i) =>
     groupOf(
-      specOf(`run-${i}`, {
+      makeJobSpec(`run-${i}`, {
         shape: i % 3 === 0 ? 'gang' : 'array',
         tasks: 1 + random.below(24),
         cores: 1 + random.below(2),
@@ -212,7 +215,7 @@
 test('small tasks use the gaps beside large ones, and leave room for recurring large tasks', () => {
   // One-core tasks once filled the machines that gangs with 30 cores per task waited for.
   const type = typeOf('node', { cores: 32, memoryGb: 128 });
-  const large = specOf('run-9', { cores: 30, memoryGb: 50, shape: 'gang' });
+  const large = makeJobSpec('run-9', { cores: 30, memoryGb: 50, shape: 'gang' });
   const beside = slotOf('beside', type, {
     sunkCost: false,
     free: { cores: 2, gpus: 0, memoryGb: 70 },
@@ -221,7 +224,7 @@
   const empty = slotOf('empty', type, { sunkCost: false });
   const other = slotOf('other', type, { sunkCost: false });
   const snapshot = { ...snapshotOf([empty, beside, other], { node: 20 }), recurringSpecs: [large] };
-  const small = groupOf(specOf('run-1', { tasks: 6, cores: 1 }), { allowedDelay: 30 * SECOND });
+  const small = groupOf(makeJobSpec('run-1', { tasks: 6, cores: 1 }), { allowedDelay: 30 * SECOND });
   const decision = search(snapshot, [small], SEARCH_LIMITS, stoppedClock);
   const tasksByMachine = new Map<string, number>();
   for (const { slot, count } of decision.steps)
@@ -243,7 +246,7 @@
     });
   const offer: CapacityOffer = { type, zone: 'a', spot: false, limit: 5 };
   const upcomingGroup = (): TaskGroup =>
-    groupOf(specOf('run-1', { tasks: 4 }), {
+    groupOf(makeJobSpec('run-1', { tasks: 4 }), {
       hypothetical: true,
       notBefore: 40 * SECOND,
       scaleOutThreshold: 20 * SECOND,
@@ -288,7 +291,7 @@
       ],
     }),
   );
-  const gang = groupOf(specOf('run-1', { shape: 'gang', tasks: 3, cores: 4, imageGb: 1 }), {
+  const gang = groupOf(makeJobSpec('run-1', { shape: 'gang', tasks: 3, cores: 4, imageGb: 1 }), {
     allowedDelay: 60 * SECOND,
   });
   const decision = search(snapshotOf([...idle, ...warm], { node: 100 }), [gang], SEARCH_LIMITS, stoppedClock);
@@ -301,9 +304,9 @@
 test('capacity reserved for services is not given to other jobs, but is available to the services', () => {
   const type = typeOf('cpu', { cores: 4, memoryGb: 100 });
   const slots = (): MachineSlot[] => ['a', 'a', 'b', 'b'].map((zone, i) => slotOf(`m${i}`, type, { zone }));
-  const service = specOf('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
+  const service = makeJobSpec('run-1', { shape: 'service', tasks: 4, spreadAcrossZones: true, priority: 3 });
   const spreadReservation = groupOf(service, { hypothetical: true, reservedForUrgent: true });
-  const array = groupOf(specOf('run-2', { tasks: 30 }));
+  const array = groupOf(makeJobSpec('run-2', { tasks: 30 }));
   const startedNow = (groups: TaskGroup[], jobId: string): number =>
     search(snapshotOf(slots(), { cpu: 60 }), groups, SEARCH_LIMITS, stoppedClock)
       .steps.filter((step) => step.group.spec.id === jobId && step.start === 0)
--- a/packages/core/test/polls-at-size.test.ts
+++ b/packages/core/test/polls-at-size.test.ts
@@ -9,7 +9,7 @@
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { PollingUsers } from '@shaleyoke/emulator/polling-users';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 const JOBS = 3_000;
 /** With this number of jobs, polls come close to what one controller can validate in a second. */
@@ -43,12 +43,12 @@
   const users = new PollingUsers(simulation, new Random(seed + 1_000));
   const ids = Array.from({ length: jobs }, (_, i) => `run-${10_000 + i}`);
   for (const id of ids) {
-    simulation.submit(specOf(id, { tasks: 1, estimatedRunUs: 900 * SECOND }));
+    simulation.submit(makeJobSpec(id, { tasks: 1, estimatedRunUs: 900 * SECOND }));
     simulation.runFor(SUBMISSION_INTERVAL);
   }
   simulation.runFor(5 * SECOND);
   for (const id of ids) {
-    assert.ok(simulation.users.told.has(id), `${id} was accepted`);
+    assert.ok(simulation.users.knownStages.has(id), `${id} was accepted`);
     users.add(id);
   }
   return { simulation, users };
@@ -58,7 +58,7 @@
 const assertAllAnswered = ({ simulation, users }: PolledCluster): void => {
   const unanswered = users.unansweredFor(MAX_TIME_WITHOUT_ANSWER);
   assert.deepEqual(unanswered.slice(0, 3), [], `${unanswered.length} jobs unanswered; the longest are shown`);
-  assert.deepEqual([...new Set(simulation.broken)], []);
+  assert.deepEqual([...new Set(simulation.violations)], []);
 };
 
 test('after a restart of all controllers, polls of thousands of jobs are all answered', () => {
@@ -90,8 +90,8 @@
     name: 'a burst of lookups that uses up all store requests',
     interrupt: (simulation) => {
       for (let i = 0; i < 4_000; i++)
-        simulation.later(i * 2 * MILLISECOND, () => {
-          simulation.users.host.ask(0, { kind: 'cancel', id: `run-${900_000 + i}` }, () => undefined);
+        simulation.runAfter(i * 2 * MILLISECOND, () => {
+          simulation.users.host.sendRequest(0, { kind: 'cancel', id: `run-${900_000 + i}` }, () => undefined);
         });
       simulation.runFor(9 * SECOND);
     },
@@ -108,6 +108,9 @@
     simulation.runFor(100 * SECOND);
     users.stop();
     // Most polls are answered, so an unanswered job would not be due to a general overload.
-    assert.ok(users.answered > 0.5 * users.polls, `${users.answered} of ${users.polls} polls answered`);
+    assert.ok(
+      users.answeredPolls > 0.5 * users.sentPolls,
+      `${users.answeredPolls} of ${users.sentPolls} polls answered`,
+    );
     assertAllAnswered(cluster);
   });
--- a/packages/core/test/preemption-candidates.test.ts
+++ b/packages/core/test/preemption-candidates.test.ts
@@ -5,7 +5,7 @@
 import { ActiveJob, Machine } from '@shaleyoke/core/cluster/cluster-model';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { PreemptionCandidates } from '@shaleyoke/core/scheduling/preemption-candidates';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runTask, typeOf } from './cluster-fixtures.js';
 
@@ -14,7 +14,7 @@
   const type = typeOf('cpu', { cores: 4 });
   const types = new Map([['cpu', type]]);
   const running = new ActiveJob(
-    specOf('run-8', { tasks: 99, cores: 2, priority: 0, checkpointIntervalUs: SECOND }),
+    makeJobSpec('run-8', { tasks: 99, cores: 2, priority: 0, checkpointIntervalUs: SECOND }),
     1,
     0,
     0,
@@ -29,7 +29,7 @@
     return machine;
   });
   const gang = (id: string, tasks: number): ActiveJob =>
-    new ActiveJob(specOf(id, { shape: 'gang', tasks, cores: 3, sameZone: true }), 1, 0, 0);
+    new ActiveJob(makeJobSpec(id, { shape: 'gang', tasks, cores: 3, sameZone: true }), 1, 0, 0);
   const policy = { teams: [], usage: new Map(), isGuaranteed: () => false };
   const candidates = new PreemptionCandidates(
     machines,
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -10,12 +10,12 @@
 import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
 import { NodeContext } from '@shaleyoke/core/node/node-context';
 import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
-import { settingsFor, TYPE } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { MACHINE_TYPE,settingsFor } from '@shaleyoke/emulator/site';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runTask } from './cluster-fixtures.js';
 
-const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
+const GPU: MachineType = { ...MACHINE_TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
 
 /** A cluster of GPU machines that are up and empty. */
 const clusterOf = (machines: number): ClusterState => {
@@ -35,7 +35,7 @@
 
 /** Adds an active job for GPU machines, with the given fields overridden. */
 const addJob = (cluster: ClusterState, id: string, overrides: Partial<JobSpec>): ActiveJob => {
-  const job = new ActiveJob(specOf(id, { machineTypes: ['gpu'], ...overrides }), 1, 0, 0);
+  const job = new ActiveJob(makeJobSpec(id, { machineTypes: ['gpu'], ...overrides }), 1, 0, 0);
   cluster.jobs.set(id, job);
   return job;
 };
@@ -129,7 +129,7 @@
   const settings = settingsFor('n0', ['n0'], '');
   const context = new NodeContext({ ...settings, objectives: [URGENT] }, () => 0);
   const autoscaler = new Autoscaler(context, { isCostSensitive: () => false } as AutoscalerHost);
-  const spec = specOf('run-1', { class: 'urgent', tasks: 4 });
+  const spec = makeJobSpec('run-1', { class: 'urgent', tasks: 4 });
   autoscaler.recordArrival(spec);
   assert.equal(
     autoscaler.reservedForUrgent()[0]?.count,
--- a/packages/core/test/rapid-restarts.test.ts
+++ b/packages/core/test/rapid-restarts.test.ts
@@ -9,7 +9,7 @@
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { seedRange, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
 
@@ -21,14 +21,14 @@
 const randomJob = (random: Random, id: string): JobSpec => {
   const pick = random.below(5);
   if (pick === 0)
-    return specOf(id, {
+    return makeJobSpec(id, {
       shape: 'gang',
       tasks: 1 + random.below(4),
       sameZone: true,
       estimatedRunUs: 12 * SECOND,
     });
-  if (pick === 1) return specOf(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 15 * SECOND });
-  return specOf(id, { tasks: 1 + random.below(8), estimatedRunUs: (3 + random.below(30)) * SECOND });
+  if (pick === 1) return makeJobSpec(id, { tasks: 4, spreadAcrossZones: true, estimatedRunUs: 15 * SECOND });
+  return makeJobSpec(id, { tasks: 1 + random.below(8), estimatedRunUs: (3 + random.below(30)) * SECOND });
 };
 
 /** Crashes processes that restart at once: a random one, the leader, or all of them; once or repeatedly. */
@@ -79,17 +79,17 @@
   const teams = `[[cluster.teams]]\nname = "t"\ncpus_max = ${size.limitCores}.0\n`;
   const simulation = new ClusterSimulation(random, size.nodes, teams, size.limitCores, size.perZone);
   if (seed % 3 !== 0) simulation.membership = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
-  simulation.stand(size.preprovisioned);
+  simulation.addMachines(size.preprovisioned);
   let elections = 0;
   simulation.onLog = (_node, event) => {
     if (event === 'leader.elected') elections++;
   };
-  simulation.repeats = 0.1;
+  simulation.duplication = 0.1;
   // Half of the histories have faults from the start: starting up must not depend on a process that survives it.
   if (seed % 2 === 0) simulation.runFor(random.below(1_200) * MILLISECOND);
   const ids: string[] = [];
   for (let step = 0; step < size.steps; step++) {
-    simulation.loss = random.chance(0.3) ? 0.15 : 0.01;
+    simulation.messageLoss = random.chance(0.3) ? 0.15 : 0.01;
     for (let submission = 0; submission < 1 + size.jobs / size.steps; submission++)
       if (random.chance(0.6) && ids.length < size.jobs) {
         const id = `run-${seed}${String(step).padStart(3, '0')}${submission}`;
@@ -100,14 +100,14 @@
     if (random.chance(0.05)) simulation.stateOutage((1 + random.below(9)) * SECOND);
     const worker = simulation.anyWorker();
     if (worker !== undefined && random.chance(0.1))
-      worker.cutUntil = simulation.now + (2 + random.below(30)) * SECOND;
+      worker.unreachableUntil = simulation.now + (2 + random.below(30)) * SECOND;
     const anyId = ids[random.below(Math.max(1, ids.length))];
     if (anyId !== undefined && random.chance(0.15)) simulation.cancel(anyId);
     for (const id of ids) if (random.chance(0.2)) simulation.poll(id);
     simulation.runFor(random.below(5_000) * MILLISECOND);
   }
-  simulation.loss = 0;
-  while (simulation.state.down) simulation.runFor(SECOND);
+  simulation.messageLoss = 0;
+  while (simulation.state.isDown) simulation.runFor(SECOND);
   for (let i = 0; i < simulation.nodes.length; i++) simulation.crash(i, random.below(500) * MILLISECOND);
   simulation.runFor(500 * MILLISECOND + LEADER_LEASE + MAX_ELECTION_TIME);
   const isElectionLate = !simulation.nodes.some((node) => node.core?.canActAsLeader());
@@ -156,9 +156,9 @@
   // Found by a generated history: the copy of an answered call started a task again that ran elsewhere by then (quota, no
   // room).
   const simulation = new ClusterSimulation(new Random(3), 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 6);
-  simulation.stand(2);
+  simulation.addMachines(2);
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 1, estimatedRunUs: 5 * SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 1, estimatedRunUs: 5 * SECOND }));
   let startedTasks = 0;
   let sendLateCopy: (() => string) | null = null;
   for (let i = 0; i < 400; i++) {
@@ -167,15 +167,15 @@
       const task = worker.tasks[0];
       if (task === undefined || sendLateCopy !== null) continue;
       startedTasks++;
-      const { token, session, name } = worker;
+      const { fencingToken, agentEpoch, name } = worker;
       const start = { op: 'start', job: task.job, index: task.index, attempt: task.attempt } as const;
-      sendLateCopy = () => simulation.machines.orders(name, token, session, [start]).kind;
+      sendLateCopy = () => simulation.machines.executeCommands(name, fencingToken, agentEpoch, [start]).kind;
     }
   }
   assert.equal(startedTasks, 1);
   assert.ok([...simulation.workers.values()].every((worker) => worker.tasks.length === 0));
   assert.equal(sendLateCopy!(), 'refused');
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('pre-provisioned machines are kept, whichever leaders crash before these machines are recorded', () => {
@@ -184,7 +184,7 @@
   for (let seed = 1; seed <= 10; seed++) {
     const random = new Random(seed * 7_368_787);
     const simulation = new ClusterSimulation(random, 3, '[[cluster.teams]]\nname = "t"\n', 1e9, 20);
-    simulation.stand(12);
+    simulation.addMachines(12);
     const preprovisioned = new Set(simulation.workers.keys());
     for (let crashNumber = 0; crashNumber < 4; crashNumber++) {
       simulation.runFor(random.below(700) * MILLISECOND);
@@ -194,9 +194,9 @@
     simulation.runFor(30 * SECOND);
     // More tasks than these machines can run: others are provisioned, and only those may be returned.
     for (let i = 0; i < 16; i++)
-      simulation.submit(specOf(`run-${i}`, { tasks: 8, estimatedRunUs: 20 * SECOND }));
+      simulation.submit(makeJobSpec(`run-${i}`, { tasks: 8, estimatedRunUs: 20 * SECOND }));
     simulation.runFor(300 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
     assert.ok(simulation.workers.size > preprovisioned.size, 'machines were provisioned');
     const alive = [...simulation.workers.values()]
       .filter((worker) => worker.alive)
@@ -215,10 +215,10 @@
       60,
       20,
     );
-    simulation.stand(30);
+    simulation.addMachines(30);
     simulation.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
-      simulation.submit(specOf(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
+      simulation.submit(makeJobSpec(`run-${i}`, { tasks: 6, estimatedRunUs: 300 * SECOND }));
     simulation.runFor(20 * SECOND);
     const leader = simulation.nodes.findIndex((node) => node.core?.canActAsLeader());
     // Few enough machines die with the leader for the next one to plan before it knows that they are lost.
@@ -230,7 +230,7 @@
       if (event === 'leader.state_restored') restoredAt = simulation.now;
     };
     simulation.crash(leader, 8 * SECOND);
-    simulation.submit(specOf('run-9', { tasks: 4, estimatedRunUs: 10 * SECOND }));
+    simulation.submit(makeJobSpec('run-9', { tasks: 4, estimatedRunUs: 10 * SECOND }));
     while (simulation.now < 60 * SECOND && firstStartAt === 0) {
       simulation.runFor(100 * MILLISECOND);
       if ([...simulation.workers.values()].some((worker) => worker.tasks.some((t) => t.job === 'run-9')))
@@ -242,7 +242,7 @@
       `seed ${seed}: ${(firstStartAt - restoredAt) / SECOND} s`,
     );
     simulation.runFor(60 * SECOND);
-    assert.deepEqual([...new Set(simulation.broken)], [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)], [], `seed ${seed}`);
   }
 });
 
@@ -256,10 +256,10 @@
       1e9,
       20,
     );
-    simulation.stand(30);
+    simulation.addMachines(30);
     simulation.runFor(3 * SECOND);
     for (let i = 0; i < 4; i++)
-      simulation.submit(specOf(`run-${i}`, { class: 'd', tasks: 6, estimatedRunUs: 300 * SECOND }));
+      simulation.submit(makeJobSpec(`run-${i}`, { class: 'd', tasks: 6, estimatedRunUs: 300 * SECOND }));
     simulation.runFor(20 * SECOND);
     // So many machines die that nothing else is planned until they are known to be lost.
     for (const worker of [...simulation.workers.values()].slice(0, 8)) simulation.killWorker(worker);
@@ -271,9 +271,9 @@
       simulation.nodes.findIndex((node) => node.core?.canActAsLeader()),
       300 * MILLISECOND,
     );
-    simulation.submit(specOf('run-8', { class: 'd', tasks: 4, estimatedRunUs: 10 * SECOND }));
+    simulation.submit(makeJobSpec('run-8', { class: 'd', tasks: 4, estimatedRunUs: 10 * SECOND }));
     simulation.submit(
-      specOf('run-9', { shape: 'service', priority: 3, tasks: 4, spreadAcrossZones: spread }),
+      makeJobSpec('run-9', { shape: 'service', priority: 3, tasks: 4, spreadAcrossZones: spread }),
     );
     const startTimeOf = (id: string): Micros | null => {
       const running = [...simulation.workers.values()].flatMap((worker) =>
@@ -294,6 +294,6 @@
       arrayStartedAt - serviceStartedAt > 2 * SECOND,
       `the array waits until most machines are known: ${arrayStartedAt - serviceStartedAt} us`,
     );
-    assert.deepEqual([...new Set(simulation.broken)], []);
+    assert.deepEqual([...new Set(simulation.violations)], []);
   }
 });
--- a/packages/core/test/scenario-fixtures.ts
+++ b/packages/core/test/scenario-fixtures.ts
@@ -6,7 +6,7 @@
   `[[cluster.teams]]\nname = "${team}"\ncpus_max = ${cores}.0\n`;
 
 /** The rule violations that the simulation recorded, without duplicates. */
-export const violationsOf = (simulation: ClusterSimulation): string[] => [...new Set(simulation.broken)];
+export const violationsOf = (simulation: ClusterSimulation): string[] => [...new Set(simulation.violations)];
 
 /** Those of the given jobs that have not ended according to the last answer to their users. */
 export const unfinishedJobs = (simulation: ClusterSimulation, ids: readonly string[]): string[] =>
--- a/packages/core/test/stored-records.test.ts
+++ b/packages/core/test/stored-records.test.ts
@@ -35,7 +35,7 @@
 import { readPage } from '@shaleyoke/core/storage/packed-pages';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 /** The value as it would be read back: the store keeps only what JSON can represent. */
 const stored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
@@ -62,7 +62,7 @@
   saveUs: 4_000_000,
   deadlineUs: 900_000_000,
 };
-const SPEC = specOf('run-412', {
+const SPEC = makeJobSpec('run-412', {
   class: 'train',
   team: 'vision',
   shape: 'gang',
@@ -231,11 +231,11 @@
 
 test('records written by a leader have exactly these fields', () => {
   const simulation = new ClusterSimulation(new Random(5), 3);
-  simulation.stand(2);
+  simulation.addMachines(2);
   simulation.runFor(3 * SECOND);
-  simulation.submit(specOf('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
-  simulation.submit(specOf('run-2', { dependsOn: ['run-1'] }));
-  simulation.submit(specOf('run-3', { tasks: 1, estimatedRunUs: SECOND }));
+  simulation.submit(makeJobSpec('run-1', { tasks: 5, estimatedRunUs: 60 * SECOND }));
+  simulation.submit(makeJobSpec('run-2', { dependsOn: ['run-1'] }));
+  simulation.submit(makeJobSpec('run-3', { tasks: 1, estimatedRunUs: SECOND }));
   simulation.runFor(60 * SECOND);
   const fieldsOf = (value: unknown): string[] => Object.keys(value as object).sort();
   const entriesOf = (prefix: string): unknown[] =>
--- a/packages/core/test/usage-totals.test.ts
+++ b/packages/core/test/usage-totals.test.ts
@@ -10,20 +10,20 @@
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
-import { BASIC_SCENARIOS, FIRST_BOUNDS, play } from '@shaleyoke/emulator/fault-scenarios';
+import { BASIC_LIMITS, BASIC_SCENARIOS, runScenarios } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { TYPE } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { MACHINE_TYPE } from '@shaleyoke/emulator/site';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runTask } from './cluster-fixtures.js';
 
 const TYPES = new Map<string, MachineType>([
-  ['box', { ...TYPE, cores: 8 }],
-  ['gpu', { ...TYPE, name: 'gpu', cores: 8, gpus: 4 }],
+  ['box', { ...MACHINE_TYPE, cores: 8 }],
+  ['gpu', { ...MACHINE_TYPE, name: 'gpu', cores: 8, gpus: 4 }],
 ]);
 const TEAMS = ['a', 'b', 'c'];
 /** Small tasks, one for each team, whose allowed number shows the remaining quota. */
-const PROBES = TEAMS.map((team) => specOf(`probe-${team}`, { team, cores: 0.1, gpus: 0.5 }));
+const PROBES = TEAMS.map((team) => makeJobSpec(`probe-${team}`, { team, cores: 0.1, gpus: 0.5 }));
 
 /** The result of a full count over all machines. */
 interface FullCount {
@@ -142,7 +142,7 @@
         cores: [0.1, 0.7, 1, 2][random.below(4)]!,
         gpus: [0, 0, 0.5, 1][random.below(4)]!,
       };
-      return new ActiveJob(specOf(`run-${i}`, spec), 1, 0, 0);
+      return new ActiveJob(makeJobSpec(`run-${i}`, spec), 1, 0, 0);
     });
     const anyMachine = (): Machine | undefined =>
       [...machines.values()][random.below(Math.max(1, machines.size))];
@@ -188,7 +188,7 @@
 
 /** Compares the totals of a simulation's leader with a full count; returns false while there is no leader. */
 const compareLeader = (simulation: ClusterSimulation): boolean => {
-  const core = simulation.nodes[simulation.leader()]?.core;
+  const core = simulation.nodes[simulation.leaderIndex()]?.core;
   const cluster = core?.scheduler?.term.cluster;
   if (cluster === undefined) return false;
   const expected = countCores(cluster.machines.values()).get('t') ?? 0;
@@ -200,19 +200,19 @@
 test("a leader's totals equal a full count at every second of the basic fault scenarios", () => {
   let comparisons = 0;
   for (const [i, scenario] of Object.values(BASIC_SCENARIOS).entries())
-    play(
+    runScenarios(
       300 + i,
       [
         (scene) => {
           for (let second = 1; second < 20; second++)
-            scene.w.later(second * SECOND, () => {
-              if (compareLeader(scene.w)) comparisons++;
+            scene.simulation.runAfter(second * SECOND, () => {
+              if (compareLeader(scene.simulation)) comparisons++;
             });
           scenario(scene);
         },
       ],
       2,
-      FIRST_BOUNDS,
+      BASIC_LIMITS,
     );
   assert.ok(comparisons > 100, `${comparisons} comparisons`);
 });
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -8,8 +8,8 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { Loopback } from '@shaleyoke/emulator/loopback';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { LoopbackDeployment } from '@shaleyoke/emulator/loopback';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 /** Teams that submit jobs; the last one has a budget limit. */
 export const TENANTS = ['gemeente', 'waterbedrijf', 'energie'] as const;
@@ -39,7 +39,7 @@
 
 /** A job of a team: four tasks of some seconds, unless `overrides` says otherwise. */
 export const makeJob = (id: string, team: string, overrides: Partial<JobSpec> = {}): JobSpec =>
-  specOf(id, {
+  makeJobSpec(id, {
     class: 'brieven',
     team,
     tasks: 4,
@@ -51,7 +51,7 @@
   });
 
 /** The accounting records that the emulated store holds now. */
-export const readBooks = (deployment: Loopback): BooksView =>
+export const readBooks = (deployment: LoopbackDeployment): BooksView =>
   viewBooks(
     deployment.state
       .keys('b/')
@@ -82,7 +82,7 @@
   print('shaleyoke demo: three controllers as real processes; state service, cloud, machines and');
   print('users are emulated in this process, over loopback. It takes about a minute and ends by itself.');
   print('');
-  const deployment = new Loopback({
+  const deployment = new LoopbackDeployment({
     program,
     nodes: 3,
     teams: TENANTS,
@@ -126,7 +126,7 @@
     report(
       `${accepted.filter((status) => status === 201).length} jobs of ${TENANTS.length} tenants accepted`,
     );
-    await waitUntil(() => [...deployment.workers.values()].some((worker) => worker.running > 0), 40);
+    await waitUntil(() => [...deployment.workers.values()].some((worker) => worker.runningTasks > 0), 40);
     const leader = deployment.leader() ?? 0;
     report(`killing ${deployment.nodes[leader]!.member}, the leader (SIGKILL)`);
     deployment.crash(leader, 3_000);
@@ -141,12 +141,12 @@
         : `${deployment.nodes[successor]!.member} is the leader`,
     );
     await waitUntil(
-      () => [...deployment.workers.values()].some((worker) => worker.alive && worker.running > 0),
+      () => [...deployment.workers.values()].some((worker) => worker.alive && worker.runningTasks > 0),
       30,
     );
-    const victim = [...deployment.workers.values()].find((worker) => worker.alive && worker.running > 0);
+    const victim = [...deployment.workers.values()].find((worker) => worker.alive && worker.runningTasks > 0);
     if (victim !== undefined) {
-      report(`killing machine ${victim.name} with ${victim.running} running tasks`);
+      report(`killing machine ${victim.name} with ${victim.runningTasks} running tasks`);
       deployment.killWorker(victim.name);
     }
     // The limit of energie is lower than the cost of its jobs: those beyond it wait, and the other tenants' jobs go on.
@@ -169,7 +169,7 @@
     print('');
     print('Machines on which the tasks ran, as the machines recorded it:');
     for (const job of jobs) {
-      const runs = deployment.ran.filter((run) => run.job === job.id);
+      const runs = deployment.taskRuns.filter((run) => run.job === job.id);
       const lost = runs.filter((run) => !run.done).length;
       print(
         `  ${job.id}  ${job.team.padEnd(13)} ${stages.get(job.id)!.padEnd(8)} ` +
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -12,9 +12,9 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { budgetsYaml, MACHINE_TYPE, makeJob, readBooks, waitUntil } from '@shaleyoke/demo/demo';
-import { Loopback } from '@shaleyoke/emulator/loopback';
+import { LoopbackDeployment } from '@shaleyoke/emulator/loopback';
 import { Random } from '@shaleyoke/emulator/random';
-import { toolOf } from '@shaleyoke/emulator/tool';
+import { commandRunner } from '@shaleyoke/emulator/tool';
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
@@ -29,11 +29,11 @@
  */
 const MAX_CHARGE_EXCESS = 8 * SECOND;
 
-const runCommand = toolOf(PROGRAM);
+const runCommand = commandRunner(PROGRAM);
 
 test('accounting records balance and match the run times of the machines after kills and a stalled store', async (t) => {
   const random = new Random(20_261_201);
-  const deployment = new Loopback({
+  const deployment = new LoopbackDeployment({
     program: PROGRAM,
     nodes: 3,
     teams: TENANTS,
@@ -58,7 +58,7 @@
     const heldJob = makeJob('run-900', 'e');
     const accepted = Promise.all([...jobs, heldJob].map((job) => deployment.submit(job)));
     for (let kill = 0; kill < KILLS; kill++) {
-      await waitUntil(() => [...deployment.workers.values()].some((worker) => worker.running > 0), 20);
+      await waitUntil(() => [...deployment.workers.values()].some((worker) => worker.runningTasks > 0), 20);
       await new Promise((resolve) => setTimeout(resolve, 500 + random.below(2_500)));
       const leader = deployment.leader();
       deployment.crash(
@@ -67,7 +67,7 @@
       );
       if (kill % 3 === 1) deployment.state.outage(3 * SECOND);
       const busyWorkers = [...deployment.workers.values()].filter(
-        (worker) => worker.alive && worker.running > 0,
+        (worker) => worker.alive && worker.runningTasks > 0,
       );
       if (busyWorkers.length > 0) deployment.killWorker(busyWorkers[random.below(busyWorkers.length)]!.name);
     }
@@ -97,7 +97,9 @@
       for (let i = 0; i < job.tasks; i++)
         runTime += Math.max(
           0,
-          ...deployment.ran.filter((run) => run.job === job.id && run.index === i).map((run) => run.us),
+          ...deployment.taskRuns
+            .filter((run) => run.job === job.id && run.index === i)
+            .map((run) => run.durationUs),
         );
       assert.ok(
         charged <= runTime + job.tasks * MAX_CHARGE_EXCESS,
@@ -110,30 +112,32 @@
         sum + (((rental.to ?? deployment.now()) - rental.from) / 3.6e9) * MACHINE_TYPE.price * 1e6,
       0,
     );
-    const completedTime = deployment.ran.filter((run) => run.done).reduce((sum, run) => sum + run.us, 0);
+    const completedTime = deployment.taskRuns
+      .filter((run) => run.done)
+      .reduce((sum, run) => sum + run.durationUs, 0);
     const chargedTime = books.lines.reduce((sum, line) => sum + line.charge.us, 0);
     t.diagnostic(
       `accounting: cost ${balance.cost}, charged ${balance.charged}; cloud's bill ${Math.round(bill)}; ` +
-        `task time charged ${chargedTime} us, completed on the machines ${completedTime} us in ${deployment.ran.length} attempts`,
+        `task time charged ${chargedTime} us, completed on the machines ${completedTime} us in ${deployment.taskRuns.length} attempts`,
     );
 
     // The operators' commands work while the controllers run.
     const files = ['--config', deployment.nodes[0]!.config, '--budgets', deployment.budgetsFile];
     const list = await runCommand('budget', 'list', ...files);
-    assert.equal(list.code, 0);
-    assert.match(list.out, /^e +\d{4}-\d\d +0\.000000.*LIMIT REACHED$/m);
+    assert.equal(list.exitCode, 0);
+    assert.match(list.output, /^e +\d{4}-\d\d +0\.000000.*LIMIT REACHED$/m);
     assert.match(
-      (await runCommand('budget', 'explain', 'run-900', ...files)).out,
+      (await runCommand('budget', 'explain', 'run-900', ...files)).output,
       /run-900: held back: budget of e/,
     );
     const verified = await runCommand('statement', 'verify', ...files);
-    assert.equal(verified.code, 0, verified.out);
-    assert.match(verified.out, /The books agree/);
+    assert.equal(verified.exitCode, 0, verified.output);
+    assert.match(verified.output, /The books agree/);
     const statement = await runCommand('statement', '--owner', 'a', '--format', 'json', ...files);
-    writeFileSync(statementFile, statement.out);
-    assert.match((await runCommand('statement', 'verify', statementFile)).out, /holds/);
+    writeFileSync(statementFile, statement.output);
+    assert.match((await runCommand('statement', 'verify', statementFile)).output, /holds/);
     writeFileSync(statementFile, readFileSync(statementFile, 'utf8').replace('"owner": "a"', '"owner": "b"'));
-    assert.equal((await runCommand('statement', 'verify', statementFile)).code, 1);
+    assert.equal((await runCommand('statement', 'verify', statementFile)).exitCode, 1);
     const wrong = await runCommand(
       'budget',
       'set',
@@ -147,8 +151,8 @@
       'w',
       ...files,
     );
-    assert.equal(wrong.code, 2);
-    assert.match(wrong.out, /--owner: x is no team/);
+    assert.equal(wrong.exitCode, 2);
+    assert.match(wrong.output, /--owner: x is no team/);
     const set = await runCommand(
       'budget',
       'set',
@@ -162,13 +166,13 @@
       'begins',
       ...files,
     );
-    assert.match(set.out, /CHANGED the limit of e[^]*hard: 0\.000000 -> 5\.000000/);
+    assert.match(set.output, /CHANGED the limit of e[^]*hard: 0\.000000 -> 5\.000000/);
     assert.ok(
       await waitUntil(async () => (await deployment.stageOf('run-900')) === 'done', 90),
       'the held job runs once the limit is higher',
     );
     assert.match(
-      (await runCommand('budget', 'show', '--owner', 'e', ...files)).out,
+      (await runCommand('budget', 'show', '--owner', 'e', ...files)).output,
       /kz: .*hard 0\.000000 -> 5\.000000 \(begins\)/,
     );
   } finally {
--- a/packages/emulator/src/beats.ts
+++ b/packages/emulator/src/beats.ts
@@ -2,7 +2,7 @@
 import type { PeerHeartbeat } from '@shaleyoke/core/domain/peer';
 
 /** A heartbeat of a process without delays whose store requests are answered, with other fields as given. */
-export const beatOf = (
+export const peerHeartbeatOf = (
   member: string,
   sequence: number,
   more: Partial<PeerHeartbeat> = {},
--- a/packages/emulator/src/cloud-model.ts
+++ b/packages/emulator/src/cloud-model.ts
@@ -3,7 +3,7 @@
 import type { ListedMachine } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-import { TYPE } from './site.js';
+import { MACHINE_TYPE } from './site.js';
 
 /** The machines, as far as the cloud manages them. */
 export interface SimulatedMachines {
@@ -31,7 +31,7 @@
     private readonly now: () => Micros,
     private readonly machines: SimulatedMachines,
     /** Capacity of each zone. */
-    public perZone: number,
+    public machinesPerZone: number,
   ) {}
 
   /** Executes a request. A repeated rent request returns the machines of the first. */
@@ -39,11 +39,11 @@
     if (this.now() < this.downUntil) return { kind: 'failed', reason: 'trouble' };
     switch (op.kind) {
       case 'types':
-        return { kind: 'types', types: [TYPE] };
+        return { kind: 'types', types: [MACHINE_TYPE] };
       case 'rent': {
         const earlier = this.machinesByRequest.get(op.request);
         if (earlier !== undefined) return { kind: 'rented', machines: earlier };
-        const count = Math.min(op.count, this.perZone - this.machines.countInZone(op.zone));
+        const count = Math.min(op.count, this.machinesPerZone - this.machines.countInZone(op.zone));
         if (count <= 0) return { kind: 'noCapacity' };
         const names = Array.from({ length: count }, () =>
           this.machines.boot(op.zone, op.spot, this.bootUs?.()),
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -21,7 +21,7 @@
 import { LimitedStoreAccess } from './limited-store-access.js';
 import { Network } from './network.js';
 import type { Random } from './random.js';
-import { settingsFor, TYPE } from './site.js';
+import { MACHINE_TYPE, settingsFor } from './site.js';
 import { StateModel } from './state-model.js';
 import type { StepMeter } from './step-meter.js';
 import { Timeline } from './timeline.js';
@@ -44,7 +44,7 @@
   /** The process is paused until then, while its clock keeps running. */
   frozenUntil: Micros;
   /** Rate of its monotonic clock relative to simulation time: above 1 it runs fast. */
-  rate: number;
+  clockRate: number;
   /** Inputs queued while a step is in progress; used only with a meter. */
   inbox: Input[];
   stepping: boolean;
@@ -77,7 +77,7 @@
 /** A simulated deployment with fault injection. Unless a real stopwatch is used, equal seeds and calls give equal runs. */
 export class ClusterSimulation {
   /** Violations of invariants, and errors that controllers logged. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** Controller processes; methods refer to them by index. */
   readonly nodes: SimulatedNode[];
   /** Submitted jobs, and the tasks that workers have completed. */
@@ -92,40 +92,40 @@
    * Probability that a call's request or reply is lost; a lost request may still be executed up to 30 s later. One-way
    * messages are lost half as often.
    */
-  loss = 0;
+  messageLoss = 0;
   /** Probability that a delivered message or an executed call is repeated, up to 30 s later. */
-  repeats = 0;
+  duplication = 0;
   /** Nodes that process input only at this interval, by name: inputs that arrive in between are processed together. */
-  readonly stutter = new Map<string, Micros>();
+  readonly processingIntervals = new Map<string, Micros>();
   /** Share of the state service's operations that are delayed by up to `most`; replies after the caller's timeout are dropped. */
-  stateSlow: { share: number; most: Micros } | null = null;
+  storeDelay: { share: number; most: Micros } | null = null;
   /** The state service executes requests at once and delays its replies by up to this. */
-  answersSlow: Micros = 0;
+  storeReplyDelay: Micros = 0;
   /** Replies to watches are held back until then; other replies aren't affected. */
-  watchesHangUntil: Micros = 0;
+  watchRepliesHeldUntil: Micros = 0;
   /** Share of commands to workers that are executed after the caller's timeout, by up to `most`; their replies are lost. */
-  ordersLate: { share: number; most: Micros } | null = null;
+  commandDelay: { share: number; most: Micros } | null = null;
   /** Commands that reached their worker after the caller's timeout. */
-  lateOrders = 0;
+  lateCommands = 0;
   /** Probability that a transaction gets no reply and is applied 2 to 12 s later, possibly after newer ones. */
-  lateWrites = 0;
+  lateTransactionChance = 0;
   /** Probability that a transaction is applied at once and only its reply is lost. */
-  answersLost = 0;
+  lostReplyChance = 0;
   /** Number of writes in transactions of which only the reply was lost, by key prefix, or `delete`. */
-  readonly unanswered = new Map<string, number>();
-  /** Probability that a copy of a heartbeat is kept, and delivered to every controller after the next leader election. */
-  keepReports = 0;
-  private keptHeartbeats: Heartbeat[] = [];
-  /** Copies of kept heartbeats that were delivered. */
-  keptArrived = 0;
-  /** Transactions that `lateWrites` delayed, and those of them whose conditions still held. */
-  readonly lateWritten = { all: 0, applied: 0 };
+  readonly writesWithoutReply = new Map<string, number>();
+  /** Probability that a heartbeat is copied, and the copy delivered to every controller after the next leader election. */
+  delayedHeartbeatChance = 0;
+  private heartbeatCopies: Heartbeat[] = [];
+  /** Copies of heartbeats that were delivered. */
+  delayedHeartbeatsDelivered = 0;
+  /** Transactions that `lateTransactionChance` delayed, and those of them whose conditions still held. */
+  readonly lateTransactions = { all: 0, applied: 0 };
   /** The only node whose watches hang and whose lists are delayed; null: all nodes. */
-  lateFor: string | null = null;
+  delayedNode: string | null = null;
   /** Nodes that the state service answers with 503, and until when. */
   private readonly refusedUntil = new Map<string, Micros>();
   /** Additional delay of the replies to lists. */
-  listDelay: Micros = 0;
+  listReplyDelay: Micros = 0;
   /** The store that the controllers share. */
   readonly state = new StateModel(
     () => this.now,
@@ -170,7 +170,7 @@
   ) {
     const { timeline } = this;
     const reportViolation = (violation: string): void => {
-      this.broken.push(violation);
+      this.violations.push(violation);
     };
     this.machines = new WorkersModel(
       {
@@ -199,7 +199,7 @@
           return timeline.now;
         },
         nodes: nodeCount,
-        ask: (nodeIndex, body, onResponse) => {
+        sendRequest: (nodeIndex, body, onResponse) => {
           this.sendClientRequest(nodeIndex, body, onResponse);
         },
         schedule: (delay, run) => {
@@ -218,7 +218,7 @@
       wakeAt: null,
       startedAt: 0,
       frozenUntil: 0,
-      rate: 1,
+      clockRate: 1,
       inbox: [],
       stepping: false,
       storeAccess: null,
@@ -232,7 +232,7 @@
   }
 
   /** The wall-clock time of all nodes. */
-  get wall(): Micros {
+  get wallClock(): Micros {
     return this.wallStart + this.now;
   }
 
@@ -240,9 +240,9 @@
     this.timeline.schedule(delay, run);
   }
 
-  /** With the probability `repeats`, runs the delivery again: within half a second, or within 30 s. */
+  /** With the probability `duplication`, runs the delivery again: within half a second, or within 30 s. */
   private maybeRepeat(run: () => void): void {
-    if (this.repeats > 0 && this.random.chance(this.repeats))
+    if (this.duplication > 0 && this.random.chance(this.duplication))
       this.schedule(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLISECOND, run);
   }
 
@@ -268,7 +268,7 @@
       true,
       this.features(),
     );
-    this.step(node, { kind: 'start', wallUs: this.wall });
+    this.step(node, { kind: 'start', wallUs: this.wallClock });
   }
 
   /** Makes the store enforce the limits in the settings, and limits the process to its share of them. */
@@ -299,7 +299,7 @@
   /** For how long the node still processes no input, because it is frozen or stutters. */
   private remainingPause(node: SimulatedNode): Micros {
     if (node.frozenUntil > this.now) return node.frozenUntil - this.now;
-    const interval = this.stutter.get(node.name);
+    const interval = this.processingIntervals.get(node.name);
     return interval === undefined ? 0 : (interval - (this.now % interval)) % interval;
   }
 
@@ -309,12 +309,12 @@
   }
 
   /** Makes the state service answer 503 to this node alone; its open watches are answered afterwards. */
-  refuse(name: string, length: Micros): void {
+  refuseRequestsOf(name: string, length: Micros): void {
     this.refusedUntil.set(name, this.now + length);
   }
 
   private isDelayed(name: string): boolean {
-    return this.lateFor === null || this.lateFor === name;
+    return this.delayedNode === null || this.delayedNode === name;
   }
 
   private remainingRefusal(name: string): Micros {
@@ -342,7 +342,7 @@
   }
 
   private localTime(node: SimulatedNode): Micros {
-    return Math.floor((this.now - node.startedAt) * node.rate) + 1;
+    return Math.floor((this.now - node.startedAt) * node.clockRate) + 1;
   }
 
   /** Processes the node's next input. Its effects and the next input follow once the measured time has passed. */
@@ -355,7 +355,7 @@
     const startedAt = meter.stopwatch();
     const effects = node.core.step(this.localTime(node), input);
     const elapsedUs = meter.stopwatch() - startedAt;
-    meter.stepped(node.name, input, elapsedUs, effects);
+    meter.recordStep(node.name, input, elapsedUs, effects);
     this.schedule(elapsedUs, () => {
       if (node.incarnation !== incarnation) return;
       for (const effect of effects) this.performEffect(node, incarnation, effect);
@@ -407,17 +407,17 @@
         );
         return;
       case 'wake':
-        node.wakeAt = Math.ceil((effect.at - 1) / node.rate) + node.startedAt;
+        node.wakeAt = Math.ceil((effect.at - 1) / node.clockRate) + node.startedAt;
         return;
       case 'log':
-        if (effect.event === 'leader.elected') this.deliverKeptHeartbeats();
+        if (effect.event === 'leader.elected') this.deliverHeartbeatCopies();
         this.onLog(node.name, effect.event, effect.fields);
         if (effect.level === 'error')
-          this.broken.push(`error logged: ${effect.event} ${JSON.stringify(effect.fields)}`);
+          this.violations.push(`error logged: ${effect.event} ${JSON.stringify(effect.fields)}`);
         return;
       case 'peerMessage': {
         const receiver = this.nodes.find((x) => x.name === effect.member)!;
-        if (this.random.chance(this.loss / 2)) return;
+        if (this.random.chance(this.messageLoss / 2)) return;
         const deliver = (): void => {
           this.step(receiver, { kind: 'peerMessage', message: effect.message });
         };
@@ -431,14 +431,14 @@
     }
   }
 
-  /** Delivers kept heartbeats to every controller: at once, while the new leader loads its state, or after it has acted. */
-  private deliverKeptHeartbeats(): void {
-    const kept = this.keptHeartbeats;
-    this.keptHeartbeats = [];
-    for (const heartbeat of kept)
+  /** Delivers the copies of heartbeats to every controller: at once, while the new leader loads, or after it has acted. */
+  private deliverHeartbeatCopies(): void {
+    const copies = this.heartbeatCopies;
+    this.heartbeatCopies = [];
+    for (const heartbeat of copies)
       for (const node of this.nodes)
         this.schedule(this.random.below(this.random.chance(0.6) ? 60 : 8_000) * MILLISECOND, () => {
-          this.keptArrived++;
+          this.delayedHeartbeatsDelivered++;
           this.step(node, { kind: 'heartbeat', request: this.nextRequest++, heartbeat });
         });
   }
@@ -466,12 +466,12 @@
         node.name,
         op.writes.map((x) => x.key),
       );
-    if (this.lateWrites > 0 && this.maybeApplyLate(node, op, onReply)) return;
-    if (this.answersLost > 0 && this.maybeLoseReply(node, op, onReply)) return;
+    if (this.lateTransactionChance > 0 && this.maybeApplyLate(node, op, onReply)) return;
+    if (this.lostReplyChance > 0 && this.maybeLoseReply(node, op, onReply)) return;
     this.call(
       () => this.state.apply(op),
       (reply) => {
-        this.schedule(op.kind === 'list' && this.isDelayed(node.name) ? this.listDelay : 0, () => {
+        this.schedule(op.kind === 'list' && this.isDelayed(node.name) ? this.listReplyDelay : 0, () => {
           onReply(reply);
         });
       },
@@ -494,12 +494,12 @@
     onReply: (reply: StoreReply) => void,
   ): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
-    if (this.network.delay(node.name, 'state') > 0 || !this.random.chance(this.answersLost)) return false;
+    if (this.network.delay(node.name, 'state') > 0 || !this.random.chance(this.lostReplyChance)) return false;
     this.schedule(3 * MILLISECOND, () => {
       if (this.state.apply(op).kind !== 'ok') return;
       for (const write of op.writes) {
         const kind = write.kind === 'delete' ? 'delete' : write.key.replace(/\/.*$/, '/');
-        this.unanswered.set(kind, (this.unanswered.get(kind) ?? 0) + 1);
+        this.writesWithoutReply.set(kind, (this.writesWithoutReply.get(kind) ?? 0) + 1);
       }
     });
     this.replyAfterTimeout(onReply);
@@ -512,10 +512,10 @@
     onReply: (reply: StoreReply) => void,
   ): boolean {
     if (op.kind !== 'txn' || op.writes.length === 0 || this.remainingRefusal(node.name) > 0) return false;
-    if (!this.random.chance(this.lateWrites)) return false;
+    if (!this.random.chance(this.lateTransactionChance)) return false;
     this.schedule((2_000 + this.random.below(10_000)) * MILLISECOND, () => {
-      this.lateWritten.all++;
-      if (this.state.apply(op).kind === 'ok') this.lateWritten.applied++;
+      this.lateTransactions.all++;
+      if (this.state.apply(op).kind === 'ok') this.lateTransactions.applied++;
     });
     this.replyAfterTimeout(onReply);
     return true;
@@ -558,9 +558,9 @@
       };
       this.schedule(3 * MILLISECOND, () => {
         this.state.watch(watch, (reply) => {
-          const isSlow = this.stateSlow !== null && this.random.chance(this.stateSlow.share);
-          const delay = isSlow ? this.random.below(this.stateSlow!.most) : 0;
-          const watchDelay = this.isDelayed(from) ? this.watchesHangUntil - this.now : 0;
+          const isSlow = this.storeDelay !== null && this.random.chance(this.storeDelay.share);
+          const delay = isSlow ? this.random.below(this.storeDelay!.most) : 0;
+          const watchDelay = this.isDelayed(from) ? this.watchRepliesHeldUntil - this.now : 0;
           const longestDelay = Math.max(delay, watchDelay);
           this.schedule(
             Math.max(longestDelay, this.network.delay(to, from), this.remainingRefusal(from)),
@@ -575,7 +575,7 @@
       });
       return;
     }
-    const slow = to === 'state' ? this.stateSlow : null;
+    const slow = to === 'state' ? this.storeDelay : null;
     if (slow !== null && this.random.chance(slow.share)) {
       const duration = this.random.below(slow.most);
       let isPending = true;
@@ -590,8 +590,8 @@
       });
       return;
     }
-    if (to === 'state' && this.answersSlow > 0) {
-      const duration = this.random.below(this.answersSlow);
+    if (to === 'state' && this.storeReplyDelay > 0) {
+      const duration = this.random.below(this.storeReplyDelay);
       this.schedule(3 * MILLISECOND, () => {
         const result = run();
         this.schedule(Math.min(duration, CALL_TIMEOUT), () => {
@@ -600,21 +600,21 @@
       });
       return;
     }
-    if (outcome < this.loss / 3) {
+    if (outcome < this.messageLoss / 3) {
       this.schedule(this.random.below(30) * SECOND, () => {
         run();
       });
       this.schedule(CALL_TIMEOUT, () => {
         onReply(lost);
       });
-    } else if (outcome < (this.loss * 2) / 3) {
+    } else if (outcome < (this.messageLoss * 2) / 3) {
       this.schedule(3 * MILLISECOND, () => {
         run();
       });
       this.schedule(CALL_TIMEOUT, () => {
         onReply(lost);
       });
-    } else if (outcome < this.loss)
+    } else if (outcome < this.messageLoss)
       this.schedule(CALL_TIMEOUT, () => {
         onReply(lost);
       });
@@ -637,12 +637,13 @@
       this.machines.switchNode(worker);
       return;
     }
-    if (this.now < worker.muteUntil) {
+    if (this.now < worker.sendsNothingUntil) {
       this.machines.switchNode(worker);
       return;
     }
-    const heartbeat = this.machines.reportOf(worker);
-    if (this.keepReports > 0 && this.random.chance(this.keepReports)) this.keptHeartbeats.push(heartbeat);
+    const heartbeat = this.machines.heartbeatOf(worker);
+    if (this.delayedHeartbeatChance > 0 && this.random.chance(this.delayedHeartbeatChance))
+      this.heartbeatCopies.push(heartbeat);
     const requestDelay = this.network.delay(worker.name, node.name);
     if (requestDelay > 0 || this.network.delay(node.name, worker.name) > 0) {
       this.machines.recordTimeout(worker);
@@ -652,21 +653,26 @@
       });
       return;
     }
-    const { session } = worker;
+    const { agentEpoch } = worker;
     const request = this.nextRequest++;
     const incarnation = node.incarnation;
-    const isRequestLost = this.random.chance(this.loss / 2);
-    const isResponseLost = this.random.chance(this.loss / 2);
+    const isRequestLost = this.random.chance(this.messageLoss / 2);
+    const isResponseLost = this.random.chance(this.messageLoss / 2);
     const deliver = (): void => {
       if (node.incarnation === incarnation) this.step(node, { kind: 'heartbeat', request, heartbeat });
     };
     this.pendingHeartbeats.set(`${node.name}/${incarnation}/${request}`, (answer) => {
       this.pendingHeartbeats.delete(`${node.name}/${incarnation}/${request}`);
-      if (isRequestLost || isResponseLost || this.now < worker.cutUntil || this.now < worker.deafUntil)
+      if (
+        isRequestLost ||
+        isResponseLost ||
+        this.now < worker.unreachableUntil ||
+        this.now < worker.receivesNothingUntil
+      )
         return;
       const leader = answer.kind === 'redirect' ? this.nodes.findIndex((x) => x.name === answer.leader) : -1;
       this.schedule(2 * MILLISECOND, () => {
-        this.machines.handleResponse(worker, session, sentAt, answer, leader);
+        this.machines.handleResponse(worker, agentEpoch, sentAt, answer, leader);
       });
     });
     // A heartbeat whose request is lost still arrives, up to 20 s late and with its old content.
@@ -679,7 +685,7 @@
       });
     });
     if (isRequestLost || isResponseLost) this.machines.switchNode(worker);
-    else if (sentAt < worker.deafUntil) this.machines.recordTimeout(worker);
+    else if (sentAt < worker.receivesNothingUntil) this.machines.recordTimeout(worker);
   }
 
   private sendCommands(
@@ -689,21 +695,21 @@
   ): void {
     const worker = this.workers.get(effect.address);
     const heldFor = Math.max(
-      worker === undefined ? 0 : worker.cutUntil - this.now,
+      worker === undefined ? 0 : worker.unreachableUntil - this.now,
       this.network.delay(node.name, effect.address),
     );
-    if (worker !== undefined && worker.deafUntil > this.now) {
+    if (worker !== undefined && worker.receivesNothingUntil > this.now) {
       this.schedule(COMMAND_TIMEOUT, () => {
         onReply({ kind: 'lost', heartbeat: null });
       });
       return;
     }
     const run = (): CommandReply =>
-      this.machines.orders(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands);
-    const isLate = this.ordersLate !== null && this.random.chance(this.ordersLate.share);
+      this.machines.executeCommands(effect.address, effect.fencingToken, effect.agentEpoch, effect.commands);
+    const isLate = this.commandDelay !== null && this.random.chance(this.commandDelay.share);
     if (isLate) {
-      this.schedule(COMMAND_TIMEOUT + this.random.below(this.ordersLate!.most), () => {
-        this.lateOrders++;
+      this.schedule(COMMAND_TIMEOUT + this.random.below(this.commandDelay!.most), () => {
+        this.lateCommands++;
         run();
       });
       this.schedule(COMMAND_TIMEOUT, () => {
@@ -758,7 +764,7 @@
     this.schedule(body.kind === 'poll' ? POLL_TIMEOUT : REQUEST_TIMEOUT, () => {
       finish(null);
     });
-    this.step(node, { kind: 'clientRequest', request, body, wallUs: this.wall });
+    this.step(node, { kind: 'clientRequest', request, body, wallUs: this.wallClock });
   }
 
   /**
@@ -783,7 +789,7 @@
     this.pendingFeatureRequests.set(`${node.name}/${incarnation}/${request}`, notify);
     this.schedule(2 * MILLISECOND, () => {
       if (node.core !== null && node.incarnation === incarnation)
-        this.step(node, { kind: 'featureRequest', feature, request, body, wallUs: this.wall });
+        this.step(node, { kind: 'featureRequest', feature, request, body, wallUs: this.wallClock });
     });
     const checkConnection = (): void => {
       if (isPending && (node.core === null || node.incarnation !== incarnation)) notify(null, true);
@@ -819,7 +825,7 @@
     if (leaders().length < 2) return;
     for (const node of leaders()) this.step(node, { kind: 'timer' });
     if (leaders().length > 1)
-      this.broken.push(
+      this.violations.push(
         `two leaders at once: ${leaders()
           .map((node) => node.name)
           .join()}`,
@@ -839,8 +845,9 @@
   }
 
   /** Adds running machines that no controller has rented. */
-  stand(count: number): void {
-    for (let i = 0; i < count; i++) this.machines.boot(TYPE.zones[i % TYPE.zones.length]!, false, 0);
+  addMachines(count: number): void {
+    for (let i = 0; i < count; i++)
+      this.machines.boot(MACHINE_TYPE.zones[i % MACHINE_TYPE.zones.length]!, false, 0);
   }
 
   /** The machine loses power. */
@@ -849,7 +856,7 @@
   }
 
   /** The index of the node that is entitled to act as the leader now; -1: none. */
-  leader(): number {
+  leaderIndex(): number {
     return this.nodes.findIndex((node) => node.core?.canActAsLeader() === true);
   }
 
@@ -860,7 +867,7 @@
   }
 
   /** Runs a function after a delay, between the other events of that time. */
-  later(delay: Micros, run: () => void): void {
+  runAfter(delay: Micros, run: () => void): void {
     this.schedule(delay, run);
   }
 
@@ -886,7 +893,7 @@
 
   /** The stage that users were last told. */
   stageOf(id: string): string | undefined {
-    return this.users.told.get(id)?.stage;
+    return this.users.knownStages.get(id)?.stage;
   }
 
   /** The current value of a key in the state service. */
@@ -910,7 +917,7 @@
   }
 
   /** Transactions that the state service rejected for exceeding its limits. */
-  get refusals(): number {
+  get oversizedTransactions(): number {
     return this.state.oversizedTransactions;
   }
 
--- a/packages/emulator/src/controller-settings.ts
+++ b/packages/emulator/src/controller-settings.ts
@@ -17,7 +17,7 @@
   /** Names of teams, which get no quota. */
   readonly teams: readonly string[];
   /** Workers' heartbeat interval. */
-  readonly reportS: number;
+  readonly heartbeatIntervalS: number;
   /** A worker ends its tasks when no heartbeat was accepted for this time. */
   readonly leaseS: number;
   /** Time within which the tasks of a cancelled job must stop. */
@@ -29,7 +29,7 @@
   /** Requests per second that the cloud allows. */
   readonly cloudRps: number;
   /** Further TOML, inserted before `[cluster.workers]`. */
-  readonly more?: string;
+  readonly extraToml?: string;
 }
 
 /** Formats a number as a TOML float. */
@@ -44,8 +44,8 @@
   return (
     `member = "${settings.member}"\nsite = "zone-a"\nlisten = "${settings.listen}"\ncluster_listen = "${settings.peerListen}"\n` +
     `${peers.join('')}[endpoints]\ncloud = "${settings.cloud}"\nstate = "${settings.state}"\n` +
-    `[cluster]\ninitial_size = ${settings.peers.length + 1}\n${teams.join('')}${settings.more ?? ''}` +
-    `[cluster.workers]\nreport_s = ${decimal(settings.reportS)}\nlease_s = ${decimal(settings.leaseS)}\n` +
+    `[cluster]\ninitial_size = ${settings.peers.length + 1}\n${teams.join('')}${settings.extraToml ?? ''}` +
+    `[cluster.workers]\nreport_s = ${decimal(settings.heartbeatIntervalS)}\nlease_s = ${decimal(settings.leaseS)}\n` +
     `gang_wait_s = 30.0\ngang_peer_s = 4.0\ncancel_s = ${decimal(settings.cancelS)}\n` +
     `[cluster.state]\nrps = ${decimal(settings.stateRps)}\nwrite_rps = ${decimal(settings.stateWriteRps)}\n` +
     `value_kb = 16.0\ntxn_ops = 16\n[cluster.cloud]\nrps = ${decimal(settings.cloudRps)}\nlist_lag_s = 1.0\n`
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -9,9 +9,9 @@
 import type { Feature } from '@shaleyoke/core/feature-api';
 
 import { ClusterSimulation } from '../cluster-simulation.js';
-import { BASIC_SCENARIOS, EXTENDED_SCENARIOS, play } from '../fault-scenarios.js';
+import { BASIC_SCENARIOS, EXTENDED_SCENARIOS, runScenarios } from '../fault-scenarios.js';
 import { Random } from '../random.js';
-import { specOf } from '../specs.js';
+import { makeJobSpec } from '../specs.js';
 import { MessageDigest } from './message-digest.js';
 import type { FeatureAnswerEncoder } from './message-encoding.js';
 
@@ -85,49 +85,53 @@
   };
   const shape = random.below(6);
   if (shape === 0)
-    return specOf(id, { ...common, shape: 'gang', tasks: 2 + random.below(3), sameZone: true });
-  if (shape === 1) return specOf(id, { ...common, tasks: 4, spreadAcrossZones: true });
+    return makeJobSpec(id, { ...common, shape: 'gang', tasks: 2 + random.below(3), sameZone: true });
+  if (shape === 1) return makeJobSpec(id, { ...common, tasks: 4, spreadAcrossZones: true });
   if (shape === 2) {
     const checkpoints = { checkpointIntervalUs: 3 * SECOND, checkpointDurationUs: 2 * SECOND };
-    return specOf(id, { ...common, ...checkpoints, tasks: 1 + random.below(3) });
+    return makeJobSpec(id, { ...common, ...checkpoints, tasks: 1 + random.below(3) });
   }
   if (shape === 3)
-    return specOf(id, { ...common, shape: 'service', tasks: 1 + random.below(3), deadlineUs: null });
+    return makeJobSpec(id, { ...common, shape: 'service', tasks: 1 + random.below(3), deadlineUs: null });
   if (shape === 4)
-    return specOf(id, { ...common, tasks: 1 + random.below(3), machineTypes: ['box'], zone: 'a' });
-  return specOf(id, { ...common, tasks: 1 + random.below(30) });
+    return makeJobSpec(id, { ...common, tasks: 1 + random.below(3), machineTypes: ['box'], zone: 'a' });
+  return makeJobSpec(id, { ...common, tasks: 1 + random.below(30) });
 };
 
 /** Injects random restarts, partitions, outages, lost and delayed messages, and failed or reclaimed machines. */
 const injectRandomFaults = (world: ClusterSimulation, random: Random): void => {
-  world.loss = random.chance(0.3) ? 0.15 : 0.02;
-  world.repeats = random.chance(0.2) ? 0.2 : 0;
-  world.lateWrites = random.chance(0.1) ? 0.3 : 0;
-  world.answersLost = random.chance(0.1) ? 0.3 : 0;
-  world.keepReports = random.chance(0.2) ? 0.5 : 0;
+  world.messageLoss = random.chance(0.3) ? 0.15 : 0.02;
+  world.duplication = random.chance(0.2) ? 0.2 : 0;
+  world.lateTransactionChance = random.chance(0.1) ? 0.3 : 0;
+  world.lostReplyChance = random.chance(0.1) ? 0.3 : 0;
+  world.delayedHeartbeatChance = random.chance(0.2) ? 0.5 : 0;
   if (random.chance(0.08)) world.crash(random.below(NODE_COUNT), random.below(6_000) * MILLISECOND);
-  if (random.chance(0.05) && world.leader() >= 0) world.crash(world.leader(), 700 * MILLISECOND);
+  if (random.chance(0.05) && world.leaderIndex() >= 0) world.crash(world.leaderIndex(), 700 * MILLISECOND);
   if (random.chance(0.04)) world.stateOutage((2 + random.below(10)) * SECOND);
   if (random.chance(0.05)) world.freeze(random.below(NODE_COUNT), (1 + random.below(8)) * SECOND);
   if (random.chance(0.06))
-    world.network.cut(world.nodes[random.below(NODE_COUNT)]!.name, 'state', (2 + random.below(20)) * SECOND);
+    world.network.partition(
+      world.nodes[random.below(NODE_COUNT)]!.name,
+      'state',
+      (2 + random.below(20)) * SECOND,
+    );
   const worker = world.anyWorker();
   if (worker === undefined) return;
   if (random.chance(0.05)) world.killWorker(worker);
-  if (random.chance(0.08)) worker.cutUntil = world.now + (3 + random.below(30)) * SECOND;
-  if (random.chance(0.05)) worker.deafUntil = world.now + (3 + random.below(30)) * SECOND;
+  if (random.chance(0.08)) worker.unreachableUntil = world.now + (3 + random.below(30)) * SECOND;
+  if (random.chance(0.05)) worker.receivesNothingUntil = world.now + (3 + random.below(30)) * SECOND;
   if (random.chance(0.08)) {
-    worker.takenAt = world.now + (5 + random.below(10)) * SECOND;
-    worker.nextReport = world.now;
+    worker.terminatesAt = world.now + (5 + random.below(10)) * SECOND;
+    worker.nextHeartbeatAt = world.now;
   }
 };
 
 const clearFaults = (world: ClusterSimulation): void => {
-  world.loss = 0;
-  world.repeats = 0;
-  world.lateWrites = 0;
-  world.answersLost = 0;
-  world.keepReports = 0;
+  world.messageLoss = 0;
+  world.duplication = 0;
+  world.lateTransactionChance = 0;
+  world.lostReplyChance = 0;
+  world.delayedHeartbeatChance = 0;
 };
 
 type EffectListener = (node: string, effect: CoreEffect, now: Micros) => void;
@@ -150,7 +154,7 @@
     plan.membership ? { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 } : null,
     { onEffect },
   );
-  if (plan.seed % 2 === 1) world.stand(3);
+  if (plan.seed % 2 === 1) world.addMachines(3);
   for (const client of clients) client.prepare(world);
   world.runFor(2 * SECOND);
   const ids: string[] = [];
@@ -179,7 +183,13 @@
   const scenarios = Object.values({ ...BASIC_SCENARIOS, ...EXTENDED_SCENARIOS });
   const firstScenario = scenarios[plan.seed % scenarios.length]!;
   const secondScenario = scenarios[(plan.seed * 7 + 3) % scenarios.length]!;
-  play(plan.seed, [firstScenario, secondScenario], 1, { calm: 20 * SECOND, last: 60 * SECOND }, { onEffect });
+  runScenarios(
+    plan.seed,
+    [firstScenario, secondScenario],
+    1,
+    { recoveryTime: 20 * SECOND, drainTime: 60 * SECOND },
+    { onEffect },
+  );
 };
 
 /** Simulates the history of one seed and returns the digest of all messages that the controllers sent. */
