--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -8,14 +8,14 @@
 
 import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import { Random } from './random.js';
-import { specOf } from './specs.js';
+import { makeJobSpec } from './specs.js';
 import { StarvationMonitor } from './waiting.js';
 import type { Worker } from './workers-model.js';
 
 /** What a scenario acts on. */
 export interface ScenarioContext {
   /** The simulation that the faults are injected into. */
-  readonly w: ClusterSimulation;
+  readonly simulation: ClusterSimulation;
   /** The generator that the simulation uses as well. */
   readonly random: Random;
   /** Jobs that were submitted. */
@@ -30,9 +30,9 @@
 export type FaultScenario = (context: ScenarioContext) => void;
 
 /** Crashes whoever leads after `delay`; the process is back after 50 ms, 700 ms or 5 s. */
-const crashLeader = ({ w: simulation, random, count }: ScenarioContext, delay: Micros = 0): void => {
-  simulation.later(delay, () => {
-    const leader = simulation.leader();
+const crashLeader = ({ simulation, random, count }: ScenarioContext, delay: Micros = 0): void => {
+  simulation.runAfter(delay, () => {
+    const leader = simulation.leaderIndex();
     if (leader < 0) return;
     count('ends');
     simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
@@ -49,24 +49,24 @@
 const MIN_MUTE = 4;
 
 /** Makes some workers with running tasks unreachable, deaf or mute, for less or more than a lease. */
-const disturbWorkers = ({ w: simulation, random, count }: ScenarioContext, share: number): void => {
+const disturbWorkers = ({ simulation, random, count }: ScenarioContext, share: number): void => {
   for (const worker of busyWorkers(simulation)) {
     if (!random.chance(share)) continue;
     count('disturbed');
     const until = simulation.now + [3, 12, 19, 25, 45][random.below(5)]! * SECOND;
     const faultKind = random.below(3);
-    if (faultKind === 0) worker.cutUntil = until;
-    else if (faultKind === 1) worker.deafUntil = until;
-    else worker.muteUntil = until;
+    if (faultKind === 0) worker.unreachableUntil = until;
+    else if (faultKind === 1) worker.receivesNothingUntil = until;
+    else worker.sendsNothingUntil = until;
   }
 };
 
 /** Cancels up to `maxJobs` running jobs within 200 ms. */
-const cancelRunningJobs = ({ w: simulation, random, count }: ScenarioContext, maxJobs: number): void => {
+const cancelRunningJobs = ({ simulation, random, count }: ScenarioContext, maxJobs: number): void => {
   const running = new Set(busyWorkers(simulation).flatMap((worker) => worker.tasks.map((task) => task.job)));
   for (const id of [...running].slice(0, maxJobs)) {
     count('called off');
-    simulation.later(random.below(200) * MILLISECOND, () => {
+    simulation.runAfter(random.below(200) * MILLISECOND, () => {
       simulation.cancel(id);
     });
   }
@@ -74,8 +74,8 @@
 
 /** Crashes the leader at one of its next `maxWrites` transactions, before or after it is applied. */
 const crashLeaderAtWrite = (context: ScenarioContext, maxWrites: number): void => {
-  const { w: simulation, random, count } = context;
-  const leader = simulation.leader();
+  const { simulation, random, count } = context;
+  const leader = simulation.leaderIndex();
   if (leader < 0) return;
   const { name } = simulation.nodes[leader]!;
   let writesLeft = 1 + random.below(maxWrites);
@@ -83,7 +83,7 @@
     if (node !== name || --writesLeft > 0) return;
     simulation.onWrite = () => undefined;
     count('ended at a write');
-    simulation.later(random.chance(0.5) ? 0 : 20 * MILLISECOND, () => {
+    simulation.runAfter(random.chance(0.5) ? 0 : 20 * MILLISECOND, () => {
       simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
     });
   };
@@ -91,55 +91,56 @@
 
 /** Faults of controllers, network, state service and workers. */
 export const BASIC_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
-  'commands held up': ({ w: simulation, random }) => {
-    simulation.ordersLate = { share: 0.5, most: (1 + random.below(12)) * SECOND };
-    simulation.later(12 * SECOND, () => {
-      simulation.ordersLate = null;
+  'commands held up': ({ simulation, random }) => {
+    simulation.commandDelay = { share: 0.5, most: (1 + random.below(12)) * SECOND };
+    simulation.runAfter(12 * SECOND, () => {
+      simulation.commandDelay = null;
     });
   },
-  'late transactions': ({ w: simulation, random }) => {
-    simulation.lateWrites = 0.3 + random.below(4) / 10;
-    simulation.later(15 * SECOND, () => {
-      simulation.lateWrites = 0;
+  'late transactions': ({ simulation, random }) => {
+    simulation.lateTransactionChance = 0.3 + random.below(4) / 10;
+    simulation.runAfter(15 * SECOND, () => {
+      simulation.lateTransactionChance = 0;
     });
   },
-  'a leader cut from state and peers': ({ w: simulation, random, count }) => {
-    const leader = simulation.leader();
+  'a leader cut from state and peers': ({ simulation, random, count }) => {
+    const leader = simulation.leaderIndex();
     if (leader < 0) return;
     const { name } = simulation.nodes[leader]!;
     // Shorter than the leader's lease, a little longer, and much longer.
     const length = [3, 8, 30][random.below(3)]! * SECOND;
-    simulation.network.cut(name, 'state', length);
+    simulation.network.partition(name, 'state', length);
     for (const node of simulation.nodes)
-      if (node.name !== name) simulation.network.cut(name, node.name, length);
+      if (node.name !== name) simulation.network.partition(name, node.name, length);
     count('cuts');
   },
-  'state slow, then refusing the leader, then down': ({ w: simulation, random }) => {
-    simulation.stateSlow = { share: 0.5, most: 3 * SECOND };
-    simulation.later(6 * SECOND, () => {
-      const leader = simulation.leader();
-      if (leader >= 0) simulation.refuse(simulation.nodes[leader]!.name, (5 + random.below(20)) * SECOND);
+  'state slow, then refusing the leader, then down': ({ simulation, random }) => {
+    simulation.storeDelay = { share: 0.5, most: 3 * SECOND };
+    simulation.runAfter(6 * SECOND, () => {
+      const leader = simulation.leaderIndex();
+      if (leader >= 0)
+        simulation.refuseRequestsOf(simulation.nodes[leader]!.name, (5 + random.below(20)) * SECOND);
     });
-    simulation.later((8 + random.below(10)) * SECOND, () => {
+    simulation.runAfter((8 + random.below(10)) * SECOND, () => {
       simulation.stateOutage((5 + random.below(45)) * SECOND);
     });
-    simulation.later(12 * SECOND, () => {
-      simulation.stateSlow = null;
+    simulation.runAfter(12 * SECOND, () => {
+      simulation.storeDelay = null;
     });
   },
-  'the leader ends': ({ w: simulation, random, count }) => {
-    const leader = simulation.leader();
+  'the leader ends': ({ simulation, random, count }) => {
+    const leader = simulation.leaderIndex();
     if (leader < 0) return;
     simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
     count('ends');
   },
-  'late reports and repeats': ({ w: simulation }) => {
-    simulation.repeats = 0.4;
-    simulation.later(15 * SECOND, () => {
-      simulation.repeats = 0;
+  'late reports and repeats': ({ simulation }) => {
+    simulation.duplication = 0.4;
+    simulation.runAfter(15 * SECOND, () => {
+      simulation.duplication = 0;
     });
   },
-  'handed back and forth': ({ w: simulation, random }) => {
+  'handed back and forth': ({ simulation, random }) => {
     // All nodes crash: one is back at once, the others up to 6 s later. This may repeat while the lease is still held.
     const first = random.below(simulation.nodes.length);
     const restartAll = (): void => {
@@ -151,17 +152,17 @@
       });
     };
     restartAll();
-    if (random.chance(0.5)) simulation.later(random.below(3_000) * MILLISECOND, restartAll);
+    if (random.chance(0.5)) simulation.runAfter(random.below(3_000) * MILLISECOND, restartAll);
   },
-  'the leader ends while machines can not be reached': ({ w: simulation, random, count }) => {
+  'the leader ends while machines can not be reached': ({ simulation, random, count }) => {
     for (const worker of simulation.workers.values())
       if (random.chance(0.5)) {
         const until = simulation.now + (5 + random.below(35)) * SECOND;
-        if (random.chance(0.5)) worker.cutUntil = until;
-        else worker.deafUntil = until;
+        if (random.chance(0.5)) worker.unreachableUntil = until;
+        else worker.receivesNothingUntil = until;
         if (worker.tasks.some((task) => task.state === 'running')) count('unreached with tasks');
       }
-    const leader = simulation.leader();
+    const leader = simulation.leaderIndex();
     if (leader >= 0) simulation.crash(leader, (1 + random.below(8)) * SECOND);
   },
 };
@@ -169,22 +170,22 @@
 /** Scenarios that combine faults with queries, cancellations, new machines, and leader changes. */
 export const EXTENDED_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
   'close looks': (context) => {
-    const { w: simulation, random } = context;
+    const { simulation, random } = context;
     simulation.users.queryBurstChance = 1;
-    simulation.later(20 * SECOND, () => {
+    simulation.runAfter(20 * SECOND, () => {
       simulation.users.queryBurstChance = 0;
     });
     if (random.chance(0.5))
       simulation.crash(random.below(simulation.nodes.length), random.below(800) * MILLISECOND);
     if (random.chance(0.4)) {
-      simulation.lateWrites = 0.3;
-      simulation.later(10 * SECOND, () => {
-        simulation.lateWrites = 0;
+      simulation.lateTransactionChance = 0.3;
+      simulation.runAfter(10 * SECOND, () => {
+        simulation.lateTransactionChance = 0;
       });
     }
   },
   'a question, a repetition or a cancellation meets the end of the last task': ({
-    w: simulation,
+    simulation,
     random,
     submit,
     count,
@@ -197,28 +198,28 @@
       count('met the end');
       // Close to the worker's heartbeat, the leader's write and the reply to it.
       for (let i = 0; i < 3; i++)
-        simulation.later(random.below(400) * MILLISECOND, () => {
+        simulation.runAfter(random.below(400) * MILLISECOND, () => {
           const action = random.below(3);
           if (action === 0) simulation.poll(id);
           else if (action === 1) simulation.submit(spec);
           else simulation.cancel(id);
         });
     };
-    simulation.later(25 * SECOND, () => {
+    simulation.runAfter(25 * SECOND, () => {
       simulation.work.onDone = () => undefined;
     });
   },
   'only the answer is lost': (context) => {
-    const { w: simulation, random } = context;
-    simulation.answersLost = 0.3 + random.below(4) / 10;
-    simulation.later(15 * SECOND, () => {
-      simulation.answersLost = 0;
+    const { simulation, random } = context;
+    simulation.lostReplyChance = 0.3 + random.below(4) / 10;
+    simulation.runAfter(15 * SECOND, () => {
+      simulation.lostReplyChance = 0;
     });
     if (random.chance(0.6)) crashLeader(context, random.below(8_000) * MILLISECOND);
   },
   'old reports kept for the next leader': (context) => {
-    const { w: simulation, random, count } = context;
-    simulation.keepReports = 0.6;
+    const { simulation, random, count } = context;
+    simulation.delayedHeartbeatChance = 0.6;
     // Tasks move to other machines, because they fail or their worker's lease expires.
     for (const worker of busyWorkers(simulation)) {
       const task = worker.tasks.find((candidate) => candidate.state === 'running');
@@ -227,10 +228,10 @@
         task.state = 'exited';
         task.cause = 'error';
         count('moved');
-      } else if (faultKind === 1) worker.cutUntil = simulation.now + (8 + random.below(25)) * SECOND;
+      } else if (faultKind === 1) worker.unreachableUntil = simulation.now + (8 + random.below(25)) * SECOND;
     }
-    simulation.later((6 + random.below(12)) * SECOND, () => {
-      simulation.keepReports = 0;
+    simulation.runAfter((6 + random.below(12)) * SECOND, () => {
+      simulation.delayedHeartbeatChance = 0;
       if (random.chance(0.6)) disturbWorkers(context, 0.4);
       crashLeader(context);
     });
@@ -238,9 +239,9 @@
   'every team at its limit, jobs cancelled whose machines are cut off or hang, the leader changes': (
     context,
   ) => {
-    const { w: simulation, random } = context;
+    const { simulation, random } = context;
     for (let i = 0; i < 3; i++) context.submit({ tasks: 6, estimatedRunUs: 90 * SECOND });
-    simulation.later(14 * SECOND, () => {
+    simulation.runAfter(14 * SECOND, () => {
       context.count(
         'cores in use',
         busyWorkers(simulation).reduce((n, worker) => n + worker.tasks.length, 0),
@@ -252,86 +253,86 @@
     });
   },
   'cancelled as the office changes hands': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     context.submit({ tasks: 4, estimatedRunUs: 200 * SECOND });
-    simulation.later(10 * SECOND, () => {
-      const leader = simulation.leader();
+    simulation.runAfter(10 * SECOND, () => {
+      const leader = simulation.leaderIndex();
       if (leader < 0) return;
       if (random.chance(0.5)) disturbWorkers(context, 0.3);
       const faultKind = random.below(3);
       if (faultKind === 0) {
         // The state service refuses the leader, and a second later is down for longer than a cancellation may take (40 s).
-        simulation.refuse(simulation.nodes[leader]!.name, 70 * SECOND);
+        simulation.refuseRequestsOf(simulation.nodes[leader]!.name, 70 * SECOND);
         cancelRunningJobs(context, 4);
         count('refused alone');
-        simulation.later(SECOND, () => {
+        simulation.runAfter(SECOND, () => {
           simulation.stateOutage(46 * SECOND);
         });
       } else if (faultKind === 1) {
         for (let round = 0; round < 5; round++)
-          simulation.later(round * 1_300 * MILLISECOND, () => {
+          simulation.runAfter(round * 1_300 * MILLISECOND, () => {
             cancelRunningJobs(context, 1);
           });
         crashLeader(context, random.below(4_000) * MILLISECOND);
       } else {
         simulation.freeze(leader, (4 + random.below(12)) * SECOND);
         for (let round = 0; round < 6; round++)
-          simulation.later(round * 1_300 * MILLISECOND, () => {
+          simulation.runAfter(round * 1_300 * MILLISECOND, () => {
             cancelRunningJobs(context, 1);
           });
       }
     });
   },
   'new machines at once while writes lag, and the leader ends': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     simulation.cloud.bootUs = () => random.below(2_000) * MILLISECOND;
     const workersBefore = simulation.workers.size;
     // The jobs need new machines.
     for (const worker of busyWorkers(simulation)) if (random.chance(0.6)) simulation.killWorker(worker);
     for (let i = 0; i < 3; i++) context.submit({ tasks: 4, estimatedRunUs: (5 + random.below(30)) * SECOND });
     const lag = random.below(3);
-    if (lag === 0) simulation.lateWrites = 0.5;
-    else if (lag === 1) simulation.answersLost = 0.5;
+    if (lag === 0) simulation.lateTransactionChance = 0.5;
+    else if (lag === 1) simulation.lostReplyChance = 0.5;
     else simulation.state.writesPerSecond = 6;
     crashLeaderAtWrite(context, 8);
-    simulation.later(12 * SECOND, () => {
+    simulation.runAfter(12 * SECOND, () => {
       simulation.onWrite = () => undefined;
-      simulation.lateWrites = 0;
-      simulation.answersLost = 0;
+      simulation.lateTransactionChance = 0;
+      simulation.lostReplyChance = 0;
       simulation.state.writesPerSecond = Infinity;
       simulation.cloud.bootUs = null;
       count('new machines', simulation.workers.size - workersBefore);
     });
   },
   'mute and deaf machines': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     const muteAll = random.chance(0.25);
     let muteCount = 0;
     for (const worker of simulation.workers.values())
       if (worker.alive && (muteAll || muteCount < MIN_MUTE || random.chance(0.4))) {
         muteCount++;
-        worker.muteUntil = simulation.now + (5 + random.below(45)) * SECOND;
+        worker.sendsNothingUntil = simulation.now + (5 + random.below(45)) * SECOND;
         count('mute');
       } else if (worker.alive && random.chance(0.2))
-        worker.deafUntil = simulation.now + (5 + random.below(45)) * SECOND;
+        worker.receivesNothingUntil = simulation.now + (5 + random.below(45)) * SECOND;
     crashLeader(context, random.below(15_000) * MILLISECOND);
   },
   'machines are taken with notice, and jobs cancelled while they save': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     context.submit({
       tasks: 6,
       estimatedRunUs: 120 * SECOND,
       checkpointIntervalUs: 2 * SECOND,
       checkpointDurationUs: 4 * SECOND,
     });
-    simulation.later(14 * SECOND, () => {
+    simulation.runAfter(14 * SECOND, () => {
       for (const worker of busyWorkers(simulation).slice(0, 4))
         if (random.chance(0.7)) {
-          worker.takenAt = simulation.now + (5 + random.below(10)) * SECOND;
-          worker.nextReport = simulation.now;
+          worker.terminatesAt = simulation.now + (5 + random.below(10)) * SECOND;
+          worker.nextHeartbeatAt = simulation.now;
           count('taken');
         }
-      simulation.later(1_500 * MILLISECOND + random.below(2_500) * MILLISECOND, () => {
+      simulation.runAfter(1_500 * MILLISECOND + random.below(2_500) * MILLISECOND, () => {
         for (const worker of simulation.workers.values())
           for (const task of worker.tasks)
             if (task.state === 'saving' && random.chance(0.7)) {
@@ -343,47 +344,47 @@
     });
   },
   'one-task jobs four a second, a quarter cancelled': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     simulation.state.writesPerSecond = 25;
     for (let i = 0; i < 48; i++)
-      simulation.later(i * 250 * MILLISECOND, () => {
+      simulation.runAfter(i * 250 * MILLISECOND, () => {
         const id = context.submit({ tasks: 1, estimatedRunUs: (1 + random.below(3)) * SECOND });
         count('small jobs');
         if (random.chance(0.25))
-          simulation.later(random.below(4_000) * MILLISECOND, () => {
+          simulation.runAfter(random.below(4_000) * MILLISECOND, () => {
             simulation.cancel(id);
           });
       });
-    simulation.later(40 * SECOND, () => {
+    simulation.runAfter(40 * SECOND, () => {
       simulation.state.writesPerSecond = Infinity;
     });
   },
   'ten changes of leader in two minutes': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     for (let i = 0; i < 10; i++)
-      simulation.later(i * 12 * SECOND + random.below(4_000) * MILLISECOND, () => {
-        const leader = simulation.leader();
+      simulation.runAfter(i * 12 * SECOND + random.below(4_000) * MILLISECOND, () => {
+        const leader = simulation.leaderIndex();
         if (leader < 0) return;
         count('changes');
         const faultKind = random.below(3);
         if (faultKind === 0)
-          simulation.refuse(simulation.nodes[leader]!.name, (7 + random.below(5)) * SECOND);
+          simulation.refuseRequestsOf(simulation.nodes[leader]!.name, (7 + random.below(5)) * SECOND);
         else if (faultKind === 1) simulation.freeze(leader, (7 + random.below(5)) * SECOND);
         else simulation.crash(leader, random.below(6_000) * MILLISECOND);
       });
     if (random.chance(0.5))
-      simulation.later((20 + random.below(60)) * SECOND, () => {
+      simulation.runAfter((20 + random.below(60)) * SECOND, () => {
         simulation.stateOutage((5 + random.below(20)) * SECOND);
       });
   },
-  'all controllers are away for longer than a lease': ({ w: simulation, random, count }) => {
+  'all controllers are away for longer than a lease': ({ simulation, random, count }) => {
     count('away');
     simulation.nodes.forEach((_, index) => {
       simulation.crash(index, (21 + random.below(12)) * SECOND);
     });
   },
   'a zone with workers and a controller is cut off for longer than a lease': ({
-    w: simulation,
+    simulation,
     random,
     count,
   }) => {
@@ -391,31 +392,31 @@
     const isolated = simulation.nodes[random.below(simulation.nodes.length)]!.name;
     const zone = random.chance(0.5) ? 'a' : 'b';
     for (const endpoint of ['state', 'cloud', ...simulation.nodes.map((node) => node.name)])
-      if (endpoint !== isolated) simulation.network.cut(isolated, endpoint, length);
+      if (endpoint !== isolated) simulation.network.partition(isolated, endpoint, length);
     for (const worker of simulation.workers.values())
       for (const node of simulation.nodes)
         if (worker.zone === zone && node.name !== isolated)
-          simulation.network.cut(worker.name, node.name, length);
+          simulation.network.partition(worker.name, node.name, length);
     count('zones');
   },
   'jobs bound to one zone lose machines': (context) => {
-    const { w: simulation, random, count } = context;
+    const { simulation, random, count } = context;
     context.submit({ tasks: 4, zone: 'a', estimatedRunUs: 20 * SECOND });
     context.submit({ shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: 20 * SECOND });
     context.submit({ tasks: 4, spreadAcrossZones: true, estimatedRunUs: 20 * SECOND });
-    simulation.later(13 * SECOND, () => {
+    simulation.runAfter(13 * SECOND, () => {
       for (const worker of busyWorkers(simulation))
         if (worker.zone === 'a' && random.chance(0.6)) {
           if (random.chance(0.5)) simulation.killWorker(worker);
-          else worker.cutUntil = simulation.now + (10 + random.below(25)) * SECOND;
+          else worker.unreachableUntil = simulation.now + (10 + random.below(25)) * SECOND;
           count('lost');
         }
       if (random.chance(0.5)) crashLeader(context, random.below(3_000) * MILLISECOND);
     });
   },
   'more work than room, urgent and not, over slow links': (context) => {
-    const { w: simulation, random, count } = context;
-    simulation.stateSlow = { share: 0.5, most: 900 * MILLISECOND };
+    const { simulation, random, count } = context;
+    simulation.storeDelay = { share: 0.5, most: 900 * MILLISECOND };
     for (let i = 0; i < 6; i++)
       context.submit({
         tasks: 3 + random.below(4),
@@ -424,8 +425,8 @@
         ...(random.chance(0.5) ? { checkpointIntervalUs: 2 * SECOND, checkpointDurationUs: 2 * SECOND } : {}),
       });
     count('bursts');
-    simulation.later(20 * SECOND, () => {
-      simulation.stateSlow = null;
+    simulation.runAfter(20 * SECOND, () => {
+      simulation.storeDelay = null;
     });
     if (random.chance(0.5)) crashLeader(context, random.below(10_000) * MILLISECOND);
   },
@@ -435,42 +436,42 @@
 const randomJob = (random: Random, id: string): JobSpec => {
   const pick = random.below(6);
   if (pick === 0)
-    return specOf(id, {
+    return makeJobSpec(id, {
       shape: 'gang',
       tasks: 2 + random.below(2),
       sameZone: true,
       estimatedRunUs: 20 * SECOND,
     });
-  if (pick === 1) return specOf(id, { tasks: 3, spreadAcrossZones: true, estimatedRunUs: 25 * SECOND });
+  if (pick === 1) return makeJobSpec(id, { tasks: 3, spreadAcrossZones: true, estimatedRunUs: 25 * SECOND });
   if (pick === 2)
-    return specOf(id, {
+    return makeJobSpec(id, {
       tasks: 2,
       estimatedRunUs: 40 * SECOND,
       checkpointIntervalUs: 3 * SECOND,
       checkpointDurationUs: 2 * SECOND,
     });
   // One to three tasks; a task of the longest jobs takes longer than all tasks of the shortest.
-  return specOf(id, { tasks: 1 + random.below(3), estimatedRunUs: (4 + random.below(60)) * SECOND });
+  return makeJobSpec(id, { tasks: 1 + random.below(3), estimatedRunUs: (4 + random.below(60)) * SECOND });
 };
 
 /** The result of a run of scenarios. */
-export interface Outcome {
+export interface ScenarioOutcome {
   /** The simulation in its final state. */
-  readonly w: ClusterSimulation;
+  readonly simulation: ClusterSimulation;
   /** Distinct violations of invariants. */
-  readonly broken: string[];
+  readonly violations: string[];
   /** Jobs that were accepted and haven't ended. */
-  readonly open: string[];
+  readonly unfinishedJobs: string[];
   /** Share of all jobs that were accepted; users give up after 90 s of 503. */
-  readonly accepted: number;
+  readonly acceptedShare: number;
   /** Jobs about which no poll was answered for 75 s after the last fault. */
-  readonly forgotten: string[];
+  readonly unansweredJobs: string[];
   /** Jobs that waited for 90 s after the last fault although they could have been placed. */
-  readonly leftWaiting: string[];
+  readonly starvedJobs: string[];
   /** How often each event took place, as counted by the scenarios. */
   readonly counts: ReadonlyMap<string, number>;
   /** Leader elections. */
-  readonly won: number;
+  readonly electionCount: number;
 }
 
 const MAX_UNANSWERED: Micros = 75 * SECOND;
@@ -478,26 +479,26 @@
 /** The team's quota. */
 const TEAM_CORES = 16;
 /** Time limits of a run. */
-export interface Bounds {
+export interface TimeLimits {
   /** After this time without new scenarios all faults have ended. */
-  readonly calm: Micros;
+  readonly recoveryTime: Micros;
   /** Within this time after the polls were checked, all jobs must have ended. */
-  readonly last: Micros;
+  readonly drainTime: Micros;
 }
 
 /** For `BASIC_SCENARIOS`, whose faults end within a minute. */
-export const FIRST_BOUNDS: Bounds = { calm: 60 * SECOND, last: 240 * SECOND };
+export const BASIC_LIMITS: TimeLimits = { recoveryTime: 60 * SECOND, drainTime: 240 * SECOND };
 /** For `EXTENDED_SCENARIOS`: ten leader changes take two minutes, and work may be queued for ten times the capacity. */
-export const SECOND_BOUNDS: Bounds = { calm: 130 * SECOND, last: 600 * SECOND };
+export const EXTENDED_LIMITS: TimeLimits = { recoveryTime: 130 * SECOND, drainTime: 600 * SECOND };
 
 /** Runs the scenarios one after the other, each possibly overlapping the one before, and then a long time without faults. */
-export const play = (
+export const runScenarios = (
   seed: number,
   scenarios: readonly FaultScenario[],
   rounds: number,
-  bounds: Bounds,
+  bounds: TimeLimits,
   coreOptions: CoreOptions = {},
-): Outcome => {
+): ScenarioOutcome => {
   const random = new Random(seed * 49_999 + 23);
   const simulation = new ClusterSimulation(
     random,
@@ -525,10 +526,10 @@
   const submit = (more?: Partial<JobSpec>): string => {
     const id = `run-${seed}${String(ids.length).padStart(4, '0')}`;
     ids.push(id);
-    simulation.submit(more === undefined ? randomJob(random, id) : specOf(id, more));
+    simulation.submit(more === undefined ? randomJob(random, id) : makeJobSpec(id, more));
     return id;
   };
-  const context: ScenarioContext = { w: simulation, random, ids, submit, count };
+  const context: ScenarioContext = { simulation, random, ids, submit, count };
   for (let i = 0; i < 5; i++) submit();
   simulation.runFor(20 * SECOND);
   for (let round = 0; round < rounds; round++) {
@@ -546,7 +547,7 @@
     simulation.runFor(random.below(15) * SECOND);
   }
   // All faults have ended, or end within this time.
-  simulation.runFor(bounds.calm);
+  simulation.runFor(bounds.recoveryTime);
   const calmSince = simulation.now;
   const starvation = new StarvationMonitor(simulation, TEAM_CORES);
   for (let elapsed = 0; elapsed < MAX_UNANSWERED; elapsed += 5 * SECOND) {
@@ -561,25 +562,25 @@
       starvation.observe(ids);
     }
   };
-  const forgotten = ids.filter(
-    (id) => simulation.users.told.has(id) && (simulation.users.answeredAt.get(id) ?? 0) < calmSince,
+  const unansweredJobs = ids.filter(
+    (id) => simulation.users.knownStages.has(id) && (simulation.users.answeredAt.get(id) ?? 0) < calmSince,
   );
   const isOpen = (id: string): boolean => !['done', 'cancelled', undefined].includes(simulation.stageOf(id));
-  for (let elapsed = 0; elapsed < bounds.last && ids.some(isOpen); elapsed += 20 * SECOND) {
+  for (let elapsed = 0; elapsed < bounds.drainTime && ids.some(isOpen); elapsed += 20 * SECOND) {
     runObserved(15 * SECOND);
     for (const id of ids) simulation.poll(id);
     runObserved(5 * SECOND);
   }
   return {
-    w: simulation,
-    broken: [...new Set(simulation.broken)],
-    open: ids.filter(isOpen),
-    accepted: ids.filter((id) => simulation.users.told.has(id)).length / ids.length,
-    forgotten,
-    leftWaiting: [...starvation.longestWaits]
+    simulation,
+    violations: [...new Set(simulation.violations)],
+    unfinishedJobs: ids.filter(isOpen),
+    acceptedShare: ids.filter((id) => simulation.users.knownStages.has(id)).length / ids.length,
+    unansweredJobs,
+    starvedJobs: [...starvation.longestWaits]
       .filter(([, length]) => length >= MAX_LEFT_WAITING)
       .map(([id]) => id),
     counts,
-    won: elections,
+    electionCount: elections,
   };
 };
--- a/packages/emulator/src/known-red.ts
+++ b/packages/emulator/src/known-red.ts
@@ -53,7 +53,10 @@
 };
 
 /** Tolerates failures of listed tests only. A listed name without a test is a problem as well. */
-export const judge = (results: readonly TestResult[], knownRed: readonly KnownRedTest[]): Verdict => {
+export const evaluateResults = (
+  results: readonly TestResult[],
+  knownRed: readonly KnownRedTest[],
+): Verdict => {
   const listed = new Set(knownRed.map(({ test }) => test));
   const report: string[] = [];
   const problems: string[] = [];
--- a/packages/emulator/src/larger.ts
+++ b/packages/emulator/src/larger.ts
@@ -37,7 +37,7 @@
 };
 
 /** Scales the site by a factor, in place. `restartS` replaces the controllers' restart delay; null: keeps it. */
-export const larger = (site: TomlTable, factor: number, restartS: number | null): TomlTable => {
+export const scaleSite = (site: TomlTable, factor: number, restartS: number | null): TomlTable => {
   for (const [name, fields] of Object.entries(SCALED_FIELDS))
     for (const table of tables(site[name])) scaleFields(table, fields, factor);
   for (const job of tables(site['jobs']))
--- a/packages/emulator/src/limited-store-access.ts
+++ b/packages/emulator/src/limited-store-access.ts
@@ -24,7 +24,7 @@
   /** Requests that failed before they were sent, by urgency. */
   readonly givenUp: Record<RequestUrgency, number> = { 0: 0, 1: 0, 2: 0 };
   /** Requests that were sent, retries included. */
-  sent = 0;
+  sentRequests = 0;
 
   constructor(
     private readonly limits: StoreLimits,
@@ -63,7 +63,7 @@
           onReply(OVER_BUDGET);
           return;
         }
-        this.sent++;
+        this.sentRequests++;
         send((reply) => {
           const isRejected = reply.kind === 'failed' && reply.cause === 'busy';
           if (isRejected) this.limiter.recordRejection(writes > 0);
--- a/packages/emulator/src/loopback-cloud.ts
+++ b/packages/emulator/src/loopback-cloud.ts
@@ -4,7 +4,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
-import type { LoopWorker } from './loopback-workers.js';
+import type { LoopbackWorker } from './loopback-workers.js';
 
 /** Billed time of a machine. */
 export interface Bill {
@@ -29,13 +29,13 @@
   /** Capacity per machine type and zone. */
   readonly perZone: number;
   /** Creates the worker of a new machine, which isn't booted yet. */
-  makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker;
+  makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker;
 }
 
 /** Rents machines within its capacity and bills them. */
 export class LoopbackCloud {
   /** All that were ever rented, by machine name. */
-  readonly workers = new Map<string, LoopWorker>();
+  readonly workers = new Map<string, LoopbackWorker>();
   /** One for each rented machine. */
   readonly bills: Bill[] = [];
   private readonly machinesByRequest = new Map<string, string[]>();
--- a/packages/emulator/src/loopback-http.ts
+++ b/packages/emulator/src/loopback-http.ts
@@ -3,10 +3,10 @@
 
 import { MalformedMessageError } from '@shaleyoke/protocol/body';
 
-import { type Answer, encodeAnswer } from './wire.js';
+import { encodeAnswer,type WireResponse } from './wire.js';
 
 /** A request as received by a server. */
-export interface Asked {
+export interface HttpRequest {
   /** HTTP method, in capitals. */
   readonly method: string;
   /** Path and query. */
@@ -15,7 +15,7 @@
   readonly body: Buffer;
 }
 /** A running server. */
-export interface Served {
+export interface HttpServer {
   /** IP:PORT. */
   readonly address: string;
   /** Stops listening and closes all connections. */
@@ -23,17 +23,17 @@
 }
 
 /** Starts a server. `address`: IP:PORT; port 0 picks any free port. Malformed messages are answered with 400. */
-export const serve = (
+export const startServer = (
   address: string,
-  handle: (request: Asked, respond: (answer: Answer) => void) => void,
-): Promise<Served> =>
+  handle: (request: HttpRequest, respond: (answer: WireResponse) => void) => void,
+): Promise<HttpServer> =>
   new Promise((resolve, reject) => {
     const server = http.createServer((req, res) => {
       const chunks: Buffer[] = [];
       req.on('data', (chunk: Buffer) => chunks.push(chunk));
       req.on('error', () => undefined);
       req.on('end', () => {
-        const respond = (answer: Answer): void => {
+        const respond = (answer: WireResponse): void => {
           if (res.destroyed) return;
           res.writeHead(answer.status, {
             'Content-Type': 'application/msgpack',
@@ -66,7 +66,7 @@
 /** Finds free ports on loopback; another process may take them before they are used. */
 export const freePorts = async (count: number): Promise<number[]> => {
   const servers = await Promise.all(
-    Array.from({ length: count }, () => serve('127.0.0.1:0', () => undefined)),
+    Array.from({ length: count }, () => startServer('127.0.0.1:0', () => undefined)),
   );
   for (const server of servers) server.close();
   return servers.map((server) => Number(server.address.slice(server.address.lastIndexOf(':') + 1)));
@@ -75,7 +75,7 @@
 /** Whether a port on loopback is free. */
 const isFree = async (port: number): Promise<boolean> => {
   try {
-    const server = await serve(`127.0.0.1:${port}`, () => undefined);
+    const server = await startServer(`127.0.0.1:${port}`, () => undefined);
     server.close();
     return true;
   } catch {
@@ -94,7 +94,7 @@
 };
 
 /** Sends a request; null: the connection failed or there was no answer before the timeout. */
-export const call = (
+export const httpCall = (
   address: string,
   method: string,
   path: string,
@@ -102,7 +102,7 @@
   timeoutMs: number,
   /** The caller's connection pool; null: the pool of the process. */
   agent: http.Agent | null = null,
-): Promise<Answer | null> =>
+): Promise<WireResponse | null> =>
   new Promise((resolve) => {
     const colon = address.lastIndexOf(':');
     const req = http.request(
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -4,8 +4,8 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
-import { type Asked, serve, type Served } from './loopback-http.js';
-import { type Answer, decodeCommands, decodeHeartbeatResponse, encodeHeartbeat } from './wire.js';
+import { type HttpRequest, type HttpServer,startServer } from './loopback-http.js';
+import { decodeCommands, decodeHeartbeatResponse, encodeHeartbeat,type WireResponse } from './wire.js';
 
 /** Minimum time between heartbeats, however many tasks change. */
 const MIN_HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
@@ -25,7 +25,7 @@
 }
 
 /** What workers need from their deployment, and what they tell it. */
-export interface WorkerWorld {
+export interface WorkerHost {
   /** The deployment's clock. */
   now(): Micros;
   /** The specification that a worker fetches; undefined: the job is unknown. */
@@ -33,25 +33,25 @@
   /** Addresses of the controllers, in any order. */
   readonly nodes: readonly { readonly member: string; readonly address: string }[];
   /** Heartbeat interval. */
-  readonly reportUs: Micros;
+  readonly heartbeatIntervalUs: Micros;
   /** A worker ends its tasks when no heartbeat was accepted for this time. */
   readonly leaseUs: Micros;
   /** All workers, so that the members of a gang can find each other. */
-  readonly workers: ReadonlyMap<string, LoopWorker>;
+  readonly workers: ReadonlyMap<string, LoopbackWorker>;
   /** Called when a start command is executed. */
-  started?(job: string, index: number): void;
+  taskStarted?(job: string, index: number): void;
   /** Called when a worker's lease expires, which ends all of its tasks. */
   leaseEnded?(machine: string): void;
   /** Called when a running task ends, with its duration. */
-  ran(job: string, index: number, machine: string, durationUs: Micros, done: boolean): void;
+  taskRan(job: string, index: number, machine: string, durationUs: Micros, done: boolean): void;
   /** Sends a POST request to a controller; null: no answer. */
   call(address: string, path: string, body: Buffer): Promise<{ status: number; body: Buffer } | null>;
   /** Called when a task's image is fetched: from now on the task counts as placed on the machine. */
-  arrived?(task: PlacedTask): void;
+  taskPlaced?(task: PlacedTask): void;
   /** Called when a placed task ends. `done`: it completed. */
-  left?(task: PlacedTask, done: boolean): void;
+  taskLeft?(task: PlacedTask, done: boolean): void;
   /** Transports direct commands and their answers, null: no answer. Without it they arrive at once. */
-  carryCommand?(machine: string, execute: () => Answer): Promise<Answer | null>;
+  carryCommand?(machine: string, execute: () => WireResponse): Promise<WireResponse | null>;
 }
 
 /** An attempt of a task on a machine. */
@@ -67,7 +67,7 @@
 }
 
 /** An emulated machine with its worker. */
-export class LoopWorker {
+export class LoopbackWorker {
   /** False once the machine was killed. */
   alive = true;
   private session = 1;
@@ -80,7 +80,7 @@
   private isSendingHeartbeat = false;
   private hangingUntil: Micros = 0;
   private tasks: LoopbackTask[] = [];
-  private server: Served | null = null;
+  private server: HttpServer | null = null;
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -92,7 +92,7 @@
     readonly zone: string,
     /** Whether the cloud may take it back. */
     readonly spot: boolean,
-    private readonly world: WorkerWorld,
+    private readonly world: WorkerHost,
   ) {
     this.leaseRenewedAt = world.now();
     this.nextHeartbeatAt = this.leaseRenewedAt;
@@ -105,8 +105,8 @@
 
   /** Starts the worker: listens for commands on `listen` (IP:PORT), and begins to send heartbeats. */
   async boot(listen = '127.0.0.1:0'): Promise<void> {
-    const server = await serve(listen, (request, respond) => {
-      const execute = (): Answer => this.answerCommand(request);
+    const server = await startServer(listen, (request, respond) => {
+      const execute = (): WireResponse => this.answerCommand(request);
       if (this.world.carryCommand === undefined) {
         respond(execute());
         return;
@@ -126,7 +126,7 @@
     }, STEP_MS);
   }
 
-  private answerCommand({ url, body }: Asked): Answer {
+  private answerCommand({ url, body }: HttpRequest): WireResponse {
     if (url === '/inspect') return { status: 200, body: encodeHeartbeat(this.heartbeat()) };
     const { token, session, commands } = decodeCommands(body);
     if (token < this.token || session !== this.session)
@@ -142,7 +142,7 @@
   }
 
   /** For how long it still hangs. */
-  get hangsFor(): Micros {
+  get remainingHangUs(): Micros {
     return Math.max(0, this.hangingUntil - this.world.now());
   }
 
@@ -156,15 +156,16 @@
   }
 
   /** Number of running tasks. */
-  get running(): number {
+  get runningTasks(): number {
     return this.tasks.filter((task) => task.state === 'running').length;
   }
 
   /** Tells the deployment that a task leaves the machine, and how long it ran. */
   private recordEnd(task: LoopbackTask, done: boolean): void {
-    if (task.state !== 'exited' && task.state !== 'fetching') this.world.left?.(this.placementOf(task), done);
+    if (task.state !== 'exited' && task.state !== 'fetching')
+      this.world.taskLeft?.(this.placementOf(task), done);
     if (task.runningSince === null || task.state === 'exited') return;
-    this.world.ran(task.job, task.index, this.name, this.world.now() - task.runningSince, done);
+    this.world.taskRan(task.job, task.index, this.name, this.world.now() - task.runningSince, done);
   }
 
   private placementOf({ job, index, attempt }: LoopbackTask): PlacedTask {
@@ -228,7 +229,7 @@
     if (spec === undefined) return;
     if (task.state === 'fetching') {
       task.state = spec.shape === 'gang' ? 'waiting' : 'running';
-      this.world.arrived?.(this.placementOf(task));
+      this.world.taskPlaced?.(this.placementOf(task));
       this.begin(task, spec, now);
       this.sendHeartbeatSoon();
     } else if (task.state === 'waiting') {
@@ -260,8 +261,8 @@
     return false;
   }
 
-  private gangMembers(ofTask: LoopbackTask): { worker: LoopWorker; task: LoopbackTask }[] {
-    const found: { worker: LoopWorker; task: LoopbackTask }[] = [];
+  private gangMembers(ofTask: LoopbackTask): { worker: LoopbackWorker; task: LoopbackTask }[] {
+    const found: { worker: LoopbackWorker; task: LoopbackTask }[] = [];
     for (const worker of this.world.workers.values())
       if (worker.alive)
         for (const task of worker.tasks)
@@ -274,7 +275,7 @@
     this.isSendingHeartbeat = true;
     const sentAt = this.world.now();
     this.lastHeartbeatAt = sentAt;
-    this.nextHeartbeatAt = sentAt + this.world.reportUs;
+    this.nextHeartbeatAt = sentAt + this.world.heartbeatIntervalUs;
     const { session } = this;
     const node = this.world.nodes[this.node % this.world.nodes.length]!;
     const response = await this.world.call(node.address, '/v1/report', encodeHeartbeat(this.heartbeat()));
@@ -323,7 +324,7 @@
           : null;
     if (refusal === null) {
       this.tasks = this.tasks.filter((x) => x !== task);
-      this.world.started?.(command.job, command.index);
+      this.world.taskStarted?.(command.job, command.index);
     }
     this.tasks.push({
       job: command.job,
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -17,9 +17,9 @@
 
 import { controllerSettings } from './controller-settings.js';
 import { type Bill, LoopbackCloud } from './loopback-cloud.js';
-import { call, freePorts, type Served } from './loopback-http.js';
-import { serveCloud, serveState } from './loopback-stand-ins.js';
-import { LoopWorker, type WorkerWorld } from './loopback-workers.js';
+import { freePorts, httpCall, type HttpServer } from './loopback-http.js';
+import { serveCloud, serveStore } from './loopback-stand-ins.js';
+import { LoopbackWorker, type WorkerHost } from './loopback-workers.js';
 import { StateModel } from './state-model.js';
 import { encodeSubmission } from './wire.js';
 
@@ -52,7 +52,7 @@
   /** Name of the machine that it ran on. */
   readonly machine: string;
   /** Duration. */
-  readonly us: Micros;
+  readonly durationUs: Micros;
   /** Whether the task completed. */
   readonly done: boolean;
 }
@@ -80,15 +80,15 @@
 const USER_CALL_TIMEOUT_MS = 5_000;
 
 /** A running deployment. */
-export class Loopback {
+export class LoopbackDeployment {
   /** Ended runs of tasks. */
-  readonly ran: TaskRun[] = [];
+  readonly taskRuns: TaskRun[] = [];
   /** The store behind the emulated state service. */
   readonly state: StateModel;
   /** The controllers; methods refer to them by index. */
   readonly nodes: NodeProcess[] = [];
   private readonly specs = new Map<string, JobSpec>();
-  private readonly servers: Served[] = [];
+  private readonly servers: HttpServer[] = [];
   private readonly directory = mkdtempSync(join(tmpdir(), 'shaleyoke-'));
   private readonly startedAt = process.hrtime.bigint();
   private readonly timer: NodeJS.Timeout;
@@ -115,7 +115,7 @@
   }
 
   /** All workers that were ever rented, by machine name. */
-  get workers(): ReadonlyMap<string, LoopWorker> {
+  get workers(): ReadonlyMap<string, LoopbackWorker> {
     return this.cloud.workers;
   }
 
@@ -131,7 +131,7 @@
 
   /** Starts the servers, then the controllers. */
   async start(): Promise<void> {
-    const state = await serveState(this.state);
+    const state = await serveStore(this.state);
     const cloud = await serveCloud((op) => this.cloud.apply(op));
     this.servers.push(state, cloud);
     const ports = await freePorts(3 * this.options.nodes);
@@ -154,7 +154,7 @@
         cloud: cloud.address,
         state: state.address,
         teams: this.options.teams,
-        reportS: REPORT_S,
+        heartbeatIntervalS: REPORT_S,
         leaseS: LEASE_S,
         cancelS: CANCEL_S,
         stateRps: STATE_RPS,
@@ -215,21 +215,21 @@
 
   // ---- machines -----------------------------------------------------------------------------------
 
-  private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker {
-    const world: WorkerWorld = {
+  private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker {
+    const world: WorkerHost = {
       now: () => this.now(),
       // Also jobs that were submitted by other clients.
       spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.state.value(activeJobKey(job)))?.spec,
       nodes: this.nodes,
-      reportUs: REPORT_S * SECOND,
+      heartbeatIntervalUs: REPORT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
       workers: this.workers,
-      ran: (job, index, machine, durationUs, done) => {
-        this.ran.push({ job, index, machine, us: durationUs, done });
+      taskRan: (job, index, machine, durationUs, done) => {
+        this.taskRuns.push({ job, index, machine, durationUs, done });
       },
-      call: (address, path, body) => call(address, 'POST', path, body, WORKER_CALL_TIMEOUT_MS),
+      call: (address, path, body) => httpCall(address, 'POST', path, body, WORKER_CALL_TIMEOUT_MS),
     };
-    return new LoopWorker(name, type, zone, spot, world);
+    return new LoopbackWorker(name, type, zone, spot, world);
   }
 
   /** The machine loses power, or the cloud takes it back. */
@@ -252,7 +252,7 @@
   ): Promise<number | null> {
     const until = this.now() + 60 * SECOND;
     for (let attempt = 0; this.now() < until && !this.stopping; attempt++) {
-      const response = await call(
+      const response = await httpCall(
         this.nodes[attempt % this.nodes.length]!.address,
         method,
         path,
@@ -273,7 +273,7 @@
   /** The job's stage according to the first controller that answers; null: none does. */
   async stageOf(id: string): Promise<string | null> {
     for (const node of this.nodes) {
-      const response = await call(node.address, 'GET', `/api/jobs/${id}`, null, 2_000);
+      const response = await httpCall(node.address, 'GET', `/api/jobs/${id}`, null, 2_000);
       if (response?.status === 200) return String(asFields(decodeBody(response.body), 'answer')['stage']);
     }
     return null;
--- a/packages/emulator/src/network.ts
+++ b/packages/emulator/src/network.ts
@@ -8,13 +8,13 @@
   constructor(private readonly now: () => Micros) {}
 
   /** Partitions two endpoints from each other, in both directions. */
-  cut(from: string, to: string, length: Micros): void {
-    this.cutOneWay(from, to, length);
-    this.cutOneWay(to, from, length);
+  partition(from: string, to: string, length: Micros): void {
+    this.partitionOneWay(from, to, length);
+    this.partitionOneWay(to, from, length);
   }
 
   /** Partitions one direction only. */
-  cutOneWay(from: string, to: string, length: Micros): void {
+  partitionOneWay(from: string, to: string, length: Micros): void {
     this.heldUntil.set(`${from}>${to}`, this.now() + length);
   }
 
--- a/packages/emulator/src/polling-users.ts
+++ b/packages/emulator/src/polling-users.ts
@@ -42,9 +42,9 @@
   private latenciesMs: number[] = [];
   private isStopped = false;
   /** Polls sent. */
-  polls = 0;
+  sentPolls = 0;
   /** Polls that were answered with the job's state before the timeout. */
-  answered = 0;
+  answeredPolls = 0;
 
   constructor(
     private readonly simulation: ClusterSimulation,
@@ -55,7 +55,7 @@
   add(id: string): void {
     const job: PolledJob = { id, lastAnsweredAt: this.simulation.now, polledSince: [], longestGap: NO_GAP };
     this.jobs.push(job);
-    this.simulation.later(this.random.below(POLL_INTERVAL), () => {
+    this.simulation.runAfter(this.random.below(POLL_INTERVAL), () => {
       this.poll(job);
     });
   }
@@ -68,8 +68,8 @@
   /** Discards all measurements; periods without an answer begin anew. */
   resetMeasurements(): void {
     this.latenciesMs = [];
-    this.polls = 0;
-    this.answered = 0;
+    this.sentPolls = 0;
+    this.answeredPolls = 0;
     for (const job of this.jobs) {
       job.lastAnsweredAt = this.simulation.now;
       job.longestGap = NO_GAP;
@@ -109,20 +109,20 @@
     if (this.isStopped) return;
     const node = this.random.below(this.simulation.nodes.length);
     const sentAt = this.simulation.now;
-    this.polls++;
+    this.sentPolls++;
     job.polledSince.push(this.simulation.nodes[node]!.name);
     this.simulation.users.poll(job.id, node, (answer) => {
       if (answer?.kind === 'view') this.recordAnswer(job, sentAt);
     });
     const untilNext = POLL_INTERVAL - POLL_JITTER + this.random.below(2 * POLL_JITTER);
-    this.simulation.later(untilNext, () => {
+    this.simulation.runAfter(untilNext, () => {
       this.poll(job);
     });
   }
 
   private recordAnswer(job: PolledJob, sentAt: Micros): void {
     const { now } = this.simulation;
-    this.answered++;
+    this.answeredPolls++;
     this.latenciesMs.push((now - sentAt) / MILLISECOND);
     job.longestGap = this.longestGapOf(job);
     job.lastAnsweredAt = now;
--- a/packages/emulator/src/scale/hollow-workers.ts
+++ b/packages/emulator/src/scale/hollow-workers.ts
@@ -6,9 +6,9 @@
 
 import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
-import { call } from '../loopback-http.js';
-import { LoopWorker, type WorkerWorld } from '../loopback-workers.js';
-import { specOf } from '../specs.js';
+import { httpCall } from '../loopback-http.js';
+import { LoopbackWorker, type WorkerHost } from '../loopback-workers.js';
+import { makeJobSpec } from '../specs.js';
 import {
   addressOf,
   emptyCounts,
@@ -32,28 +32,28 @@
   number: number,
   config: HollowWorkersConfig,
   counts: () => HollowCounts,
-  workers: ReadonlyMap<string, LoopWorker>,
-): WorkerWorld => {
+  workers: ReadonlyMap<string, LoopbackWorker>,
+): WorkerHost => {
   const [localAddress] = addressOf(number).split(':');
   const agent = new Agent({ keepAlive: true, maxSockets: 1, localAddress });
   return {
     now: nowUs,
     // All tasks of a hollow run are alike, so workers need not look up the submitted specification.
-    spec: (job) => specOf(job, { estimatedRunUs: config.taskUs }),
+    spec: (job) => makeJobSpec(job, { estimatedRunUs: config.taskUs }),
     nodes: config.nodes,
-    reportUs: config.reportUs,
+    heartbeatIntervalUs: config.reportUs,
     leaseUs: config.leaseUs,
     workers,
-    started: (job) => {
+    taskStarted: (job) => {
       counts().starts.push([job, Date.now()]);
     },
     leaseEnded: () => {
       counts().leasesEnded++;
     },
-    ran: () => undefined,
+    taskRan: () => undefined,
     call: async (address, path, body) => {
       const began = performance.now();
-      const answer = await call(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS, agent);
+      const answer = await httpCall(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS, agent);
       const current = counts();
       current.reports++;
       current.bytesOut += body.length;
@@ -72,12 +72,12 @@
 const main = async (): Promise<void> => {
   const config = JSON.parse(process.argv[2]!) as HollowWorkersConfig;
   let current = emptyCounts();
-  const workers = new Map<string, LoopWorker>();
+  const workers = new Map<string, LoopbackWorker>();
   process.on('disconnect', () => process.exit(0));
   for (let number = config.first; number < config.first + config.count; number++) {
     const name = machineName(number);
     const world = worldOf(number, config, () => current, workers);
-    const worker = new LoopWorker(name, HOLLOW_TYPE.name, zoneOf(number), false, world);
+    const worker = new LoopbackWorker(name, HOLLOW_TYPE.name, zoneOf(number), false, world);
     workers.set(name, worker);
     await worker.boot(addressOf(number));
   }
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -12,9 +12,9 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import { controllerSettings } from '../controller-settings.js';
-import { call, freePorts, type Served } from '../loopback-http.js';
-import { serveCloud, serveState } from '../loopback-stand-ins.js';
-import { specOf } from '../specs.js';
+import { freePorts, httpCall, type HttpServer } from '../loopback-http.js';
+import { serveCloud, serveStore } from '../loopback-stand-ins.js';
+import { makeJobSpec } from '../specs.js';
 import { StateModel } from '../state-model.js';
 import { encodeSubmission } from '../wire.js';
 import {
@@ -106,7 +106,7 @@
     () => this.now(),
     (run) => setImmediate(run),
   );
-  private readonly servers: Served[] = [];
+  private readonly servers: HttpServer[] = [];
   private readonly controllers: Controller[] = [];
   private readonly workerProcesses: ChildProcess[] = [];
   private readonly unexpectedExits: string[] = [];
@@ -142,7 +142,7 @@
   // ---- simulated store and cloud -------------------------------------------------------------------
 
   private async startStandIns(): Promise<{ state: string; cloud: string }> {
-    const state = await serveState(this.store, () => {
+    const state = await serveStore(this.store, () => {
       this.storeRequests++;
     });
     const cloud = await serveCloud((op) => this.cloud(op));
@@ -190,7 +190,7 @@
         cloud,
         state,
         teams: TEAM_NAMES,
-        reportS: this.options.reportSeconds,
+        heartbeatIntervalS: this.options.reportSeconds,
         leaseS: this.options.leaseSeconds,
         cancelS: 2 * this.options.leaseSeconds,
         stateRps: STORE_REQUESTS_PER_S,
@@ -291,7 +291,7 @@
     this.counts = emptyCounts();
     const leader = this.leader();
     const usagesBefore = this.processUsages();
-    const putsBefore = this.store.changes;
+    const putsBefore = this.store.appliedWrites;
     const requestsBefore = this.storeRequests;
     const began = performance.now();
     const leaderChange =
@@ -324,7 +324,7 @@
       timeToStartS: summarize(this.startDelaysS),
       workerBytesPerSecond: (counts.bytesIn + counts.bytesOut) / seconds / options.workers,
       stateRequestsPerSecond: (this.storeRequests - requestsBefore) / seconds,
-      statePutsPerSecond: (this.store.changes - putsBefore) / seconds,
+      statePutsPerSecond: (this.store.appliedWrites - putsBefore) / seconds,
       newLeaderAfterS,
       endedByThemselves: this.unexpectedExits,
     };
@@ -373,7 +373,7 @@
 
   private async submitJob(): Promise<void> {
     const number = this.nextJob++;
-    const spec = specOf(`run-${String(number).padStart(6, '0')}`, {
+    const spec = makeJobSpec(`run-${String(number).padStart(6, '0')}`, {
       team: TEAM_NAMES[number % TEAM_NAMES.length]!,
       tasks: ARRAY_TASKS,
       gpus: number % 2,
@@ -382,7 +382,13 @@
     });
     const { address } = this.controllers[number % this.controllers.length]!;
     this.submittedAt.set(spec.id, Date.now());
-    const answer = await call(address, 'POST', '/api/jobs', encodeSubmission(spec), SUBMISSION_TIMEOUT_MS);
+    const answer = await httpCall(
+      address,
+      'POST',
+      '/api/jobs',
+      encodeSubmission(spec),
+      SUBMISSION_TIMEOUT_MS,
+    );
     if (answer !== null && answer.status < 300) return;
     this.refusedSubmissions++;
     this.submittedAt.delete(spec.id);
--- a/packages/emulator/src/scale/leader-probe.ts
+++ b/packages/emulator/src/scale/leader-probe.ts
@@ -65,7 +65,7 @@
   }
 
   /** Records a step of a node; steps of other nodes than the measured one are ignored. */
-  stepped(node: string, input: Input, elapsedUs: Micros, effects: readonly CoreEffect[]): void {
+  recordStep(node: string, input: Input, elapsedUs: Micros, effects: readonly CoreEffect[]): void {
     if (node !== this.leader) return;
     const times = this.stepTimes.get(input.kind) ?? [];
     times.push(elapsedUs);
--- a/packages/emulator/src/scale/poll-load.ts
+++ b/packages/emulator/src/scale/poll-load.ts
@@ -10,7 +10,7 @@
 import { ClusterSimulation } from '../cluster-simulation.js';
 import { PollingUsers } from '../polling-users.js';
 import { Random } from '../random.js';
-import { specOf } from '../specs.js';
+import { makeJobSpec } from '../specs.js';
 
 /** Parameters of a measurement. */
 export interface PollLoadOptions {
@@ -60,7 +60,7 @@
 const storeJobs = (simulation: ClusterSimulation, count: number): string[] => {
   const ids = Array.from({ length: count }, (_, i) => `run-${FIRST_JOB_NUMBER + i}`);
   for (const id of ids) {
-    const spec = specOf(id, { tasks: 1, estimatedRunUs: 3_600 * SECOND });
+    const spec = makeJobSpec(id, { tasks: 1, estimatedRunUs: 3_600 * SECOND });
     simulation.put(activeJobKey(id), encodeActiveJob(spec, 0));
   }
   return ids;
@@ -68,7 +68,7 @@
 
 /** Store requests that the current processes of all nodes have sent. */
 const requestsSent = (simulation: ClusterSimulation): number =>
-  simulation.nodes.reduce((sum, { storeAccess }) => sum + (storeAccess?.sent ?? 0), 0);
+  simulation.nodes.reduce((sum, { storeAccess }) => sum + (storeAccess?.sentRequests ?? 0), 0);
 
 const measurePhase = (
   simulation: ClusterSimulation,
@@ -79,13 +79,13 @@
   simulation.runFor(PHASE_DURATION);
   const storeRequests = requestsSent(simulation) - sentBefore;
   return {
-    polls: users.polls,
-    answered: users.answered,
+    polls: users.sentPolls,
+    answered: users.answeredPolls,
     latencyP50Ms: users.latencyMs.p50,
     latencyP99Ms: users.latencyMs.p99,
     longestUnansweredS: users.longestUnansweredS,
     storeRequests,
-    requestsPerAnswer: storeRequests / Math.max(1, users.answered),
+    requestsPerAnswer: storeRequests / Math.max(1, users.answeredPolls),
   };
 };
 
@@ -107,5 +107,5 @@
   simulation.runFor(RESTART_DELAY);
   const cold = measurePhase(simulation, users, 0);
   users.stop();
-  return { jobs: options.jobs, warm, idleRequests, cold, brokenRules: [...new Set(simulation.broken)] };
+  return { jobs: options.jobs, warm, idleRequests, cold, brokenRules: [...new Set(simulation.violations)] };
 };
--- a/packages/emulator/src/scale/slopes.ts
+++ b/packages/emulator/src/scale/slopes.ts
@@ -93,11 +93,11 @@
       const task = `${order.job}/${order.index}`;
       if (!this.startedAt.has(task)) this.startedAt.set(task, this.world.now);
     };
-    this.world.stand(machines);
+    this.world.addMachines(machines);
   }
 
   private get leaderName(): string {
-    return this.world.nodes[this.world.leader()]?.name ?? '';
+    return this.world.nodes[this.world.leaderIndex()]?.name ?? '';
   }
 
   run(): SizeReport {
@@ -113,7 +113,7 @@
       burst,
       takeover,
       heapMb: Math.round(process.memoryUsage().heapUsed / 2 ** 20),
-      brokenRules: [...new Set(this.world.broken)].slice(0, 20),
+      brokenRules: [...new Set(this.world.violations)].slice(0, 20),
     };
   }
 
@@ -122,7 +122,7 @@
     const settled = runUntil(
       world,
       MAX_SETTLE_TIME,
-      () => this.readyAt !== null && [...world.workers.values()].every((w) => w.token > 0),
+      () => this.readyAt !== null && [...world.workers.values()].every((w) => w.fencingToken > 0),
     );
     if (!settled)
       throw new Error(`no leader has heartbeats of all ${this.options.machines} machines after a minute`);
@@ -145,7 +145,7 @@
     jobs.forEach((job, i) => {
       const after = Math.round((BURST_SUBMISSION_TIME * i) / jobs.length);
       this.submittedAt.set(job.id, began + after);
-      world.later(after, () => {
+      world.runAfter(after, () => {
         world.submit(job);
       });
     });
@@ -190,12 +190,12 @@
 
   private measureTakeover(): SizeReport['takeover'] {
     const { world } = this;
-    const former = world.leader();
+    const former = world.leaderIndex();
     this.readyAt = null;
     const began = world.now;
     if (former >= 0) world.crash(former, MAX_TAKEOVER_TIME);
-    runUntil(world, MAX_TAKEOVER_TIME, () => world.leader() >= 0);
-    const leaderAfterS = world.leader() >= 0 ? (world.now - began) / SECOND : null;
+    runUntil(world, MAX_TAKEOVER_TIME, () => world.leaderIndex() >= 0);
+    const leaderAfterS = world.leaderIndex() >= 0 ? (world.now - began) / SECOND : null;
     this.probe.startPhase(this.leaderName);
     runUntil(world, MAX_TAKEOVER_TIME, () => this.readyAt !== null);
     const readyAfterS = this.secondsUntilReady(began);
--- a/packages/emulator/src/scale/workload.ts
+++ b/packages/emulator/src/scale/workload.ts
@@ -4,7 +4,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 
 import type { Random } from '../random.js';
-import { specOf } from '../specs.js';
+import { makeJobSpec } from '../specs.js';
 
 /** Names of the teams, to which jobs are assigned in turn. */
 export const TEAM_NAMES = Array.from({ length: 230 }, (_, i) => `team-${i}`);
@@ -68,7 +68,7 @@
     for (let i = 0; i < count; i++) {
       const number = firstId + jobs.length;
       jobs.push(
-        specOf(`run-${String(number).padStart(6, '0')}`, {
+        makeJobSpec(`run-${String(number).padStart(6, '0')}`, {
           ...spec,
           team: TEAM_NAMES[number % TEAM_NAMES.length]!,
           cores: TASK_CORES,
--- a/packages/emulator/src/site.ts
+++ b/packages/emulator/src/site.ts
@@ -30,7 +30,7 @@
 };
 
 /** A machine type in two zones. */
-export const TYPE: MachineType = {
+export const MACHINE_TYPE: MachineType = {
   name: 'box',
   cores: 4,
   gpus: 0,
--- a/packages/emulator/src/soak/fault-injector.ts
+++ b/packages/emulator/src/soak/fault-injector.ts
@@ -1,7 +1,7 @@
 /** Injects the faults of a schedule into a running cluster. */
 import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
-import type { LoopWorker } from '../loopback-workers.js';
+import type { LoopbackWorker } from '../loopback-workers.js';
 import type { Random } from '../random.js';
 import type { Fault } from './fault-schedule.js';
 import type { ControllerLinks, SoakCluster } from './soak-cluster.js';
@@ -96,7 +96,7 @@
       if (this.random.chance(share)) this.injectWorkerFault(kind, worker, durationMs);
   }
 
-  private injectWorkerFault(kind: Fault['kind'], worker: LoopWorker, durationMs: number): void {
+  private injectWorkerFault(kind: Fault['kind'], worker: LoopbackWorker, durationMs: number): void {
     const { heartbeats, commands } = this.cluster.linksOfWorker(worker.name);
     switch (kind) {
       case 'workersCut':
--- a/packages/emulator/src/soak/faulty-link.ts
+++ b/packages/emulator/src/soak/faulty-link.ts
@@ -1,6 +1,6 @@
 /** A network link with injectable faults: blocked, delayed and duplicated requests, and lost responses. */
 import type { Random } from '../random.js';
-import type { Answer } from '../wire.js';
+import type { WireResponse } from '../wire.js';
 
 /** A duplicate request arrives after this delay plus a random part of the spread. */
 const MIN_DUPLICATE_DELAY_MS = 2_000;
@@ -44,7 +44,7 @@
   }
 
   /** Executes a request and returns its response, or null if it is lost. Timeouts are up to the caller. */
-  async exchange(execute: () => Promise<Answer | null>): Promise<Answer | null> {
+  async exchange(execute: () => Promise<WireResponse | null>): Promise<WireResponse | null> {
     await this.waitFor(() => this.requestsBlockedUntil);
     if (this.maxDelayMs > 0) await sleep(this.random.below(this.maxDelayMs));
     if (this.duplicateRate > 0 && this.random.chance(this.duplicateRate)) {
--- a/packages/emulator/src/soak/port-block.ts
+++ b/packages/emulator/src/soak/port-block.ts
@@ -2,7 +2,7 @@
  * Reserves ports for the controllers of one run in a block that no other run on this machine uses: when two runs shared
  * ports, they sent requests to each other's controllers. All blocks lie below the system's ephemeral port range.
  */
-import { freePortsFrom, serve, type Served } from '../loopback-http.js';
+import { freePortsFrom, type HttpServer,startServer } from '../loopback-http.js';
 
 const FIRST_PORT = 12_000;
 const PORT_BLOCKS = 300;
@@ -11,12 +11,12 @@
 /** Reserved ports, and the listening server that reserves their block until it is closed. */
 export interface ReservedPorts {
   readonly ports: readonly number[];
-  readonly lock: Served;
+  readonly lock: HttpServer;
 }
 
-const tryToLock = async (port: number): Promise<Served | null> => {
+const tryToLock = async (port: number): Promise<HttpServer | null> => {
   try {
-    return await serve(`127.0.0.1:${port}`, () => undefined);
+    return await startServer(`127.0.0.1:${port}`, () => undefined);
   } catch {
     return null;
   }
--- a/packages/emulator/src/soak/soak-cluster.ts
+++ b/packages/emulator/src/soak/soak-cluster.ts
@@ -15,11 +15,17 @@
 
 import { controllerSettings } from '../controller-settings.js';
 import { LoopbackCloud } from '../loopback-cloud.js';
-import { type Asked, call, type Served } from '../loopback-http.js';
-import { LoopWorker, type WorkerWorld } from '../loopback-workers.js';
+import { httpCall, type HttpRequest, type HttpServer } from '../loopback-http.js';
+import { LoopbackWorker, type WorkerHost } from '../loopback-workers.js';
 import { Random } from '../random.js';
 import { StateModel } from '../state-model.js';
-import { type Answer, cloudOpOf, encodeCloudReply, encodeStateReply, stateOpOf } from '../wire.js';
+import {
+  decodeCloudOperation,
+  decodeStoreOperation,
+  encodeCloudReply,
+  encodeStoreReply,
+  type WireResponse,
+} from '../wire.js';
 import { ControllerProcess } from './controller-process.js';
 import { FaultyLink } from './faulty-link.js';
 import type { MachineProperties, SoakEvent } from './history.js';
@@ -103,7 +109,7 @@
   /** Until this time the cloud responds with 503. */
   cloudDownUntil = 0;
   private readonly workerLinks = new Map<string, WorkerLinks>();
-  private readonly servers: Served[] = [];
+  private readonly servers: HttpServer[] = [];
   private readonly configFolder = mkdtempSync(join(tmpdir(), 'shaleyoke-soak-'));
   private readonly startedAt = performance.now();
   private readonly random: Random;
@@ -184,7 +190,7 @@
   }
 
   /** Workers that are alive and reachable. */
-  runningWorkers(): LoopWorker[] {
+  runningWorkers(): LoopbackWorker[] {
     return [...this.cloud.workers.values()].filter((worker) => worker.alive && worker.address !== '');
   }
 
@@ -246,8 +252,8 @@
       cloud,
       state: store,
       teams: [],
-      more: `[[cluster.teams]]\nname = "${TEAM}"\ncpus_max = ${this.teamCores}.0\n`,
-      reportS: HEARTBEAT_S,
+      extraToml: `[[cluster.teams]]\nname = "${TEAM}"\ncpus_max = ${this.teamCores}.0\n`,
+      heartbeatIntervalS: HEARTBEAT_S,
       leaseS: LEASE_S,
       cancelS: CANCEL_GRACE_MS / 1_000,
       stateRps: STORE_REQUESTS_PER_S,
@@ -261,7 +267,7 @@
   /** Serves requests through a link and returns the server's address. */
   private async serveThrough(
     link: FaultyLink,
-    execute: (request: Asked) => Promise<Answer | null>,
+    execute: (request: HttpRequest) => Promise<WireResponse | null>,
   ): Promise<string> {
     const server = await serveThroughLink(link, execute);
     this.servers.push(server);
@@ -270,14 +276,12 @@
 
   private serveStore(links: ControllerLinks): Promise<string> {
     return this.serveThrough(links.toStore, ({ method, url, body }) => {
-      const operation = stateOpOf(method, url, body);
-      if (links.storeRefusedUntil > this.now())
-        return Promise.resolve(encodeStateReply(operation, STORE_REFUSED));
-      if (operation.kind !== 'watch')
-        return Promise.resolve(encodeStateReply(operation, this.store.apply(operation)));
+      const op = decodeStoreOperation(method, url, body);
+      if (links.storeRefusedUntil > this.now()) return Promise.resolve(encodeStoreReply(op, STORE_REFUSED));
+      if (op.kind !== 'watch') return Promise.resolve(encodeStoreReply(op, this.store.apply(op)));
       return new Promise((resolve) => {
-        this.store.watch(operation, (reply) => {
-          resolve(encodeStateReply(operation, reply));
+        this.store.watch(op, (reply) => {
+          resolve(encodeStoreReply(op, reply));
         });
       });
     });
@@ -288,7 +292,7 @@
       const isDown = this.cloudDownUntil > this.now();
       const answer = isDown
         ? { status: STATUS_UNAVAILABLE, body: Buffer.alloc(0) }
-        : encodeCloudReply(this.cloud.apply(cloudOpOf(method, url, body)));
+        : encodeCloudReply(this.cloud.apply(decodeCloudOperation(method, url, body)));
       return Promise.resolve(answer);
     });
   }
@@ -298,28 +302,28 @@
     peer: { readonly member: string; readonly peerAddress: string },
   ): Promise<{ member: string; address: string }> {
     const address = await this.serveThrough(links.toPeers, ({ method, url, body }) =>
-      call(peer.peerAddress, method, url, body, PEER_TIMEOUT_MS),
+      httpCall(peer.peerAddress, method, url, body, PEER_TIMEOUT_MS),
     );
     return { member: peer.member, address };
   }
 
   // ---- workers -------------------------------------------------------------------------------------
 
-  private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker {
+  private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker {
     this.machines.set(name, { type, zone, spot });
     const { heartbeats, commands } = this.linksOfWorker(name);
-    const world: WorkerWorld = {
+    const world: WorkerHost = {
       now: () => this.nowUs(),
       spec: (job) => this.specs.get(job) ?? decodeActiveJob(this.store.value(activeJobKey(job)))?.spec,
       nodes: this.controllers.map(({ endpoint }) => endpoint),
-      reportUs: HEARTBEAT_S * SECOND,
+      heartbeatIntervalUs: HEARTBEAT_S * SECOND,
       leaseUs: LEASE_S * SECOND,
       workers: this.cloud.workers,
-      ran: () => undefined,
-      arrived: (task) => {
+      taskRan: () => undefined,
+      taskPlaced: (task) => {
         this.record({ kind: 'arrived', at: this.now(), done: false, ...task });
       },
-      left: (task, done) => {
+      taskLeft: (task, done) => {
         this.record({ kind: 'left', at: this.now(), done, ...task });
       },
       call: (address, path, body) => this.callController(heartbeats, address, path, body),
@@ -329,14 +333,14 @@
           return execute();
         }),
     };
-    return new LoopWorker(name, type, zone, spot, world);
+    return new LoopbackWorker(name, type, zone, spot, world);
   }
 
   private async waitWhileHung(machine: string): Promise<void> {
     const worker = this.cloud.workers.get(machine);
-    while (worker !== undefined && worker.hangsFor > 0) {
-      const { hangsFor } = worker;
-      await new Promise((resolve) => setTimeout(resolve, hangsFor / MILLISECOND));
+    while (worker !== undefined && worker.remainingHangUs > 0) {
+      const { remainingHangUs } = worker;
+      await new Promise((resolve) => setTimeout(resolve, remainingHangUs / MILLISECOND));
     }
   }
 
@@ -346,13 +350,13 @@
     address: string,
     path: string,
     body: Buffer,
-  ): Promise<Answer | null> {
+  ): Promise<WireResponse | null> {
     const timeout = new Promise<null>((resolve) => {
       setTimeout(() => {
         resolve(null);
       }, HEARTBEAT_TIMEOUT_MS);
     });
-    const answer = link.exchange(() => call(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS));
+    const answer = link.exchange(() => httpCall(address, 'POST', path, body, HEARTBEAT_TIMEOUT_MS));
     return Promise.race([answer, timeout]);
   }
 }
--- a/packages/emulator/src/soak/soak-users.ts
+++ b/packages/emulator/src/soak/soak-users.ts
@@ -3,10 +3,10 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { asFields, decodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
 
-import { call } from '../loopback-http.js';
+import { httpCall } from '../loopback-http.js';
 import type { Random } from '../random.js';
-import { specOf } from '../specs.js';
-import { type Answer, encodeSubmission } from '../wire.js';
+import { makeJobSpec } from '../specs.js';
+import { encodeSubmission,type WireResponse } from '../wire.js';
 import type { RequestKind, SoakEvent } from './history.js';
 import { type SoakCluster, TEAM } from './soak-cluster.js';
 
@@ -38,7 +38,7 @@
 }
 
 /** The job stage in a response; null if it has none. */
-const parseStage = (answer: Answer): string | null => {
+const parseStage = (answer: WireResponse): string | null => {
   try {
     const stage = asFields(decodeBody(answer.body), 'answer')['stage'];
     return typeof stage === 'string' ? stage : null;
@@ -112,7 +112,7 @@
     const { random } = this;
     const isGang = random.chance(0.3);
     const isLarge = random.chance(0.1);
-    return specOf(id, {
+    return makeJobSpec(id, {
       team: TEAM,
       shape: isGang ? 'gang' : 'array',
       sameZone: isGang && random.chance(0.5),
@@ -215,7 +215,7 @@
     );
     const impossible = `run-${FIRST_IMPOSSIBLE_JOB_NUMBER + this.random.below(1_000)}`;
     this.impossibleJobs.add(impossible);
-    const body = encodeSubmission(specOf(impossible, { team: TEAM, cores: IMPOSSIBLE_CORES }));
+    const body = encodeSubmission(makeJobSpec(impossible, { team: TEAM, cores: IMPOSSIBLE_CORES }));
     void this.sendAndRecord(impossible, 'submit', this.randomController(), body);
   }
 
@@ -251,7 +251,7 @@
     request: RequestKind,
     controller: number,
     body: Buffer | null,
-  ): Promise<Answer | null> {
+  ): Promise<WireResponse | null> {
     const { address } = this.cluster.controllers[controller]!.endpoint;
     const timeoutMs = request === 'poll' ? POLL_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
     const path = { submit: '/api/jobs', poll: `/api/jobs/${job}`, cancel: `/api/jobs/${job}/abort` }[request];
@@ -263,7 +263,7 @@
     });
     const link = this.cluster.links[controller]!.fromUsers;
     const answer = link.exchange(() =>
-      call(address, method, path, body ?? (method === 'POST' ? Buffer.alloc(0) : null), timeoutMs),
+      httpCall(address, method, path, body ?? (method === 'POST' ? Buffer.alloc(0) : null), timeoutMs),
     );
     return Promise.race([answer, timeout]);
   }
--- a/packages/emulator/src/specs.ts
+++ b/packages/emulator/src/specs.ts
@@ -3,7 +3,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 
 /** A job of two tasks with one core each that run for ten seconds, with other fields as given. */
-export const specOf = (id: string, more: Partial<JobSpec> = {}): JobSpec => ({
+export const makeJobSpec = (id: string, more: Partial<JobSpec> = {}): JobSpec => ({
   id,
   class: 'c',
   team: 't',
--- a/packages/emulator/src/state-model.ts
+++ b/packages/emulator/src/state-model.ts
@@ -45,11 +45,11 @@
   /** End of the current or last outage. */
   downUntil: Micros = 0;
   /** Keys whose reads and transactions get no reply and aren't executed. */
-  readonly mute = new Set<string>();
+  readonly silentKeys = new Set<string>();
   /** Puts and deletes of conflicting transactions, which count against the limit although they have no effect. */
-  wasted = 0;
+  conflictingWrites = 0;
   /** Puts and deletes of successful transactions. */
-  changes = 0;
+  appliedWrites = 0;
   /** Increases with each change; a key's version is the revision of its last change. */
   revision = 1;
   private readonly items = new Map<string, StoredItem>();
@@ -65,7 +65,7 @@
   ) {}
 
   /** Whether there is an outage. */
-  get down(): boolean {
+  get isDown(): boolean {
     return this.now() < this.downUntil;
   }
 
@@ -78,14 +78,14 @@
   /** Ends leases and watches that are due; to be called regularly. */
   expire(): void {
     const now = this.now();
-    if (!this.down)
+    if (!this.isDown)
       for (const [id, lease] of this.leases)
         if (lease.expiresAt <= now) {
           this.leases.delete(id);
           this.deleteLeasedKeys(id);
         }
     // Open watches don't expire during an outage.
-    if (this.down) return;
+    if (this.isDown) return;
     const due = this.watches.filter((watch) => watch.expiresAt <= now);
     this.watches = this.watches.filter((watch) => watch.expiresAt > now);
     for (const watch of due) watch.onReply({ kind: 'events', events: [], revision: this.revision });
@@ -127,7 +127,7 @@
 
   /** Replies with the changes after a revision: at once if there are any, otherwise with the next one or at the timeout. */
   watch(op: WatchOperation, onReply: (reply: StoreReply) => void): void {
-    if (this.down) {
+    if (this.isDown) {
       onReply({ kind: 'failed', executed: false, cause: 'refused', reason: '503' });
       return;
     }
@@ -142,10 +142,10 @@
 
   /** Executes any operation except watches. */
   apply(op: StoreOperation): StoreReply {
-    if (this.down) return { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
+    if (this.isDown) return { kind: 'failed', executed: false, cause: 'refused', reason: '503' };
     this.expire();
     if (!this.trySpend(this.spentRequests, this.requestsPerSecond, 1)) return TOO_MANY_REQUESTS;
-    if (this.mute.size > 0 && this.touchesMuteKey(op))
+    if (this.silentKeys.size > 0 && this.touchesMuteKey(op))
       return { kind: 'failed', executed: null, cause: 'silent', reason: 'mute key' };
     switch (op.kind) {
       case 'get': {
@@ -208,12 +208,12 @@
       .filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
     if (failed.length > 0) {
-      this.wasted += op.writes.length;
+      this.conflictingWrites += op.writes.length;
       return { kind: 'conflict', failed, revision: this.revision };
     }
     if (op.writes.length === 0) return { kind: 'ok', revision: this.revision };
     this.revision++;
-    this.changes += op.writes.length;
+    this.appliedWrites += op.writes.length;
     for (const write of op.writes) {
       if (write.kind === 'put') this.store(write.key, structuredClone(write.value), write.lease ?? null);
       else if (this.items.delete(write.key))
@@ -223,10 +223,11 @@
   }
 
   private touchesMuteKey(op: StoreOperation): boolean {
-    if (op.kind === 'get') return this.mute.has(op.key);
+    if (op.kind === 'get') return this.silentKeys.has(op.key);
     return (
       op.kind === 'txn' &&
-      (op.conditions.some((c) => this.mute.has(c.key)) || op.writes.some((write) => this.mute.has(write.key)))
+      (op.conditions.some((c) => this.silentKeys.has(c.key)) ||
+        op.writes.some((write) => this.silentKeys.has(write.key)))
     );
   }
 
--- a/packages/emulator/src/step-meter.ts
+++ b/packages/emulator/src/step-meter.ts
@@ -10,5 +10,5 @@
   /** Processor time, in microseconds from an arbitrary origin. */
   stopwatch(): Micros;
   /** Called after a controller has processed an input. `elapsedUs`: the processor time that it took. */
-  stepped(node: string, input: Input, elapsedUs: Micros, effects: readonly CoreEffect[]): void;
+  recordStep(node: string, input: Input, elapsedUs: Micros, effects: readonly CoreEffect[]): void;
 }
--- a/packages/emulator/src/tool.ts
+++ b/packages/emulator/src/tool.ts
@@ -3,23 +3,23 @@
 import { promisify } from 'node:util';
 
 /** The result of a command. */
-export interface ToolRun {
+export interface CommandResult {
   /** Exit code. */
-  readonly code: number;
+  readonly exitCode: number;
   /** Standard output; of a failed command followed by standard error. */
-  readonly out: string;
+  readonly output: string;
 }
 
 /** Returns a function that runs the program with further arguments. `program`: the executable and its first arguments. */
-export const toolOf =
+export const commandRunner =
   (program: readonly string[]) =>
-  async (...args: string[]): Promise<ToolRun> => {
+  async (...args: string[]): Promise<CommandResult> => {
     const [file, ...firstArgs] = program;
     try {
       const result = await promisify(execFile)(file!, [...firstArgs, ...args]);
-      return { code: 0, out: result.stdout };
+      return { exitCode: 0, output: result.stdout };
     } catch (error) {
       const failure = error as { code: number; stdout: string; stderr: string };
-      return { code: failure.code, out: failure.stdout + failure.stderr };
+      return { exitCode: failure.code, output: failure.stdout + failure.stderr };
     }
   };
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -6,7 +6,7 @@
 
 import type { Random } from './random.js';
 import type { Workload } from './work.js';
-import { CANCELLATION_LIMIT } from './workers-model.js';
+import { CANCELLATION_DEADLINE } from './workers-model.js';
 
 /** Submissions and cancellations are retried this often, a second apart. */
 const MAX_RETRIES = 90;
@@ -26,7 +26,7 @@
   /** Number of controllers. */
   readonly nodes: number;
   /** Sends a request to a node; null: there was no answer before the user's timeout. */
-  ask(node: number, body: ClientRequest, onAnswer: (answer: ClientResponse | null) => void): void;
+  sendRequest(node: number, body: ClientRequest, onAnswer: (answer: ClientResponse | null) => void): void;
   /** Runs a function after a delay. */
   schedule(delay: Micros, run: () => void): void;
   /** Records that an invariant is violated. */
@@ -36,18 +36,18 @@
 /** All users of a simulation. */
 export class UsersModel {
   /** What users were last told, by job; the first final stage is kept. */
-  readonly told = new Map<string, KnownStage>();
+  readonly knownStages = new Map<string, KnownStage>();
   /** When a user was first told that the job is cancelled, by job. */
   readonly cancelledAt = new Map<string, Micros>();
   /** When a request about the job was last answered with its state, by job. */
   readonly answeredAt = new Map<string, Micros>();
   /** Jobs that users asked to cancel. */
-  readonly asked = new Set<string>();
+  readonly cancelRequested = new Set<string>();
 
   /** Probability of a burst of queries about a job that was just accepted, done or cancelled: see `sendQueryBurst`. */
   queryBurstChance = 0;
   /** Number of queries in bursts, by the stage that led to them. */
-  readonly looks = new Map<string, number>();
+  readonly burstQueries = new Map<string, number>();
 
   constructor(
     /** Tests use its `ask` to send single requests. */
@@ -66,8 +66,8 @@
     onAnswer: (answer: ClientResponse | null) => void,
     node = this.random.below(this.host.nodes),
   ): void {
-    const known = this.told.get(id);
-    this.host.ask(node, body, (answer) => {
+    const known = this.knownStages.get(id);
+    this.host.sendRequest(node, body, (answer) => {
       this.checkAnswer(id, answer, known);
       onAnswer(answer);
     });
@@ -79,7 +79,7 @@
     if (spec === undefined) return;
     for (let node = 0; node < this.host.nodes; node++)
       for (const round of [0, 1, 2]) {
-        this.looks.set(stage, (this.looks.get(stage) ?? 0) + 1);
+        this.burstQueries.set(stage, (this.burstQueries.get(stage) ?? 0) + 1);
         const body: ClientRequest =
           this.random.chance(0.3) || (round === 0 && stage === 'accepted')
             ? { kind: 'submit', id, spec, problem: null }
@@ -116,7 +116,7 @@
 
   /** Cancels a job, and retries until the answer is its state. */
   cancel(id: string, tries = 0): void {
-    this.asked.add(id);
+    this.cancelRequested.add(id);
     this.send(id, { kind: 'cancel', id }, (answer) => {
       if (answer?.kind !== 'view' && tries < MAX_RETRIES)
         this.host.schedule(SECOND, () => {
@@ -140,16 +140,16 @@
       this.host.reportViolation(`went_back ${id}: ${stageBefore} -> ${stage}`);
     if (stage === 'done' && !this.work.isDone(id)) this.host.reportViolation(`not_done ${id}`);
     const related = this.work.withDependencies(id);
-    if (stage === 'cancelled' && ![...related].some((other) => this.asked.has(other)))
+    if (stage === 'cancelled' && ![...related].some((other) => this.cancelRequested.has(other)))
       this.host.reportViolation(`went_back ${id}: nobody cancelled it`);
     related.delete(id);
     if (stage === 'queued' || stage === 'running')
       for (const other of related)
-        if ((this.cancelledAt.get(other) ?? Infinity) + CANCELLATION_LIMIT < this.now)
+        if ((this.cancelledAt.get(other) ?? Infinity) + CANCELLATION_DEADLINE < this.now)
           this.host.reportViolation(`orphaned ${id}: ${other} is cancelled`);
     if (stage === 'cancelled' && !this.cancelledAt.has(id)) this.cancelledAt.set(id, this.now);
-    const lastStage = this.told.get(id)?.stage;
-    if (lastStage !== 'done' && lastStage !== 'cancelled') this.told.set(id, { stage, at: this.now });
+    const lastStage = this.knownStages.get(id)?.stage;
+    if (lastStage !== 'done' && lastStage !== 'cancelled') this.knownStages.set(id, { stage, at: this.now });
     const isFinal = stage === 'done' || stage === 'cancelled';
     const isNews = isFinal ? lastStage !== stage : lastStage === undefined;
     if (isNews && this.queryBurstChance > 0 && this.random.chance(this.queryBurstChance))
--- a/packages/emulator/src/waiting.ts
+++ b/packages/emulator/src/waiting.ts
@@ -6,7 +6,7 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 
 import type { ClusterSimulation } from './cluster-simulation.js';
-import { TYPE } from './site.js';
+import { MACHINE_TYPE } from './site.js';
 import type { Worker } from './workers-model.js';
 
 /** Measures for how long jobs wait although they could run. */
@@ -44,15 +44,15 @@
     return (
       worker.alive &&
       now >= worker.readyAt &&
-      now >= worker.cutUntil &&
-      now >= worker.deafUntil &&
-      now >= worker.muteUntil &&
-      worker.takenAt === null
+      now >= worker.unreachableUntil &&
+      now >= worker.receivesNothingUntil &&
+      now >= worker.sendsNothingUntil &&
+      worker.terminatesAt === null
     );
   }
 
   private freeCoresOf(worker: Worker): number {
-    let free = TYPE.cores;
+    let free = MACHINE_TYPE.cores;
     for (const task of worker.tasks)
       if (task.state !== 'exited') free -= this.simulation.work.specs.get(task.job)?.cores ?? 0;
     return free;
@@ -72,7 +72,12 @@
   private isLeftWaiting(id: string, spec: JobSpec, free: ReadonlyMap<Worker, number>): boolean {
     const { simulation } = this;
     const stage = simulation.stageOf(id);
-    if (stage === undefined || stage === 'done' || stage === 'cancelled' || simulation.users.asked.has(id))
+    if (
+      stage === undefined ||
+      stage === 'done' ||
+      stage === 'cancelled' ||
+      simulation.users.cancelRequested.has(id)
+    )
       return false;
     if (
       simulation.work.isDone(id) ||
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -26,14 +26,14 @@
   [...table].find(([, candidate]) => candidate === value)![0];
 
 /** An HTTP response. */
-export interface Answer {
+export interface WireResponse {
   /** HTTP status code. */
   readonly status: number;
   /** Encoded as MessagePack. */
   readonly body: Buffer;
 }
 /** Encodes a response body. */
-export const encodeAnswer = (status: number, value: unknown = {}): Answer => ({
+export const encodeAnswer = (status: number, value: unknown = {}): WireResponse => ({
   status,
   body: encodeBody(value),
 });
@@ -46,7 +46,7 @@
 // ---- state service -------------------------------------------------------------------------------
 
 /** Decodes a request to the state service. */
-export const stateOpOf = (method: string, url: string, body: Buffer): StoreOperation => {
+export const decodeStoreOperation = (method: string, url: string, body: Buffer): StoreOperation => {
   const { path, parameters } = parseUrl(url);
   const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path.startsWith('/kv/')) return { kind: 'get', key: path.slice(4) };
@@ -95,7 +95,7 @@
 };
 
 /** Encodes a reply of the state service. */
-export const encodeStateReply = (op: StoreOperation, reply: StoreReply): Answer => {
+export const encodeStoreReply = (op: StoreOperation, reply: StoreReply): WireResponse => {
   switch (reply.kind) {
     case 'item':
       return encodeAnswer(200, {
@@ -141,7 +141,7 @@
 // ---- cloud ---------------------------------------------------------------------------------------
 
 /** Decodes a request to the cloud. */
-export const cloudOpOf = (method: string, url: string, body: Buffer): CloudOperation => {
+export const decodeCloudOperation = (method: string, url: string, body: Buffer): CloudOperation => {
   const { path, parameters } = parseUrl(url);
   const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
   if (method === 'GET' && path === '/flavors') return { kind: 'types' };
@@ -191,7 +191,7 @@
 });
 
 /** Encodes a reply of the cloud. */
-export const encodeCloudReply = (reply: CloudReply): Answer => {
+export const encodeCloudReply = (reply: CloudReply): WireResponse => {
   switch (reply.kind) {
     case 'types':
       return encodeAnswer(200, { models: reply.types.map(encodeMachineType) });
--- a/packages/emulator/src/work.ts
+++ b/packages/emulator/src/work.ts
@@ -11,7 +11,7 @@
   /** The longest run of each task, as measured by workers; the keys are `job/index`. */
   readonly longestUs = new Map<string, Micros>();
   /** The total time of all runs of a job's tasks, as measured by workers. */
-  readonly ranUs = new Map<string, Micros>();
+  readonly totalRunUs = new Map<string, Micros>();
 
   /** Called when the last task of a job completes. */
   onDone: (id: string) => void = () => undefined;
@@ -35,7 +35,7 @@
   /** Adds a worker's measurement of how long a task ran. */
   recordRun(job: string, index: number, length: Micros): void {
     const task = `${job}/${index}`;
-    this.ranUs.set(job, (this.ranUs.get(job) ?? 0) + length);
+    this.totalRunUs.set(job, (this.totalRunUs.get(job) ?? 0) + length);
     this.longestUs.set(task, Math.max(this.longestUs.get(task) ?? 0, length));
   }
 
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -13,7 +13,7 @@
 
 import type { SimulatedMachines } from './cloud-model.js';
 import type { Random } from './random.js';
-import { TYPE } from './site.js';
+import { MACHINE_TYPE } from './site.js';
 import type { Workload } from './work.js';
 
 /** As in the settings that `settingsFor` makes. */
@@ -22,7 +22,7 @@
 /** A worker tries the next node a second after this. */
 const HEARTBEAT_TIMEOUT: Micros = 4 * SECOND;
 /** Within this time after a user was told that a job is cancelled, all of its tasks must have stopped. */
-export const CANCELLATION_LIMIT: Micros = 40 * SECOND;
+export const CANCELLATION_DEADLINE: Micros = 40 * SECOND;
 
 /** An attempt of a task on a worker. */
 interface SimulatedTask {
@@ -51,27 +51,27 @@
   /** Whether the machine exists. */
   alive: boolean;
   /** Starts anew when the lease expires. */
-  session: number;
+  agentEpoch: number;
   /** Number of the last heartbeat in the session. */
   sequence: number;
   /** The highest fencing token seen. */
-  token: number;
+  fencingToken: number;
   /** When the last accepted heartbeat was sent: the lease counts from then. */
-  answered: Micros;
+  leaseRenewedAt: Micros;
   /** The controller that it sends heartbeats to, by index. */
   node: number;
   /** When the next heartbeat is due. */
-  nextReport: Micros;
+  nextHeartbeatAt: Micros;
   /** Attempts on the worker, including ended ones that it wasn't told to forget. */
   tasks: SimulatedTask[];
   /** The worker hangs or is unreachable until then. */
-  cutUntil: Micros;
+  unreachableUntil: Micros;
   /** Until then its heartbeats arrive, but it receives no responses and no commands. */
-  deafUntil: Micros;
+  receivesNothingUntil: Micros;
   /** Until then it reaches no controller, but receives direct commands. */
-  muteUntil: Micros;
+  sendsNothingUntil: Micros;
   /** When the cloud takes the machine back, announced in heartbeats until then; null: never. */
-  takenAt: Micros | null;
+  terminatesAt: Micros | null;
 }
 
 /** What the workers need from the simulation. */
@@ -101,13 +101,13 @@
   /** Running tasks that were stopped by a command although their job was neither cancelled nor done. */
   readonly stoppedRunning: { readonly at: Micros; readonly task: string; readonly machine: string }[] = [];
   /** Delays between telling a user that a job is cancelled and a start of one of its tasks. */
-  readonly startedAfter: Micros[] = [];
+  readonly startsAfterCancellation: Micros[] = [];
   /** Checkpoints on stop: begun, cut short by a stop without grace, and completed. */
-  readonly saves = { begun: 0, cut: 0, ended: 0 };
+  readonly checkpoints = { begun: 0, cut: 0, ended: 0 };
   /** Fraction by which workers' clocks are slow: their leases last longer by it. */
-  slowClocks = 0;
+  clockSlowdown = 0;
   /** When a task of a job was last on a machine after a user was told that the job is cancelled, by job. */
-  readonly lastSeen = new Map<string, Micros>();
+  readonly lastSeenAfterCancellation = new Map<string, Micros>();
   private nextMachine = 1;
 
   constructor(
@@ -129,7 +129,7 @@
   }
 
   /** Adds a machine that becomes ready after `bootUs`; returns its name. */
-  boot(zone: string, spot: boolean, bootUs = TYPE.bootUs * (0.6 + 0.9 * this.random.next())): string {
+  boot(zone: string, spot: boolean, bootUs = MACHINE_TYPE.bootUs * (0.6 + 0.9 * this.random.next())): string {
     const name = `m-${String(this.nextMachine++).padStart(6, '0')}`;
     const readyAt = this.now + bootUs;
     this.workers.set(name, {
@@ -138,17 +138,17 @@
       spot,
       readyAt,
       alive: true,
-      session: 1,
+      agentEpoch: 1,
       sequence: 0,
-      token: 0,
-      answered: readyAt,
+      fencingToken: 0,
+      leaseRenewedAt: readyAt,
       node: this.random.below(this.host.nodes),
-      nextReport: readyAt,
+      nextHeartbeatAt: readyAt,
       tasks: [],
-      cutUntil: 0,
-      deafUntil: 0,
-      muteUntil: 0,
-      takenAt: null,
+      unreachableUntil: 0,
+      receivesNothingUntil: 0,
+      sendsNothingUntil: 0,
+      terminatesAt: null,
     });
     return name;
   }
@@ -166,7 +166,7 @@
       .map((worker) => ({
         name: worker.name,
         address: worker.name,
-        type: TYPE.name,
+        type: MACHINE_TYPE.name,
         zone: worker.zone,
         spot: worker.spot,
         state: this.now >= worker.readyAt ? ('running' as const) : ('booting' as const),
@@ -185,17 +185,17 @@
   // ---- heartbeats --------------------------------------------------------------------------------
 
   /** The worker's next heartbeat. */
-  reportOf(worker: Worker): Heartbeat {
+  heartbeatOf(worker: Worker): Heartbeat {
     return {
       machine: worker.name,
       address: worker.name,
-      type: TYPE.name,
+      type: MACHINE_TYPE.name,
       zone: worker.zone,
       spot: worker.spot,
-      agentEpoch: worker.session,
+      agentEpoch: worker.agentEpoch,
       sequence: ++worker.sequence,
-      fencingToken: worker.token,
-      terminationNoticeUs: worker.takenAt === null ? null : Math.max(0, worker.takenAt - this.now),
+      fencingToken: worker.fencingToken,
+      terminationNoticeUs: worker.terminatesAt === null ? null : Math.max(0, worker.terminatesAt - this.now),
       tasks: worker.tasks.map(({ job, index, attempt, state, cause, checkpointed }) => ({
         job,
         index,
@@ -215,42 +215,47 @@
     response: HeartbeatResponse,
     leader: number,
   ): void {
-    if (!worker.alive || worker.session !== session || this.now < worker.cutUntil) return;
+    if (!worker.alive || worker.agentEpoch !== session || this.now < worker.unreachableUntil) return;
     if (response.kind === 'accepted') {
-      if (response.fencingToken < worker.token) return;
-      worker.token = response.fencingToken;
-      worker.answered = sentAt;
+      if (response.fencingToken < worker.fencingToken) return;
+      worker.fencingToken = response.fencingToken;
+      worker.leaseRenewedAt = sentAt;
       for (const command of response.commands) this.executeCommand(worker, command);
     } else if (leader >= 0 && leader !== worker.node) {
       worker.node = leader;
-      worker.nextReport = this.now + 100 * MILLISECOND;
+      worker.nextHeartbeatAt = this.now + 100 * MILLISECOND;
     } else this.switchNode(worker);
   }
 
   /** Tries the next controller in a second. */
   switchNode(worker: Worker): void {
     worker.node = (worker.node + 1) % this.host.nodes;
-    worker.nextReport = this.now + SECOND;
+    worker.nextHeartbeatAt = this.now + SECOND;
   }
 
   /** The heartbeat times out: tries the next controller after the timeout. */
   recordTimeout(worker: Worker): void {
     this.switchNode(worker);
-    worker.nextReport += HEARTBEAT_TIMEOUT;
+    worker.nextHeartbeatAt += HEARTBEAT_TIMEOUT;
   }
 
   // ---- commands ----------------------------------------------------------------------------------
 
   /** Executes direct commands, unless their token is outdated or they are for another session. */
-  orders(name: string, token: number, session: number, commands: readonly WorkerCommand[]): CommandReply {
+  executeCommands(
+    name: string,
+    token: number,
+    session: number,
+    commands: readonly WorkerCommand[],
+  ): CommandReply {
     const worker = this.workers.get(name);
     if (worker === undefined || !worker.alive || this.now < worker.readyAt)
       return { kind: 'lost', heartbeat: null };
-    if (token < worker.token || session !== worker.session)
-      return { kind: 'refused', heartbeat: this.reportOf(worker) };
-    worker.token = token;
+    if (token < worker.fencingToken || session !== worker.agentEpoch)
+      return { kind: 'refused', heartbeat: this.heartbeatOf(worker) };
+    worker.fencingToken = token;
     for (const command of commands) this.executeCommand(worker, command);
-    return { kind: 'executed', heartbeat: this.reportOf(worker) };
+    return { kind: 'executed', heartbeat: this.heartbeatOf(worker) };
   }
 
   private executeCommand(worker: Worker, command: WorkerCommand): void {
@@ -303,13 +308,13 @@
         task.runningSince = null;
         task.state = 'saving';
         task.stateEndsAt = this.now + spec.checkpointDurationUs;
-        this.saves.begun++;
+        this.checkpoints.begun++;
         return;
       }
     }
     if (task.state === 'saving') {
       if (graceUs > 0) return;
-      this.saves.cut++;
+      this.checkpoints.cut++;
     }
     this.recordRun(task);
     task.state = 'exited';
@@ -328,8 +333,8 @@
       if (!this.work.isDone(dependency))
         this.host.reportViolation(`too_early ${command.job}/${command.index}: ${dependency} is not done`);
     const cancelledAt = this.host.cancelledAt(command.job);
-    if (cancelledAt !== undefined) this.startedAfter.push(this.now - cancelledAt);
-    if (cancelledAt !== undefined && this.now > cancelledAt + CANCELLATION_LIMIT)
+    if (cancelledAt !== undefined) this.startsAfterCancellation.push(this.now - cancelledAt);
+    if (cancelledAt !== undefined && this.now > cancelledAt + CANCELLATION_DEADLINE)
       this.host.reportViolation(`ran_cancelled ${command.job}`);
     let cores = spec.cores;
     const zones = new Map<string, number>([[worker.zone, 1]]);
@@ -356,7 +361,7 @@
     const used = worker.tasks
       .filter((task) => task.state !== 'exited')
       .reduce((n, task) => n + (this.work.specs.get(task.job)?.cores ?? 0), 0);
-    if (used + spec.cores > TYPE.cores) this.host.reportViolation(`no room on ${worker.name}`);
+    if (used + spec.cores > MACHINE_TYPE.cores) this.host.reportViolation(`no room on ${worker.name}`);
   }
 
   // ---- time --------------------------------------------------------------------------------------
@@ -365,18 +370,18 @@
   advance(): void {
     for (const worker of this.workers.values()) {
       if (!worker.alive || this.now < worker.readyAt) continue;
-      if (worker.takenAt !== null && this.now >= worker.takenAt) {
+      if (worker.terminatesAt !== null && this.now >= worker.terminatesAt) {
         this.kill(worker);
         continue;
       }
-      if (this.now > worker.answered + LEASE_DURATION * (1 + this.slowClocks)) {
+      if (this.now > worker.leaseRenewedAt + LEASE_DURATION * (1 + this.clockSlowdown)) {
         for (const task of worker.tasks) this.recordRun(task);
         worker.tasks = [];
-        worker.session++;
+        worker.agentEpoch++;
         worker.sequence = 0;
-        worker.answered = this.now;
+        worker.leaseRenewedAt = this.now;
       }
-      if (this.now < worker.cutUntil) continue;
+      if (this.now < worker.unreachableUntil) continue;
       let changed = false;
       for (const task of worker.tasks) {
         if (task.state === 'exited' || this.now < task.stateEndsAt) continue;
@@ -394,13 +399,13 @@
           task.state = 'exited';
           task.cause = 'stopped';
           task.checkpointed = true;
-          this.saves.ended++;
+          this.checkpoints.ended++;
         } else continue;
         changed = true;
       }
-      if (changed) worker.nextReport = Math.min(worker.nextReport, this.now + 50 * MILLISECOND);
-      if (this.now < worker.nextReport) continue;
-      worker.nextReport = this.now + HEARTBEAT_INTERVAL;
+      if (changed) worker.nextHeartbeatAt = Math.min(worker.nextHeartbeatAt, this.now + 50 * MILLISECOND);
+      if (this.now < worker.nextHeartbeatAt) continue;
+      worker.nextHeartbeatAt = this.now + HEARTBEAT_INTERVAL;
       this.host.sendHeartbeat(worker);
     }
     this.advanceGangs();
@@ -448,8 +453,8 @@
       for (const task of worker.tasks) {
         const at = task.state === 'exited' ? undefined : cancelled.get(task.job);
         if (at === undefined) continue;
-        this.lastSeen.set(task.job, this.now);
-        if (this.now > at + CANCELLATION_LIMIT)
+        this.lastSeenAfterCancellation.set(task.job, this.now);
+        if (this.now > at + CANCELLATION_DEADLINE)
           this.host.reportViolation(`ran_cancelled ${task.job} on ${worker.name}`);
       }
     }
--- a/packages/emulator/test/known-red.test.ts
+++ b/packages/emulator/test/known-red.test.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 
-import { judge, KnownRedListError, parseKnownRed } from '../src/known-red.js';
+import { evaluateResults, KnownRedListError, parseKnownRed } from '../src/known-red.js';
 
 const LISTED = { test: 'a, b', cause: 'no reason', issue: 'an issue' };
 
@@ -20,13 +20,16 @@
 
 test('only failures of listed tests are ignored', () => {
   const failed = { name: 'a, b', passed: false };
-  assert.deepEqual(judge([failed], [LISTED]).problems, []);
-  assert.match(judge([failed], [LISTED]).report[0]!, /failed: a, b \(no reason; an issue\)/);
-  assert.match(judge([{ ...failed, passed: true }], [LISTED]).report[0]!, /take it off the list/);
-  assert.deepEqual(judge([failed], []).problems, ['failed: a, b']);
-  assert.deepEqual(judge([failed, { name: 'c', passed: false }], [LISTED]).problems, ['failed: c']);
-  assert.match(judge([{ name: 'c', passed: true }], [LISTED]).problems[0]!, /no test has this name: a, b/);
-  assert.match(judge([], []).problems[0]!, /no test was run/);
+  assert.deepEqual(evaluateResults([failed], [LISTED]).problems, []);
+  assert.match(evaluateResults([failed], [LISTED]).report[0]!, /failed: a, b \(no reason; an issue\)/);
+  assert.match(evaluateResults([{ ...failed, passed: true }], [LISTED]).report[0]!, /take it off the list/);
+  assert.deepEqual(evaluateResults([failed], []).problems, ['failed: a, b']);
+  assert.deepEqual(evaluateResults([failed, { name: 'c', passed: false }], [LISTED]).problems, ['failed: c']);
+  assert.match(
+    evaluateResults([{ name: 'c', passed: true }], [LISTED]).problems[0]!,
+    /no test has this name: a, b/,
+  );
+  assert.match(evaluateResults([], []).problems[0]!, /no test was run/);
 });
 
 test('the runner fails for an unlisted failure and ignores a listed one', () => {
--- a/packages/emulator/test/larger.test.ts
+++ b/packages/emulator/test/larger.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { larger } from '@shaleyoke/emulator/larger';
+import { scaleSite } from '@shaleyoke/emulator/larger';
 import fc from 'fast-check';
 import { parse, stringify } from 'smol-toml';
 
@@ -34,7 +34,7 @@
 test('scales machines, capacity, arrivals and failing machines; keeps job sizes, controllers and shares', () => {
   fc.assert(
     fc.property(fc.double({ min: 0.5, max: 4, noNaN: true }), fc.boolean(), (times, quick) => {
-      const grown = larger(parse(SITE), times, quick ? 0.2 : null);
+      const grown = scaleSite(parse(SITE), times, quick ? 0.2 : null);
       const site = JSON.parse(JSON.stringify(grown)) as Record<string, unknown>;
       assert.deepEqual(site['capacity'], [
         { type: 'box', count: Math.round(200 * times), spot: Math.round(80 * times) },
--- a/packages/emulator/test/scale.test.ts
+++ b/packages/emulator/test/scale.test.ts
@@ -9,10 +9,10 @@
 import { measureSize } from '../src/scale/slopes.js';
 import { fitLine, summarize } from '../src/scale/statistics.js';
 import { readMeasurements } from '../src/scale/stored-measurements.js';
-import { toolOf } from '../src/tool.js';
+import { commandRunner } from '../src/tool.js';
 
 const path = (relative: string): string => new URL(relative, import.meta.url).pathname;
-const scale = toolOf([process.execPath, '--import', 'tsx', path('../tools/scale.ts')]);
+const scale = commandRunner([process.execPath, '--import', 'tsx', path('../tools/scale.ts')]);
 const PROGRAM = [process.execPath, '--import', 'tsx', path('../../cli/src/main.ts')];
 
 test('invalid arguments are reported before anything starts', async () => {
@@ -33,9 +33,9 @@
     [['capacity', 'docs/CAPACITY.md', '/no/such/folder'], /error: .*\/no\/such\/folder/],
   ];
   for (const [args, message] of invalid) {
-    const { code, out } = await scale(...args);
-    assert.equal(code, 2, `${args.join(' ')}: ${out}`);
-    assert.match(out, message, args.join(' '));
+    const { exitCode, output } = await scale(...args);
+    assert.equal(exitCode, 2, `${args.join(' ')}: ${output}`);
+    assert.match(output, message, args.join(' '));
   }
 });
 
--- a/packages/emulator/test/soak.test.ts
+++ b/packages/emulator/test/soak.test.ts
@@ -11,8 +11,8 @@
 import type { RequestEvent, SoakEvent, SoakHistory, TaskEvent } from '../src/soak/history.js';
 import { reservePorts } from '../src/soak/port-block.js';
 import { resultOf } from '../src/soak/soak-run.js';
-import { specOf } from '../src/specs.js';
-import { toolOf } from '../src/tool.js';
+import { makeJobSpec } from '../src/specs.js';
+import { commandRunner } from '../src/tool.js';
 
 const JOB = 'run-1';
 const CANCEL_GRACE_MS = 30_000;
@@ -46,8 +46,8 @@
 const historyOf = (events: readonly SoakEvent[], spec: Partial<JobSpec> = {}): SoakHistory => ({
   events: [...events].sort((left, right) => left.at - right.at),
   jobs: new Map([
-    [JOB, specOf(JOB, { tasks: 1, ...spec })],
-    ['run-2', specOf('run-2', { tasks: 1 })],
+    [JOB, makeJobSpec(JOB, { tasks: 1, ...spec })],
+    ['run-2', makeJobSpec('run-2', { tasks: 1 })],
   ]),
   impossibleJobs: new Set(['run-800000']),
   machines: new Map([
@@ -336,7 +336,7 @@
 });
 
 test('invalid arguments of the soak tool are reported before anything starts', async () => {
-  const soak = toolOf([
+  const soak = commandRunner([
     process.execPath,
     '--import',
     'tsx',
@@ -357,8 +357,8 @@
     ],
   ];
   for (const [args, message] of invalid) {
-    const { code, out } = await soak(...args);
-    assert.equal(code, 2, `${args.join(' ')}: ${out}`);
-    assert.match(out, message, args.join(' '));
+    const { exitCode, output } = await soak(...args);
+    assert.equal(exitCode, 2, `${args.join(' ')}: ${output}`);
+    assert.match(output, message, args.join(' '));
   }
 });
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -6,7 +6,7 @@
 
 import { ClusterSimulation } from '../src/cluster-simulation.js';
 import { Random } from '../src/random.js';
-import { specOf } from '../src/specs.js';
+import { makeJobSpec } from '../src/specs.js';
 import { StarvationMonitor } from '../src/waiting.js';
 
 const longestWaitS = (coresMax: number, before: (world: ClusterSimulation) => void): number => {
@@ -17,9 +17,10 @@
     coresMax,
     1,
   );
-  world.stand(2);
+  world.addMachines(2);
   world.runFor(3 * SECOND);
-  for (let i = 0; i < 5; i++) world.submit(specOf(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
+  for (let i = 0; i < 5; i++)
+    world.submit(makeJobSpec(`run-${i}`, { tasks: 2, estimatedRunUs: 400 * SECOND }));
   world.runFor(20 * SECOND);
   before(world);
   const waiting = new StarvationMonitor(world, coresMax);
@@ -43,7 +44,7 @@
   assert.ok(longestWaitS(4, () => undefined) < 20);
   const unreachableS = longestWaitS(40, (world) => {
     for (let i = 0; i < 3; i++) world.crash(i, 3_600 * SECOND);
-    for (const worker of world.workers.values()) worker.cutUntil = world.now + 3_600 * SECOND;
+    for (const worker of world.workers.values()) worker.unreachableUntil = world.now + 3_600 * SECOND;
   });
   assert.ok(unreachableS < 20, `${unreachableS} s`);
 });
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -10,7 +10,7 @@
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 
-import { beatOf } from '../src/beats.js';
+import { peerHeartbeatOf } from '../src/beats.js';
 import { Random } from '../src/random.js';
 
 const SETTINGS: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
@@ -76,7 +76,7 @@
       delay += retransmitDelay;
     // All heartbeats use one connection, so later ones wait for the retransmission of a lost packet.
     lastArrival = Math.max(lastArrival, at + delay);
-    received.push({ at: lastArrival, heartbeat: beatOf('p', sequence) });
+    received.push({ at: lastArrival, heartbeat: peerHeartbeatOf('p', sequence) });
   }
 };
 
--- a/packages/emulator/tools/larger.ts
+++ b/packages/emulator/tools/larger.ts
@@ -9,7 +9,7 @@
 
 import { parse, stringify } from 'smol-toml';
 
-import { larger } from '../src/larger.js';
+import { scaleSite } from '../src/larger.js';
 
 const main = (): void => {
   const { values, positionals } = parseArgs({
@@ -28,7 +28,7 @@
     console.error(problems.join('; '));
     process.exit(2);
   }
-  const site = larger(parse(readFileSync(siteFile, 'utf8')), times, restartS);
+  const site = scaleSite(parse(readFileSync(siteFile, 'utf8')), times, restartS);
   mkdirSync(folder, { recursive: true });
   writeFileSync(join(folder, basename(siteFile)), stringify(site));
   const wireName = site['wire'];
--- a/packages/emulator/tools/run-tests.ts
+++ b/packages/emulator/tools/run-tests.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 
-import { judge, KnownRedListError, parseKnownRed, type TestResult } from '../src/known-red.js';
+import { evaluateResults, KnownRedListError, parseKnownRed, type TestResult } from '../src/known-red.js';
 
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
@@ -49,7 +49,7 @@
   }
   const knownRed = existsSync(KNOWN_RED_FILE) ? parseKnownRed(readFileSync(KNOWN_RED_FILE, 'utf8')) : [];
   const { results, endedNormally } = runTests(files);
-  const { report, problems } = judge(results, knownRed);
+  const { report, problems } = evaluateResults(results, knownRed);
   for (const line of report) console.log(line);
   const all = endedNormally ? problems : [...problems, 'the test runner did not end normally'];
   for (const problem of all) console.error(`error: ${problem}`);
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -11,7 +11,7 @@
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kubernetes/api';
 import { Kube } from '@shaleyoke/kubernetes/feature';
 import { FEATURE } from '@shaleyoke/kubernetes/front';
@@ -165,7 +165,7 @@
   assert.notEqual(metaOf(second).uid, metaOf(first).uid);
   // The final record of the first job remains under its job id.
   assert.equal(simulation.keys('t/').filter((k) => k.includes('run-9')).length, 1);
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a manifest that can never run, is invalid or is not served yet is refused and leaves no records', () => {
@@ -192,7 +192,7 @@
   // The team is never taken from the client.
   object(ask(simulation, 0, { ...create('b'), team: 'u' } as KubeRequest));
   assert.equal(decodeActiveJob(simulation.value(simulation.keys('j/')[0]!))?.spec.team, 't');
-  simulation.users.asked.add(simulation.keys('j/')[0]!.slice(2));
+  simulation.users.cancelRequested.add(simulation.keys('j/')[0]!.slice(2));
   assert.equal(code(ask(simulation, 0, remove('b'))), 'deleted');
   simulation.runFor(60 * SECOND);
   assert.deepEqual([...simulation.keys('k/o/'), ...simulation.keys('k/m/'), ...simulation.keys('j/')], []);
@@ -210,7 +210,7 @@
   for (const name of ['one', 'two'])
     assert.deepEqual(typesOf(object(ask(simulation, 2, get(name)))), ['Complete'], name);
   // The simulation reports a job that starts before its dependency in `broken`, as too_early.
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a Job fails with DeadlineExceeded at its deadline, and a finished Job is deleted after its TTL', () => {
@@ -225,7 +225,7 @@
   );
   object(ask(simulation, 0, create('brief', { spec: { ttlSecondsAfterFinished: 30 } })));
   const id = readObject(simulation.value('k/o/job/maps/slow'))!.id;
-  simulation.users.asked.add(id);
+  simulation.users.cancelRequested.add(id);
   simulation.runFor(45 * SECOND);
   // The leader crashes between storing the reason and cancelling the job.
   simulation.crash(
@@ -237,7 +237,7 @@
   assert.deepEqual(typesOf(slow), ['Failed']);
   assert.equal((statusOf(slow)['conditions'] as { reason: string }[])[0]!.reason, 'DeadlineExceeded');
   assert.equal(code(ask(simulation, 1, get('brief'))), 404);
-  assert.deepEqual(simulation.broken, []);
+  assert.deepEqual(simulation.violations, []);
 });
 
 test('a manifest larger than a stored value is written in chunks before its object and read back whole', () => {
@@ -256,7 +256,7 @@
     text,
   );
   assert.ok(simulation.keys('k/m/').length > 6, `${simulation.keys('k/m/').length}`);
-  assert.equal(simulation.refusals, 0);
+  assert.equal(simulation.oversizedTransactions, 0);
   // An interrupted creation leaves chunks: the leader deletes them, and only them.
   simulation.put('k/m/lost/0', { v: 1, text: '{' });
   simulation.runFor(200 * SECOND);
@@ -322,7 +322,7 @@
   for (const [node, [name, notes, spec, native]] of kinds.entries()) {
     object(ask(simulation, node, create(name, { notes, spec })));
     const id = readObject(simulation.value(`k/o/job/maps/${name}`))!.id;
-    const twin = specOf(`run-${node}`, { imageGb: 0, ...native });
+    const twin = makeJobSpec(`run-${node}`, { imageGb: 0, ...native });
     simulation.submit(twin);
     simulation.runFor(2 * SECOND);
     const [ours, theirs] = [id, twin.id].map((x) => decodeActiveJob(simulation.value(`j/${x}`))!.spec);
@@ -518,7 +518,7 @@
     const made = new Map<string, Set<string>>();
     const wrong: string[] = [];
     for (let step = 0; step < 25; step++) {
-      simulation.loss = random.chance(0.3) ? 0.15 : 0.02;
+      simulation.messageLoss = random.chance(0.3) ? 0.15 : 0.02;
       const name = `job-${random.below(4)}`;
       if (random.chance(0.6)) {
         // Sometimes on two nodes at the same time.
@@ -537,7 +537,7 @@
       }
       if (random.chance(0.35)) {
         const record = readObject(simulation.value(`k/o/job/maps/${name}`));
-        if (record !== null) simulation.users.asked.add(record.id);
+        if (record !== null) simulation.users.cancelRequested.add(record.id);
         simulation.askFeature(random.below(3), FEATURE, { who: WHO, ask: remove(name) }, () => undefined);
       }
       if (random.chance(0.2)) simulation.crash(random.below(3), (2 + random.below(5)) * SECOND);
@@ -553,7 +553,7 @@
             wrong.push(`${key}: piece ${n} is missing`);
       }
     }
-    simulation.loss = 0;
+    simulation.messageLoss = 0;
     simulation.runFor(150 * SECOND);
     const end = ask(simulation, 0, list());
     if (end?.kind !== 'list') assert.fail(JSON.stringify(end));
@@ -574,7 +574,7 @@
     const shown = new Set(simulation.keys('k/o/').map((k) => readObject(simulation.value(k))!.id));
     for (const key of simulation.keys('j/')) assert.ok(shown.has(key.slice(2)), `seed ${seed} ${key}`);
     assert.deepEqual(wrong.slice(0, 3), [], `seed ${seed}`);
-    assert.deepEqual([...new Set(simulation.broken)].slice(0, 3), [], `seed ${seed}`);
+    assert.deepEqual([...new Set(simulation.violations)].slice(0, 3), [], `seed ${seed}`);
   }
   assert.ok(events > 500 && created > 100, `${events} events, ${created} created`);
 });
--- a/packages/kubernetes/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -9,8 +9,8 @@
 import { BatchV1Api, KubeConfig, makeInformer, type V1Job } from '@kubernetes/client-node';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { Loopback } from '@shaleyoke/emulator/loopback';
-import { toolOf } from '@shaleyoke/emulator/tool';
+import { LoopbackDeployment } from '@shaleyoke/emulator/loopback';
+import { commandRunner } from '@shaleyoke/emulator/tool';
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
@@ -27,7 +27,7 @@
   zones: ['zone-a', 'zone-b'],
 };
 
-const loopback = new Loopback({
+const loopback = new LoopbackDeployment({
   program: PROGRAM,
   nodes: 3,
   teams: ['t', 'u'],
@@ -41,7 +41,7 @@
 });
 const tokens = { maps: '', others: '' };
 
-const tool = toolOf(PROGRAM);
+const tool = commandRunner(PROGRAM);
 const until = async (what: string, holds: () => boolean | Promise<boolean>): Promise<void> => {
   for (let attempt = 0; attempt < 240; attempt++) {
     if (await holds()) return;
@@ -147,9 +147,9 @@
       '--why',
       'tests',
     );
-    assert.equal(result.code, 0, result.out);
-    assert.match(result.out, /^CREATED token [0-9a-f]{16} for /);
-    tokens[tenant] = result.out.trim().split('\n').at(-1)!;
+    assert.equal(result.exitCode, 0, result.output);
+    assert.match(result.output, /^CREATED token [0-9a-f]{16} for /);
+    tokens[tenant] = result.output.trim().split('\n').at(-1)!;
   }
   const none = await tool(
     'kube',
@@ -163,7 +163,11 @@
     '--why',
     'y',
   );
-  assert.deepEqual([none.code, /--tenant: x is none of .*maps, others/.test(none.out)], [2, true], none.out);
+  assert.deepEqual(
+    [none.exitCode, /--tenant: x is none of .*maps, others/.test(none.output)],
+    [2, true],
+    none.output,
+  );
   await until('each node answers', async () => {
     for (const node of [0, 1, 2])
       if ((await codeOf(api(node).listNamespacedJob({ namespace: 'maps' }))) !== 200) return false;
