--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -30,42 +30,42 @@
 
 /** By scenario: events with the least number of times that they must occur within three seeds. */
 const MINIMUM_COUNTS: Readonly<Record<string, readonly [string, number][]>> = {
-  'a question, a repetition or a cancellation meets the end of the last task': [['met the end', 15]],
-  'old reports kept for the next leader': [
-    ['moved', 3],
-    ['ends', 5],
-    ['kept', 60],
+  'a poll, a repeated submission or a cancellation while the last task ends': [['last tasks ended', 15]],
+  'delayed heartbeats reach the next leader': [
+    ['failed tasks', 3],
+    ['leader crashes', 5],
+    ['delayed heartbeats', 60],
   ],
-  'every team at its limit, jobs cancelled whose machines are cut off or hang, the leader changes': [
-    ['disturbed', 8],
-    ['called off', 10],
-    ['ends', 5],
+  'quotas are exhausted, jobs of faulty machines are cancelled, the leader changes': [
+    ['faulty workers', 8],
+    ['cancelled jobs', 10],
+    ['leader crashes', 5],
   ],
-  'cancelled as the office changes hands': [['called off', 12]],
-  'new machines at once while writes lag, and the leader ends': [
+  'cancellations during a leader change': [['cancelled jobs', 12]],
+  'machines boot fast while writes are slow, and the leader crashes': [
     ['new machines', 5],
-    ['ended at a write', 4],
+    ['crashes at a write', 4],
   ],
-  'mute and deaf machines': [['mute', 10]],
-  'machines are taken with notice, and jobs cancelled while they save': [
-    ['taken', 5],
-    ['cancelled while saving', 2],
-    ['saves: begun', 4],
-    ['saves: cut', 1],
-    ['saves: ended', 1],
+  'machines that send nothing or receive nothing': [['machines that send nothing', 10]],
+  'machines are terminated with notice, and jobs cancelled while they write checkpoints': [
+    ['termination notices', 5],
+    ['cancelled while writing a checkpoint', 2],
+    ['checkpoints: begun', 4],
+    ['checkpoints: cut', 1],
+    ['checkpoints: ended', 1],
   ],
-  'one-task jobs four a second, a quarter cancelled': [['small jobs', 300]],
-  'ten changes of leader in two minutes': [['changes', 20]],
-  'all controllers are away for longer than a lease': [['away', 6]],
-  'a zone with workers and a controller is cut off for longer than a lease': [['zones', 6]],
-  'jobs bound to one zone lose machines': [['lost', 3]],
-  'more work than room, urgent and not, over slow links': [['bursts', 6]],
-  'close looks': [
-    ['looks: accepted', 100],
-    ['looks: done', 50],
-    ['looks: cancelled', 50],
+  'four one-task jobs per second, a quarter of them cancelled': [['one-task jobs', 300]],
+  'ten leader changes in two minutes': [['changes', 20]],
+  'all controllers are down for longer than a lease': [['outages of all controllers', 6]],
+  'a zone with workers and a controller is partitioned for longer than a lease': [['zones', 6]],
+  'jobs with zone constraints lose machines': [['lost', 3]],
+  'more work than capacity, of mixed priorities, with a slow state service': [['submission bursts', 6]],
+  'bursts of queries': [
+    ['burst queries: accepted', 100],
+    ['burst queries: done', 50],
+    ['burst queries: cancelled', 50],
   ],
-  'only the answer is lost': [
+  'lost replies of the state service': [
     ['unanswered: j/', 5],
     ['unanswered: delete', 5],
     ['unanswered: lead', 1],
@@ -78,10 +78,11 @@
     totals.set(label, (totals.get(label) ?? 0) + count);
   };
   for (const [label, count] of counts) add(label, count);
-  for (const [stage, count] of simulation.users.burstQueries) add(`looks: ${stage}`, count);
+  for (const [stage, count] of simulation.users.burstQueries) add(`burst queries: ${stage}`, count);
   for (const [key, count] of simulation.writesWithoutReply) add(`unanswered: ${key}`, count);
-  add('kept', simulation.delayedHeartbeatsDelivered);
-  for (const [label, count] of Object.entries(simulation.machines.checkpoints)) add(`saves: ${label}`, count);
+  add('delayed heartbeats', simulation.delayedHeartbeatsDelivered);
+  for (const [label, count] of Object.entries(simulation.machines.checkpoints))
+    add(`checkpoints: ${label}`, count);
 };
 
 for (const name of EXTENDED_NAMES)
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -42,25 +42,27 @@
   totals.lateWrites += simulation.lateTransactions.all;
   totals.staleWrites += simulation.lateTransactions.all - simulation.lateTransactions.applied;
   totals.elections += electionCount;
-  totals.cuts += counts.get('cuts') ?? 0;
-  totals.leaderEnds += counts.get('ends') ?? 0;
-  totals.unreachedWithTasks += counts.get('unreached with tasks') ?? 0;
+  totals.cuts += counts.get('leader partitions') ?? 0;
+  totals.leaderEnds += counts.get('leader crashes') ?? 0;
+  totals.unreachedWithTasks += counts.get('unreachable machines with tasks') ?? 0;
 };
 
 /** Asserts that the faults of a scenario occurred often enough, for scenarios with counters. */
 const assertTookPlace = (name: string, totals: Totals): void => {
   const { lateCommands, lateWrites, staleWrites, elections, cuts, leaderEnds, unreachedWithTasks } = totals;
-  if (name === 'commands held up') assert.ok(lateCommands > 10, `delayed commands: ${lateCommands}`);
+  if (name === 'delayed commands') assert.ok(lateCommands > 10, `delayed commands: ${lateCommands}`);
   if (name === 'late transactions')
     assert.ok(
       lateWrites > 20 && staleWrites > 5,
       `late writes: ${lateWrites}, of which rejected: ${staleWrites}`,
     );
-  if (name === 'a leader cut from state and peers') assert.ok(cuts > 6 && elections > 6);
-  if (name === 'the leader ends') assert.ok(leaderEnds > 6 && elections > 6);
-  if (name === 'the leader ends while machines can not be reached')
+  if (name === 'a leader partitioned from the state service and its peers')
+    assert.ok(cuts > 6 && elections > 6);
+  if (name === 'the leader crashes') assert.ok(leaderEnds > 6 && elections > 6);
+  if (name === 'the leader crashes while machines are unreachable')
     assert.ok(unreachedWithTasks > 6, `unreachable machines with tasks: ${unreachedWithTasks}`);
-  if (name === 'handed back and forth') assert.ok(elections > 6, `elections: ${elections}`);
+  if (name === 'all controllers crash and restart within seconds')
+    assert.ok(elections > 6, `elections: ${elections}`);
 };
 
 for (const name of NAMES)
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -34,7 +34,7 @@
   simulation.runAfter(delay, () => {
     const leader = simulation.leaderIndex();
     if (leader < 0) return;
-    count('ends');
+    count('leader crashes');
     simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
   });
 };
@@ -52,7 +52,7 @@
 const disturbWorkers = ({ simulation, random, count }: ScenarioContext, share: number): void => {
   for (const worker of busyWorkers(simulation)) {
     if (!random.chance(share)) continue;
-    count('disturbed');
+    count('faulty workers');
     const until = simulation.now + [3, 12, 19, 25, 45][random.below(5)]! * SECOND;
     const faultKind = random.below(3);
     if (faultKind === 0) worker.unreachableUntil = until;
@@ -65,7 +65,7 @@
 const cancelRunningJobs = ({ simulation, random, count }: ScenarioContext, maxJobs: number): void => {
   const running = new Set(busyWorkers(simulation).flatMap((worker) => worker.tasks.map((task) => task.job)));
   for (const id of [...running].slice(0, maxJobs)) {
-    count('called off');
+    count('cancelled jobs');
     simulation.runAfter(random.below(200) * MILLISECOND, () => {
       simulation.cancel(id);
     });
@@ -82,7 +82,7 @@
   simulation.onWrite = (node) => {
     if (node !== name || --writesLeft > 0) return;
     simulation.onWrite = () => undefined;
-    count('ended at a write');
+    count('crashes at a write');
     simulation.runAfter(random.chance(0.5) ? 0 : 20 * MILLISECOND, () => {
       simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
     });
@@ -91,7 +91,7 @@
 
 /** Faults of controllers, network, state service and workers. */
 export const BASIC_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
-  'commands held up': ({ simulation, random }) => {
+  'delayed commands': ({ simulation, random }) => {
     simulation.commandDelay = { share: 0.5, most: (1 + random.below(12)) * SECOND };
     simulation.runAfter(12 * SECOND, () => {
       simulation.commandDelay = null;
@@ -103,7 +103,7 @@
       simulation.lateTransactionChance = 0;
     });
   },
-  'a leader cut from state and peers': ({ simulation, random, count }) => {
+  'a leader partitioned from the state service and its peers': ({ simulation, random, count }) => {
     const leader = simulation.leaderIndex();
     if (leader < 0) return;
     const { name } = simulation.nodes[leader]!;
@@ -112,9 +112,9 @@
     simulation.network.partition(name, 'state', length);
     for (const node of simulation.nodes)
       if (node.name !== name) simulation.network.partition(name, node.name, length);
-    count('cuts');
+    count('leader partitions');
   },
-  'state slow, then refusing the leader, then down': ({ simulation, random }) => {
+  'the state service is slow, then refuses the leader, then is down': ({ simulation, random }) => {
     simulation.storeDelay = { share: 0.5, most: 3 * SECOND };
     simulation.runAfter(6 * SECOND, () => {
       const leader = simulation.leaderIndex();
@@ -128,19 +128,19 @@
       simulation.storeDelay = null;
     });
   },
-  'the leader ends': ({ simulation, random, count }) => {
+  'the leader crashes': ({ simulation, random, count }) => {
     const leader = simulation.leaderIndex();
     if (leader < 0) return;
     simulation.crash(leader, [50 * MILLISECOND, 700 * MILLISECOND, 5 * SECOND][random.below(3)]!);
-    count('ends');
+    count('leader crashes');
   },
-  'late reports and repeats': ({ simulation }) => {
+  'duplicate messages delivered up to 30 s late': ({ simulation }) => {
     simulation.duplication = 0.4;
     simulation.runAfter(15 * SECOND, () => {
       simulation.duplication = 0;
     });
   },
-  'handed back and forth': ({ simulation, random }) => {
+  'all controllers crash and restart within seconds': ({ simulation, random }) => {
     // All nodes crash: one is back at once, the others up to 6 s later. This may repeat while the lease is still held.
     const first = random.below(simulation.nodes.length);
     const restartAll = (): void => {
@@ -154,13 +154,13 @@
     restartAll();
     if (random.chance(0.5)) simulation.runAfter(random.below(3_000) * MILLISECOND, restartAll);
   },
-  'the leader ends while machines can not be reached': ({ simulation, random, count }) => {
+  'the leader crashes while machines are unreachable': ({ simulation, random, count }) => {
     for (const worker of simulation.workers.values())
       if (random.chance(0.5)) {
         const until = simulation.now + (5 + random.below(35)) * SECOND;
         if (random.chance(0.5)) worker.unreachableUntil = until;
         else worker.receivesNothingUntil = until;
-        if (worker.tasks.some((task) => task.state === 'running')) count('unreached with tasks');
+        if (worker.tasks.some((task) => task.state === 'running')) count('unreachable machines with tasks');
       }
     const leader = simulation.leaderIndex();
     if (leader >= 0) simulation.crash(leader, (1 + random.below(8)) * SECOND);
@@ -169,7 +169,7 @@
 
 /** Scenarios that combine faults with queries, cancellations, new machines, and leader changes. */
 export const EXTENDED_SCENARIOS: Readonly<Record<string, FaultScenario>> = {
-  'close looks': (context) => {
+  'bursts of queries': (context) => {
     const { simulation, random } = context;
     simulation.users.queryBurstChance = 1;
     simulation.runAfter(20 * SECOND, () => {
@@ -184,7 +184,7 @@
       });
     }
   },
-  'a question, a repetition or a cancellation meets the end of the last task': ({
+  'a poll, a repeated submission or a cancellation while the last task ends': ({
     simulation,
     random,
     submit,
@@ -195,7 +195,7 @@
     simulation.work.onDone = (id) => {
       const spec = simulation.work.specs.get(id);
       if (spec === undefined) return;
-      count('met the end');
+      count('last tasks ended');
       // Close to the worker's heartbeat, the leader's write and the reply to it.
       for (let i = 0; i < 3; i++)
         simulation.runAfter(random.below(400) * MILLISECOND, () => {
@@ -209,7 +209,7 @@
       simulation.work.onDone = () => undefined;
     });
   },
-  'only the answer is lost': (context) => {
+  'lost replies of the state service': (context) => {
     const { simulation, random } = context;
     simulation.lostReplyChance = 0.3 + random.below(4) / 10;
     simulation.runAfter(15 * SECOND, () => {
@@ -217,7 +217,7 @@
     });
     if (random.chance(0.6)) crashLeader(context, random.below(8_000) * MILLISECOND);
   },
-  'old reports kept for the next leader': (context) => {
+  'delayed heartbeats reach the next leader': (context) => {
     const { simulation, random, count } = context;
     simulation.delayedHeartbeatChance = 0.6;
     // Tasks move to other machines, because they fail or their worker's lease expires.
@@ -227,7 +227,7 @@
       if (faultKind === 0 && task !== undefined) {
         task.state = 'exited';
         task.cause = 'error';
-        count('moved');
+        count('failed tasks');
       } else if (faultKind === 1) worker.unreachableUntil = simulation.now + (8 + random.below(25)) * SECOND;
     }
     simulation.runAfter((6 + random.below(12)) * SECOND, () => {
@@ -236,9 +236,7 @@
       crashLeader(context);
     });
   },
-  'every team at its limit, jobs cancelled whose machines are cut off or hang, the leader changes': (
-    context,
-  ) => {
+  'quotas are exhausted, jobs of faulty machines are cancelled, the leader changes': (context) => {
     const { simulation, random } = context;
     for (let i = 0; i < 3; i++) context.submit({ tasks: 6, estimatedRunUs: 90 * SECOND });
     simulation.runAfter(14 * SECOND, () => {
@@ -252,7 +250,7 @@
       if (random.chance(0.5)) crashLeader(context, (8 + random.below(8)) * SECOND);
     });
   },
-  'cancelled as the office changes hands': (context) => {
+  'cancellations during a leader change': (context) => {
     const { simulation, random, count } = context;
     context.submit({ tasks: 4, estimatedRunUs: 200 * SECOND });
     simulation.runAfter(10 * SECOND, () => {
@@ -264,7 +262,7 @@
         // The state service refuses the leader, and a second later is down for longer than a cancellation may take (40 s).
         simulation.refuseRequestsOf(simulation.nodes[leader]!.name, 70 * SECOND);
         cancelRunningJobs(context, 4);
-        count('refused alone');
+        count('refused leaders');
         simulation.runAfter(SECOND, () => {
           simulation.stateOutage(46 * SECOND);
         });
@@ -283,7 +281,7 @@
       }
     });
   },
-  'new machines at once while writes lag, and the leader ends': (context) => {
+  'machines boot fast while writes are slow, and the leader crashes': (context) => {
     const { simulation, random, count } = context;
     simulation.cloud.bootUs = () => random.below(2_000) * MILLISECOND;
     const workersBefore = simulation.workers.size;
@@ -304,7 +302,7 @@
       count('new machines', simulation.workers.size - workersBefore);
     });
   },
-  'mute and deaf machines': (context) => {
+  'machines that send nothing or receive nothing': (context) => {
     const { simulation, random, count } = context;
     const muteAll = random.chance(0.25);
     let muteCount = 0;
@@ -312,12 +310,12 @@
       if (worker.alive && (muteAll || muteCount < MIN_MUTE || random.chance(0.4))) {
         muteCount++;
         worker.sendsNothingUntil = simulation.now + (5 + random.below(45)) * SECOND;
-        count('mute');
+        count('machines that send nothing');
       } else if (worker.alive && random.chance(0.2))
         worker.receivesNothingUntil = simulation.now + (5 + random.below(45)) * SECOND;
     crashLeader(context, random.below(15_000) * MILLISECOND);
   },
-  'machines are taken with notice, and jobs cancelled while they save': (context) => {
+  'machines are terminated with notice, and jobs cancelled while they write checkpoints': (context) => {
     const { simulation, random, count } = context;
     context.submit({
       tasks: 6,
@@ -330,26 +328,26 @@
         if (random.chance(0.7)) {
           worker.terminatesAt = simulation.now + (5 + random.below(10)) * SECOND;
           worker.nextHeartbeatAt = simulation.now;
-          count('taken');
+          count('termination notices');
         }
       simulation.runAfter(1_500 * MILLISECOND + random.below(2_500) * MILLISECOND, () => {
         for (const worker of simulation.workers.values())
           for (const task of worker.tasks)
             if (task.state === 'saving' && random.chance(0.7)) {
               simulation.cancel(task.job);
-              count('cancelled while saving');
+              count('cancelled while writing a checkpoint');
             }
       });
       if (random.chance(0.3)) crashLeader(context, random.below(5_000) * MILLISECOND);
     });
   },
-  'one-task jobs four a second, a quarter cancelled': (context) => {
+  'four one-task jobs per second, a quarter of them cancelled': (context) => {
     const { simulation, random, count } = context;
     simulation.state.writesPerSecond = 25;
     for (let i = 0; i < 48; i++)
       simulation.runAfter(i * 250 * MILLISECOND, () => {
         const id = context.submit({ tasks: 1, estimatedRunUs: (1 + random.below(3)) * SECOND });
-        count('small jobs');
+        count('one-task jobs');
         if (random.chance(0.25))
           simulation.runAfter(random.below(4_000) * MILLISECOND, () => {
             simulation.cancel(id);
@@ -359,7 +357,7 @@
       simulation.state.writesPerSecond = Infinity;
     });
   },
-  'ten changes of leader in two minutes': (context) => {
+  'ten leader changes in two minutes': (context) => {
     const { simulation, random, count } = context;
     for (let i = 0; i < 10; i++)
       simulation.runAfter(i * 12 * SECOND + random.below(4_000) * MILLISECOND, () => {
@@ -377,13 +375,13 @@
         simulation.stateOutage((5 + random.below(20)) * SECOND);
       });
   },
-  'all controllers are away for longer than a lease': ({ simulation, random, count }) => {
-    count('away');
+  'all controllers are down for longer than a lease': ({ simulation, random, count }) => {
+    count('outages of all controllers');
     simulation.nodes.forEach((_, index) => {
       simulation.crash(index, (21 + random.below(12)) * SECOND);
     });
   },
-  'a zone with workers and a controller is cut off for longer than a lease': ({
+  'a zone with workers and a controller is partitioned for longer than a lease': ({
     simulation,
     random,
     count,
@@ -399,7 +397,7 @@
           simulation.network.partition(worker.name, node.name, length);
     count('zones');
   },
-  'jobs bound to one zone lose machines': (context) => {
+  'jobs with zone constraints lose machines': (context) => {
     const { simulation, random, count } = context;
     context.submit({ tasks: 4, zone: 'a', estimatedRunUs: 20 * SECOND });
     context.submit({ shape: 'gang', tasks: 3, sameZone: true, estimatedRunUs: 20 * SECOND });
@@ -414,7 +412,7 @@
       if (random.chance(0.5)) crashLeader(context, random.below(3_000) * MILLISECOND);
     });
   },
-  'more work than room, urgent and not, over slow links': (context) => {
+  'more work than capacity, of mixed priorities, with a slow state service': (context) => {
     const { simulation, random, count } = context;
     simulation.storeDelay = { share: 0.5, most: 900 * MILLISECOND };
     for (let i = 0; i < 6; i++)
@@ -424,7 +422,7 @@
         estimatedRunUs: (8 + random.below(15)) * SECOND,
         ...(random.chance(0.5) ? { checkpointIntervalUs: 2 * SECOND, checkpointDurationUs: 2 * SECOND } : {}),
       });
-    count('bursts');
+    count('submission bursts');
     simulation.runAfter(20 * SECOND, () => {
       simulation.storeDelay = null;
     });
