--- a/packages/core/src/api/linearizable-reads.ts
+++ b/packages/core/src/api/linearizable-reads.ts
@@ -145,8 +145,6 @@
     }
   }
 
-  // ---- batches --------------------------------------------------------------------------------------
-
   /** Takes the next batch of a queue. Polls whose clients have given up are rejected without a validation. */
   takeBatch(pending: PendingPolls): ValidationBatch {
     for (const request of pending.takeExpired(this.context.now - POLL_TIMEOUT_US))
--- a/packages/core/src/machines/autoscaler.ts
+++ b/packages/core/src/machines/autoscaler.ts
@@ -63,8 +63,6 @@
     });
   }
 
-  // ---- demand ------------------------------------------------------------------------------------
-
   /** Counts a newly arrived job in the demand forecast; the job must be startable. */
   recordArrival(spec: JobSpec): void {
     this.forecast.recordArrival(spec);
@@ -90,8 +88,6 @@
     return this.forecast.mustStartAtOnce(spec);
   }
 
-  // ---- scale-out ---------------------------------------------------------------------------------
-
   /** Capacity that may be requested now, by machine type, zone and kind. */
   availableOffers(): CapacityOffer[] {
     return this.offers.available();
@@ -108,8 +104,6 @@
     for (const [capacity, count] of wanted) if (count > 0) this.scaleOut.request(capacity, count);
   }
 
-  // ---- scale-in ----------------------------------------------------------------------------------
-
   /** Deletes a machine that is recorded as retiring; the cloud's answer proves that everything on it is gone. */
   deleteMachine(name: string): void {
     this.deletions.add(name);
--- a/packages/core/src/node/node-context.ts
+++ b/packages/core/src/node/node-context.ts
@@ -65,8 +65,6 @@
     return this.now + this.wallOffset;
   }
 
-  // ---- effects and logs ----------------------------------------------------------------------------
-
   /** Adds an effect to those of the current step. */
   emit(effect: CoreEffect): void {
     this.effects.push(effect);
@@ -99,8 +97,6 @@
     }
   }
 
-  // ---- calls ---------------------------------------------------------------------------------------
-
   /** Sends a request to the store; `onReply` is called with the reply, or with a failure. */
   requestStore(
     operation: StoreOperation,
@@ -161,8 +157,6 @@
     onReply?.(reply);
   }
 
-  // ---- connection to the store ---------------------------------------------------------------------
-
   private recordStoreReply(reply: StoreReply, sentAt: Micros): void {
     if (reply.kind !== 'failed') this.recordStoreUp();
     else if (this.storeConnection.recordFailure(reply.cause, sentAt)) this.recordStoreDown(reply.cause);
@@ -192,8 +186,6 @@
     });
   }
 
-  // ---- timers --------------------------------------------------------------------------------------
-
   /** Runs a callback once after a delay. */
   after(delay: Micros, run: () => void): void {
     this.timers.set(this.now + delay, run);
--- a/packages/core/src/tasks/attempt-lifecycle.ts
+++ b/packages/core/src/tasks/attempt-lifecycle.ts
@@ -64,8 +64,6 @@
     });
   }
 
-  // ---- starting ----------------------------------------------------------------------------------
-
   /** Creates attempts with the given placements; from now on the tasks count as present on those machines. */
   startTasks(job: ActiveJob, placements: readonly TaskPlacement[]): void {
     const { context: ctx } = this.term;
@@ -155,8 +153,6 @@
     machine.markChanged();
   }
 
-  // ---- ending ------------------------------------------------------------------------------------
-
   /** Removes an attempt from the cluster state; false if it was not in it. */
   private detach(attempt: TaskAttempt): boolean {
     const { job, machine, index } = attempt;
@@ -227,8 +223,6 @@
     this.gangs.breakIncompleteGangs();
   }
 
-  // ---- commands ----------------------------------------------------------------------------------
-
   /** Stops an attempt. `graceUs`: time to save its checkpoint; 0 stops it immediately. */
   stop(attempt: TaskAttempt, graceUs: Micros): void {
     const { job, machine, stopping } = attempt;
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -163,8 +163,6 @@
   assert.equal(fixture.detector.peerWithStoreAnswerAfter(0), null);
 });
 
-// ---- simulated clusters --------------------------------------------------------------------------
-
 /** The kind of a node's answer to a health request; `none` if it does not answer. */
 const healthOf = (simulation: ClusterSimulation, node: number): string => {
   let kind = 'none';
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -246,8 +246,6 @@
       this.schedule(this.random.below(this.random.chance(0.5) ? 500 : 30_000) * MILLISECOND, run);
   }
 
-  // ---- nodes -------------------------------------------------------------------------------------
-
   private boot(node: SimulatedNode): void {
     node.incarnation++;
     node.inbox = [];
@@ -628,8 +626,6 @@
       });
   }
 
-  // ---- workers -----------------------------------------------------------------------------------
-
   private sendHeartbeat(worker: Worker): void {
     const sentAt = this.now;
     const node = this.nodes[worker.node]!;
@@ -739,8 +735,6 @@
     return spec;
   }
 
-  // ---- users -------------------------------------------------------------------------------------
-
   private sendClientRequest(
     nodeIndex: number,
     body: ClientRequest,
@@ -798,8 +792,6 @@
     checkConnection();
   }
 
-  // ---- time --------------------------------------------------------------------------------------
-
   /** Advances the simulation in steps of 25 ms; scheduled events run in order, timers and workers once per step. */
   runFor(length: Micros): void {
     const end = this.now + length;
@@ -832,8 +824,6 @@
       );
   }
 
-  // ---- shorthands for tests ------------------------------------------------------------------------
-
   /** All workers that ever existed, by machine name. */
   get workers(): ReadonlyMap<string, Worker> {
     return this.machines.workers;
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -213,8 +213,6 @@
     return nodeIndex < 0 ? null : nodeIndex;
   }
 
-  // ---- machines -----------------------------------------------------------------------------------
-
   private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker {
     const world: WorkerHost = {
       now: () => this.now(),
@@ -237,8 +235,6 @@
     this.cloud.kill(name);
   }
 
-  // ---- users -------------------------------------------------------------------------------------
-
   /** Submits a job, trying the controllers in turn until one gives a final answer; null: none did within a minute. */
   async submit(spec: JobSpec): Promise<number | null> {
     this.specs.set(spec.id, spec);
--- a/packages/emulator/src/scale/hollow.ts
+++ b/packages/emulator/src/scale/hollow.ts
@@ -139,8 +139,6 @@
     }
   }
 
-  // ---- simulated store and cloud -------------------------------------------------------------------
-
   private async startStandIns(): Promise<{ state: string; cloud: string }> {
     const state = await serveStore(this.store, () => {
       this.storeRequests++;
@@ -171,8 +169,6 @@
     return { kind: 'listed', machines, more: last < this.options.workers };
   }
 
-  // ---- processes -----------------------------------------------------------------------------------
-
   private async startControllers(): Promise<void> {
     const { state, cloud } = await this.startStandIns();
     const ports = await freePorts(2 * this.options.controllers);
@@ -251,8 +247,6 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  // ---- the run -------------------------------------------------------------------------------------
-
   private addCounts(counts: HollowCounts): void {
     const all = this.counts;
     all.reports += counts.reports;
--- a/packages/emulator/src/soak/soak-cluster.ts
+++ b/packages/emulator/src/soak/soak-cluster.ts
@@ -262,8 +262,6 @@
     });
   }
 
-  // ---- servers -------------------------------------------------------------------------------------
-
   /** Serves requests through a link and returns the server's address. */
   private async serveThrough(
     link: FaultyLink,
@@ -307,8 +305,6 @@
     return { member: peer.member, address };
   }
 
-  // ---- workers -------------------------------------------------------------------------------------
-
   private makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker {
     this.machines.set(name, { type, zone, spot });
     const { heartbeats, commands } = this.linksOfWorker(name);
--- a/packages/emulator/src/soak/soak-users.ts
+++ b/packages/emulator/src/soak/soak-users.ts
@@ -105,8 +105,6 @@
     }, delayMs);
   }
 
-  // ---- jobs ----------------------------------------------------------------------------------------
-
   private newSpec(): JobSpec {
     const id = `run-${String(this.nextNumber++).padStart(6, '0')}`;
     const { random } = this;
@@ -219,8 +217,6 @@
     void this.sendAndRecord(impossible, 'submit', this.randomController(), body);
   }
 
-  // ---- requests ------------------------------------------------------------------------------------
-
   private randomController(): number {
     return this.random.below(this.cluster.controllers.length);
   }
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -43,8 +43,6 @@
   return { path: decodeURIComponent(parsed.pathname), parameters: parsed.searchParams };
 };
 
-// ---- state service -------------------------------------------------------------------------------
-
 /** Decodes a request to the state service. */
 export const decodeStoreOperation = (method: string, url: string, body: Buffer): StoreOperation => {
   const { path, parameters } = parseUrl(url);
@@ -138,8 +136,6 @@
   }
 };
 
-// ---- cloud ---------------------------------------------------------------------------------------
-
 /** Decodes a request to the cloud. */
 export const decodeCloudOperation = (method: string, url: string, body: Buffer): CloudOperation => {
   const { path, parameters } = parseUrl(url);
@@ -208,8 +204,6 @@
   }
 };
 
-// ---- workers -------------------------------------------------------------------------------------
-
 /** Encodes a worker's heartbeat, which is also its answer to commands. */
 export const encodeHeartbeat = (heartbeat: Heartbeat): Buffer =>
   encodeBody({
@@ -276,8 +270,6 @@
   return { kind: 'unavailable' };
 };
 
-// ---- users ---------------------------------------------------------------------------------------
-
 /** Encodes a user's submission of a job. */
 export const encodeSubmission = (spec: JobSpec): Buffer =>
   encodeBody({
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -121,8 +121,6 @@
     return this.host.now;
   }
 
-  // ---- machines for the cloud --------------------------------------------------------------------
-
   /** Machines that exist in a zone, booting ones included. */
   countInZone(zone: string): number {
     return [...this.workers.values()].filter((worker) => worker.alive && worker.zone === zone).length;
@@ -182,8 +180,6 @@
     worker.tasks = [];
   }
 
-  // ---- heartbeats --------------------------------------------------------------------------------
-
   /** The worker's next heartbeat. */
   heartbeatOf(worker: Worker): Heartbeat {
     return {
@@ -239,8 +235,6 @@
     worker.nextHeartbeatAt += HEARTBEAT_TIMEOUT;
   }
 
-  // ---- commands ----------------------------------------------------------------------------------
-
   /** Executes direct commands, unless their token is outdated or they are for another session. */
   executeCommands(
     name: string,
@@ -364,8 +358,6 @@
     if (used + spec.cores > MACHINE_TYPE.cores) this.host.reportViolation(`no room on ${worker.name}`);
   }
 
-  // ---- time --------------------------------------------------------------------------------------
-
   /** Processes all that is due: terminations, lease expiries, task state changes, heartbeats. */
   advance(): void {
     for (const worker of this.workers.values()) {
