--- a/packages/core/src/cluster/cluster-state.ts
+++ b/packages/core/src/cluster/cluster-state.ts
@@ -115,7 +115,7 @@
     return slack === null ? MAX_DELAY_WITHOUT_OBJECTIVE : Math.round(slack * DELAY_SHARE_OF_SLACK);
   }
 
-  /** How much sooner the job must finish to justify provisioning a machine; grows with the job's slack, up to double. */
+  /** Minimum time saved that justifies provisioning a machine for the job; grows with the job's slack, up to double. */
   scaleOutThreshold(job: ActiveJob): Micros {
     if (!this.isCostSensitive()) return 0;
     const { scaleOutThresholdUs } = this.context.settings.tuning;
--- a/packages/core/src/domain/settings.ts
+++ b/packages/core/src/domain/settings.ts
@@ -103,7 +103,7 @@
   readonly fairShareTurnIntervalUs: Micros;
   /** Idle time after which a machine is returned to the cloud if cost matters. */
   readonly idleScaleInUs: Micros;
-  /** How much earlier work must complete on a new machine to justify scaling out if cost matters. */
+  /** Minimum time saved by a new machine that justifies scaling out if cost matters. */
   readonly scaleOutThresholdUs: Micros;
   /** Whether cost matters; `auto` means that it does if no machine was pre-provisioned. */
   readonly costSensitivity: 'auto' | 'on' | 'off';
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -62,7 +62,7 @@
     this.iterator = search.run();
   }
 
-  /** What the search has decided so far. */
+  /** The search's decision so far. */
   get decision(): SearchResult {
     return this.search.decision();
   }
--- a/packages/core/src/scheduling/plan-input.ts
+++ b/packages/core/src/scheduling/plan-input.ts
@@ -25,7 +25,7 @@
   readonly avoidedMachines: ReadonlySet<string>;
   /** Checkpointed progress from which a restarted task continues. */
   readonly checkpointedProgress: Micros;
-  /** How much sooner the group must finish on a new machine to justify provisioning it; scaled by the relative price. */
+  /** Minimum time saved by a new machine that justifies provisioning it for the group; scaled by the relative price. */
   readonly scaleOutThreshold: Micros;
   /** How long the group may wait for a cheaper machine without endangering its next objective. */
   readonly allowedDelay: Micros;
--- a/packages/emulator/src/controller-settings.ts
+++ b/packages/emulator/src/controller-settings.ts
@@ -1,6 +1,6 @@
 /** Generates the settings file of a controller on loopback (TOML). */
 
-/** What differs between controllers and deployments; the rest of the file is fixed. */
+/** Settings that differ between controllers and deployments; the rest of the file is fixed. */
 export interface ControllerSettings {
   /** The controller's unique name. */
   readonly member: string;
--- a/packages/emulator/src/digest/generated-history.ts
+++ b/packages/emulator/src/digest/generated-history.ts
@@ -38,7 +38,7 @@
   encodeAnswer: () => '',
 };
 
-/** What the history of a seed contains, besides jobs and cancellations. */
+/** Contents of a seed's history, besides jobs and cancellations. */
 export interface HistoryPlan {
   readonly seed: number;
   readonly faults: boolean;
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -12,7 +12,7 @@
 import { StarvationMonitor } from './waiting.js';
 import type { Worker } from './workers-model.js';
 
-/** What a scenario acts on. */
+/** Objects and functions that a scenario uses to inject and count faults. */
 export interface ScenarioContext {
   /** The simulation that the faults are injected into. */
   readonly simulation: ClusterSimulation;
--- a/packages/emulator/src/loopback-cloud.ts
+++ b/packages/emulator/src/loopback-cloud.ts
@@ -18,7 +18,7 @@
   to: Micros | null;
 }
 
-/** What the cloud needs from its deployment. */
+/** Interface of the deployment to the cloud. */
 export interface LoopbackCloudHost {
   /** The deployment's clock. */
   now(): Micros;
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -24,7 +24,7 @@
   stateEndsAt: Micros;
 }
 
-/** What workers need from their deployment, and what they tell it. */
+/** Functions and data that a deployment provides to its workers, with callbacks for their events. */
 export interface WorkerHost {
   /** The deployment's clock. */
   now(): Micros;
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -23,7 +23,7 @@
 import { StateModel } from './state-model.js';
 import { encodeSubmission } from './wire.js';
 
-/** What to deploy. */
+/** Options of a deployment. */
 export interface LoopbackOptions {
   /** The program and its first arguments, up to `serve`. */
   readonly program: readonly string[];
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -5,7 +5,7 @@
 
 /** A replacement of text in one source file. */
 export interface Mutant {
-  /** What the mutated code does wrong. */
+  /** Description of the fault in the mutated code. */
   readonly name: string;
   /** Path relative to `packages/core/src`. */
   readonly file: string;
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -19,7 +19,7 @@
   at: Micros;
 }
 
-/** What the users need from the simulation. */
+/** Interface of the simulation to the users. */
 export interface UsersHost {
   /** Simulation time. */
   readonly now: Micros;
@@ -35,7 +35,7 @@
 
 /** All users of a simulation. */
 export class UsersModel {
-  /** What users were last told, by job; the first final stage is kept. */
+  /** Last stage reported to users, by job; the first final stage is kept. */
   readonly knownStages = new Map<string, KnownStage>();
   /** When a user was first told that the job is cancelled, by job. */
   readonly cancelledAt = new Map<string, Micros>();
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -74,7 +74,7 @@
   terminatesAt: Micros | null;
 }
 
-/** What the workers need from the simulation. */
+/** Interface of the simulation to the workers. */
 export interface WorkersHost {
   /** Simulation time. */
   readonly now: Micros;
