--- a/packages/core/test/fault-scenario-combinations.test.ts
+++ b/packages/core/test/fault-scenario-combinations.test.ts
@@ -6,17 +6,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
 import {
   BASIC_SCENARIOS,
+  EXTENDED_LIMITS,
   EXTENDED_SCENARIOS,
-  type Outcome,
-  play,
-  SECOND_BOUNDS,
+  runScenarios,
+  type ScenarioOutcome,
 } from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, unfinishedJobs, violationsOf } from './scenario-fixtures.js';
@@ -30,42 +30,42 @@
 
 /** By scenario: events with the least number of times that they must occur within three seeds. */
 const MINIMUM_COUNTS: Readonly<Record<string, readonly [string, number][]>> = {
-  'a question, a repetition or a cancellation meets the end of the last task': [['met the end', 15]],
-  'old reports kept for the next leader': [
-    ['moved', 3],
-    ['ends', 5],
-    ['kept', 60],
+  'a poll, a repeated submission or a cancellation while the last task ends': [['last tasks ended', 15]],
+  'delayed heartbeats reach the next leader': [
+    ['failed tasks', 3],
+    ['leader crashes', 5],
+    ['delayed heartbeats', 60],
   ],
-  'every team at its limit, jobs cancelled whose machines are cut off or hang, the leader changes': [
-    ['disturbed', 8],
-    ['called off', 10],
-    ['ends', 5],
+  'quotas are exhausted, jobs of faulty machines are cancelled, the leader changes': [
+    ['faulty workers', 8],
+    ['cancelled jobs', 10],
+    ['leader crashes', 5],
   ],
-  'cancelled as the office changes hands': [['called off', 12]],
-  'new machines at once while writes lag, and the leader ends': [
+  'cancellations during a leader change': [['cancelled jobs', 12]],
+  'machines boot fast while writes are slow, and the leader crashes': [
     ['new machines', 5],
-    ['ended at a write', 4],
+    ['crashes at a write', 4],
   ],
-  'mute and deaf machines': [['mute', 10]],
-  'machines are taken with notice, and jobs cancelled while they save': [
-    ['taken', 5],
-    ['cancelled while saving', 2],
-    ['saves: begun', 4],
-    ['saves: cut', 1],
-    ['saves: ended', 1],
+  'machines that send nothing or receive nothing': [['machines that send nothing', 10]],
+  'machines are terminated with notice, and jobs cancelled while they write checkpoints': [
+    ['termination notices', 5],
+    ['cancelled while writing a checkpoint', 2],
+    ['checkpoints: begun', 4],
+    ['checkpoints: cut', 1],
+    ['checkpoints: ended', 1],
   ],
-  'one-task jobs four a second, a quarter cancelled': [['small jobs', 300]],
-  'ten changes of leader in two minutes': [['changes', 20]],
-  'all controllers are away for longer than a lease': [['away', 6]],
-  'a zone with workers and a controller is cut off for longer than a lease': [['zones', 6]],
-  'jobs bound to one zone lose machines': [['lost', 3]],
-  'more work than room, urgent and not, over slow links': [['bursts', 6]],
-  'close looks': [
-    ['looks: accepted', 100],
-    ['looks: done', 50],
-    ['looks: cancelled', 50],
+  'four one-task jobs per second, a quarter of them cancelled': [['one-task jobs', 300]],
+  'ten leader changes in two minutes': [['changes', 20]],
+  'all controllers are down for longer than a lease': [['outages of all controllers', 6]],
+  'a zone with workers and a controller is partitioned for longer than a lease': [['zones', 6]],
+  'jobs with zone constraints lose machines': [['lost', 3]],
+  'more work than capacity, of mixed priorities, with a slow state service': [['submission bursts', 6]],
+  'bursts of queries': [
+    ['burst queries: accepted', 100],
+    ['burst queries: done', 50],
+    ['burst queries: cancelled', 50],
   ],
-  'only the answer is lost': [
+  'lost replies of the state service': [
     ['unanswered: j/', 5],
     ['unanswered: delete', 5],
     ['unanswered: lead', 1],
@@ -73,22 +73,23 @@
   ],
 };
 
-const addCounts = (totals: Map<string, number>, { w: simulation, counts }: Outcome): void => {
+const addCounts = (totals: Map<string, number>, { simulation, counts }: ScenarioOutcome): void => {
   const add = (label: string, count: number): void => {
     totals.set(label, (totals.get(label) ?? 0) + count);
   };
   for (const [label, count] of counts) add(label, count);
-  for (const [stage, count] of simulation.users.looks) add(`looks: ${stage}`, count);
-  for (const [key, count] of simulation.unanswered) add(`unanswered: ${key}`, count);
-  add('kept', simulation.keptArrived);
-  for (const [label, count] of Object.entries(simulation.machines.saves)) add(`saves: ${label}`, count);
+  for (const [stage, count] of simulation.users.burstQueries) add(`burst queries: ${stage}`, count);
+  for (const [key, count] of simulation.writesWithoutReply) add(`unanswered: ${key}`, count);
+  add('delayed heartbeats', simulation.delayedHeartbeatsDelivered);
+  for (const [label, count] of Object.entries(simulation.machines.checkpoints))
+    add(`checkpoints: ${label}`, count);
 };
 
 for (const name of EXTENDED_NAMES)
   test(`${name}: no rule is violated, all jobs end, all polls are answered`, () => {
     const totals = new Map<string, number>();
     for (let seed = firstSeed; seed <= lastSeed; seed++) {
-      const outcome = play(seed, [EXTENDED_SCENARIOS[name]!], 3, SECOND_BOUNDS);
+      const outcome = runScenarios(seed, [EXTENDED_SCENARIOS[name]!], 3, EXTENDED_LIMITS);
       checkOutcome(outcome, `seed ${seed}`);
       addCounts(totals, outcome);
     }
@@ -103,25 +104,25 @@
   let startedBefore = 0;
   for (let seed = 1; seed <= 6; seed++) {
     const simulation = new ClusterSimulation(new Random(seed * 113), 3, teamQuota(16), 16, 4);
-    simulation.stand(4);
+    simulation.addMachines(4);
     simulation.runFor(3 * SECOND);
     // Short tasks: starts happen all the time, on machines that are already recorded for the job.
     for (let i = 0; i < 4; i++)
-      simulation.submit(specOf(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLI }));
+      simulation.submit(makeJobSpec(`run-${seed}${i}`, { tasks: 400, estimatedRunUs: 900 * MILLISECOND }));
     simulation.runFor(20 * SECOND);
     const { starts } = simulation;
     simulation.runFor(5 * SECOND);
     startedBefore += simulation.starts - starts;
-    simulation.refuse(simulation.nodes[simulation.leader()]!.name, 20 * SECOND);
+    simulation.refuseRequestsOf(simulation.nodes[simulation.leaderIndex()]!.name, 20 * SECOND);
     // The leader learns of the refusal with its next lease renewal.
     simulation.runFor(2 * SECOND);
     for (let i = 0; i < 4; i++) {
       simulation.cancel(`run-${seed}${i}`);
-      simulation.runFor(700 * MILLI);
+      simulation.runFor(700 * MILLISECOND);
     }
     cancelled += simulation.users.cancelledAt.size;
     simulation.runFor(60 * SECOND);
-    assert.deepEqual(simulation.machines.startedAfter, [], `seed ${seed}`);
+    assert.deepEqual(simulation.machines.startsAfterCancellation, [], `seed ${seed}`);
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
   }
   assert.ok(
@@ -140,13 +141,13 @@
     };
     simulation.runFor(3 * SECOND);
     for (let round = 0; round < 5; round++) {
-      simulation.answersSlow = 1_190 * MILLI;
-      simulation.runFor((4_000 + random.below(3_000)) * MILLI);
-      const leader = simulation.leader();
+      simulation.storeReplyDelay = 1_190 * MILLISECOND;
+      simulation.runFor((4_000 + random.below(3_000)) * MILLISECOND);
+      const leader = simulation.leaderIndex();
       if (leader < 0) continue;
       // Its last renewal was executed and answered late; from now on it receives no answers.
-      simulation.network.cut(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
-      simulation.answersSlow = 0;
+      simulation.network.partition(simulation.nodes[leader]!.name, 'state', 15 * SECOND);
+      simulation.storeReplyDelay = 0;
       simulation.runFor(20 * SECOND);
     }
     assert.deepEqual(violationsOf(simulation), [], `seed ${seed}`);
@@ -165,11 +166,11 @@
 /** Polls each job 3 s after its end, unless it was cancelled; it must be reported as done within another second. */
 const checkCompletionReports = (simulation: ClusterSimulation, reports: ReportCounts): void => {
   simulation.work.onDone = (id) => {
-    simulation.later(3 * SECOND, () => {
-      if (simulation.users.asked.has(id)) return;
+    simulation.runAfter(3 * SECOND, () => {
+      if (simulation.users.cancelRequested.has(id)) return;
       reports.done++;
       simulation.poll(id);
-      simulation.later(SECOND, () => {
+      simulation.runAfter(SECOND, () => {
         if (simulation.stageOf(id) !== 'done') reports.doneReportedLate++;
       });
     });
@@ -183,10 +184,10 @@
   id: string,
   reports: ReportCounts,
 ): void => {
-  simulation.later(SECOND + random.below(4_000) * MILLI, () => {
+  simulation.runAfter(SECOND + random.below(4_000) * MILLISECOND, () => {
     simulation.cancel(id);
     reports.cancelled++;
-    simulation.later(3 * SECOND, () => {
+    simulation.runAfter(3 * SECOND, () => {
       if (!['cancelled', 'done'].includes(simulation.stageOf(id) ?? '')) reports.cancelledReportedLate++;
     });
   });
@@ -201,7 +202,7 @@
 ): readonly string[] => {
   const ids: string[] = [];
   for (let round = 0; round < 480; round++) {
-    const spec = specOf(`run-${seed}${String(round).padStart(4, '0')}`, {
+    const spec = makeJobSpec(`run-${seed}${String(round).padStart(4, '0')}`, {
       tasks: 1,
       estimatedRunUs: (1 + random.below(5)) * SECOND,
     });
@@ -215,7 +216,7 @@
     if (simulation.stageOf(earlierId) === 'done') simulation.cancel(earlierId);
     if (random.chance(0.3))
       simulation.users.submit({ ...spec, id: `run-9${seed}${round}`, team: 'nobody' }, 1_000);
-    simulation.runFor(250 * MILLI);
+    simulation.runFor(250 * MILLISECOND);
   }
   return ids;
 };
@@ -225,7 +226,7 @@
   for (let seed = 1; seed <= 2; seed++) {
     const random = new Random(seed * 521);
     const simulation = new ClusterSimulation(random, 3, teamQuota(40), 40, 6);
-    simulation.stand(10);
+    simulation.addMachines(10);
     simulation.runFor(3 * SECOND);
     // The limit of the smallest site: 25 writes a second for all nodes. A job takes three, besides the leader's pages.
     simulation.state.writesPerSecond = 25;
@@ -254,9 +255,9 @@
     const random = new Random(seed * 811 + 7);
     const names = Array.from({ length: 2 + (seed % 2) }, () => ALL_NAMES[random.below(ALL_NAMES.length)]!);
     const scenarios = names.map((name) => ALL_SCENARIOS[name]!);
-    const outcome = play(2_000 + seed, scenarios, 2, SECOND_BOUNDS);
+    const outcome = runScenarios(2_000 + seed, scenarios, 2, EXTENDED_LIMITS);
     checkOutcome(outcome, `seed ${seed}: ${names.join('; ')}`);
-    elections += outcome.won;
+    elections += outcome.electionCount;
   }
   assert.ok(elections > lastCombinationSeed, `elections: ${elections}`);
 });
--- a/packages/emulator/src/loopback-cloud.ts
+++ b/packages/emulator/src/loopback-cloud.ts
@@ -2,9 +2,9 @@
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
-import { MILLI } from '@shaleyoke/core/domain/time';
+import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
-import type { LoopWorker } from './loopback-workers.js';
+import type { LoopbackWorker } from './loopback-workers.js';
 
 /** Billed time of a machine. */
 export interface Bill {
@@ -18,7 +18,7 @@
   to: Micros | null;
 }
 
-/** What the cloud needs from its deployment. */
+/** Interface of the deployment to the cloud. */
 export interface LoopbackCloudHost {
   /** The deployment's clock. */
   now(): Micros;
@@ -29,13 +29,13 @@
   /** Capacity per machine type and zone. */
   readonly perZone: number;
   /** Creates the worker of a new machine, which isn't booted yet. */
-  makeWorker(name: string, type: string, zone: string, spot: boolean): LoopWorker;
+  makeWorker(name: string, type: string, zone: string, spot: boolean): LoopbackWorker;
 }
 
 /** Rents machines within its capacity and bills them. */
 export class LoopbackCloud {
   /** All that were ever rented, by machine name. */
-  readonly workers = new Map<string, LoopWorker>();
+  readonly workers = new Map<string, LoopbackWorker>();
   /** One for each rented machine. */
   readonly bills: Bill[] = [];
   private readonly machinesByRequest = new Map<string, string[]>();
@@ -87,7 +87,7 @@
     this.workers.set(name, worker);
     setTimeout(() => {
       if (worker.alive && !this.host.isStopping()) void worker.boot();
-    }, type.bootUs / MILLI);
+    }, type.bootUs / MILLISECOND);
     return name;
   }
 
--- a/packages/emulator/src/soak/fault-injector.ts
+++ b/packages/emulator/src/soak/fault-injector.ts
@@ -1,7 +1,7 @@
 /** Injects the faults of a schedule into a running cluster. */
-import { MILLI } from '@shaleyoke/core/domain/time';
+import { MILLISECOND } from '@shaleyoke/core/domain/time';
 
-import type { LoopWorker } from '../loopback-workers.js';
+import type { LoopbackWorker } from '../loopback-workers.js';
 import type { Random } from '../random.js';
 import type { Fault } from './fault-schedule.js';
 import type { ControllerLinks, SoakCluster } from './soak-cluster.js';
@@ -44,7 +44,7 @@
         links.storeRefusedUntil = cluster.now() + durationMs;
         return;
       case 'storeDown':
-        cluster.store.outage(durationMs * MILLI);
+        cluster.store.outage(durationMs * MILLISECOND);
         return;
       case 'storeSlow':
       case 'storeAnswersLost':
@@ -96,7 +96,7 @@
       if (this.random.chance(share)) this.injectWorkerFault(kind, worker, durationMs);
   }
 
-  private injectWorkerFault(kind: Fault['kind'], worker: LoopWorker, durationMs: number): void {
+  private injectWorkerFault(kind: Fault['kind'], worker: LoopbackWorker, durationMs: number): void {
     const { heartbeats, commands } = this.cluster.linksOfWorker(worker.name);
     switch (kind) {
       case 'workersCut':
@@ -111,7 +111,7 @@
         commands.block(durationMs, 'requests');
         return;
       case 'workersHang':
-        worker.hang(durationMs * MILLI);
+        worker.hang(durationMs * MILLISECOND);
         return;
       case 'commandsLate':
         commands.maxDelayMs = durationMs;
