--- a/packages/budgets/src/books.ts
+++ b/packages/budgets/src/books.ts
@@ -42,7 +42,7 @@
   /** Charged to the owner. */
   money: Money;
   /** Task run time that was charged, in microseconds. */
-  us: Micros;
+  runUs: Micros;
   /** Cost of the job's run time that the platform pays, because the work was lost. */
   uncharged: Money;
   /** Preemptions that lost work. */
@@ -51,11 +51,11 @@
   late: Money;
 }
 /** A charge of zero, to be added to. */
-export const zeroCharge = (): Charge => ({ money: 0, us: 0, uncharged: 0, stops: 0, late: 0 });
+export const zeroCharge = (): Charge => ({ money: 0, runUs: 0, uncharged: 0, stops: 0, late: 0 });
 /** Adds each field of `added` to `sum`. */
 export const addCharge = (sum: Charge, added: Readonly<Charge>): void => {
   sum.money += added.money;
-  sum.us += added.us;
+  sum.runUs += added.runUs;
   sum.uncharged += added.uncharged;
   sum.stops += added.stops;
   sum.late += added.late;
@@ -397,7 +397,7 @@
   /** Services are charged as they run; other jobs once the attempt has ended. */
   private addToAttempt(attempt: RunningAttempt, month: string, money: Money, runUs: Micros): void {
     if (attempt.job.service) {
-      this.charge(attempt.job, month, { ...zeroCharge(), money, us: runUs });
+      this.charge(attempt.job, month, { ...zeroCharge(), money, runUs });
       return;
     }
     const last = attempt.pending.at(-1);
@@ -481,7 +481,7 @@
       const lost = part.money - money;
       this.platform[outcome.lossReason] += lost;
       uncharged += lost;
-      this.charge(job, part.month, { ...zeroCharge(), money, us: keptUs, uncharged: lost });
+      this.charge(job, part.month, { ...zeroCharge(), money, runUs: keptUs, uncharged: lost });
     }
     if (outcome.lossReason === 'stopped' && uncharged > 0)
       this.charge(job, this.monthOf(job.owner), { ...zeroCharge(), stops: 1 });
--- a/packages/budgets/src/commands.ts
+++ b/packages/budgets/src/commands.ts
@@ -13,21 +13,21 @@
 
 import { isMonth } from './calendar.js';
 import { explainJob, standingOf } from './explain.js';
-import { readLedger, readLedgerOfMonth, type Service } from './fetch.js';
+import { readLedger, readLedgerOfMonth, type StoreAccess } from './fetch.js';
 import { totalSpent } from './limits.js';
 import { formatMoney, type Money, parseMoney } from './money.js';
-import { balanceOf, verifyBooks } from './reader.js';
+import { balanceOf, verifyLedger } from './reader.js';
 import { limitKey, type LimitRecord, readLimit } from './records.js';
 import { type BudgetSettings, BudgetSettingsError, type Limit, parseBudgets } from './settings.js';
-import { statementCsv, statementOf, textOf } from './statement.js';
+import { statementCsv, statementOf, statementText } from './statement.js';
 import { verifyStatement } from './verify.js';
 
 /** What the commands need of the program that they are added to. */
-export interface Host {
+export interface CommandHost {
   /** Reads and checks the platform's settings. */
   load(files: FileOptions): Settings;
   /** Connects to the state service. */
-  service(settings: Settings): Service;
+  service(settings: Settings): StoreAccess;
   /** Writes lines to standard output. */
   print(text: string): void;
   /** The current time in microseconds since the epoch. */
@@ -53,10 +53,10 @@
 interface ToolContext {
   readonly settings: Settings;
   readonly budgets: BudgetSettings;
-  readonly service: Service;
+  readonly service: StoreAccess;
 }
 
-const openTool = (host: Host, options: FileOptions): ToolContext => {
+const openTool = (host: CommandHost, options: FileOptions): ToolContext => {
   const settings = host.load(options);
   let text: string;
   try {
@@ -97,7 +97,7 @@
   readonly why: string;
 }
 
-const setLimit = async (host: Host, options: SetOptions): Promise<void> => {
+const setLimit = async (host: CommandHost, options: SetOptions): Promise<void> => {
   const tool = openTool(host, options);
   const owner = requireOwner(tool, options.owner);
   if (options.soft === undefined && options.hard === undefined)
@@ -144,7 +144,7 @@
   );
 };
 
-const listOwners = async (host: Host, options: FileOptions): Promise<void> => {
+const listOwners = async (host: CommandHost, options: FileOptions): Promise<void> => {
   const tool = openTool(host, options);
   const view = await readLedger(tool.service);
   const rows = [...tool.budgets.owners.keys()].map((owner) => {
@@ -171,7 +171,10 @@
     );
 };
 
-const showOwner = async (host: Host, options: FileOptions & { readonly owner: string }): Promise<void> => {
+const showOwner = async (
+  host: CommandHost,
+  options: FileOptions & { readonly owner: string },
+): Promise<void> => {
   const tool = openTool(host, options);
   const owner = requireOwner(tool, options.owner);
   const view = await readLedger(tool.service);
@@ -195,7 +198,7 @@
   );
 };
 
-const explain = async (host: Host, id: string, options: FileOptions): Promise<void> => {
+const explain = async (host: CommandHost, id: string, options: FileOptions): Promise<void> => {
   const tool = openTool(host, options);
   const { service } = tool;
   const facts = {
@@ -213,7 +216,7 @@
   readonly format: string;
 }
 
-const printStatement = async (host: Host, options: StatementOptions): Promise<void> => {
+const printStatement = async (host: CommandHost, options: StatementOptions): Promise<void> => {
   const tool = openTool(host, options);
   const owner = requireOwner(tool, options.owner);
   const { calendar, limit } = tool.budgets.owners.get(owner)!;
@@ -235,7 +238,7 @@
       ? JSON.stringify(statement, null, 2)
       : options.format === 'csv'
         ? statementCsv(statement).trimEnd()
-        : textOf(statement),
+        : statementText(statement),
   );
 };
 
@@ -243,18 +246,18 @@
 const VERIFY_ATTEMPTS = 4;
 const VERIFY_RETRY_MS = 1_500;
 
-const verify = async (host: Host, options: Partial<FileOptions>): Promise<void> => {
+const verify = async (host: CommandHost, options: Partial<FileOptions>): Promise<void> => {
   if (options.config === undefined || options.budgets === undefined) {
     host.end(2, 'statement verify: name a FILE, or --config and --budgets to verify the books on record');
     return;
   }
   const tool = openTool(host, options as FileOptions);
   let view = await readLedger(tool.service);
-  let differences = verifyBooks(view);
+  let differences = verifyLedger(view);
   for (let attempt = 1; attempt < VERIFY_ATTEMPTS && differences.length > 0; attempt++) {
     await new Promise((done) => setTimeout(done, VERIFY_RETRY_MS));
     view = await readLedger(tool.service);
-    differences = verifyBooks(view);
+    differences = verifyLedger(view);
   }
   const balance = balanceOf(view);
   host.print(
@@ -269,7 +272,7 @@
   else host.print(`The books agree: rebuilt from ${view.lines.length} facts, to the last unit.`);
 };
 
-const verifyFile = (host: Host, file: string): void => {
+const verifyFile = (host: CommandHost, file: string): void => {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
@@ -283,7 +286,7 @@
 };
 
 /** Adds the commands `budget` and `statement` to the program. */
-export const register = (program: Command, host: Host): void => {
+export const register = (program: Command, host: CommandHost): void => {
   const files = (command: Command, required = true): Command => {
     const add = (flags: string, text: string): void => {
       if (required) command.requiredOption(flags, text);
--- a/packages/budgets/src/explain.ts
+++ b/packages/budgets/src/explain.ts
@@ -10,12 +10,12 @@
 import { estimatedCost } from './estimate.js';
 import { limitExceededReason, type Standing, totalSpent } from './limits.js';
 import { formatMoney, type Money } from './money.js';
-import { type BooksView, totalsOf } from './reader.js';
+import { type LedgerView, totalsOf } from './reader.js';
 import type { BudgetSettings } from './settings.js';
 
 /** An owner's spending in its current month. `now`: microseconds since the epoch. */
 export const standingOf = (
-  view: BooksView,
+  view: LedgerView,
   owner: string,
   settings: BudgetSettings,
   now: number,
@@ -66,7 +66,7 @@
 export const explainJob = (
   id: string,
   records: JobRecords,
-  view: BooksView,
+  view: LedgerView,
   settings: BudgetSettings,
   now: number,
 ): string[] => {
--- a/packages/budgets/src/fetch.ts
+++ b/packages/budgets/src/fetch.ts
@@ -1,7 +1,7 @@
 /** Reads the ledger's records for tools, in an order in which no charge that moves between records is missed. */
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
-import { type BooksView, viewBooks } from './reader.js';
+import { buildLedgerView, type LedgerView } from './reader.js';
 import {
   CLOSED_PREFIX,
   HEAD_KEY,
@@ -14,7 +14,7 @@
 } from './records.js';
 
 /** What tools need of the state service. Each method throws if the service doesn't answer. */
-export interface Service {
+export interface StoreAccess {
   /** All items under a prefix with keys after `after` and up to `until`, ordered by key. */
   list(prefix: string, after?: string, until?: string): Promise<readonly StoredItem[]>;
   /** The item of a key, or null if there is none. */
@@ -28,7 +28,7 @@
  * the former to the latter while the leader serves, and in the other order a job could be found on neither.
  */
 const readItems = async (
-  service: Service,
+  service: StoreAccess,
   closed: readonly StoredItem[],
   after?: string,
   until?: string,
@@ -42,8 +42,8 @@
 };
 
 /** Reads all records. */
-export const readLedger = async (service: Service): Promise<BooksView> =>
-  viewBooks(await readItems(service, await service.list(CLOSED_PREFIX)));
+export const readLedger = async (service: StoreAccess): Promise<LedgerView> =>
+  buildLedgerView(await readItems(service, await service.list(CLOSED_PREFIX)));
 
 /**
  * Reads what a statement of one month needs. `from`: the month's first moment. The journal is read from the
@@ -51,11 +51,11 @@
  * this month was closed, so that years of journal aren't read for one month.
  */
 export const readLedgerOfMonth = async (
-  service: Service,
+  service: StoreAccess,
   owner: string,
   month: string,
   from: number,
-): Promise<BooksView> => {
+): Promise<LedgerView> => {
   const closed = await service.list(CLOSED_PREFIX);
   let first = 0;
   let last: number | null = null;
@@ -68,7 +68,7 @@
   const after = first === 0 ? undefined : journalKey(first - 1);
   const until = last === null ? undefined : journalKey(last);
   const items = await readItems(service, closed, after, until);
-  const view = viewBooks(items, first);
+  const view = buildLedgerView(items, first);
   if (last === null) return view;
   // The lines of a closed month must add up to the recorded sum.
   const record = view.closed.find((c) => c.owner === owner && c.month === month)!;
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -58,7 +58,7 @@
 }
 
 /** The content of all records that were read. */
-export interface BooksView {
+export interface LedgerView {
   /** With the owners of all pages; null if it is missing or can't be read. */
   readonly head: Head | null;
   /** One entry for each job and month. */
@@ -95,7 +95,7 @@
  * Decodes the records and checks the chain of the journal. `items`: the records under `b/`, in any order; `first`:
  * number of the first journal page among them.
  */
-export const viewBooks = (items: readonly StoredItem[], first = 0): BooksView => {
+export const buildLedgerView = (items: readonly StoredItem[], first = 0): LedgerView => {
   const problems: string[] = [];
   const lines: ChargeLine[] = [];
   const open: OpenJobView[] = [];
@@ -210,7 +210,7 @@
 }
 
 /** Compares the recorded total cost with charges and platform costs. */
-export const balanceOf = (view: BooksView): Balance => {
+export const balanceOf = (view: LedgerView): Balance => {
   const platform = zeroPlatformCosts();
   let rest = view.head?.cost ?? 0;
   let charged = 0;
@@ -223,7 +223,7 @@
 };
 
 /** Recomputes the sums of the head and of closed months from the charges; returns each difference, or none. */
-export const verifyBooks = (view: BooksView): string[] => {
+export const verifyLedger = (view: LedgerView): string[] => {
   const differences = [...view.problems];
   const { head } = view;
   if (head === null) return differences;
--- a/packages/budgets/src/records.ts
+++ b/packages/budgets/src/records.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 
-import { reader } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/checked';
 import canonicalize from 'canonicalize';
 import { Schema } from 'effect';
 
@@ -158,17 +158,17 @@
 export type ClosedRecord = typeof ClosedRecord.Type;
 
 /** Checks a value against the schema of the head; null if it doesn't match. */
-export const readHead = reader(Head);
+export const readHead = recordDecoder(Head);
 /** Checks a page of owners; null if it doesn't match. */
-export const readOwners = reader(OwnersPage);
+export const readOwners = recordDecoder(OwnersPage);
 /** Checks a page of open jobs; null if it doesn't match. */
-export const readOpen = reader(OpenPage);
+export const readOpen = recordDecoder(OpenPage);
 /** Checks a journal page; null if it doesn't match. */
-export const readJournal = reader(JournalPage);
+export const readJournal = recordDecoder(JournalPage);
 /** Checks an owner's limit record; null if it doesn't match. */
-export const readLimit = reader(LimitRecord);
+export const readLimit = recordDecoder(LimitRecord);
 /** Checks a closed month; null if it doesn't match. */
-export const readClosed = reader(ClosedRecord);
+export const readClosed = recordDecoder(ClosedRecord);
 
 /** SHA-256, in hex, of the value's canonical JSON (RFC 8785). */
 export const digestOf = (value: unknown): string =>
@@ -180,15 +180,15 @@
 export const monthRow = (month: string, charge: Readonly<Charge>): MonthRow => [
   month,
   charge.money,
-  charge.us,
+  charge.runUs,
   charge.uncharged,
   charge.stops,
   charge.late,
 ];
 /** Decodes a row into a charge. */
-export const chargeOf = ([, money, us, free, stops, late]: MonthRow): Charge => ({
+export const chargeOf = ([, money, runUs, free, stops, late]: MonthRow): Charge => ({
   money,
-  us,
+  runUs,
   uncharged: free,
   stops,
   late,
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -1,5 +1,5 @@
 /** Reads the file that switches budgets on (`deploy/budgets.yaml`) and checks it against the platform's teams. */
-import { check, read } from '@shaleyoke/config/checked';
+import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/checked';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
@@ -70,7 +70,7 @@
 /** Parses the file's text. `what`: its name, for messages. Throws `BudgetSettingsError` naming each wrong field. */
 export const parseBudgets = (yaml: string, teams: readonly Team[], what: string): BudgetSettings => {
   const fail = (message: string): BudgetSettingsError => new BudgetSettingsError(message);
-  const file = check(BudgetsFile, read(parseYaml, yaml, what, fail), what, fail, true);
+  const file = decodeOrThrow(BudgetsFile, parseOrThrow(parseYaml, yaml, what, fail), what, fail, true);
   const problems: string[] = [];
   const names = teams.map((t) => t.name);
   for (const [name, entry] of Object.entries(file.owners)) {
--- a/packages/budgets/src/statement.ts
+++ b/packages/budgets/src/statement.ts
@@ -4,7 +4,7 @@
 import { addCharge, type Charge, zeroCharge } from './books.js';
 import { Calendar } from './calendar.js';
 import { formatMoney, parseMoney } from './money.js';
-import type { BooksView } from './reader.js';
+import type { LedgerView } from './reader.js';
 import { digestOf } from './records.js';
 
 /** What a job was charged in the statement's month. */
@@ -61,7 +61,7 @@
 
 const amounts = (charge: Readonly<Charge>): Statement['totals'] => ({
   charged: formatMoney(charge.money),
-  charged_us: charge.us,
+  charged_us: charge.runUs,
   not_charged: formatMoney(charge.uncharged),
   stops: charge.stops,
   late: formatMoney(charge.late),
@@ -74,7 +74,7 @@
  * month takes precedence.
  */
 export const statementOf = (
-  view: BooksView,
+  view: LedgerView,
   owner: string,
   month: string,
   terms: StatementTerms,
@@ -166,7 +166,7 @@
 const hours = (us: number): string => (us / 3.6e9).toFixed(3);
 
 /** A statement as text for people. */
-export const textOf = (statement: Statement): string => {
+export const statementText = (statement: Statement): string => {
   const lines = [
     `Statement of ${statement.owner} for ${statement.month} (${statement.zone})`,
     `${statement.from} to ${statement.to}, amounts in ${statement.currency}`,
--- a/packages/budgets/test/books.test.ts
+++ b/packages/budgets/test/books.test.ts
@@ -124,8 +124,8 @@
         for (const reason of PLATFORM_REASONS) assert.ok(ledger.platform[reason] >= 0, reason);
         for (const months of ledger.accounts.values())
           for (const charge of months.values()) {
-            assert.ok(charge.money >= 0 && charge.us >= 0 && charge.uncharged >= 0);
-            assert.ok(charge.money <= Math.ceil((charge.us / HOUR) * highestRate) + 300);
+            assert.ok(charge.money >= 0 && charge.runUs >= 0 && charge.uncharged >= 0);
+            assert.ok(charge.money <= Math.ceil((charge.runUs / HOUR) * highestRate) + 300);
           }
       }
     }),
@@ -220,5 +220,5 @@
   ledger.endAttempt('run-1', 0, 1, FULLY_KEPT);
   assert.equal(money(ledger, 't', '2026-11'), 0);
   const charge = ledger.accounts.get('t')!.get('2026-12')!;
-  assert.deepEqual([charge.money, charge.late, charge.us], [20_000, 10_000, 20 * SECOND]);
+  assert.deepEqual([charge.money, charge.late, charge.runUs], [20_000, 10_000, 20 * SECOND]);
 });
--- a/packages/budgets/test/budget-simulation.ts
+++ b/packages/budgets/test/budget-simulation.ts
@@ -1,6 +1,6 @@
 /** Cluster simulations with budgets, and views of their records. */
 import { Budgets } from '@shaleyoke/budgets/feature';
-import { type BooksView, viewBooks } from '@shaleyoke/budgets/reader';
+import { buildLedgerView, type LedgerView } from '@shaleyoke/budgets/reader';
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -63,18 +63,18 @@
 };
 
 /** What the ledger's records in the simulated state service say now. */
-export const recordedView = (simulation: ClusterSimulation): BooksView =>
-  viewBooks(
+export const recordedView = (simulation: ClusterSimulation): LedgerView =>
+  buildLedgerView(
     simulation
       .keys('b/')
       .map((key) => ({ key, value: structuredClone(simulation.value(key)), version: 1, lease: null })),
   );
 
 /** Charged run time of a job, in microseconds. */
-export const chargedUs = (view: BooksView, id: string): number =>
-  view.lines.filter((l) => l.job === id).reduce((sum, l) => sum + l.charge.us, 0);
+export const chargedUs = (view: LedgerView, id: string): number =>
+  view.lines.filter((l) => l.job === id).reduce((sum, l) => sum + l.charge.runUs, 0);
 /** Amount charged for a job. */
-export const chargedMoney = (view: BooksView, id: string): number =>
+export const chargedMoney = (view: LedgerView, id: string): number =>
   view.lines.filter((l) => l.job === id).reduce((sum, l) => sum + l.charge.money, 0);
 
 /** By how much the start and the end of an attempt are reported late, at most. */
--- a/packages/budgets/test/fetch.test.ts
+++ b/packages/budgets/test/fetch.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 
 import { Calendar } from '@shaleyoke/budgets/calendar';
-import { readLedger, readLedgerOfMonth, type Service } from '@shaleyoke/budgets/fetch';
+import { readLedger, readLedgerOfMonth, type StoreAccess } from '@shaleyoke/budgets/fetch';
 import {
   closedKey,
   digestOf,
@@ -22,7 +22,7 @@
 const TERMS = { zone: 'Europe/Warsaw', currency: 'EUR', limit: { soft: null, hard: null } };
 
 /** A state service that holds `records` and counts the journal pages that are read. */
-const serviceOf = (records: ReadonlyMap<string, unknown>): { service: Service; pages: () => number } => {
+const serviceOf = (records: ReadonlyMap<string, unknown>): { service: StoreAccess; pages: () => number } => {
   let pages = 0;
   const item = (key: string): StoredItem => ({ key, value: records.get(key), version: 1, lease: null });
   return {
@@ -146,8 +146,8 @@
   // The flush happens after each of the reads in turn.
   for (let readsBefore = 0; readsBefore < 6; readsBefore++) {
     let reads = 0;
-    const currentService = (): Service => serviceOf(reads++ < readsBefore ? records : moved).service;
-    const service: Service = {
+    const currentService = (): StoreAccess => serviceOf(reads++ < readsBefore ? records : moved).service;
+    const service: StoreAccess = {
       list: (...a) => currentService().list(...a),
       get: (key) => (key === HEAD_KEY ? currentService().get(key) : Promise.resolve(null)),
       put: () => Promise.resolve(false),
--- a/packages/budgets/test/histories.test.ts
+++ b/packages/budgets/test/histories.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { balanceOf, totalsOf, verifyBooks } from '@shaleyoke/budgets/reader';
+import { balanceOf, totalsOf, verifyLedger } from '@shaleyoke/budgets/reader';
 import { readClosed } from '@shaleyoke/budgets/records';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -29,7 +29,7 @@
   );
   simulation.runFor(180 * SECOND);
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   assert.equal(simulation.stageOf('run-1') !== undefined, true);
   // Five tasks of ten seconds, each a quarter of a machine at 1.00 an hour.
   const runUs = chargedUs(view, 'run-1');
@@ -117,7 +117,7 @@
     simulation.runFor(2 * SECOND);
     const view = recordedView(simulation);
     assert.deepEqual([...new Set(simulation.violations)].slice(0, 5), [], `seed ${seed}`);
-    assert.deepEqual(verifyBooks(view), [], `seed ${seed}`);
+    assert.deepEqual(verifyLedger(view), [], `seed ${seed}`);
     assert.equal(simulation.oversizedTransactions, 0);
     for (const spec of specs) {
       const runUs = chargedUs(view, spec.id);
@@ -143,7 +143,7 @@
   simulation.crash(leader, 3 * SECOND);
   simulation.runFor(200 * SECOND);
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   const runUs = chargedUs(view, 'run-1');
   // All four were on record as running and still ran, so none of their time is missing.
   assert.ok(
@@ -167,7 +167,7 @@
     simulation.crash(leader, 3 * SECOND);
     simulation.runFor(60 * SECOND);
     const view = recordedView(simulation);
-    assert.deepEqual(verifyBooks(view), []);
+    assert.deepEqual(verifyLedger(view), []);
     const runUs = chargedUs(view, 'run-1');
     assert.ok(runUs > 4 * 50 * SECOND, `${delay}: ${runUs / SECOND}`);
     assert.ok(runUs < 4 * (120 * SECOND + MAX_REPORT_DELAY), `${delay}: ${runUs / SECOND}`);
@@ -212,7 +212,7 @@
     }
   }
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   assert.equal(simulation.oversizedTransactions, 0);
   assert.ok(simulation.keys('b/a/').length >= 8, `${simulation.keys('b/a/').length} pages`);
   const closed = view.closed.filter((c) => c.month === '2026-11' && c.row[1] > 0);
@@ -237,14 +237,14 @@
     if (second === 150) for (const id of ids) simulation.cancel(id);
     const view = recordedView(simulation);
     const now = new Map<string, number>();
-    for (const charge of view.lines) now.set(charge.job, (now.get(charge.job) ?? 0) + charge.charge.us);
+    for (const charge of view.lines) now.set(charge.job, (now.get(charge.job) ?? 0) + charge.charge.runUs);
     for (const [id, runUs] of before)
       assert.ok((now.get(id) ?? 0) >= runUs, `second ${second}: ${id} lost ${runUs}`);
     for (const [id, runUs] of now) before.set(id, runUs);
   }
   assert.ok(before.size > 150, `${before.size}`);
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   assert.deepEqual(view.open, []);
 });
 
@@ -259,7 +259,7 @@
   }
   simulation.runFor(260 * SECOND);
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   simulation.poll('run-1');
   simulation.runFor(SECOND);
   assert.equal(simulation.stageOf('run-1'), 'done');
@@ -281,14 +281,14 @@
   simulation.submit(makeJobSpec('run-3', { tasks: 2, estimatedRunUs: 20 * SECOND }));
   simulation.runFor(150 * SECOND);
   const view = recordedView(simulation);
-  assert.deepEqual(verifyBooks(view), []);
+  assert.deepEqual(verifyLedger(view), []);
   const months = totalsOf(view.lines);
   assert.deepEqual([...months.get('t')!.keys()].sort(), ['2026-11', '2026-12']);
   const november = view.closed.find((c) => c.owner === 't');
   assert.equal(november?.month, '2026-11');
   const both = view.lines.filter((l) => l.job === 'run-1');
   assert.equal(both.length, 2);
-  const sum = both.reduce((s, l) => s + l.charge.us, 0);
+  const sum = both.reduce((s, l) => s + l.charge.runUs, 0);
   assert.ok(Math.abs(sum - 240 * SECOND) < 2 * MAX_REPORT_DELAY, `${sum / SECOND}`);
   // The other owner's service goes on, but its cost in November is in the journal.
   assert.ok(view.closed.some((c) => c.owner === 'u' && c.row[1] > 0));
@@ -297,5 +297,5 @@
   simulation.runFor(120 * SECOND);
   assert.equal(JSON.stringify(simulation.value('b/s/t/2026-11')), kept);
   assert.notEqual(readClosed(simulation.value('b/s/t/2026-11')), null);
-  assert.deepEqual(verifyBooks(recordedView(simulation)), []);
+  assert.deepEqual(verifyLedger(recordedView(simulation)), []);
 });
--- a/packages/budgets/test/limits.test.ts
+++ b/packages/budgets/test/limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { totalsOf, verifyBooks } from '@shaleyoke/budgets/reader';
+import { totalsOf, verifyLedger } from '@shaleyoke/budgets/reader';
 import { readHead } from '@shaleyoke/budgets/records';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -37,7 +37,7 @@
   simulation.put('b/l/t', { v: 1, soft: null, hard: 1_000_000, changes: [] });
   simulation.runFor(200 * SECOND);
   assert.deepEqual(new Set(stages(simulation, ids)), new Set(['done']));
-  assert.deepEqual(verifyBooks(recordedView(simulation)), []);
+  assert.deepEqual(verifyLedger(recordedView(simulation)), []);
   assert.deepEqual(simulation.violations, []);
 });
 
@@ -130,7 +130,7 @@
     simulation.messageLoss = 0;
     simulation.runFor(200 * SECOND);
     const view = recordedView(simulation);
-    assert.deepEqual(verifyBooks(view), [], `seed ${seed}`);
+    assert.deepEqual(verifyLedger(view), [], `seed ${seed}`);
     // A commitment covers the 0.9 quantile, at most 2.2 times the run; the delay of reports comes on top.
     const longest = Math.max(...specs.map((s) => s.tasks * (s.estimatedRunUs + 9 * SECOND)));
     const maxError = (longest / 3600 / 4) * 2;
--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -4,10 +4,10 @@
 import { test } from 'node:test';
 
 import { explainJob } from '@shaleyoke/budgets/explain';
-import { verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
+import { buildLedgerView, verifyLedger } from '@shaleyoke/budgets/reader';
 import { digestOf, readHead, readJournal, readOpen } from '@shaleyoke/budgets/records';
 import { BudgetSettingsError, parseBudgets } from '@shaleyoke/budgets/settings';
-import { type Statement, statementCsv, statementOf, textOf } from '@shaleyoke/budgets/statement';
+import { type Statement, statementCsv, statementOf, statementText } from '@shaleyoke/budgets/statement';
 import { verifyStatement } from '@shaleyoke/budgets/verify';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
@@ -41,7 +41,7 @@
   ] as const) {
     const statement = statementOf(view, owner, '2026-12', TERMS);
     assert.equal(statement.lines.length, 2);
-    for (const text of [JSON.stringify(statement), statementCsv(statement), textOf(statement)]) {
+    for (const text of [JSON.stringify(statement), statementCsv(statement), statementText(statement)]) {
       assert.ok(text.includes(`geheim-${owner}`) || text.includes(statement.totals.charged));
       assert.ok(!text.includes(`geheim-${other}`));
       for (const charge of view.lines)
@@ -92,10 +92,10 @@
   const items = simulation
     .keys('b/')
     .map((key) => ({ key, value: structuredClone(simulation.value(key)), version: 1, lease: null }));
-  assert.deepEqual(verifyBooks(viewBooks(items)), []);
+  assert.deepEqual(verifyLedger(buildLedgerView(items)), []);
   const head = readHead(simulation.value('b/head'))!;
   const differencesWith = (key: string, value: unknown): string[] =>
-    verifyBooks(viewBooks(items.map((it) => (it.key === key ? { ...it, value } : it))));
+    verifyLedger(buildLedgerView(items.map((it) => (it.key === key ? { ...it, value } : it))));
   assert.match(differencesWith('b/head', { ...head, cost: head.cost + 1 }).join(), /pending/);
   const [, ...rows] = head.m['t']!;
   assert.match(
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -9,7 +9,7 @@
 import { Ledger, zeroPlatformCosts } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
 import { attemptsOf, OpenJobPacking } from '../src/packing.js';
-import { verifyBooks, viewBooks } from '../src/reader.js';
+import { buildLedgerView, verifyLedger } from '../src/reader.js';
 import {
   chargeOf,
   digestOf,
@@ -95,7 +95,7 @@
 const items = generateMonth(1_000_000);
 const bytes = items.reduce((sum, it) => sum + JSON.stringify(it.value).length, 0);
 console.log(`a month of 1,000,000 attempts: ${items.length} values, ${(bytes / 1e6).toFixed(1)} MB`);
-const view = measure('read and check the chain', () => viewBooks(items));
+const view = measure('read and check the chain', () => buildLedgerView(items));
 const statement = measure('one statement', () =>
   statementOf(view, 'a', '2026-12', {
     zone: 'Europe/Warsaw',
@@ -104,7 +104,7 @@
   }),
 );
 console.log(`  ${statement.lines.length} lines, ${statement.totals.charged} ${statement.currency}`);
-console.log(`  differences: ${measure('verify the ledger', () => verifyBooks(view)).length}`);
+console.log(`  differences: ${measure('verify the ledger', () => verifyLedger(view)).length}`);
 
 const calendars = new Map(OWNERS.map((o) => [o, new Calendar('Europe/Warsaw')]));
 const now = Date.UTC(2026, 11, 1, 12) * 1000;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -57,7 +57,7 @@
 ): Promise<{ feature: Feature; listener: FeatureListener }> => {
   const kubernetes = await importKubernetes();
   try {
-    return kubernetes.switchOn(readText(file), settings.teams, file);
+    return kubernetes.createKubernetesPlugin(readText(file), settings.teams, file);
   } catch (error) {
     throw error instanceof kubernetes.KubeSettingsError ? new SettingsError(error.message) : error;
   }
@@ -213,7 +213,7 @@
 };
 
 /** What the features' commands need of the key-value store. */
-type StoreAccess = import('@shaleyoke/budgets/plugin').Service & {
+type StoreAccess = import('@shaleyoke/budgets/plugin').StoreAccess & {
   remove(key: string, version: number): Promise<boolean>;
 };
 
--- a/packages/config/src/checked.ts
+++ b/packages/config/src/checked.ts
@@ -11,7 +11,7 @@
  * Decodes a value by a schema; throws an error that names each invalid field. `file`: the file's name, for messages; `closed`:
  * whether fields that the schema does not define are errors too.
  */
-export const check = <A, I>(
+export const decodeOrThrow = <A, I>(
   schema: Schema.Schema<A, I>,
   value: unknown,
   file: string,
@@ -26,7 +26,7 @@
 };
 
 /** Parses a file's text; an error of the parser is rethrown as the caller's error, with the file's name. */
-export const read = (
+export const parseOrThrow = (
   parse: (source: string) => unknown,
   source: string,
   file: string,
@@ -40,7 +40,7 @@
 };
 
 /** Makes a function that decodes a record by a schema; null for a record that does not match it. */
-export const reader =
+export const recordDecoder =
   <A, I>(schema: Schema.Schema<A, I>) =>
   (value: unknown): A | null => {
     const result = Schema.decodeUnknownEither(schema)(value);
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -11,7 +11,7 @@
 import { parse as parseToml } from 'smol-toml';
 import { parse as parseYaml } from 'yaml';
 
-import { check, read } from './checked.js';
+import { decodeOrThrow, parseOrThrow } from './checked.js';
 
 /** Converts seconds, as in the files, to whole microseconds. */
 const micros = (seconds: number): Micros => Math.round(seconds * SECOND);
@@ -128,8 +128,8 @@
 /** Parses the operators' file (YAML); null: all defaults. Throws `SettingsError`. */
 export const parseTuning = (yaml: string | null): Tuning => {
   const file = 'operators settings';
-  const value = yaml === null ? {} : (read(parseYaml, yaml, file, settingsError) ?? {});
-  const operators = check(OperatorsFile, value, file, settingsError);
+  const value = yaml === null ? {} : (parseOrThrow(parseYaml, yaml, file, settingsError) ?? {});
+  const operators = decodeOrThrow(OperatorsFile, value, file, settingsError);
   return {
     leaderLeaseUs: micros(operators.leader_lease_s),
     machineSuspicionUs: micros(operators.silent_s),
@@ -149,8 +149,8 @@
 
 /** Parses the operators' file (YAML) that enables heartbeats between controllers. Throws `SettingsError`. */
 export const parseMembership = (yaml: string, file: string): MembershipSettings => {
-  const value = read(parseYaml, yaml, file, settingsError);
-  const membership = check(MembershipFile, value, file, settingsError, true);
+  const value = parseOrThrow(parseYaml, yaml, file, settingsError);
+  const membership = decodeOrThrow(MembershipFile, value, file, settingsError, true);
   return {
     heartbeatIntervalUs: micros(membership.beat_s),
     suspectAfterMissed: membership.suspect_after_beats,
@@ -219,7 +219,12 @@
   membership: MembershipSettings | null = null,
 ): Settings => {
   const file = 'settings';
-  const platform = check(PlatformFile, read(parseToml, toml, file, settingsError), file, settingsError);
+  const platform = decodeOrThrow(
+    PlatformFile,
+    parseOrThrow(parseToml, toml, file, settingsError),
+    file,
+    settingsError,
+  );
   const { cluster } = platform;
   const { workers } = cluster;
   const tuning = parseTuning(yaml);
--- a/packages/controller/src/admission.ts
+++ b/packages/controller/src/admission.ts
@@ -21,7 +21,7 @@
 export const TOO_MANY_REQUESTS = 429;
 
 /** How long a call to the store that was rejected with that status is retried, by urgency. */
-export const RETRY_REJECTED_FOR: Record<RequestUrgency, Micros> = {
+export const REJECTION_RETRY_TIME: Record<RequestUrgency, Micros> = {
   0: 2 * SECOND,
   1: 900 * MILLISECOND,
   2: 4 * SECOND,
--- a/packages/controller/src/run-controller.ts
+++ b/packages/controller/src/run-controller.ts
@@ -1,6 +1,6 @@
 /** Runs one controller with its listeners until its scope closes. */
 import type { Settings } from '@shaleyoke/core/domain/settings';
-import type { Feature,RequestFeature } from '@shaleyoke/core/feature-api';
+import type { Feature, RequestFeature } from '@shaleyoke/core/feature-api';
 import { Effect, Runtime, type Scope } from 'effect';
 
 import { Clients } from './clients.js';
--- a/packages/controller/src/store-client.ts
+++ b/packages/controller/src/store-client.ts
@@ -6,7 +6,7 @@
 import { decodeStoreReply, encodeStoreOperation } from '@shaleyoke/protocol/key-value-store';
 import { Effect } from 'effect';
 
-import { RETRY_REJECTED_FOR, TOO_MANY_REQUESTS, waitForAdmission } from './admission.js';
+import { REJECTION_RETRY_TIME, TOO_MANY_REQUESTS, waitForAdmission } from './admission.js';
 import { steadyNow } from './clock.js';
 import { callHttp, type HttpReply, makeAgent } from './http-client.js';
 import type { RateLimiter } from './rate-limiter.js';
@@ -42,7 +42,7 @@
   /** Sends one request; retries it for a limited time while the store rejects it with status 429. */
   request(operation: StoreOperation, urgency: RequestUrgency): Effect.Effect<StoreReply> {
     const call = encodeStoreOperation(operation);
-    const retryUntil = steadyNow() + RETRY_REJECTED_FOR[urgency];
+    const retryUntil = steadyNow() + REJECTION_RETRY_TIME[urgency];
     return this.attempt(operation, call, urgency, retryUntil);
   }
 
--- a/packages/core/src/leader/plan-run.ts
+++ b/packages/core/src/leader/plan-run.ts
@@ -1,7 +1,7 @@
 /** A plan in progress, computed in slices so that the node can do other work between them. */
 import type { ActiveJob } from '../cluster/cluster-model.js';
 import { type Micros, MILLISECOND } from '../domain/time.js';
-import type { PlacementSearch,SearchResult } from '../scheduling/placement-search.js';
+import type { PlacementSearch, SearchResult } from '../scheduling/placement-search.js';
 import type { PlanStep } from '../scheduling/plan-input.js';
 import type { StepsByJob } from './placement-commit.js';
 import type { WaitingWork } from './waiting-groups.js';
--- a/packages/core/src/scheduling/option-evaluator.ts
+++ b/packages/core/src/scheduling/option-evaluator.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
 import type { Amounts } from '../domain/resources.js';
-import { countFits,fits } from '../domain/resources.js';
+import { countFits, fits } from '../domain/resources.js';
 import type { Micros } from '../domain/time.js';
 import { earliestStart } from './capacity-timeline.js';
 import type { CapacityOffer, ClusterSnapshot, Placement, PlacementOption, TaskGroup } from './plan-input.js';
--- a/packages/core/src/scheduling/ranking.ts
+++ b/packages/core/src/scheduling/ranking.ts
@@ -2,7 +2,7 @@
 import type { MachineSlot } from '../cluster/machine-slot.js';
 import type { JobSpec } from '../domain/job.js';
 import type { MachineType } from '../domain/machine.js';
-import { countFits,fits } from '../domain/resources.js';
+import { countFits, fits } from '../domain/resources.js';
 import { type Micros, SECOND } from '../domain/time.js';
 import type { ClusterSnapshot, TaskGroup } from './plan-input.js';
 
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -10,7 +10,7 @@
 import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
 import { NodeContext } from '@shaleyoke/core/node/node-context';
 import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
-import { MACHINE_TYPE,settingsFor } from '@shaleyoke/emulator/site';
+import { MACHINE_TYPE, settingsFor } from '@shaleyoke/emulator/site';
 import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runTask } from './cluster-fixtures.js';
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -3,8 +3,8 @@
  * workers and the users are emulated in this process. The leader and a machine are killed during the run.
  */
 import { formatMoney } from '@shaleyoke/budgets/money';
-import { balanceOf, type BooksView, verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
-import { statementOf, textOf } from '@shaleyoke/budgets/statement';
+import { balanceOf, buildLedgerView, type LedgerView, verifyLedger } from '@shaleyoke/budgets/reader';
+import { statementOf, statementText } from '@shaleyoke/budgets/statement';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
@@ -51,8 +51,8 @@
   });
 
 /** The accounting records that the emulated store holds now. */
-export const readBooks = (deployment: LoopbackDeployment): BooksView =>
-  viewBooks(
+export const readBooks = (deployment: LoopbackDeployment): LedgerView =>
+  buildLedgerView(
     deployment.state
       .keys('b/')
       .map((key) => ({ key, value: deployment.state.value(key), version: 1, lease: null })),
@@ -162,7 +162,7 @@
     // Accounting records are written every few seconds, so they lag behind the jobs.
     const agree = await waitUntil(
       () =>
-        verifyBooks(readBooks(deployment)).length === 0 &&
+        verifyLedger(readBooks(deployment)).length === 0 &&
         readBooks(deployment).open.every((job) => job.running === 0),
       30,
     );
@@ -184,7 +184,7 @@
       if (month === undefined) print(`${team}: nothing was charged`);
       else
         print(
-          textOf(
+          statementText(
             statementOf(books, team, month, {
               zone: TIME_ZONE,
               currency: 'EUR',
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -8,7 +8,7 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 
-import { balanceOf, verifyBooks } from '@shaleyoke/budgets/reader';
+import { balanceOf, verifyLedger } from '@shaleyoke/budgets/reader';
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { budgetsYaml, MACHINE_TYPE, makeJob, readBooks, waitUntil } from '@shaleyoke/demo/demo';
@@ -84,15 +84,15 @@
     assert.equal(await deployment.stageOf('run-900'), 'queued');
     const settled = (): boolean => {
       const current = readBooks(deployment);
-      return verifyBooks(current).length === 0 && current.open.every((job) => job.running === 0);
+      return verifyLedger(current).length === 0 && current.open.every((job) => job.running === 0);
     };
-    assert.ok(await waitUntil(settled, 60), verifyBooks(readBooks(deployment)).join('\n'));
+    assert.ok(await waitUntil(settled, 60), verifyLedger(readBooks(deployment)).join('\n'));
 
     const books = readBooks(deployment);
     for (const job of jobs) {
       const charged = books.lines
         .filter((line) => line.job === job.id)
-        .reduce((sum, line) => sum + line.charge.us, 0);
+        .reduce((sum, line) => sum + line.charge.runUs, 0);
       let runTime = 0;
       for (let i = 0; i < job.tasks; i++)
         runTime += Math.max(
@@ -115,7 +115,7 @@
     const completedTime = deployment.taskRuns
       .filter((run) => run.done)
       .reduce((sum, run) => sum + run.durationUs, 0);
-    const chargedTime = books.lines.reduce((sum, line) => sum + line.charge.us, 0);
+    const chargedTime = books.lines.reduce((sum, line) => sum + line.charge.runUs, 0);
     t.diagnostic(
       `accounting: cost ${balance.cost}, charged ${balance.charged}; cloud's bill ${Math.round(bill)}; ` +
         `task time charged ${chargedTime} us, completed on the machines ${completedTime} us in ${deployment.taskRuns.length} attempts`,
--- a/packages/emulator/src/limited-store-access.ts
+++ b/packages/emulator/src/limited-store-access.ts
@@ -2,7 +2,7 @@
  * A simulated controller's access to the store through the client-side rate limiter of a real process: requests are queued,
  * fail when they have waited for too long, and are retried for a while if the store rejects them.
  */
-import { RETRY_REJECTED_FOR } from '@shaleyoke/controller/admission';
+import { REJECTION_RETRY_TIME } from '@shaleyoke/controller/admission';
 import { budgetShares } from '@shaleyoke/controller/budget-shares';
 import { RateLimiter, type Schedule } from '@shaleyoke/controller/rate-limiter';
 import type { RequestUrgency } from '@shaleyoke/core/domain/effects';
@@ -55,7 +55,7 @@
     onReply: (reply: StoreReply) => void,
   ): void {
     const writes = operation.kind === 'txn' ? operation.writes.length : 0;
-    const retryUntil = this.now() + RETRY_REJECTED_FOR[urgency];
+    const retryUntil = this.now() + REJECTION_RETRY_TIME[urgency];
     const attempt = (): void => {
       this.limiter.admit(urgency, writes, (admitted) => {
         if (!admitted) {
--- a/packages/emulator/src/loopback-http.ts
+++ b/packages/emulator/src/loopback-http.ts
@@ -3,7 +3,7 @@
 
 import { MalformedMessageError } from '@shaleyoke/protocol/body';
 
-import { encodeAnswer,type WireResponse } from './wire.js';
+import { encodeAnswer, type WireResponse } from './wire.js';
 
 /** A request as received by a server. */
 export interface HttpRequest {
--- a/packages/emulator/src/loopback-stand-ins.ts
+++ b/packages/emulator/src/loopback-stand-ins.ts
@@ -1,9 +1,9 @@
 /** HTTP servers on loopback for the emulated state service and cloud. */
 import type { CloudOperation, CloudReply } from '@shaleyoke/core/domain/cloud';
 
-import { type HttpServer,startServer } from './loopback-http.js';
+import { type HttpServer, startServer } from './loopback-http.js';
 import type { StateModel } from './state-model.js';
-import { decodeCloudOperation, decodeStoreOperation,encodeCloudReply, encodeStoreReply } from './wire.js';
+import { decodeCloudOperation, decodeStoreOperation, encodeCloudReply, encodeStoreReply } from './wire.js';
 
 /** Serves the state service. `asked` is called for each request. */
 export const serveStore = (state: StateModel, asked: () => void = () => undefined): Promise<HttpServer> =>
--- a/packages/emulator/src/loopback-workers.ts
+++ b/packages/emulator/src/loopback-workers.ts
@@ -4,8 +4,8 @@
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
-import { type HttpRequest, type HttpServer,startServer } from './loopback-http.js';
-import { decodeCommands, decodeHeartbeatResponse, encodeHeartbeat,type WireResponse } from './wire.js';
+import { type HttpRequest, type HttpServer, startServer } from './loopback-http.js';
+import { decodeCommands, decodeHeartbeatResponse, encodeHeartbeat, type WireResponse } from './wire.js';
 
 /** Minimum time between heartbeats, however many tasks change. */
 const MIN_HEARTBEAT_INTERVAL: Micros = 500 * MILLISECOND;
--- a/packages/emulator/src/loopback.ts
+++ b/packages/emulator/src/loopback.ts
@@ -13,7 +13,7 @@
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import type { Micros } from '@shaleyoke/core/domain/time';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { asFields, decodeBody } from '@shaleyoke/protocol/body';
+import { decodeBody, readMap } from '@shaleyoke/protocol/body';
 
 import { controllerSettings } from './controller-settings.js';
 import { type Bill, LoopbackCloud } from './loopback-cloud.js';
@@ -274,7 +274,7 @@
   async stageOf(id: string): Promise<string | null> {
     for (const node of this.nodes) {
       const response = await httpCall(node.address, 'GET', `/api/jobs/${id}`, null, 2_000);
-      if (response?.status === 200) return String(asFields(decodeBody(response.body), 'answer')['stage']);
+      if (response?.status === 200) return String(readMap(decodeBody(response.body), 'answer')['stage']);
     }
     return null;
   }
--- a/packages/emulator/src/soak/link-server.ts
+++ b/packages/emulator/src/soak/link-server.ts
@@ -1,7 +1,7 @@
 /** An HTTP server on the loopback interface whose requests and responses pass through a faulty link. */
 import { MalformedMessageError } from '@shaleyoke/protocol/body';
 
-import { type HttpRequest, type HttpServer,startServer } from '../loopback-http.js';
+import { type HttpRequest, type HttpServer, startServer } from '../loopback-http.js';
 import type { WireResponse } from '../wire.js';
 import type { FaultyLink } from './faulty-link.js';
 
--- a/packages/emulator/src/soak/port-block.ts
+++ b/packages/emulator/src/soak/port-block.ts
@@ -2,7 +2,7 @@
  * Reserves ports for the controllers of one run in a block that no other run on this machine uses: when two runs shared
  * ports, they sent requests to each other's controllers. All blocks lie below the system's ephemeral port range.
  */
-import { freePortsFrom, type HttpServer,startServer } from '../loopback-http.js';
+import { freePortsFrom, type HttpServer, startServer } from '../loopback-http.js';
 
 const FIRST_PORT = 12_000;
 const PORT_BLOCKS = 300;
--- a/packages/emulator/src/soak/soak-users.ts
+++ b/packages/emulator/src/soak/soak-users.ts
@@ -1,12 +1,12 @@
 /** Simulated users of a soak run: they submit, resubmit, poll and cancel jobs, and request jobs that don't exist. */
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
-import { asFields, decodeBody, MalformedMessageError } from '@shaleyoke/protocol/body';
+import { decodeBody, MalformedMessageError, readMap } from '@shaleyoke/protocol/body';
 
 import { httpCall } from '../loopback-http.js';
 import type { Random } from '../random.js';
 import { makeJobSpec } from '../specs.js';
-import { encodeSubmission,type WireResponse } from '../wire.js';
+import { encodeSubmission, type WireResponse } from '../wire.js';
 import type { RequestKind, SoakEvent } from './history.js';
 import { type SoakCluster, TEAM } from './soak-cluster.js';
 
@@ -40,7 +40,7 @@
 /** The job stage in a response; null if it has none. */
 const parseStage = (answer: WireResponse): string | null => {
   try {
-    const stage = asFields(decodeBody(answer.body), 'answer')['stage'];
+    const stage = readMap(decodeBody(answer.body), 'answer')['stage'];
     return typeof stage === 'string' ? stage : null;
   } catch (error) {
     if (error instanceof MalformedMessageError) return null;
--- a/packages/emulator/src/wire.ts
+++ b/packages/emulator/src/wire.ts
@@ -5,21 +5,21 @@
 import type { StoreOperation, StoreReply } from '@shaleyoke/core/domain/key-value-store';
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 import {
-  amount,
-  asFields,
   decodeBody,
   encodeBody,
   type Fields,
-  flag,
-  integer,
-  list,
   MalformedMessageError,
   microsToSeconds,
+  readAmount,
+  readArray,
+  readBoolean,
+  readInteger,
+  readMap,
+  readString,
   secondsToMicros,
-  text,
 } from '@shaleyoke/protocol/body';
 import { PRIORITIES, SHAPES } from '@shaleyoke/protocol/client-api';
-import { EXIT_CAUSES, splitTask, TASK_STATES, taskName } from '@shaleyoke/protocol/workers';
+import { EXIT_CAUSES, parseTaskName, TASK_STATES, taskName } from '@shaleyoke/protocol/workers';
 
 /** The name of a value on the wire, from the protocol's table of names. */
 const nameIn = <T>(table: ReadonlyMap<string, T>, value: T): string =>
@@ -48,7 +48,7 @@
 /** Decodes a request to the state service. */
 export const decodeStoreOperation = (method: string, url: string, body: Buffer): StoreOperation => {
   const { path, parameters } = parseUrl(url);
-  const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
+  const bodyFields = (): Fields => readMap(decodeBody(body), 'request');
   if (method === 'GET' && path.startsWith('/kv/')) return { kind: 'get', key: path.slice(4) };
   if (method === 'GET' && path === '/kv') {
     const after = parameters.get('since');
@@ -70,17 +70,17 @@
     const transaction = bodyFields();
     return {
       kind: 'txn',
-      conditions: list(transaction['when'] ?? [], 'when').map((condition) => {
-        const fields = asFields(condition, 'when');
-        return { key: text(fields, 'key'), version: integer(fields, 'stamp') };
+      conditions: readArray(transaction['when'] ?? [], 'when').map((condition) => {
+        const fields = readMap(condition, 'when');
+        return { key: readString(fields, 'key'), version: readInteger(fields, 'stamp') };
       }),
-      writes: list(transaction['writes'] ?? [], 'writes').map((write) => {
-        const fields = asFields(write, 'writes');
+      writes: readArray(transaction['writes'] ?? [], 'writes').map((write) => {
+        const fields = readMap(write, 'writes');
         if (typeof fields['remove'] === 'string') return { kind: 'delete', key: fields['remove'] };
         const lease = fields['permit'];
         return {
           kind: 'put',
-          key: text(fields, 'set'),
+          key: readString(fields, 'set'),
           value: fields['data'],
           ...(typeof lease === 'number' ? { lease } : {}),
         };
@@ -88,7 +88,7 @@
     };
   }
   if (method === 'POST' && path === '/grants')
-    return { kind: 'grant', ttlMs: integer(bodyFields(), 'life_ms') };
+    return { kind: 'grant', ttlMs: readInteger(bodyFields(), 'life_ms') };
   const grant = /^\/grants\/(\d+)(\/touch)?$/.exec(path);
   if (grant !== null) return { kind: method === 'DELETE' ? 'revoke' : 'renew', lease: Number(grant[1]) };
   throw new MalformedMessageError(`no such request: ${method} ${path}`);
@@ -143,7 +143,7 @@
 /** Decodes a request to the cloud. */
 export const decodeCloudOperation = (method: string, url: string, body: Buffer): CloudOperation => {
   const { path, parameters } = parseUrl(url);
-  const bodyFields = (): Fields => asFields(decodeBody(body), 'request');
+  const bodyFields = (): Fields => readMap(decodeBody(body), 'request');
   if (method === 'GET' && path === '/flavors') return { kind: 'types' };
   if (method === 'GET' && path === '/hosts')
     return {
@@ -152,16 +152,16 @@
       limit: Number(parameters.get('page') ?? 500),
     };
   if (method === 'POST' && path === '/hosts/delete')
-    return { kind: 'delete', machines: list(bodyFields()['berths'], 'berths').map(String) };
+    return { kind: 'delete', machines: readArray(bodyFields()['berths'], 'berths').map(String) };
   if (method === 'POST' && path === '/hosts') {
     const fields = bodyFields();
     return {
       kind: 'rent',
-      request: text(fields, 'booking'),
-      type: text(fields, 'model'),
-      zone: text(fields, 'hall'),
-      spot: flag(fields, 'loaners'),
-      count: integer(fields, 'count'),
+      request: readString(fields, 'booking'),
+      type: readString(fields, 'model'),
+      zone: readString(fields, 'hall'),
+      spot: readBoolean(fields, 'loaners'),
+      count: readInteger(fields, 'count'),
     };
   }
   throw new MalformedMessageError(`no such request: ${method} ${path}`);
@@ -232,13 +232,13 @@
   });
 
 const decodeCommand = (value: unknown): WorkerCommand => {
-  const fields = asFields(value, 'order');
-  const id = { ...splitTask(text(fields, 'part')), attempt: integer(fields, 'try') };
-  switch (text(fields, 'verb')) {
+  const fields = readMap(value, 'order');
+  const id = { ...parseTaskName(readString(fields, 'part')), attempt: readInteger(fields, 'try') };
+  switch (readString(fields, 'verb')) {
     case 'launch':
       return { op: 'start', ...id };
     case 'kill':
-      return { op: 'stop', ...id, graceUs: secondsToMicros(amount(fields, 'leeway_s')) };
+      return { op: 'stop', ...id, graceUs: secondsToMicros(readAmount(fields, 'leeway_s')) };
     case 'clear':
       return { op: 'forget', ...id };
     default:
@@ -250,23 +250,23 @@
 export const decodeCommands = (
   body: Buffer,
 ): { token: number; session: number; commands: WorkerCommand[] } => {
-  const fields = asFields(decodeBody(body), 'request');
+  const fields = readMap(decodeBody(body), 'request');
   return {
-    token: integer(fields, 'baton'),
-    session: integer(fields, 'shift'),
-    commands: list(fields['orders'], 'orders').map(decodeCommand),
+    token: readInteger(fields, 'baton'),
+    session: readInteger(fields, 'shift'),
+    commands: readArray(fields['orders'], 'orders').map(decodeCommand),
   };
 };
 
 /** Decodes the response to a heartbeat; anything unexpected counts as unavailable. */
 export const decodeHeartbeatResponse = (status: number, body: Buffer): HeartbeatResponse => {
   try {
-    const fields = asFields(decodeBody(body), 'answer');
+    const fields = readMap(decodeBody(body), 'answer');
     if (status === 200)
       return {
         kind: 'accepted',
-        fencingToken: integer(fields, 'baton'),
-        commands: list(fields['orders'], 'orders').map(decodeCommand),
+        fencingToken: readInteger(fields, 'baton'),
+        commands: readArray(fields['orders'], 'orders').map(decodeCommand),
       };
     const leader = fields['foreman'];
     if (status === 421) return { kind: 'redirect', leader: typeof leader === 'string' ? leader : null };
--- a/packages/emulator/tools/digest-features.ts
+++ b/packages/emulator/tools/digest-features.ts
@@ -3,11 +3,11 @@
 import { parseBudgets } from '@shaleyoke/budgets/settings';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import type { KubeAnswer } from '@shaleyoke/kubernetes/api';
-import { Kube } from '@shaleyoke/kubernetes/feature';
-import { FEATURE } from '@shaleyoke/kubernetes/front';
-import { parseKube } from '@shaleyoke/kubernetes/settings';
+import { KubernetesFeature } from '@shaleyoke/kubernetes/feature';
+import { KUBE_FEATURE } from '@shaleyoke/kubernetes/front';
+import { parseKubeSettings } from '@shaleyoke/kubernetes/settings';
 import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
-import { lineOf, requestOf, responseOf } from '@shaleyoke/kubernetes/wire';
+import { decodeRequest, encodeResponse, encodeWatchLine } from '@shaleyoke/kubernetes/wire';
 
 import type { ClusterSimulation } from '../src/cluster-simulation.js';
 import {
@@ -30,7 +30,7 @@
   TEAMS,
   'budgets.yaml',
 );
-const KUBERNETES_SETTINGS = parseKube(
+const KUBERNETES_SETTINGS = parseKubeSettings(
   'version: 1\nlisten: 127.0.0.1:6443\nstatus_changes_per_s: 5\ntenants:\n  maps: { namespaces: { maps: t } }\n',
   TEAMS,
   'kube.yaml',
@@ -76,15 +76,17 @@
   sendRequests: (world: ClusterSimulation, random: Random) => {
     if (!random.chance(0.5)) return;
     const [method, url, body] = generateRequest(random);
-    const request = requestOf({ method, url, contentType: 'application/json', body });
+    const request = decodeRequest({ method, url, contentType: 'application/json', body });
     if ('kind' in request) throw new Error(`${method} ${url}: ${request.message}`);
     const client = { token: TOKEN.token, address: '10.1.2.3' };
-    world.askFeature(random.below(3), FEATURE, { who: client, ask: request }, () => undefined);
+    world.askFeature(random.below(3), KUBE_FEATURE, { credentials: client, request }, () => undefined);
   },
 };
 
 const encodeKubernetesAnswer = (answer: KubeAnswer, last: boolean): string =>
-  answer.kind === 'event' ? `${lineOf(answer)} ${last}` : `${JSON.stringify(responseOf(answer))} ${last}`;
+  answer.kind === 'event'
+    ? `${encodeWatchLine(answer)} ${last}`
+    : `${JSON.stringify(encodeResponse(answer))} ${last}`;
 
 /** The features and clients that a plan enables. */
 export const featuresOf = (plan: HistoryPlan): HistoryFeatures => {
@@ -93,7 +95,12 @@
     features: (random) => [
       ...(plan.budgets ? [new Budgets(BUDGET_SETTINGS)] : []),
       ...(plan.kubernetes
-        ? [new Kube(() => Uint8Array.from({ length: 16 }, () => random.below(256)), KUBERNETES_SETTINGS)]
+        ? [
+            new KubernetesFeature(
+              () => Uint8Array.from({ length: 16 }, () => random.below(256)),
+              KUBERNETES_SETTINGS,
+            ),
+          ]
         : []),
     ],
     clients: plan.kubernetes ? [kubernetesClient] : [],
--- a/packages/kubernetes/src/commands.ts
+++ b/packages/kubernetes/src/commands.ts
@@ -7,7 +7,7 @@
 import type { Command } from 'commander';
 
 import { checkText } from './check.js';
-import { KubeSettingsError, parseKube } from './settings.js';
+import { KubeSettingsError, parseKubeSettings } from './settings.js';
 import { type Kind, KINDS } from './subset.js';
 import { markdownOf, rowsOf } from './table.js';
 import { newToken, readToken, TOKEN_PREFIX, tokenKey } from './tokens.js';
@@ -101,7 +101,7 @@
   options: FileOptions,
 ): { service: KeyValueService; tenants: readonly string[] } => {
   const settings = host.load(options);
-  const kube = parseKube(readFile(options.kube), settings.teams, options.kube);
+  const kube = parseKubeSettings(readFile(options.kube), settings.teams, options.kube);
   return { service: host.service(settings), tenants: [...kube.tenants.keys()] };
 };
 
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -2,13 +2,13 @@
 import type { Feature, FeatureEndpoint, FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { FEATURE, KubeEndpoint } from './front.js';
+import { KUBE_FEATURE, KubeEndpoint } from './front.js';
 import { JobController } from './job-controller.js';
 import type { KubeSettings } from './settings.js';
 
 /** Creates the endpoint of a node and the controller of a leader's term. */
-export class Kube implements Feature {
-  readonly name = FEATURE;
+export class KubernetesFeature implements Feature {
+  readonly name = KUBE_FEATURE;
   private endpoint: KubeEndpoint | null = null;
   private services: NodeServices | null = null;
 
--- a/packages/kubernetes/src/front.ts
+++ b/packages/kubernetes/src/front.ts
@@ -37,12 +37,12 @@
 const MAX_ID_ATTEMPTS = 3;
 
 /** Name under which the core routes requests to this feature. */
-export const FEATURE = 'kube';
+export const KUBE_FEATURE = 'kube';
 
 /** A client's request with its credentials. */
 export interface KubeAsk {
-  readonly who: Credentials;
-  readonly ask: KubeRequest;
+  readonly credentials: Credentials;
+  readonly request: KubeRequest;
 }
 
 const invalid = (name: string, causes: readonly Problem[]): Refusal =>
@@ -80,17 +80,17 @@
   }
 
   private answer(request: number, answer: KubeAnswer, last = true): void {
-    this.services.context.emit({ kind: 'featureResponse', feature: FEATURE, request, answer, last });
+    this.services.context.emit({ kind: 'featureResponse', feature: KUBE_FEATURE, request, answer, last });
   }
 
   /** Serves one request; the answers are emitted as `featureResponse` outputs. */
   handle(request: number, body: unknown): void {
-    const { who, ask } = body as KubeAsk;
-    if (ask.verb === 'unwatch') {
-      this.watches.end(ask.watch);
+    const { credentials, request: kubeRequest } = body as KubeAsk;
+    if (kubeRequest.verb === 'unwatch') {
+      this.watches.end(kubeRequest.watch);
       this.services.context.emit({
         kind: 'featureResponse',
-        feature: FEATURE,
+        feature: KUBE_FEATURE,
         request,
         answer: null,
         last: true,
@@ -103,8 +103,8 @@
         this.answer(request, unavailable('state service not answering'));
         return;
       }
-      const tenant = authenticate(who, this.cacheSync.cache.tokens, this.tenants);
-      const allowed = 'kind' in tenant ? tenant : authorize(ask, tenant);
+      const tenant = authenticate(credentials, this.cacheSync.cache.tokens, this.tenants);
+      const allowed = 'kind' in tenant ? tenant : authorize(kubeRequest, tenant);
       if ('kind' in allowed) this.answer(request, allowed);
       else this.serve(request, allowed);
     });
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -2,13 +2,13 @@
 import { randomBytes } from 'node:crypto';
 
 import type { Team } from '@shaleyoke/core/domain/settings';
-import type { Feature,RequestFeature } from '@shaleyoke/core/feature-api';
+import type { Feature, RequestFeature } from '@shaleyoke/core/feature-api';
 
 import type { KubeAnswer } from './api.js';
-import { Kube } from './feature.js';
-import { FEATURE, type KubeAsk } from './front.js';
+import { KubernetesFeature } from './feature.js';
+import { KUBE_FEATURE, type KubeAsk } from './front.js';
 import { listen } from './server.js';
-import { parseKube } from './settings.js';
+import { parseKubeSettings } from './settings.js';
 
 export { register, type Host } from './commands.js';
 export { KubeSettingsError } from './settings.js';
@@ -16,17 +16,17 @@
 /**
  * Parses the settings file (`fileName` is for messages) and creates feature and listener. Throws `KubeSettingsError`.
  */
-export const switchOn = (
+export const createKubernetesPlugin = (
   yaml: string,
   teams: readonly Team[],
   fileName: string,
 ): { feature: Feature; listener: (ask: RequestFeature) => Promise<{ readonly close: () => void }> } => {
-  const settings = parseKube(yaml, teams, fileName);
+  const settings = parseKubeSettings(yaml, teams, fileName);
   return {
-    feature: new Kube(() => randomBytes(16), settings),
+    feature: new KubernetesFeature(() => randomBytes(16), settings),
     listener: (ask) =>
       listen(settings, (body: KubeAsk, onAnswer) =>
-        ask(FEATURE, body, (answer, last) => {
+        ask(KUBE_FEATURE, body, (answer, last) => {
           onAnswer(answer as KubeAnswer, last);
         }),
       ),
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -2,7 +2,7 @@
  * Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as
  * null.
  */
-import { reader } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/checked';
 import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
 
@@ -69,9 +69,9 @@
 const ManifestChunk = Schema.Struct({ v: Schema.Literal(1), text: Schema.String });
 
 /** Decodes an object record; null if it is malformed. */
-export const readObject = reader(ObjectRecord);
+export const readObject = recordDecoder(ObjectRecord);
 /** Decodes a manifest chunk or a guard; null if it is malformed. */
-export const readManifestChunk = reader(ManifestChunk);
+export const readManifestChunk = recordDecoder(ManifestChunk);
 
 /** Status of an object whose job has not started. */
 export const newStatus = (): Status => ({
--- a/packages/kubernetes/src/server.ts
+++ b/packages/kubernetes/src/server.ts
@@ -8,7 +8,7 @@
 import { refuse } from './api.js';
 import type { KubeAsk } from './front.js';
 import type { KubeSettings } from './settings.js';
-import { discovery, lineOf, requestOf, responseOf } from './wire.js';
+import { decodeRequest, discovery, encodeResponse, encodeWatchLine } from './wire.js';
 
 const MAX_BODY_BYTES = 64 * 1024;
 const MAX_HEADER_BYTES = 16 * 1024;
@@ -33,7 +33,7 @@
   res.end(text);
 };
 const answer = (res: http.ServerResponse, kubeAnswer: KubeAnswer): void => {
-  const response = responseOf(kubeAnswer);
+  const response = encodeResponse(kubeAnswer);
   send(res, response.code, response.body, response.retryAfterS);
 };
 
@@ -48,7 +48,7 @@
 
 const watch = (
   res: http.ServerResponse,
-  body: KubeAsk & { readonly ask: { readonly verb: 'watch' } },
+  body: KubeAsk & { readonly request: { readonly verb: 'watch' } },
   durationMs: number,
   ask: SendRequest,
 ): void => {
@@ -65,7 +65,7 @@
       started = true;
       res.writeHead(200, { 'Content-Type': 'application/json', 'Cache-Control': 'no-cache' });
     }
-    res.write(lineOf(kubeAnswer));
+    res.write(encodeWatchLine(kubeAnswer));
     if (last) {
       closed = true;
       res.end();
@@ -87,7 +87,7 @@
     closed = true;
     clearTimeout(headersTimer);
     clearTimeout(durationTimer);
-    ask({ who: body.who, ask: { verb: 'unwatch', watch: requestId } }, () => undefined);
+    ask({ credentials: body.credentials, request: { verb: 'unwatch', watch: requestId } }, () => undefined);
   });
 };
 
@@ -99,20 +99,20 @@
     return;
   }
   const contentType = req.headers['content-type'] ?? '';
-  const kubeRequest = requestOf({ method: req.method ?? 'GET', url, contentType, body });
+  const kubeRequest = decodeRequest({ method: req.method ?? 'GET', url, contentType, body });
   if ('kind' in kubeRequest) {
     answer(res, kubeRequest);
     return;
   }
-  const who = { token: bearerToken(req), address: req.socket.remoteAddress ?? '' };
+  const credentials = { token: bearerToken(req), address: req.socket.remoteAddress ?? '' };
   if (kubeRequest.verb === 'watch') {
-    watch(res, { who, ask: kubeRequest }, watchDurationMs(url), ask);
+    watch(res, { credentials, request: kubeRequest }, watchDurationMs(url), ask);
     return;
   }
   const timer = setTimeout(() => {
     answer(res, refuse(503, 'ServiceUnavailable', 'not answered in time'));
   }, REQUEST_TIMEOUT_MS);
-  ask({ who, ask: kubeRequest }, (kubeAnswer) => {
+  ask({ credentials, request: kubeRequest }, (kubeAnswer) => {
     clearTimeout(timer);
     answer(res, kubeAnswer);
   });
--- a/packages/kubernetes/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -1,5 +1,5 @@
 /** Parses and validates the file that enables the Kubernetes API (`deploy/kube.yaml`); every error names the field. */
-import { check, read } from '@shaleyoke/config/checked';
+import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/checked';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import ipaddr from 'ipaddr.js';
@@ -87,9 +87,15 @@
 });
 
 /** Parses the file; `fileName` is for messages. Throws a `KubeSettingsError` that names each wrong field. */
-export const parseKube = (yaml: string, teams: readonly Team[], fileName: string): KubeSettings => {
+export const parseKubeSettings = (yaml: string, teams: readonly Team[], fileName: string): KubeSettings => {
   const fail = (message: string): KubeSettingsError => new KubeSettingsError(message);
-  const file = check(SettingsFile, read(parseYaml, yaml, fileName, fail), fileName, fail, true);
+  const file = decodeOrThrow(
+    SettingsFile,
+    parseOrThrow(parseYaml, yaml, fileName, fail),
+    fileName,
+    fail,
+    true,
+  );
   const problems: string[] = [];
   const names = teams.map((t) => t.name);
   const separator = file.listen.lastIndexOf(':');
--- a/packages/kubernetes/src/tokens.ts
+++ b/packages/kubernetes/src/tokens.ts
@@ -4,7 +4,7 @@
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
-import { reader } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/checked';
 import { Schema } from 'effect';
 
 /** Prefix of token records; the id follows. */
@@ -27,7 +27,7 @@
 export type TokenRecord = typeof TokenRecord.Type;
 
 /** Decodes a token record; null if it is malformed. */
-export const readToken = reader(TokenRecord);
+export const readToken = recordDecoder(TokenRecord);
 
 const hashOf = (salt: string, secret: string): Buffer =>
   createHash('sha256').update(Buffer.from(salt, 'hex')).update(secret).digest();
--- a/packages/kubernetes/src/wire.ts
+++ b/packages/kubernetes/src/wire.ts
@@ -165,7 +165,7 @@
 };
 
 /** Decodes a request. Authorization sets the `team` of a creation. */
-export const requestOf = (request: HttpRequest): KubeRequest | Refusal => {
+export const decodeRequest = (request: HttpRequest): KubeRequest | Refusal => {
   let url: URL;
   try {
     url = new URL(request.url, 'http://localhost');
@@ -226,7 +226,9 @@
 });
 
 /** HTTP response of an answer outside a watch. */
-export const responseOf = (answer: KubeAnswer): { code: number; body: Json; retryAfterS: number | null } => {
+export const encodeResponse = (
+  answer: KubeAnswer,
+): { code: number; body: Json; retryAfterS: number | null } => {
   const ok = (code: number, body: Json): { code: number; body: Json; retryAfterS: null } => ({
     code,
     body,
@@ -255,7 +257,7 @@
 };
 
 /** An answer as a line of a watch's response body. */
-export const lineOf = (answer: KubeAnswer): string =>
+export const encodeWatchLine = (answer: KubeAnswer): string =>
   JSON.stringify(
     answer.kind === 'event'
       ? { type: answer.type, object: answer.object }
--- a/packages/kubernetes/test/front.test.ts
+++ b/packages/kubernetes/test/front.test.ts
@@ -13,11 +13,11 @@
 import { Random } from '@shaleyoke/emulator/random';
 import { makeJobSpec } from '@shaleyoke/emulator/specs';
 import type { KubeAnswer, KubeRequest, Selector } from '@shaleyoke/kubernetes/api';
-import { Kube } from '@shaleyoke/kubernetes/feature';
-import { FEATURE } from '@shaleyoke/kubernetes/front';
+import { KubernetesFeature } from '@shaleyoke/kubernetes/feature';
+import { KUBE_FEATURE } from '@shaleyoke/kubernetes/front';
 import { nativeIdOf, uidOf } from '@shaleyoke/kubernetes/identity';
 import { readObject, splitIntoChunks } from '@shaleyoke/kubernetes/records';
-import { parseKube } from '@shaleyoke/kubernetes/settings';
+import { parseKubeSettings } from '@shaleyoke/kubernetes/settings';
 import { newToken, tokenKey } from '@shaleyoke/kubernetes/tokens';
 
 const WALL = Date.UTC(2026, 11, 1, 12) * 1000;
@@ -25,7 +25,7 @@
 
 const teams = (names: readonly string[]): Team[] =>
   names.map((name) => ({ name, guaranteedCores: 0, maxCores: 0, guaranteedGpus: 0, maxGpus: 0 }));
-const SETTINGS = parseKube(
+const SETTINGS = parseKubeSettings(
   `version: 1
 listen: 127.0.0.1:6443
 status_changes_per_s: 5
@@ -60,14 +60,14 @@
     1e9,
     4,
     next,
-    () => [new Kube(random, SETTINGS)],
+    () => [new KubernetesFeature(random, SETTINGS)],
     WALL,
   );
   // Stored as by the operator's `kube token create`.
   for (const token of [TOKEN, OTHERS]) simulation.put(tokenKey(token.id), token.record);
   return simulation;
 };
-const WHO = { token: TOKEN.token, address: '10.1.2.3' };
+const CREDENTIALS = { token: TOKEN.token, address: '10.1.2.3' };
 
 const manifest = (name: string, more: { spec?: object; notes?: object; labels?: object } = {}): unknown => ({
   apiVersion: 'batch/v1',
@@ -113,12 +113,12 @@
   simulation: ClusterSimulation,
   node: number,
   request: KubeRequest,
-  who = WHO,
+  credentials = CREDENTIALS,
   within = 20 * SECOND,
 ): KubeAnswer | null => {
   let answer: KubeAnswer | null = null;
   let open = true;
-  simulation.askFeature(node, FEATURE, { who, ask: request }, (received) => {
+  simulation.askFeature(node, KUBE_FEATURE, { credentials, request }, (received) => {
     answer = received as KubeAnswer | null;
     open = false;
   });
@@ -408,10 +408,17 @@
     { token: TOKEN.token, address: '10.2.0.1' },
     { token: TOKEN.token, address: 'nonsense' },
   ];
-  for (const who of wrong)
+  for (const credentials of wrong)
     for (const request of verbs('maps'))
-      assert.equal(code(ask(simulation, 2, request, who as typeof WHO)), 401, JSON.stringify(who));
-  assert.equal(code(ask(simulation, 2, get('tiles'), { ...WHO, address: '::ffff:10.1.9.9' })), 'object');
+      assert.equal(
+        code(ask(simulation, 2, request, credentials as typeof CREDENTIALS)),
+        401,
+        JSON.stringify(credentials),
+      );
+  assert.equal(
+    code(ask(simulation, 2, get('tiles'), { ...CREDENTIALS, address: '::ffff:10.1.9.9' })),
+    'object',
+  );
   // A revoked token is refused on every node.
   simulation.remove(tokenKey(TOKEN.id));
   for (const node of [0, 1, 2]) assert.equal(code(ask(simulation, node, get('tiles'))), 401);
@@ -443,23 +450,29 @@
 
   private list(): void {
     const life = ++this.life;
-    this.simulation.askFeature(this.node, FEATURE, { who: WHO, ask: list() }, (answer) => {
-      if (life !== this.life) return;
-      const listed = answer as KubeAnswer | null;
-      if (listed?.kind !== 'list') {
-        this.next();
-        return;
-      }
-      this.lists++;
-      if (listed.version < this.version) this.wrong.push(`a list of ${listed.version} after ${this.version}`);
-      this.version = listed.version;
-      this.known.clear();
-      for (const item of listed.items) {
-        const meta = metaOf(item);
-        this.known.set(meta.name, { uid: meta.uid, version: Number(meta.resourceVersion) });
-      }
-      this.watch();
-    });
+    this.simulation.askFeature(
+      this.node,
+      KUBE_FEATURE,
+      { credentials: CREDENTIALS, request: list() },
+      (answer) => {
+        if (life !== this.life) return;
+        const listed = answer as KubeAnswer | null;
+        if (listed?.kind !== 'list') {
+          this.next();
+          return;
+        }
+        this.lists++;
+        if (listed.version < this.version)
+          this.wrong.push(`a list of ${listed.version} after ${this.version}`);
+        this.version = listed.version;
+        this.known.clear();
+        for (const item of listed.items) {
+          const meta = metaOf(item);
+          this.known.set(meta.name, { uid: meta.uid, version: Number(meta.resourceVersion) });
+        }
+        this.watch();
+      },
+    );
   }
 
   private watch(): void {
@@ -471,7 +484,7 @@
       from: this.version,
       bookmarks: true,
     };
-    this.simulation.askFeature(this.node, FEATURE, { who: WHO, ask: request }, (answer) => {
+    this.simulation.askFeature(this.node, KUBE_FEATURE, { credentials: CREDENTIALS, request }, (answer) => {
       if (life !== this.life) return;
       const received = answer as KubeAnswer | null;
       if (received === null) {
@@ -525,20 +538,30 @@
         const nodes = random.chance(0.4) ? [0, 1] : [random.below(3)];
         let now = 0;
         for (const node of nodes)
-          simulation.askFeature(node, FEATURE, { who: WHO, ask: create(name) }, (answer) => {
-            const received = answer as KubeAnswer | null;
-            if (received?.kind !== 'object') return;
-            created++;
-            if (++now > 1) wrong.push(`${name} was created twice at the same time`);
-            const uids = made.get(name) ?? new Set<string>();
-            made.set(name, uids);
-            uids.add(metaOf(received.object).uid);
-          });
+          simulation.askFeature(
+            node,
+            KUBE_FEATURE,
+            { credentials: CREDENTIALS, request: create(name) },
+            (answer) => {
+              const received = answer as KubeAnswer | null;
+              if (received?.kind !== 'object') return;
+              created++;
+              if (++now > 1) wrong.push(`${name} was created twice at the same time`);
+              const uids = made.get(name) ?? new Set<string>();
+              made.set(name, uids);
+              uids.add(metaOf(received.object).uid);
+            },
+          );
       }
       if (random.chance(0.35)) {
         const record = readObject(simulation.value(`k/o/job/maps/${name}`));
         if (record !== null) simulation.users.cancelRequested.add(record.id);
-        simulation.askFeature(random.below(3), FEATURE, { who: WHO, ask: remove(name) }, () => undefined);
+        simulation.askFeature(
+          random.below(3),
+          KUBE_FEATURE,
+          { credentials: CREDENTIALS, request: remove(name) },
+          () => undefined,
+        );
       }
       if (random.chance(0.2)) simulation.crash(random.below(3), (2 + random.below(5)) * SECOND);
       if (random.chance(0.08)) simulation.stateOutage((2 + random.below(10)) * SECOND);
--- a/packages/protocol/src/body.ts
+++ b/packages/protocol/src/body.ts
@@ -26,27 +26,27 @@
 };
 
 /** Checks that a value is a map. `what` names the value in the error. */
-export const asFields = (value: unknown, what: string): Fields => {
+export const readMap = (value: unknown, what: string): Fields => {
   if (typeof value !== 'object' || value === null || Array.isArray(value))
     throw new MalformedMessageError(`${what}: not a map`);
   return value as Fields;
 };
 
 /** Checks that a value is an array. `what` names the value in the error. */
-export const list = (value: unknown, what: string): readonly unknown[] => {
+export const readArray = (value: unknown, what: string): readonly unknown[] => {
   if (!Array.isArray(value)) throw new MalformedMessageError(`${what}: not a list`);
   return value;
 };
 
 /** Reads a string field. */
-export const text = (fields: Fields, name: string): string => {
+export const readString = (fields: Fields, name: string): string => {
   const value = fields[name];
   if (typeof value !== 'string') throw new MalformedMessageError(`${name}: not text`);
   return value;
 };
 
 /** Reads a string field that may be missing or null. */
-export const optionalText = (fields: Fields, name: string): string | null => {
+export const readOptionalString = (fields: Fields, name: string): string | null => {
   const value = fields[name];
   if (value === null || value === undefined) return null;
   if (typeof value !== 'string') throw new MalformedMessageError(`${name}: not text`);
@@ -54,7 +54,7 @@
 };
 
 /** Reads a field that is a finite number of 0 or more. */
-export const amount = (fields: Fields, name: string): number => {
+export const readAmount = (fields: Fields, name: string): number => {
   const value = fields[name];
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0)
     throw new MalformedMessageError(`${name}: not an amount of 0 or more`);
@@ -63,11 +63,11 @@
 };
 
 /** Reads a field that is a finite number of 0 or more, or is missing or null. */
-export const optionalAmount = (fields: Fields, name: string): number | null =>
-  fields[name] === null || fields[name] === undefined ? null : amount(fields, name);
+export const readOptionalAmount = (fields: Fields, name: string): number | null =>
+  fields[name] === null || fields[name] === undefined ? null : readAmount(fields, name);
 
 /** Reads a field that is an integer of 0 or more. */
-export const integer = (fields: Fields, name: string): number => {
+export const readInteger = (fields: Fields, name: string): number => {
   const value = fields[name];
   if (typeof value !== 'number' || !Number.isInteger(value) || value < 0)
     throw new MalformedMessageError(`${name}: not an integer of 0 or more`);
@@ -75,7 +75,7 @@
 };
 
 /** Reads a boolean field; a missing one is an error. */
-export const flag = (fields: Fields, name: string): boolean => {
+export const readBoolean = (fields: Fields, name: string): boolean => {
   const value = fields[name];
   if (typeof value !== 'boolean') throw new MalformedMessageError(`${name}: not true or false`);
   return value;
@@ -85,8 +85,8 @@
 const MAX_DURATION_S = 1e9;
 
 /** Reads a duration, which is in seconds on the wire, and returns it in whole microseconds. */
-export const duration = (fields: Fields, name: string): number => {
-  const value = amount(fields, name);
+export const readDuration = (fields: Fields, name: string): number => {
+  const value = readAmount(fields, name);
   if (value > MAX_DURATION_S) throw new MalformedMessageError(`${name}: more than ${MAX_DURATION_S} s`);
   return secondsToMicros(value);
 };
@@ -99,8 +99,8 @@
 export const microsToSeconds = (micros: number): number => micros / MICROS_PER_SECOND;
 
 /** Reads a string field that must be a key of a table, and returns the value of that key. */
-export const oneOf = <T>(table: ReadonlyMap<string, T>, fields: Fields, name: string): T => {
-  const value = table.get(text(fields, name));
+export const readEnum = <T>(table: ReadonlyMap<string, T>, fields: Fields, name: string): T => {
+  const value = table.get(readString(fields, name));
   if (value === undefined) throw new MalformedMessageError(`${name}: not a known value`);
   return value;
 };
--- a/packages/protocol/src/client-api.ts
+++ b/packages/protocol/src/client-api.ts
@@ -3,18 +3,18 @@
 import type { JobShape, JobSpec, JobView, Priority } from '@shaleyoke/core/domain/job';
 
 import {
-  amount,
-  asFields,
   decodeBody,
-  duration,
   encodeBody,
   type Fields,
-  flag,
-  list,
   MalformedMessageError,
-  oneOf,
-  optionalText,
-  text,
+  readAmount,
+  readArray,
+  readBoolean,
+  readDuration,
+  readEnum,
+  readMap,
+  readOptionalString,
+  readString,
 } from './body.js';
 
 /** Job shapes by their names on the wire. */
@@ -40,7 +40,7 @@
 const isJobId = (id: string): boolean => JOB_ID.test(id);
 
 const readName = (fields: Fields, name: string): string => {
-  const value = text(fields, name);
+  const value = readString(fields, name);
   if (value === '' || value.length > MAX_NAME_LENGTH)
     throw new MalformedMessageError(`${name}: empty or too long`);
   return value;
@@ -51,7 +51,7 @@
   const value = fields['awaits'];
   if (value === null || value === undefined) return [];
   const dependencies = new Set<string>();
-  for (const dependency of list(value, 'awaits')) {
+  for (const dependency of readArray(value, 'awaits')) {
     if (typeof dependency !== 'string' || !isJobId(dependency))
       throw new MalformedMessageError('awaits: not a list of job ids');
     if (dependency === id) throw new MalformedMessageError('awaits: names the job itself');
@@ -62,17 +62,17 @@
 
 /** Decodes and validates the specification of a job. Throws `MalformedMessageError`. */
 export const decodeSpec = (fields: Fields): JobSpec => {
-  const id = text(fields, 'ref');
+  const id = readString(fields, 'ref');
   if (!isJobId(id)) throw new MalformedMessageError('ref: not a job id');
   const tasks = fields['parts'];
   if (typeof tasks !== 'number' || !Number.isInteger(tasks) || tasks < 1 || tasks > MAX_TASKS)
     throw new MalformedMessageError(`parts: not a count from 1 to ${MAX_TASKS}`);
-  const cores = amount(fields, 'cores');
+  const cores = readAmount(fields, 'cores');
   const models = fields['models'];
   const machineTypes =
     models === null || models === undefined
       ? null
-      : list(models, 'models').map((model) => {
+      : readArray(models, 'models').map((model) => {
           if (typeof model !== 'string') throw new MalformedMessageError('models: not a list of texts');
           return model;
         });
@@ -80,23 +80,24 @@
     id,
     class: readName(fields, 'bundle'),
     team: readName(fields, 'owner'),
-    shape: oneOf(SHAPES, fields, 'shape'),
-    priority: oneOf(PRIORITIES, fields, 'urgency'),
+    shape: readEnum(SHAPES, fields, 'shape'),
+    priority: readEnum(PRIORITIES, fields, 'urgency'),
     tasks,
     cores,
-    gpus: amount(fields, 'gpus'),
-    memoryGb: amount(fields, 'memory_gb'),
+    gpus: readAmount(fields, 'gpus'),
+    memoryGb: readAmount(fields, 'memory_gb'),
     image: readName(fields, 'build'),
-    imageGb: amount(fields, 'image_gb'),
+    imageGb: readAmount(fields, 'image_gb'),
     machineTypes,
-    zone: optionalText(fields, 'hall'),
-    sameZone: flag(fields, 'same_place'),
-    spreadAcrossZones: flag(fields, 'scatter'),
-    spot: flag(fields, 'loaners'),
-    estimatedRunUs: duration(fields, 'expect_s'),
-    checkpointIntervalUs: duration(fields, 'snapshot_s'),
-    checkpointDurationUs: duration(fields, 'flush_s'),
-    deadlineUs: fields['due_s'] === null || fields['due_s'] === undefined ? null : duration(fields, 'due_s'),
+    zone: readOptionalString(fields, 'hall'),
+    sameZone: readBoolean(fields, 'same_place'),
+    spreadAcrossZones: readBoolean(fields, 'scatter'),
+    spot: readBoolean(fields, 'loaners'),
+    estimatedRunUs: readDuration(fields, 'expect_s'),
+    checkpointIntervalUs: readDuration(fields, 'snapshot_s'),
+    checkpointDurationUs: readDuration(fields, 'flush_s'),
+    deadlineUs:
+      fields['due_s'] === null || fields['due_s'] === undefined ? null : readDuration(fields, 'due_s'),
     dependsOn: decodeDependencies(fields, id),
   };
 };
@@ -105,7 +106,7 @@
 export const decodeSubmission = (bytes: Uint8Array): ClientRequest => {
   let id: string | null = null;
   try {
-    const fields = asFields(decodeBody(bytes), 'submission');
+    const fields = readMap(decodeBody(bytes), 'submission');
     const ref = fields['ref'];
     if (typeof ref === 'string' && isJobId(ref)) id = ref;
     return { kind: 'submit', id, spec: decodeSpec(fields), problem: null };
--- a/packages/protocol/src/cloud.ts
+++ b/packages/protocol/src/cloud.ts
@@ -3,16 +3,16 @@
 import type { ListedMachine, MachineType } from '@shaleyoke/core/domain/machine';
 
 import {
-  amount,
-  asFields,
   decodeBody,
   encodeBody,
-  flag,
-  list,
   MalformedMessageError,
-  oneOf,
+  readAmount,
+  readArray,
+  readBoolean,
+  readEnum,
+  readMap,
+  readString,
   secondsToMicros,
-  text,
 } from './body.js';
 
 /** An HTTP request to be sent, with its body encoded. */
@@ -30,7 +30,7 @@
 ]);
 
 const readStrings = (value: unknown, what: string): string[] =>
-  list(value, what).map((item) => {
+  readArray(value, what).map((item) => {
     if (typeof item !== 'string') throw new MalformedMessageError(`${what}: not texts`);
     return item;
   });
@@ -64,31 +64,31 @@
 };
 
 const decodeType = (value: unknown): MachineType => {
-  const fields = asFields(value, 'model');
+  const fields = readMap(value, 'model');
   return {
-    name: text(fields, 'sku'),
-    cores: amount(fields, 'cores'),
-    gpus: fields['gpus'] === undefined || fields['gpus'] === null ? 0 : amount(fields, 'gpus'),
-    memoryGb: amount(fields, 'memory_gb'),
-    imageCacheGb: amount(fields, 'cache_gb'),
-    imagePullGbPerS: amount(fields, 'pull_gb_per_s'),
-    price: amount(fields, 'rate'),
-    spotPrice: amount(fields, 'market_price'),
-    bootUs: secondsToMicros(amount(fields, 'startup_s')),
+    name: readString(fields, 'sku'),
+    cores: readAmount(fields, 'cores'),
+    gpus: fields['gpus'] === undefined || fields['gpus'] === null ? 0 : readAmount(fields, 'gpus'),
+    memoryGb: readAmount(fields, 'memory_gb'),
+    imageCacheGb: readAmount(fields, 'cache_gb'),
+    imagePullGbPerS: readAmount(fields, 'pull_gb_per_s'),
+    price: readAmount(fields, 'rate'),
+    spotPrice: readAmount(fields, 'market_price'),
+    bootUs: secondsToMicros(readAmount(fields, 'startup_s')),
     zones: readStrings(fields['halls'], 'halls'),
   };
 };
 
 const decodeMachine = (value: unknown): ListedMachine => {
-  const fields = asFields(value, 'berth');
+  const fields = readMap(value, 'berth');
   return {
-    name: text(fields, 'ref'),
-    address: text(fields, 'address'),
-    type: text(fields, 'model'),
-    zone: text(fields, 'hall'),
-    spot: flag(fields, 'loaners'),
-    state: oneOf(STATES, fields, 'stage'),
-    ageUs: secondsToMicros(amount(fields, 'age_s')),
+    name: readString(fields, 'ref'),
+    address: readString(fields, 'address'),
+    type: readString(fields, 'model'),
+    zone: readString(fields, 'hall'),
+    spot: readBoolean(fields, 'loaners'),
+    state: readEnum(STATES, fields, 'stage'),
+    ageUs: secondsToMicros(readAmount(fields, 'age_s')),
   };
 };
 
@@ -101,22 +101,22 @@
   try {
     const body = bytes.length === 0 ? {} : decodeBody(bytes);
     if (status === 503 && operation.kind === 'rent') {
-      const error = asFields(body, 'answer')['error'];
+      const error = readMap(body, 'answer')['error'];
       return error === 'no capacity' ? { kind: 'noCapacity' } : { kind: 'failed', reason: 'trouble' };
     }
     if (status !== 200) return { kind: 'failed', reason: `status ${status}` };
     if (operation.kind === 'delete') return { kind: 'deleted' };
-    const fields = asFields(body, 'answer');
+    const fields = readMap(body, 'answer');
     switch (operation.kind) {
       case 'types':
-        return { kind: 'types', types: list(fields['models'], 'models').map(decodeType) };
+        return { kind: 'types', types: readArray(fields['models'], 'models').map(decodeType) };
       case 'rent':
         return { kind: 'rented', machines: readStrings(fields['berths'], 'berths') };
       case 'list':
         return {
           kind: 'listed',
-          machines: list(fields['berths'], 'berths').map(decodeMachine),
-          more: flag(fields, 'more'),
+          machines: readArray(fields['berths'], 'berths').map(decodeMachine),
+          more: readBoolean(fields, 'more'),
         };
     }
   } catch (error) {
--- a/packages/protocol/src/key-value-store.ts
+++ b/packages/protocol/src/key-value-store.ts
@@ -9,14 +9,14 @@
 } from '@shaleyoke/core/domain/key-value-store';
 
 import {
-  asFields,
   decodeBody,
   encodeBody,
-  flag,
-  integer,
-  list,
   MalformedMessageError,
-  text,
+  readArray,
+  readBoolean,
+  readInteger,
+  readMap,
+  readString,
 } from './body.js';
 import type { HttpCall } from './cloud.js';
 
@@ -63,47 +63,52 @@
 };
 
 const decodeItem = (value: unknown): StoredItem => {
-  const fields = asFields(value, 'row');
+  const fields = readMap(value, 'row');
   const lease = fields['permit'];
   return {
-    key: text(fields, 'key'),
+    key: readString(fields, 'key'),
     value: fields['data'],
-    version: integer(fields, 'stamp'),
+    version: readInteger(fields, 'stamp'),
     lease: typeof lease === 'number' ? lease : null,
   };
 };
 
 const decodeEvent = (value: unknown): StoreEvent => {
-  const fields = asFields(value, 'event');
+  const fields = readMap(value, 'event');
   return typeof fields['remove'] === 'string'
-    ? { kind: 'delete', key: fields['remove'], version: integer(fields, 'stamp') }
-    : { kind: 'put', key: text(fields, 'set'), value: fields['data'], version: integer(fields, 'stamp') };
+    ? { kind: 'delete', key: fields['remove'], version: readInteger(fields, 'stamp') }
+    : {
+        kind: 'put',
+        key: readString(fields, 'set'),
+        value: fields['data'],
+        version: readInteger(fields, 'stamp'),
+      };
 };
 
 const decodeSuccess = (operation: StoreOperation, body: unknown): StoreReply => {
-  const readFields = () => asFields(body, 'answer');
+  const readFields = () => readMap(body, 'answer');
   switch (operation.kind) {
     case 'get':
       return { kind: 'item', item: decodeItem(body) };
     case 'list':
       return {
         kind: 'items',
-        items: list(readFields()['rows'], 'rows').map(decodeItem),
-        more: flag(readFields(), 'more'),
-        revision: integer(readFields(), 'ledger'),
+        items: readArray(readFields()['rows'], 'rows').map(decodeItem),
+        more: readBoolean(readFields(), 'more'),
+        revision: readInteger(readFields(), 'ledger'),
       };
     case 'txn':
-      return { kind: 'ok', revision: integer(readFields(), 'ledger') };
+      return { kind: 'ok', revision: readInteger(readFields(), 'ledger') };
     case 'grant':
-      return { kind: 'granted', lease: integer(readFields(), 'permit') };
+      return { kind: 'granted', lease: readInteger(readFields(), 'permit') };
     case 'renew':
     case 'revoke':
       return { kind: 'ok', revision: 0 };
     case 'watch':
       return {
         kind: 'events',
-        events: list(readFields()['events'], 'events').map(decodeEvent),
-        revision: integer(readFields(), 'ledger'),
+        events: readArray(readFields()['events'], 'events').map(decodeEvent),
+        revision: readInteger(readFields(), 'ledger'),
       };
   }
 };
@@ -116,9 +121,9 @@
 });
 
 const decodeConflict = (body: unknown): StoreReply => {
-  const fields = asFields(body, 'answer');
-  const keys = list(fields['failed'], 'failed').filter((key): key is string => typeof key === 'string');
-  return { kind: 'conflict', failed: keys, revision: integer(fields, 'ledger') };
+  const fields = readMap(body, 'answer');
+  const keys = readArray(fields['failed'], 'failed').filter((key): key is string => typeof key === 'string');
+  return { kind: 'conflict', failed: keys, revision: readInteger(fields, 'ledger') };
 };
 
 /** Decodes a reply whose status is not 200 but has a meaning for the operation; null for any other status. */
@@ -126,13 +131,13 @@
   switch (operation.kind) {
     case 'get':
       if (status !== 404) return null;
-      return { kind: 'missing', revision: integer(asFields(body, 'answer'), 'ledger') };
+      return { kind: 'missing', revision: readInteger(readMap(body, 'answer'), 'ledger') };
     case 'renew':
     case 'revoke':
       return status === 404 ? { kind: 'noLease' } : null;
     case 'txn':
       if (status === 409) return decodeConflict(body);
-      if (status === 400 && asFields(body, 'answer')['error'] === 'no such lease') return { kind: 'noLease' };
+      if (status === 400 && readMap(body, 'answer')['error'] === 'no such lease') return { kind: 'noLease' };
       return null;
     case 'watch':
       return status === 410 ? { kind: 'tooOld' } : null;
--- a/packages/protocol/src/workers.ts
+++ b/packages/protocol/src/workers.ts
@@ -10,18 +10,18 @@
 } from '@shaleyoke/core/domain/heartbeat';
 
 import {
-  asFields,
   decodeBody,
   encodeBody,
-  flag,
-  integer,
-  list,
   MalformedMessageError,
   microsToSeconds,
-  oneOf,
-  optionalAmount,
+  readArray,
+  readBoolean,
+  readEnum,
+  readInteger,
+  readMap,
+  readOptionalAmount,
+  readString,
   secondsToMicros,
-  text,
 } from './body.js';
 
 /** Task states by their names on the wire. */
@@ -48,7 +48,7 @@
 export const taskName = (job: string, index: number): string => `${job}/${index}`;
 
 /** Splits the name of a task into the job's id and the index. Throws `MalformedMessageError`. */
-export const splitTask = (name: string): { job: string; index: number } => {
+export const parseTaskName = (name: string): { job: string; index: number } => {
   const separator = name.lastIndexOf('/');
   const index = Number(name.slice(separator + 1));
   if (separator <= 0 || !Number.isInteger(index) || index < 0)
@@ -57,32 +57,32 @@
 };
 
 const decodeTask = (value: unknown): ReportedTask => {
-  const fields = asFields(value, 'part');
-  const state = oneOf(TASK_STATES, fields, 'stage');
+  const fields = readMap(value, 'part');
+  const state = readEnum(TASK_STATES, fields, 'stage');
   return {
-    ...splitTask(text(fields, 'part')),
-    attempt: integer(fields, 'try'),
+    ...parseTaskName(readString(fields, 'part')),
+    attempt: readInteger(fields, 'try'),
     state,
-    cause: state === 'exited' ? oneOf(EXIT_CAUSES, fields, 'cause') : null,
+    cause: state === 'exited' ? readEnum(EXIT_CAUSES, fields, 'cause') : null,
     checkpointed: fields['saved'] === true,
   };
 };
 
 /** Decodes the heartbeat of a worker, with the states of its tasks. Throws `MalformedMessageError`. */
 export const decodeHeartbeat = (value: unknown): Heartbeat => {
-  const fields = asFields(value, 'report');
-  const notice = optionalAmount(fields, 'recall_s');
+  const fields = readMap(value, 'report');
+  const notice = readOptionalAmount(fields, 'recall_s');
   return {
-    machine: text(fields, 'berth'),
-    address: text(fields, 'address'),
-    type: text(fields, 'model'),
-    zone: text(fields, 'hall'),
-    spot: flag(fields, 'loaners'),
-    agentEpoch: integer(fields, 'shift'),
-    sequence: integer(fields, 'tally'),
-    fencingToken: integer(fields, 'baton'),
+    machine: readString(fields, 'berth'),
+    address: readString(fields, 'address'),
+    type: readString(fields, 'model'),
+    zone: readString(fields, 'hall'),
+    spot: readBoolean(fields, 'loaners'),
+    agentEpoch: readInteger(fields, 'shift'),
+    sequence: readInteger(fields, 'tally'),
+    fencingToken: readInteger(fields, 'baton'),
     terminationNoticeUs: notice === null ? null : secondsToMicros(notice),
-    tasks: list(fields['parts'], 'parts').map(decodeTask),
+    tasks: readArray(fields['parts'], 'parts').map(decodeTask),
   };
 };
 
