--- a/packages/controller/src/idle-connections.ts
+++ b/packages/controller/src/idle-connections.ts
@@ -8,7 +8,7 @@
 /**
  * Keeps connections whose clients are gone from blocking new ones. After a network partition such connections stayed open for two
  * minutes: the leader reached its connection limit and refused new ones, and 281 machines that could not send heartbeats were
- * deleted as silent (a recorded day of adresy-pomorze).
+ * deleted for not reporting (in one simulated deployment).
  */
 export const closeIdleConnections = (server: http.Server, maxConnections: number, idleMs: number): void => {
   /** When each idle connection became idle, the longest idle first. */
--- a/packages/core/src/cluster/usage-totals.ts
+++ b/packages/core/src/cluster/usage-totals.ts
@@ -162,9 +162,9 @@
   /**
    * Capacity for work of this kind and priority, in total and now. GPUs count only as far as there are cores beside them:
    * otherwise, where work without GPUs fills machines with GPUs, the expected free capacity is too high, all jobs seem to be
-   * on time, and ordered by latest start nearly all of them are late (gedeeld-fleet loss: 0.18 of the arrays on time,
-   * though ten jobs ended in every half minute). Cores count in full, since work with GPUs frees them sooner or later;
-   * subtracting them raised the price (krakow-next, one run each: 2.3 -> 3.0 and 3.5 -> 4.1).
+   * on time, and ordered by latest start nearly all of them are late (in one simulated deployment 0.18 of the arrays on
+   * time, though ten jobs ended in every half minute). Cores count in full, since work with GPUs frees them sooner or
+   * later; subtracting them raised the price (on a recorded day, one run each: 2.3 -> 3.0 and 3.5 -> 4.1).
    */
   capacityFor(gpu: boolean, priority: Priority, coresEach: number): KindCapacity {
     this.refresh();
--- a/packages/core/src/leader/leader-health.ts
+++ b/packages/core/src/leader/leader-health.ts
@@ -1,7 +1,7 @@
 /**
  * Detects a leader that is too slow, by late timers and late answers to lease renewals. A slowed-down leader once kept its
  * lease for 40 s: its renewals arrived, so no other controller could lead, but heartbeats of its workers timed out until all
- * worker leases had expired (adresy-pomorze rough: 2,706 tasks killed). Performs no I/O; callers pass the times.
+ * worker leases had expired (2,706 tasks killed in one simulated deployment). Performs no I/O; callers pass the times.
  */
 import { type Micros, MILLISECOND, SECOND } from '../domain/time.js';
 
--- a/packages/core/src/machines/demand-forecast.ts
+++ b/packages/core/src/machines/demand-forecast.ts
@@ -111,7 +111,7 @@
    * Capacity kept free for urgent work, which can't wait until tasks of other jobs end. Tasks end all the time and free
    * capacity, so it is enough to cover the largest recent job, or the arrivals expected within the allowed wait. Without this
    * reserve, urgent services started task by task: a third of those that arrived at full machines had tasks waiting for
-   * longer than their objective (adresy-pomorze steady).
+   * longer than their objective (in one simulated deployment).
    */
   reservedForUrgent(): TaskGroup[] {
     const groups: TaskGroup[] = [];
--- a/packages/core/src/scheduling/group-placement.ts
+++ b/packages/core/src/scheduling/group-placement.ts
@@ -137,8 +137,8 @@
 /**
  * Places a gang by rank, or on machines where all members can start now if that finishes sooner. By rank alone, all members
  * may wait for the last one although machines of slightly worse rank (image not cached, machine kept busy for longer) have
- * capacity for all of them now. Several gangs then hold each other's machines in the plan and none starts: on a krakow
- * day, 60 places stood idle while ten gangs of 16 waited.
+ * capacity for all of them now. Several gangs then hold each other's machines in the plan and none starts: on a
+ * recorded day, 60 places stood idle while ten gangs of 16 waited.
  */
 const placeGang = (
   simulation: PlacementSimulation,
--- a/packages/core/src/tasks/heartbeat-handler.ts
+++ b/packages/core/src/tasks/heartbeat-handler.ts
@@ -86,8 +86,8 @@
 
   /**
    * Reconciles the heartbeats that arrived while the records were being read. A machine that could not be reconciled yet must
-   * not count as empty: its tasks would be started again on other machines (seen as ran_twice with an enlarged krakow
-   * workload).
+   * not count as empty: its tasks would be started again on other machines (seen as ran_twice with an enlarged
+   * workload of a recorded day).
    */
   replayEarlyHeartbeats(): void {
     for (const [machine, heartbeat] of this.earlyHeartbeats)
