--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,20 +5,20 @@
 
 /** Modules whose names, documentation or size don't keep the limits yet. The list only ever shrinks (docs/ROADMAP.md). */
 const NOT_YET_READABLE = [
-  'packages/budgets/src/{books,commands,explain,feature,packing,reader,store}.ts',
+  'packages/budgets/src/{commands,explain,feature,ledger,packing,reader,store}.ts',
   'packages/demo/src/**',
   // Of the emulator the files that are too long or too complex.
   'packages/emulator/src/cluster-simulation.ts',
   'packages/emulator/src/fault-scenarios.ts',
+  'packages/emulator/src/starvation-monitor.ts',
   'packages/emulator/src/users-model.ts',
-  'packages/emulator/src/waiting.ts',
   'packages/emulator/src/wire.ts',
   'packages/emulator/src/workers-model.ts',
   'packages/emulator/src/scale/capacity.ts',
   'packages/emulator/src/scale/hollow.ts',
   // Of Kubernetes only the files with functions that are too long or too complex.
   'packages/kubernetes/src/commands.ts',
-  'packages/kubernetes/src/front.ts',
+  'packages/kubernetes/src/endpoint.ts',
   'packages/kubernetes/src/mapping.ts',
   'packages/kubernetes/src/rollout.ts',
 ];
--- a/packages/budgets/src/accounts.ts
+++ b/packages/budgets/src/accounts.ts
@@ -6,7 +6,7 @@
  */
 import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 
-import { addCharge, type Ledger } from './books.js';
+import { addCharge, type Ledger } from './ledger.js';
 import { chargeOf, type MonthRow, monthRow, type OwnersPart } from './records.js';
 
 /** Months with sums of their own; older closed ones are added into a single row. */
--- a/packages/budgets/src/estimate.ts
+++ b/packages/budgets/src/estimate.ts
@@ -5,7 +5,7 @@
 import { isMachineTypeAllowed } from '@shaleyoke/core/domain/resources';
 import { SECOND } from '@shaleyoke/core/domain/time';
 
-import { FULL_WEIGHT } from './books.js';
+import { FULL_WEIGHT } from './ledger.js';
 import { type Money, portion, rateOf } from './money.js';
 
 /** The run time for which services are committed at a time: one hour, the unit of prices. */
--- a/packages/budgets/src/feature.ts
+++ b/packages/budgets/src/feature.ts
@@ -8,9 +8,9 @@
 import type { DependencyLinks, Feature, FeatureTerm } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { FULLY_KEPT, Ledger, type OpenJob } from './books.js';
 import type { Calendar } from './calendar.js';
 import { estimatedCost, machineWeight } from './estimate.js';
+import { FULLY_KEPT, Ledger, type OpenJob } from './ledger.js';
 import { Limits, totalSpent } from './limits.js';
 import { formatMoney, type Money, rateOf } from './money.js';
 import { outcomeOf } from './outcome.js';
--- a/packages/budgets/src/limits.ts
+++ b/packages/budgets/src/limits.ts
@@ -2,7 +2,7 @@
 import type { ActiveJob } from '@shaleyoke/core/cluster/cluster-model';
 import type { DependencyLinks } from '@shaleyoke/core/feature-api';
 
-import type { Ledger } from './books.js';
+import type { Ledger } from './ledger.js';
 import { formatMoney, type Money } from './money.js';
 import type { LimitRecord } from './records.js';
 import type { BudgetSettings, Limit } from './settings.js';
--- a/packages/budgets/src/outcome.ts
+++ b/packages/budgets/src/outcome.ts
@@ -3,7 +3,7 @@
 import type { ReportedTask } from '@shaleyoke/core/domain/heartbeat';
 import type { Micros } from '@shaleyoke/core/domain/time';
 
-import { FULLY_KEPT, type Outcome } from './books.js';
+import { FULLY_KEPT, type Outcome } from './ledger.js';
 
 /** The core's criterion: failures on three machines, and no task of the job was ever done. */
 const failsEverywhere = (job: ActiveJob): boolean => job.failuresByMachine.size >= 3 && job.done.count === 0;
--- a/packages/budgets/src/packing.ts
+++ b/packages/budgets/src/packing.ts
@@ -1,7 +1,7 @@
 /** Packs open jobs into pages. A job stays on its page as long as it fits, so that few pages change. */
 import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 
-import type { OpenJob, RunningAttempt } from './books.js';
+import type { OpenJob, RunningAttempt } from './ledger.js';
 import { monthRow, type OpenPage, type OpenRow } from './records.js';
 
 type AttemptRun = OpenRow[5][number];
--- a/packages/budgets/src/reader.ts
+++ b/packages/budgets/src/reader.ts
@@ -8,7 +8,7 @@
   type PlatformReason,
   zeroCharge,
   zeroPlatformCosts,
-} from './books.js';
+} from './ledger.js';
 import type { Money } from './money.js';
 import { attemptsOf } from './packing.js';
 import {
--- a/packages/budgets/src/records.ts
+++ b/packages/budgets/src/records.ts
@@ -4,11 +4,11 @@
  */
 import { createHash } from 'node:crypto';
 
-import { recordDecoder } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/schema-decoding';
 import canonicalize from 'canonicalize';
 import { Schema } from 'effect';
 
-import type { Charge } from './books.js';
+import type { Charge } from './ledger.js';
 
 /** Key of the record with the totals, which every flush writes. */
 export const HEAD_KEY = 'b/head';
--- a/packages/budgets/src/settings.ts
+++ b/packages/budgets/src/settings.ts
@@ -1,5 +1,5 @@
 /** Reads the file that switches budgets on (`deploy/budgets.yaml`) and checks it against the platform's teams. */
-import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/checked';
+import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/schema-decoding';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import { parse as parseYaml } from 'yaml';
--- a/packages/budgets/src/statement.ts
+++ b/packages/budgets/src/statement.ts
@@ -1,8 +1,8 @@
 /** An owner's monthly statement: made from the records, in a published format that can be verified offline. */
 import { stringify } from 'csv-stringify/sync';
 
-import { addCharge, type Charge, zeroCharge } from './books.js';
 import { Calendar } from './calendar.js';
+import { addCharge, type Charge, zeroCharge } from './ledger.js';
 import { formatMoney, parseMoney } from './money.js';
 import type { LedgerView } from './reader.js';
 import { digestOf } from './records.js';
--- a/packages/budgets/src/store.ts
+++ b/packages/budgets/src/store.ts
@@ -12,7 +12,7 @@
 import { pageCapacity } from '@shaleyoke/core/storage/packed-pages';
 
 import { OwnerAccounts, type OwnerMarks } from './accounts.js';
-import { addCharge, type Ledger, OpenJob, zeroCharge } from './books.js';
+import { addCharge, type Ledger, OpenJob, zeroCharge } from './ledger.js';
 import { attemptsOf, type ChangedPage, OpenJobPacking } from './packing.js';
 import {
   chargeOf,
--- a/packages/budgets/test/budget-simulation.ts
+++ b/packages/budgets/test/budget-simulation.ts
@@ -20,7 +20,7 @@
 export interface BudgetSimulation {
   readonly simulation: ClusterSimulation;
   /** The ledger of the newest term. */
-  readonly currentLedger: () => import('@shaleyoke/budgets/books').Ledger | undefined;
+  readonly currentLedger: () => import('@shaleyoke/budgets/ledger').Ledger | undefined;
 }
 
 /**
--- a/packages/budgets/test/ledger.test.ts
+++ b/packages/budgets/test/ledger.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
+import { Calendar } from '@shaleyoke/budgets/calendar';
 import {
   FULL_WEIGHT,
   FULLY_KEPT,
@@ -9,8 +10,7 @@
   type Outcome,
   PLATFORM_REASONS,
   zeroPlatformCosts,
-} from '@shaleyoke/budgets/books';
-import { Calendar } from '@shaleyoke/budgets/calendar';
+} from '@shaleyoke/budgets/ledger';
 import fc from 'fast-check';
 
 const SECOND = 1_000_000;
--- a/packages/budgets/tools/scale.ts
+++ b/packages/budgets/tools/scale.ts
@@ -6,8 +6,8 @@
 
 import type { StoredItem } from '@shaleyoke/core/domain/key-value-store';
 
-import { Ledger, zeroPlatformCosts } from '../src/books.js';
 import { Calendar } from '../src/calendar.js';
+import { Ledger, zeroPlatformCosts } from '../src/ledger.js';
 import { attemptsOf, OpenJobPacking } from '../src/packing.js';
 import { buildLedgerView, verifyLedger } from '../src/reader.js';
 import {
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -11,7 +11,7 @@
 import { parse as parseToml } from 'smol-toml';
 import { parse as parseYaml } from 'yaml';
 
-import { decodeOrThrow, parseOrThrow } from './checked.js';
+import { decodeOrThrow, parseOrThrow } from './schema-decoding.js';
 
 /** Converts seconds, as in the files, to whole microseconds. */
 const micros = (seconds: number): Micros => Math.round(seconds * SECOND);
--- a/packages/core/test/membership.test.ts
+++ b/packages/core/test/membership.test.ts
@@ -6,8 +6,8 @@
 import type { MembershipSettings } from '@shaleyoke/core/domain/settings';
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { type PeerChange, PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
-import { peerHeartbeatOf } from '@shaleyoke/emulator/beats';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
+import { peerHeartbeatOf } from '@shaleyoke/emulator/peer-heartbeat-fixture';
 import { Random } from '@shaleyoke/emulator/random';
 import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
--- a/packages/demo/test/loopback.test.ts
+++ b/packages/demo/test/loopback.test.ts
@@ -12,9 +12,9 @@
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { budgetsYaml, MACHINE_TYPE, makeJob, readBooks, waitUntil } from '@shaleyoke/demo/demo';
+import { commandRunner } from '@shaleyoke/emulator/command-runner';
 import { LoopbackDeployment } from '@shaleyoke/emulator/loopback';
 import { Random } from '@shaleyoke/emulator/random';
-import { commandRunner } from '@shaleyoke/emulator/tool';
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
--- a/packages/emulator/src/cluster-simulation.ts
+++ b/packages/emulator/src/cluster-simulation.ts
@@ -26,8 +26,8 @@
 import type { StepMeter } from './step-meter.js';
 import { Timeline } from './timeline.js';
 import { UsersModel } from './users-model.js';
-import { Workload } from './work.js';
 import { type Worker, WorkersModel } from './workers-model.js';
+import { Workload } from './workload.js';
 
 type StoreRequestEffect = CoreEffect & { readonly kind: 'storeRequest' };
 
--- a/packages/emulator/src/fault-scenarios.ts
+++ b/packages/emulator/src/fault-scenarios.ts
@@ -9,7 +9,7 @@
 import { ClusterSimulation, type CoreOptions } from './cluster-simulation.js';
 import { Random } from './random.js';
 import { makeJobSpec } from './specs.js';
-import { StarvationMonitor } from './waiting.js';
+import { StarvationMonitor } from './starvation-monitor.js';
 import type { Worker } from './workers-model.js';
 
 /** What a scenario acts on. */
--- a/packages/emulator/src/users-model.ts
+++ b/packages/emulator/src/users-model.ts
@@ -5,8 +5,8 @@
 import { MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { Random } from './random.js';
-import type { Workload } from './work.js';
 import { CANCELLATION_DEADLINE } from './workers-model.js';
+import type { Workload } from './workload.js';
 
 /** Submissions and cancellations are retried this often, a second apart. */
 const MAX_RETRIES = 90;
--- a/packages/emulator/src/workers-model.ts
+++ b/packages/emulator/src/workers-model.ts
@@ -14,7 +14,7 @@
 import type { SimulatedMachines } from './cloud-model.js';
 import type { Random } from './random.js';
 import { MACHINE_TYPE } from './site.js';
-import type { Workload } from './work.js';
+import type { Workload } from './workload.js';
 
 /** As in the settings that `settingsFor` makes. */
 const HEARTBEAT_INTERVAL: Micros = 3 * SECOND;
--- a/packages/emulator/test/larger.test.ts
+++ b/packages/emulator/test/larger.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
-import { scaleSite } from '@shaleyoke/emulator/larger';
+import { scaleSite } from '@shaleyoke/emulator/site-scaling';
 import fc from 'fast-check';
 import { parse, stringify } from 'smol-toml';
 
--- a/packages/emulator/test/scale.test.ts
+++ b/packages/emulator/test/scale.test.ts
@@ -3,13 +3,13 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 
+import { commandRunner } from '../src/command-runner.js';
 import { capacityRows, capacityTable, replaceTable } from '../src/scale/capacity.js';
 import { runHollow } from '../src/scale/hollow.js';
 import { measurePollLoad } from '../src/scale/poll-load.js';
 import { measureSize } from '../src/scale/slopes.js';
 import { fitLine, summarize } from '../src/scale/statistics.js';
 import { readMeasurements } from '../src/scale/stored-measurements.js';
-import { commandRunner } from '../src/tool.js';
 
 const path = (relative: string): string => new URL(relative, import.meta.url).pathname;
 const scale = commandRunner([process.execPath, '--import', 'tsx', path('../tools/scale.ts')]);
--- a/packages/emulator/test/soak.test.ts
+++ b/packages/emulator/test/soak.test.ts
@@ -4,6 +4,7 @@
 
 import type { JobSpec } from '@shaleyoke/core/domain/job';
 
+import { commandRunner } from '../src/command-runner.js';
 import { Random } from '../src/random.js';
 import { checkHistory, type Violation } from '../src/soak/checkers.js';
 import { describeFaults, FAULT_KINDS, generateFaults } from '../src/soak/fault-schedule.js';
@@ -12,7 +13,6 @@
 import { reservePorts } from '../src/soak/port-block.js';
 import { resultOf } from '../src/soak/soak-run.js';
 import { makeJobSpec } from '../src/specs.js';
-import { commandRunner } from '../src/tool.js';
 
 const JOB = 'run-1';
 const CANCEL_GRACE_MS = 30_000;
--- a/packages/emulator/test/waiting.test.ts
+++ b/packages/emulator/test/waiting.test.ts
@@ -7,7 +7,7 @@
 import { ClusterSimulation } from '../src/cluster-simulation.js';
 import { Random } from '../src/random.js';
 import { makeJobSpec } from '../src/specs.js';
-import { StarvationMonitor } from '../src/waiting.js';
+import { StarvationMonitor } from '../src/starvation-monitor.js';
 
 const longestWaitS = (coresMax: number, before: (world: ClusterSimulation) => void): number => {
   const world = new ClusterSimulation(
--- a/packages/emulator/tools/detector.ts
+++ b/packages/emulator/tools/detector.ts
@@ -10,7 +10,7 @@
 import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { PeerFailureDetector } from '@shaleyoke/core/membership/peer-failure-detector';
 
-import { peerHeartbeatOf } from '../src/beats.js';
+import { peerHeartbeatOf } from '../src/peer-heartbeat-fixture.js';
 import { Random } from '../src/random.js';
 
 const SETTINGS: MembershipSettings = { heartbeatIntervalUs: SECOND, suspectAfterMissed: 3 };
--- a/packages/emulator/tools/larger.ts
+++ b/packages/emulator/tools/larger.ts
@@ -9,7 +9,7 @@
 
 import { parse, stringify } from 'smol-toml';
 
-import { scaleSite } from '../src/larger.js';
+import { scaleSite } from '../src/site-scaling.js';
 
 const main = (): void => {
   const { values, positionals } = parseArgs({
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -2,7 +2,7 @@
 import type { Feature, FeatureEndpoint, FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { KUBE_FEATURE, KubeEndpoint } from './front.js';
+import { KUBE_FEATURE, KubeEndpoint } from './endpoint.js';
 import { JobController } from './job-controller.js';
 import type { KubeSettings } from './settings.js';
 
--- a/packages/kubernetes/src/plugin.ts
+++ b/packages/kubernetes/src/plugin.ts
@@ -5,8 +5,8 @@
 import type { Feature, RequestFeature } from '@shaleyoke/core/feature-api';
 
 import type { KubeAnswer } from './api.js';
+import { KUBE_FEATURE, type KubeAsk } from './endpoint.js';
 import { KubernetesFeature } from './feature.js';
-import { KUBE_FEATURE, type KubeAsk } from './front.js';
 import { listen } from './server.js';
 import { parseKubeSettings } from './settings.js';
 
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -2,7 +2,7 @@
  * Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as
  * null.
  */
-import { recordDecoder } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/schema-decoding';
 import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
 
--- a/packages/kubernetes/src/server.ts
+++ b/packages/kubernetes/src/server.ts
@@ -6,7 +6,7 @@
 
 import type { KubeAnswer, Refusal } from './api.js';
 import { refuse } from './api.js';
-import type { KubeAsk } from './front.js';
+import type { KubeAsk } from './endpoint.js';
 import type { KubeSettings } from './settings.js';
 import { decodeRequest, discovery, encodeResponse, encodeWatchLine } from './wire.js';
 
--- a/packages/kubernetes/src/settings.ts
+++ b/packages/kubernetes/src/settings.ts
@@ -1,5 +1,5 @@
 /** Parses and validates the file that enables the Kubernetes API (`deploy/kube.yaml`); every error names the field. */
-import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/checked';
+import { decodeOrThrow, parseOrThrow } from '@shaleyoke/config/schema-decoding';
 import type { Team } from '@shaleyoke/core/domain/settings';
 import { Schema } from 'effect';
 import ipaddr from 'ipaddr.js';
--- a/packages/kubernetes/src/tokens.ts
+++ b/packages/kubernetes/src/tokens.ts
@@ -4,7 +4,7 @@
  */
 import { createHash, timingSafeEqual } from 'node:crypto';
 
-import { recordDecoder } from '@shaleyoke/config/checked';
+import { recordDecoder } from '@shaleyoke/config/schema-decoding';
 import { Schema } from 'effect';
 
 /** Prefix of token records; the id follows. */
--- a/packages/kubernetes/test/loopback.test.ts
+++ b/packages/kubernetes/test/loopback.test.ts
@@ -9,8 +9,8 @@
 import { BatchV1Api, KubeConfig, makeInformer, type V1Job } from '@kubernetes/client-node';
 import type { MachineType } from '@shaleyoke/core/domain/machine';
 import { SECOND } from '@shaleyoke/core/domain/time';
+import { commandRunner } from '@shaleyoke/emulator/command-runner';
 import { LoopbackDeployment } from '@shaleyoke/emulator/loopback';
-import { commandRunner } from '@shaleyoke/emulator/tool';
 
 const MAIN = new URL('../../cli/src/main.ts', import.meta.url).pathname;
 const PROGRAM = [process.execPath, '--import', 'tsx', MAIN];
