--- a/packages/budgets/test/statement.test.ts
+++ b/packages/budgets/test/statement.test.ts
@@ -4,14 +4,14 @@
 import { test } from 'node:test';
 
 import { explainJob } from '@shaleyoke/budgets/explain';
-import { verifyBooks, viewBooks } from '@shaleyoke/budgets/reader';
+import { buildLedgerView, verifyLedger } from '@shaleyoke/budgets/reader';
 import { digestOf, readHead, readJournal, readOpen } from '@shaleyoke/budgets/records';
 import { BudgetSettingsError, parseBudgets } from '@shaleyoke/budgets/settings';
-import { type Statement, statementCsv, statementOf, textOf } from '@shaleyoke/budgets/statement';
+import { type Statement, statementCsv, statementOf, statementText } from '@shaleyoke/budgets/statement';
 import { verifyStatement } from '@shaleyoke/budgets/verify';
 import { SECOND } from '@shaleyoke/core/domain/time';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 import fc from 'fast-check';
 
 import { budgetSettings, recordedView, simulateBudgets, TEAMS } from './budget-simulation.js';
@@ -23,9 +23,12 @@
   simulation.runFor(4 * SECOND);
   for (let i = 0; i < 4; i++)
     simulation.submit(
-      specOf(`run-${i}`, { team: i % 2 === 0 ? 't' : 'u', class: i % 2 === 0 ? 'geheim-t' : 'geheim-u' }),
+      makeJobSpec(`run-${i}`, {
+        team: i % 2 === 0 ? 't' : 'u',
+        class: i % 2 === 0 ? 'geheim-t' : 'geheim-u',
+      }),
     );
-  simulation.submit(specOf('run-8', { team: 'u', tasks: 9, estimatedRunUs: 100 * SECOND }));
+  simulation.submit(makeJobSpec('run-8', { team: 'u', tasks: 9, estimatedRunUs: 100 * SECOND }));
   simulation.runFor(120 * SECOND);
   return simulation;
 };
@@ -38,7 +41,7 @@
   ] as const) {
     const statement = statementOf(view, owner, '2026-12', TERMS);
     assert.equal(statement.lines.length, 2);
-    for (const text of [JSON.stringify(statement), statementCsv(statement), textOf(statement)]) {
+    for (const text of [JSON.stringify(statement), statementCsv(statement), statementText(statement)]) {
       assert.ok(text.includes(`geheim-${owner}`) || text.includes(statement.totals.charged));
       assert.ok(!text.includes(`geheim-${other}`));
       for (const charge of view.lines)
@@ -72,14 +75,14 @@
     facts,
     recordedView(simulation),
     budgetSettings('owners:\n  u: { hard: 0.02 }\n'),
-    simulation.wall,
+    simulation.wallClock,
   );
   assert.match(
     lines[0]!,
     /run-8: held back: budget of u: 0\.0\d+ of 0\.020000 EUR left in 2026-12, about 0\.\d+ needed/,
   );
   assert.match(
-    explainJob('run-77', facts, recordedView(simulation), budgetSettings(), simulation.wall)[0]!,
+    explainJob('run-77', facts, recordedView(simulation), budgetSettings(), simulation.wallClock)[0]!,
     /no such job/,
   );
 });
@@ -89,10 +92,10 @@
   const items = simulation
     .keys('b/')
     .map((key) => ({ key, value: structuredClone(simulation.value(key)), version: 1, lease: null }));
-  assert.deepEqual(verifyBooks(viewBooks(items)), []);
+  assert.deepEqual(verifyLedger(buildLedgerView(items)), []);
   const head = readHead(simulation.value('b/head'))!;
   const differencesWith = (key: string, value: unknown): string[] =>
-    verifyBooks(viewBooks(items.map((it) => (it.key === key ? { ...it, value } : it))));
+    verifyLedger(buildLedgerView(items.map((it) => (it.key === key ? { ...it, value } : it))));
   assert.match(differencesWith('b/head', { ...head, cost: head.cost + 1 }).join(), /pending/);
   const [, ...rows] = head.m['t']!;
   assert.match(
--- a/packages/core/test/fault-scenarios.test.ts
+++ b/packages/core/test/fault-scenarios.test.ts
@@ -6,11 +6,16 @@
 import { test } from 'node:test';
 
 import type { Core } from '@shaleyoke/core/core';
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 import { ClusterSimulation } from '@shaleyoke/emulator/cluster-simulation';
-import { BASIC_SCENARIOS, FIRST_BOUNDS, type Outcome, play } from '@shaleyoke/emulator/fault-scenarios';
+import {
+  BASIC_LIMITS,
+  BASIC_SCENARIOS,
+  runScenarios,
+  type ScenarioOutcome,
+} from '@shaleyoke/emulator/fault-scenarios';
 import { Random } from '@shaleyoke/emulator/random';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { checkOutcome } from './scenario-assertions.js';
 import { seedRange, teamQuota, violationsOf } from './scenario-fixtures.js';
@@ -32,30 +37,32 @@
   unreachedWithTasks: number;
 }
 
-const addOutcome = (totals: Totals, { w: simulation, won, counts }: Outcome): void => {
-  totals.lateCommands += simulation.lateOrders;
-  totals.lateWrites += simulation.lateWritten.all;
-  totals.staleWrites += simulation.lateWritten.all - simulation.lateWritten.applied;
-  totals.elections += won;
-  totals.cuts += counts.get('cuts') ?? 0;
-  totals.leaderEnds += counts.get('ends') ?? 0;
-  totals.unreachedWithTasks += counts.get('unreached with tasks') ?? 0;
+const addOutcome = (totals: Totals, { simulation, electionCount, counts }: ScenarioOutcome): void => {
+  totals.lateCommands += simulation.lateCommands;
+  totals.lateWrites += simulation.lateTransactions.all;
+  totals.staleWrites += simulation.lateTransactions.all - simulation.lateTransactions.applied;
+  totals.elections += electionCount;
+  totals.cuts += counts.get('leader partitions') ?? 0;
+  totals.leaderEnds += counts.get('leader crashes') ?? 0;
+  totals.unreachedWithTasks += counts.get('unreachable machines with tasks') ?? 0;
 };
 
 /** Asserts that the faults of a scenario occurred often enough, for scenarios with counters. */
 const assertTookPlace = (name: string, totals: Totals): void => {
   const { lateCommands, lateWrites, staleWrites, elections, cuts, leaderEnds, unreachedWithTasks } = totals;
-  if (name === 'commands held up') assert.ok(lateCommands > 10, `delayed commands: ${lateCommands}`);
+  if (name === 'delayed commands') assert.ok(lateCommands > 10, `delayed commands: ${lateCommands}`);
   if (name === 'late transactions')
     assert.ok(
       lateWrites > 20 && staleWrites > 5,
       `late writes: ${lateWrites}, of which rejected: ${staleWrites}`,
     );
-  if (name === 'a leader cut from state and peers') assert.ok(cuts > 6 && elections > 6);
-  if (name === 'the leader ends') assert.ok(leaderEnds > 6 && elections > 6);
-  if (name === 'the leader ends while machines can not be reached')
+  if (name === 'a leader partitioned from the state service and its peers')
+    assert.ok(cuts > 6 && elections > 6);
+  if (name === 'the leader crashes') assert.ok(leaderEnds > 6 && elections > 6);
+  if (name === 'the leader crashes while machines are unreachable')
     assert.ok(unreachedWithTasks > 6, `unreachable machines with tasks: ${unreachedWithTasks}`);
-  if (name === 'handed back and forth') assert.ok(elections > 6, `elections: ${elections}`);
+  if (name === 'all controllers crash and restart within seconds')
+    assert.ok(elections > 6, `elections: ${elections}`);
 };
 
 for (const name of NAMES)
@@ -70,7 +77,7 @@
       unreachedWithTasks: 0,
     };
     for (let seed = firstSeed; seed <= lastSeed; seed++) {
-      const outcome = play(seed, [BASIC_SCENARIOS[name]!], 4, FIRST_BOUNDS);
+      const outcome = runScenarios(seed, [BASIC_SCENARIOS[name]!], 4, BASIC_LIMITS);
       checkOutcome(outcome, `seed ${seed}`);
       addOutcome(totals, outcome);
     }
@@ -79,7 +86,7 @@
 
 /** The index of the node that holds the leader lease; -1 while none does. */
 const leaderIndex = (simulation: ClusterSimulation): number =>
-  simulation.nodes.findIndex((node) => node.core?.leads() === true);
+  simulation.nodes.findIndex((node) => node.core?.canActAsLeader() === true);
 
 const leaderCore = (simulation: ClusterSimulation): Core => simulation.nodes[leaderIndex(simulation)]!.core!;
 
@@ -89,19 +96,20 @@
       const random = new Random(seed * 131 + changes);
       // A quota of one core: each task starts when the one before has ended.
       const simulation = new ClusterSimulation(random, 3, teamQuota(1), 1, 4);
-      simulation.stand(2);
-      simulation.repeats = seed % 2 === 0 ? 0.3 : 0;
+      simulation.addMachines(2);
+      simulation.duplication = seed % 2 === 0 ? 0.3 : 0;
       simulation.runFor(3 * SECOND);
       const runTime = (6 + random.below(8)) * SECOND;
       const specs = [
-        specOf('run-1', { tasks: 3, estimatedRunUs: runTime }),
-        specOf('run-2', { tasks: 2, estimatedRunUs: runTime }),
+        makeJobSpec('run-1', { tasks: 3, estimatedRunUs: runTime }),
+        makeJobSpec('run-2', { tasks: 2, estimatedRunUs: runTime }),
       ];
       for (const spec of specs) simulation.submit(spec);
       for (let change = 0; change < changes; change++) {
-        simulation.runFor(runTime + random.below(4_000) * MILLI);
+        simulation.runFor(runTime + random.below(4_000) * MILLISECOND);
         const leader = leaderIndex(simulation);
-        if (leader >= 0) simulation.crash(leader, [60 * MILLI, 800 * MILLI, 20 * SECOND][random.below(3)]!);
+        if (leader >= 0)
+          simulation.crash(leader, [60 * MILLISECOND, 800 * MILLISECOND, 20 * SECOND][random.below(3)]!);
       }
       const description = `${changes} changes, seed ${seed}`;
       // The simulation checks each answer and records `not_done` for a job that is reported as done too early.
@@ -120,7 +128,7 @@
 const submitLongTasks = (simulation: ClusterSimulation, seed: number): void => {
   simulation.runFor(2 * SECOND);
   for (let i = 0; i < 4; i++)
-    simulation.submit(specOf(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
+    simulation.submit(makeJobSpec(`run-${seed}${i}`, { tasks: 4, estimatedRunUs: 300 * SECOND }));
   simulation.runFor(30 * SECOND);
 };
 
@@ -137,9 +145,9 @@
       (worker) => worker.alive && worker.tasks.length > 0,
     )!;
     // Copies of its earlier heartbeats arrive one after the other, for longer than its lease.
-    const sentHeartbeats = Array.from({ length: 12 }, () => simulation.machines.reportOf(hanging));
+    const sentHeartbeats = Array.from({ length: 12 }, () => simulation.machines.heartbeatOf(hanging));
     for (const heartbeat of sentHeartbeats) leaderCore(simulation).scheduler!.respondToHeartbeat(heartbeat);
-    hanging.cutUntil = simulation.now + 1_000 * SECOND;
+    hanging.unreachableUntil = simulation.now + 1_000 * SECOND;
     const cutAt = simulation.now;
     for (const heartbeat of sentHeartbeats) {
       simulation.runFor(4 * SECOND);
@@ -163,16 +171,16 @@
     const lostWorker = [...simulation.workers.values()].find(
       (worker) => worker.alive && worker.tasks.some((task) => task.state === 'running'),
     )!;
-    const oldHeartbeat = simulation.machines.reportOf(lostWorker);
+    const oldHeartbeat = simulation.machines.heartbeatOf(lostWorker);
     const taskCount = lostWorker.tasks.length;
     simulation.killWorker(lostWorker);
     simulation.runFor(40 * SECOND);
     // Its tasks run elsewhere by now. The next leader has no heartbeat from it and takes a while to read the records.
-    simulation.listDelay = 800 * MILLI;
+    simulation.listReplyDelay = 800 * MILLISECOND;
     simulation.crash(leaderIndex(simulation), SECOND);
     const newScheduler = (): Core['scheduler'] =>
       simulation.nodes.map((node) => node.core?.scheduler ?? null).find((found) => found !== null) ?? null;
-    for (let i = 0; i < 40 && newScheduler() === null; i++) simulation.runFor(250 * MILLI);
+    for (let i = 0; i < 40 && newScheduler() === null; i++) simulation.runFor(250 * MILLISECOND);
     const scheduler = newScheduler()!;
     const { machines } = scheduler.term.cluster;
     assert.equal(scheduler.term.isRestored, false);
@@ -202,9 +210,9 @@
     const first = NAMES[random.below(NAMES.length)]!;
     const second = NAMES[random.below(NAMES.length)]!;
     const scenarios = [BASIC_SCENARIOS[first]!, BASIC_SCENARIOS[second]!];
-    const outcome = play(1_000 + seed, scenarios, 3, FIRST_BOUNDS);
+    const outcome = runScenarios(1_000 + seed, scenarios, 3, BASIC_LIMITS);
     checkOutcome(outcome, `seed ${seed}: ${first}; ${second}`);
-    elections += outcome.won;
+    elections += outcome.electionCount;
   }
   assert.ok(elections > 2 * lastPairSeed, `elections: ${elections}`);
 });
--- a/packages/core/test/queue-order.test.ts
+++ b/packages/core/test/queue-order.test.ts
@@ -10,19 +10,19 @@
 import { Autoscaler, type AutoscalerHost } from '@shaleyoke/core/machines/autoscaler';
 import { NodeContext } from '@shaleyoke/core/node/node-context';
 import { QueueOrder } from '@shaleyoke/core/scheduling/queue-order';
-import { settingsFor, TYPE } from '@shaleyoke/emulator/site';
-import { specOf } from '@shaleyoke/emulator/specs';
+import { MACHINE_TYPE, settingsFor } from '@shaleyoke/emulator/site';
+import { makeJobSpec } from '@shaleyoke/emulator/specs';
 
 import { runTask } from './cluster-fixtures.js';
 
-const GPU: MachineType = { ...TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
+const GPU: MachineType = { ...MACHINE_TYPE, name: 'gpu', cores: 32, gpus: 4, memoryGb: 256 };
 
 /** A cluster of GPU machines that are up and empty. */
 const clusterOf = (machines: number): ClusterState => {
   const settings = settingsFor('n0', ['n0'], '[[cluster.teams]]\nname = "t"\n');
   const objectives = [{ kind: 'deadline', class: 'scores', withinUs: null, share: 0.9, deadlineFactor: 1 }];
   const context = new NodeContext({ ...settings, objectives }, () => 0);
-  context.types = new Map([['gpu', GPU]]);
+  context.machineTypes = new Map([['gpu', GPU]]);
   const cluster = new ClusterState(context);
   for (let i = 0; i < machines; i++) {
     const machine = new Machine(`m-${i}`, `m-${i}`, 'gpu', 'a', false, 0);
@@ -35,7 +35,7 @@
 
 /** Adds an active job for GPU machines, with the given fields overridden. */
 const addJob = (cluster: ClusterState, id: string, overrides: Partial<JobSpec>): ActiveJob => {
-  const job = new ActiveJob(specOf(id, { machineTypes: ['gpu'], ...overrides }), 1, 0, 0);
+  const job = new ActiveJob(makeJobSpec(id, { machineTypes: ['gpu'], ...overrides }), 1, 0, 0);
   cluster.jobs.set(id, job);
   return job;
 };
@@ -70,7 +70,7 @@
     addJob(cluster, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
     for (let i = 0; i < 3; i++)
       addJob(cluster, `small-${i}`, { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
-    return new QueueOrder(cluster).inOrder().map((job) => job.id);
+    return new QueueOrder(cluster).startableJobs().map((job) => job.id);
   };
   assert.equal(
     orderWith(0)[0],
@@ -93,7 +93,7 @@
   addJob(cluster, 'large', { ...SCORES, tasks: 30, deadlineUs: 180 * SECOND });
   addJob(cluster, 'small', { ...SCORES, tasks: 2, deadlineUs: 200 * SECOND });
   assert.deepEqual(
-    new QueueOrder(cluster).inOrder().map((job) => job.id),
+    new QueueOrder(cluster).startableJobs().map((job) => job.id),
     ['small', 'large'],
   );
 });
@@ -110,10 +110,10 @@
   addJob(cluster, 'urgent-array', urgent);
   addJob(cluster, 'urgent-gang', { ...urgent, shape: 'gang' });
   const queue = new QueueOrder(cluster);
-  queue.inOrder();
+  queue.startableJobs();
   // Each team is due a turn now.
   context.now += 13 * SECOND;
-  const order = queue.inOrder();
+  const order = queue.startableJobs();
   const turns = order.filter((job) => queue.hasTurn(job));
   assert.equal(turns.length, TEAMS.length);
   assert.deepEqual(
@@ -129,7 +129,7 @@
   const settings = settingsFor('n0', ['n0'], '');
   const context = new NodeContext({ ...settings, objectives: [URGENT] }, () => 0);
   const autoscaler = new Autoscaler(context, { isCostSensitive: () => false } as AutoscalerHost);
-  const spec = specOf('run-1', { class: 'urgent', tasks: 4 });
+  const spec = makeJobSpec('run-1', { class: 'urgent', tasks: 4 });
   autoscaler.recordArrival(spec);
   assert.equal(
     autoscaler.reservedForUrgent()[0]?.count,
--- a/packages/emulator/src/mutants.ts
+++ b/packages/emulator/src/mutants.ts
@@ -5,7 +5,7 @@
 
 /** A replacement of text in one source file. */
 export interface Mutant {
-  /** What the mutated code does wrong. */
+  /** Description of the fault in the mutated code. */
   readonly name: string;
   /** Path relative to `packages/core/src`. */
   readonly file: string;
@@ -65,8 +65,8 @@
   {
     name: 'a delayed heartbeat brings back a machine that is gone',
     file: 'machines/machine-lifecycle.ts',
-    from: 'if (heartbeat.tasks.length === 0 || !this.store.isComplete) return false;',
-    to: 'if (heartbeat.tasks.length >= 0 || !this.store.isComplete) return false;',
+    from: 'if (heartbeat.tasks.length === 0 || !this.store.areAllRecordsReadable) return false;',
+    to: 'if (heartbeat.tasks.length >= 0 || !this.store.areAllRecordsReadable) return false;',
   },
   {
     name: 'a lost start command does not raise the fencing token',
--- a/packages/emulator/src/polling-users.ts
+++ b/packages/emulator/src/polling-users.ts
@@ -1,5 +1,5 @@
 /** Simulated users who poll each of their jobs every 5 s at a random node, and record for how long none was answered. */
-import { type Micros, MILLI, SECOND } from '@shaleyoke/core/domain/time';
+import { type Micros, MILLISECOND, SECOND } from '@shaleyoke/core/domain/time';
 
 import type { ClusterSimulation } from './cluster-simulation.js';
 import type { Random } from './random.js';
@@ -8,7 +8,7 @@
 /** How often a user polls a job. */
 const POLL_INTERVAL: Micros = 5 * SECOND;
 /** A poll is sent up to this much earlier or later. */
-const POLL_JITTER: Micros = 500 * MILLI;
+const POLL_JITTER: Micros = 500 * MILLISECOND;
 
 interface PolledJob {
   readonly id: string;
@@ -42,9 +42,9 @@
   private latenciesMs: number[] = [];
   private isStopped = false;
   /** Polls sent. */
-  polls = 0;
+  sentPolls = 0;
   /** Polls that were answered with the job's state before the timeout. */
-  answered = 0;
+  answeredPolls = 0;
 
   constructor(
     private readonly simulation: ClusterSimulation,
@@ -55,7 +55,7 @@
   add(id: string): void {
     const job: PolledJob = { id, lastAnsweredAt: this.simulation.now, polledSince: [], longestGap: NO_GAP };
     this.jobs.push(job);
-    this.simulation.later(this.random.below(POLL_INTERVAL), () => {
+    this.simulation.runAfter(this.random.below(POLL_INTERVAL), () => {
       this.poll(job);
     });
   }
@@ -68,8 +68,8 @@
   /** Discards all measurements; periods without an answer begin anew. */
   resetMeasurements(): void {
     this.latenciesMs = [];
-    this.polls = 0;
-    this.answered = 0;
+    this.sentPolls = 0;
+    this.answeredPolls = 0;
     for (const job of this.jobs) {
       job.lastAnsweredAt = this.simulation.now;
       job.longestGap = NO_GAP;
@@ -109,21 +109,21 @@
     if (this.isStopped) return;
     const node = this.random.below(this.simulation.nodes.length);
     const sentAt = this.simulation.now;
-    this.polls++;
+    this.sentPolls++;
     job.polledSince.push(this.simulation.nodes[node]!.name);
     this.simulation.users.poll(job.id, node, (answer) => {
       if (answer?.kind === 'view') this.recordAnswer(job, sentAt);
     });
     const untilNext = POLL_INTERVAL - POLL_JITTER + this.random.below(2 * POLL_JITTER);
-    this.simulation.later(untilNext, () => {
+    this.simulation.runAfter(untilNext, () => {
       this.poll(job);
     });
   }
 
   private recordAnswer(job: PolledJob, sentAt: Micros): void {
     const { now } = this.simulation;
-    this.answered++;
-    this.latenciesMs.push((now - sentAt) / MILLI);
+    this.answeredPolls++;
+    this.latenciesMs.push((now - sentAt) / MILLISECOND);
     job.longestGap = this.longestGapOf(job);
     job.lastAnsweredAt = now;
     job.polledSince = [];
--- a/packages/kubernetes/src/feature.ts
+++ b/packages/kubernetes/src/feature.ts
@@ -2,13 +2,13 @@
 import type { Feature, FeatureEndpoint, FeatureTerm, NodeServices } from '@shaleyoke/core/feature-api';
 import type { LeaderTerm } from '@shaleyoke/core/leadership/leader-term';
 
-import { FEATURE, KubeEndpoint } from './front.js';
+import { KUBE_FEATURE, KubeEndpoint } from './endpoint.js';
 import { JobController } from './job-controller.js';
 import type { KubeSettings } from './settings.js';
 
 /** Creates the endpoint of a node and the controller of a leader's term. */
-export class Kube implements Feature {
-  readonly name = FEATURE;
+export class KubernetesFeature implements Feature {
+  readonly name = KUBE_FEATURE;
   private endpoint: KubeEndpoint | null = null;
   private services: NodeServices | null = null;
 
@@ -19,14 +19,14 @@
   ) {}
 
   /** Starts the node's endpoint; the core calls it once, before `begin`. */
-  serve(services: NodeServices): FeatureEndpoint {
+  createEndpoint(services: NodeServices): FeatureEndpoint {
     this.services = services;
     this.endpoint = new KubeEndpoint(services, this.random, this.settings.tenants);
     return this.endpoint;
   }
 
   /** Starts the controller of a leader's term on this node. */
-  begin(term: LeaderTerm): FeatureTerm {
+  beginTerm(term: LeaderTerm): FeatureTerm {
     if (this.endpoint === null || this.services === null)
       throw new Error('serve() must be called before begin()');
     return new JobController(term, this.services, this.endpoint.cacheSync, this.settings.statusChangesPerS);
--- a/packages/kubernetes/src/records.ts
+++ b/packages/kubernetes/src/records.ts
@@ -2,8 +2,8 @@
  * Keys and records of Kubernetes objects in the key-value store (docs/kube.md). A record that can't be decoded reads as
  * null.
  */
-import { reader } from '@shaleyoke/config/checked';
-import { bytesOf } from '@shaleyoke/core/codecs/value-size';
+import { recordDecoder } from '@shaleyoke/config/schema-decoding';
+import { jsonByteLength } from '@shaleyoke/core/codecs/value-size';
 import { Schema } from 'effect';
 
 /** Prefix of all keys of this package. */
@@ -69,9 +69,9 @@
 const ManifestChunk = Schema.Struct({ v: Schema.Literal(1), text: Schema.String });
 
 /** Decodes an object record; null if it is malformed. */
-export const readObject = reader(ObjectRecord);
+export const readObject = recordDecoder(ObjectRecord);
 /** Decodes a manifest chunk or a guard; null if it is malformed. */
-export const readManifestChunk = reader(ManifestChunk);
+export const readManifestChunk = recordDecoder(ManifestChunk);
 
 /** Status of an object whose job has not started. */
 export const newStatus = (): Status => ({
@@ -94,7 +94,7 @@
       const code = text.charCodeAt(from + length - 1);
       if (code >= 0xd800 && code <= 0xdbff && length > 1) length--;
       const chunk = { v: 1 as const, text: text.slice(from, from + length) };
-      if (bytesOf(chunk) <= maxBytes || length === 1) {
+      if (jsonByteLength(chunk) <= maxBytes || length === 1) {
         chunks.push(chunk);
         break;
       }
